--- a/cmake/Workspace.cmake
+++ b/cmake/Workspace.cmake
@@ -1,3 +1,8 @@
+# Where tests find the checkout. A header, not a compiler flag, so that checkouts share the compiler cache.
+set(SWITCHSADDLE_GENERATED_DIR ${CMAKE_BINARY_DIR}/generated)
+file(CONFIGURE OUTPUT ${SWITCHSADDLE_GENERATED_DIR}/source_directory.h
+     CONTENT "#define SWITCHSADDLE_SOURCE_DIR \"@CMAKE_SOURCE_DIR@\"\n" @ONLY)
+
 # switchsaddle_library(NAME DEPENDS a b LINKS x): a library made of libraries/NAME/{include,source},
 # with one test program from libraries/NAME/test where that folder holds *_test.cc files. TEST_SHARDS n
 # runs it as n tests side by side.
@@ -23,8 +28,7 @@
   file(GLOB_RECURSE tests CONFIGURE_DEPENDS ${root}/test/*.cc)
   if(tests AND SWITCHSADDLE_TESTS)
     add_executable(${name}_test ${tests})
-    target_include_directories(${name}_test PRIVATE ${root}/test ${root}/source)
-    target_compile_definitions(${name}_test PRIVATE SWITCHSADDLE_SOURCE_DIR="${CMAKE_SOURCE_DIR}")
+    target_include_directories(${name}_test PRIVATE ${root}/test ${root}/source ${SWITCHSADDLE_GENERATED_DIR})
     target_link_libraries(${name}_test PRIVATE ${target} GTest::gmock GTest::gtest_main Threads::Threads)
     foreach(dependency ${ARG_TEST_DEPENDS})
       target_link_libraries(${name}_test PRIVATE switchsaddle_${dependency})
--- a/libraries/base/test/result_code_test.cc
+++ b/libraries/base/test/result_code_test.cc
@@ -1,4 +1,5 @@
 #include "switchsaddle/base/result_code.h"
+#include "source_directory.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/command_line/test/command_line_test.cc
+++ b/libraries/command_line/test/command_line_test.cc
@@ -1,4 +1,5 @@
 #include "switchsaddle/command_line/command_line.h"
+#include "source_directory.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/configuration/test/examples_test.cc
+++ b/libraries/configuration/test/examples_test.cc
@@ -3,6 +3,7 @@
 #include <fstream>
 #include <sstream>
 
+#include "source_directory.h"
 #include "switchsaddle/configuration/check_report.h"
 #include "switchsaddle/configuration/document.h"
 #include "switchsaddle/configuration/view.h"
--- a/libraries/fuzz/test/fuzz_test.cc
+++ b/libraries/fuzz/test/fuzz_test.cc
@@ -1,5 +1,6 @@
 #include <gtest/gtest.h>
 
+#include "source_directory.h"
 #include "switchsaddle/allocation_probe/allocation_probe.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/fuzz/mutator.h"
--- a/libraries/laboratory/test/examples_test.cc
+++ b/libraries/laboratory/test/examples_test.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "source_directory.h"
 #include "switchsaddle/configuration/view.h"
 #include "switchsaddle/laboratory/fleet_layout.h"
 #include "switchsaddle/laboratory/json_fields.h"
