--- a/libraries/admission/include/switchsaddle/admission/ledger_slot_broker.h
+++ b/libraries/admission/include/switchsaddle/admission/ledger_slot_broker.h
@@ -51,12 +51,12 @@
   void acquire(const std::string& branch, std::function<void(SlotOutcome)> callback) override;
   std::uint32_t inUse(const std::string& branch) const;
   /** The slots held of one branch, and how many of them are in use. */
-  struct Holding {
+  struct Allocation {
     std::string branch;
     std::uint32_t held = 0;
     std::uint32_t in_use = 0;
   };
-  std::vector<Holding> holdings() const;
+  std::vector<Allocation> allocations() const;
   /** The highest term heard of for each ledger, by shard. */
   std::map<std::uint32_t, std::uint64_t> ledgerTerms() const;
 
@@ -71,7 +71,7 @@
   struct BranchPool {
     std::uint64_t sequence = 0;
     /** When the latest message was sent. */
-    base::TimePoint told_at{};
+    base::TimePoint sent_at{};
     std::uint32_t held = 0;
     /** Idle slots which the message under way gives back. */
     std::uint32_t offered = 0;
@@ -85,10 +85,10 @@
   };
 
   BranchPool& pool(const std::string& branch);
-  SlotHoldPtr take(const std::string& branch, BranchPool& pool);
+  SlotPermitPtr take(const std::string& branch, BranchPool& pool);
   void release(const std::string& branch);
   void serveWaiting(const std::string& branch);
-  void refuseAsked(const std::string& branch, std::uint64_t sequence);
+  void rejectRequested(const std::string& branch, std::uint64_t sequence);
   /** The message under way reached no ledger, so its idle slots are still this front's. */
   void keepOffered(const std::string& branch);
   bool hasIdle(const BranchPool& pool) const;
@@ -97,9 +97,9 @@
   void onReply(const std::string& branch, std::uint64_t sequence,
                const transport::CallResult& result);
   void onRecall(const wire::SlotRecall& recall, const transport::ReplyFunction& reply);
-  wire::SlotHolding recallBranch(const std::string& branch, BranchPool& pool);
+  wire::SlotAllocation recallBranch(const std::string& branch, BranchPool& pool);
   base::NodeAddress ledgerAddress(std::uint32_t shard);
-  void tryNextCore(std::uint32_t shard);
+  void selectNextCore(std::uint32_t shard);
 
   base::Dispatcher& dispatcher_;
   transport::PeerCalls& calls_;
--- a/libraries/admission/include/switchsaddle/admission/waiting_request.h
+++ b/libraries/admission/include/switchsaddle/admission/queued_slot_request.h
@@ -7,7 +7,7 @@
 namespace switchsaddle::admission {
 
 /** A front's request for slots which the ledger has not answered yet. */
-struct WaitingRequest {
+struct QueuedSlotRequest {
   wire::SlotRequest request;
   transport::ReplyFunction reply;
   /** Whether it came before the recall under way, so that the recall's answers are newer. */
--- a/libraries/admission/include/switchsaddle/admission/reservation_writer.h
+++ b/libraries/admission/include/switchsaddle/admission/reservation_writer.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
+#include "switchsaddle/admission/queued_slot_request.h"
 #include "switchsaddle/admission/reservation_table.h"
-#include "switchsaddle/admission/waiting_request.h"
 #include "switchsaddle/registers/proposer.h"
 
 namespace switchsaddle::admission {
@@ -32,8 +32,8 @@
   /** Told the table found once the register carries the term, or why it does not. */
   using FencedFunction = std::function<void(const registers::RegisterOutcome&)>;
   /** Told how many slots a held back request is granted; 0 where the register did not answer. */
-  using ConfirmFunction = std::function<void(const WaitingRequest&, std::uint32_t granted)>;
-  /** Whether a front still counts as holding slots of a branch. */
+  using ConfirmFunction = std::function<void(const QueuedSlotRequest&, std::uint32_t granted)>;
+  /** Whether a front still counts as allocation slots of a branch. */
   using HoldsFunction = std::function<bool(const FrontIdentity&, const std::string& branch)>;
 
   ReservationWriter(registers::RegisterProposer& proposer, std::uint32_t shard,
@@ -44,11 +44,11 @@
   /** Starts from what the register held when it was fenced. */
   void takeOver(const ReservationTable& table);
   /** Ends the term; returns the requests whose grants were held back. */
-  std::vector<WaitingRequest> endTerm();
+  std::vector<QueuedSlotRequest> endTerm();
 
   /** Grants now where the reservation stands, else once it has been raised to `held` and written.
    */
-  void grant(WaitingRequest waiting, std::uint32_t slots, std::uint32_t held);
+  void grant(QueuedSlotRequest waiting, std::uint32_t slots, std::uint32_t held);
   /** Takes a front's reservations out with the next write. */
   void forget(const FrontIdentity& front);
   /** Other instances with reservations at the front's address. */
@@ -58,12 +58,12 @@
 
  private:
   struct PendingGrant {
-    WaitingRequest waiting;
+    QueuedSlotRequest waiting;
     std::uint32_t slots = 0;
   };
 
   void reserve(const FrontIdentity& front, const std::string& branch, std::uint32_t slots);
-  bool isReserved(const WaitingRequest& waiting, std::uint32_t granted) const;
+  bool isReserved(const QueuedSlotRequest& waiting, std::uint32_t granted) const;
   void write();
   void onWritten(const registers::RegisterOutcome& outcome, const ReservationTable& written);
   ReservationTable tableToWrite();
--- a/libraries/admission/include/switchsaddle/admission/slot_broker.h
+++ b/libraries/admission/include/switchsaddle/admission/slot_broker.h
@@ -10,17 +10,17 @@
 namespace switchsaddle::admission {
 
 /** One slot of a branch in use; destroying it gives the slot back to this front's pool. */
-class SlotHold {
+class SlotPermit {
  public:
-  virtual ~SlotHold() = default;
+  virtual ~SlotPermit() = default;
 };
 
-using SlotHoldPtr = std::unique_ptr<SlotHold>;
+using SlotPermitPtr = std::unique_ptr<SlotPermit>;
 
 /** Either a slot, or why there is none: OverBranchLimit (proven full) or LimitsUnavailable. */
 struct SlotOutcome {
   base::ResultCode code = base::ResultCode::LimitsUnavailable;
-  SlotHoldPtr hold;
+  SlotPermitPtr hold;
   /** When asking again is worthwhile, in milliseconds. */
   std::uint32_t retry_after_ms = 1'000;
 };
--- a/libraries/admission/include/switchsaddle/admission/slot_ledger.h
+++ b/libraries/admission/include/switchsaddle/admission/slot_ledger.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/admission/branch_holdings.h"
+#include "switchsaddle/admission/branch_allocations.h"
+#include "switchsaddle/admission/queued_slot_request.h"
 #include "switchsaddle/admission/reservation_table.h"
 #include "switchsaddle/admission/reservation_writer.h"
-#include "switchsaddle/admission/waiting_request.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/registers/proposer.h"
 #include "switchsaddle/transport/peer_calls.h"
@@ -40,7 +40,7 @@
    */
   base::Duration ended_front_time = std::chrono::seconds(1);
   /** A front silent for this long, and for longer than any request may last, holds nothing. */
-  base::Duration silence_bound = std::chrono::seconds(330);
+  base::Duration unresponsive_timeout = std::chrono::seconds(330);
   /** Reservations grow in steps of this, so that most grants need no register write. */
   std::uint32_t reservation_step = 8;
   /** Each of these is off only in tests which show what it is for. */
@@ -77,12 +77,12 @@
   void onRequest(const wire::SlotRequest& request, transport::ReplyFunction reply);
   bool serving() const;
   /** Slots counted as held, for status; at least those in use. */
-  std::uint32_t heldOf(const std::string& branch) const;
+  std::uint32_t allocatedSlots(const std::string& branch) const;
 
  private:
   struct BranchState {
-    BranchHoldings holdings;
-    std::deque<WaitingRequest> waiting;
+    BranchAllocations allocations;
+    std::deque<QueuedSlotRequest> waiting;
     bool recalling = false;
     std::uint32_t recalls_open = 0;
   };
@@ -90,28 +90,29 @@
   void fence();
   void onFenced(const registers::RegisterOutcome& outcome);
   void takeOver(const ReservationTable& table);
-  void askFront(const FrontIdentity& front);
+  void requestReport(const FrontIdentity& front);
   void noteReport(const FrontIdentity& front, const wire::SlotReport& report,
                   const std::string& branch);
   void noteReportOf(const std::string& branch, BranchState& state, const FrontIdentity& front,
                     const wire::SlotReport& report);
-  void askOtherInstances(const FrontIdentity& front);
-  bool isStale(const Holding& holding, std::uint64_t sequence) const;
+  void queryOtherInstances(const FrontIdentity& front);
+  bool isStale(const Allocation& allocation, std::uint64_t sequence) const;
   void answerEarlierRequests(const FrontIdentity& front, BranchState& state);
-  void renewWaiting(const FrontIdentity& front, BranchState& state, const wire::SlotHolding& told);
+  void renewWaiting(const FrontIdentity& front, BranchState& state,
+                    const wire::SlotAllocation& told);
   std::vector<FrontIdentity> frontsToRecall(const std::string& branch) const;
   void recall(const std::string& branch, const FrontIdentity& front);
   void refuseNotServing();
   void dropFront(const FrontIdentity& front);
   void serveWaiting(const std::string& branch);
   std::uint32_t freeSlots(const std::string& branch) const;
-  void grant(const std::string& branch, WaitingRequest waiting, std::uint32_t slots);
-  void answer(const WaitingRequest& waiting, std::uint32_t granted, bool exhausted) const;
+  void grant(const std::string& branch, QueuedSlotRequest waiting, std::uint32_t slots);
+  void answer(const QueuedSlotRequest& waiting, std::uint32_t granted, bool exhausted) const;
   void startRecall(const std::string& branch);
   void finishRecall(const std::string& branch);
   bool allKnownInUse(const std::string& branch) const;
   /** A front silent for longer holds nothing: no request lasts that long. */
-  base::Duration silenceBound() const;
+  base::Duration unresponsiveTimeout() const;
 
   base::Dispatcher& dispatcher_;
   transport::PeerCalls& calls_;
--- a/libraries/admission/source/ledger_slot_broker.cc
+++ b/libraries/admission/source/ledger_slot_broker.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 /** A slot in use; gives it back to the broker unless that is gone. */
-class LedgerSlotBroker::Hold : public SlotHold {
+class LedgerSlotBroker::Hold : public SlotPermit {
  public:
   Hold(LedgerSlotBroker& broker, std::string branch)
       : broker_(broker), alive_(broker.alive_), branch_(std::move(branch)) {}
@@ -71,12 +71,12 @@
   return found == pools_.end() ? 0 : found->second.in_use;
 }
 
-std::vector<LedgerSlotBroker::Holding> LedgerSlotBroker::holdings() const {
-  std::vector<Holding> holdings;
+std::vector<LedgerSlotBroker::Allocation> LedgerSlotBroker::allocations() const {
+  std::vector<Allocation> allocations;
   for (const auto& [branch, pool] : pools_) {
-    holdings.push_back({branch, pool.held, pool.in_use});
+    allocations.push_back({branch, pool.held, pool.in_use});
   }
-  return holdings;
+  return allocations;
 }
 
 std::map<std::uint32_t, std::uint64_t> LedgerSlotBroker::ledgerTerms() const {
@@ -88,10 +88,10 @@
 }
 
 bool LedgerSlotBroker::hasIdle(const BranchPool& pool) const {
-  return pool.held > pool.in_use && dispatcher_.now() - pool.told_at <= options_.idle_validity;
+  return pool.held > pool.in_use && dispatcher_.now() - pool.sent_at <= options_.idle_validity;
 }
 
-SlotHoldPtr LedgerSlotBroker::take(const std::string& branch, BranchPool& pool) {
+SlotPermitPtr LedgerSlotBroker::take(const std::string& branch, BranchPool& pool) {
   ++pool.in_use;
   return std::make_unique<Hold>(*this, branch);
 }
@@ -134,7 +134,7 @@
   }
 }
 
-void LedgerSlotBroker::refuseAsked(const std::string& branch, std::uint64_t sequence) {
+void LedgerSlotBroker::rejectRequested(const std::string& branch, std::uint64_t sequence) {
   std::deque<Waiter>& waiting = pool(branch).waiting;
   std::vector<Waiter> refused;
   while (!waiting.empty() && waiting.front().after_sequence < sequence) {
@@ -173,7 +173,7 @@
   return state.ledger;
 }
 
-void LedgerSlotBroker::tryNextCore(std::uint32_t shard) {
+void LedgerSlotBroker::selectNextCore(std::uint32_t shard) {
   ShardState& state = shards_[shard];
   state.ledger = {};
   ++state.next_core;
@@ -192,7 +192,7 @@
   }
   slots.offered = slots.held - slots.in_use;
   slots.held = slots.in_use;
-  slots.told_at = dispatcher_.now();
+  slots.sent_at = dispatcher_.now();
   slots.asking = true;
   wire::SlotRequest request;
   request.branch = branch;
@@ -223,7 +223,7 @@
     if (not_heard && sequence == slots.sequence) {
       keepOffered(branch);
     }
-    tryNextCore(shard);
+    selectNextCore(shard);
     if (reply != nullptr && !reply->ledger.empty()) {
       state.ledger = reply->ledger;
     }
@@ -239,7 +239,7 @@
     serveWaiting(branch);
   }
   if (!is_void && reply->exhausted) {
-    refuseAsked(branch, sequence);
+    rejectRequested(branch, sequence);
   }
   if (!slots.waiting.empty()) {
     const bool at_once = is_void || reply->granted > 0 || reply->exhausted;
@@ -253,15 +253,15 @@
   BranchPool& slots = pool(branch);
   slots.held += slots.offered;
   slots.offered = 0;
-  slots.told_at = dispatcher_.now();
+  slots.sent_at = dispatcher_.now();
   serveWaiting(branch);
 }
 
-wire::SlotHolding LedgerSlotBroker::recallBranch(const std::string& branch, BranchPool& pool) {
+wire::SlotAllocation LedgerSlotBroker::recallBranch(const std::string& branch, BranchPool& pool) {
   // A reply still under way is made void by the new sequence.
   pool.held = pool.in_use;
-  pool.told_at = dispatcher_.now();
-  return wire::SlotHolding{branch, ++pool.sequence, pool.held, pool.in_use};
+  pool.sent_at = dispatcher_.now();
+  return wire::SlotAllocation{branch, ++pool.sequence, pool.held, pool.in_use};
 }
 
 void LedgerSlotBroker::onRecall(const wire::SlotRecall& recall,
@@ -276,7 +276,7 @@
       const bool asked =
           recall.branch.empty() ? ledgerShardOf(branch) == recall.shard : recall.branch == branch;
       if (asked && slots.sequence > 0) {
-        report.holdings.push_back(recallBranch(branch, slots));
+        report.allocations.push_back(recallBranch(branch, slots));
       }
     }
   }
--- a/libraries/admission/source/reservation_writer.cc
+++ b/libraries/admission/source/reservation_writer.cc
@@ -43,8 +43,8 @@
   wanted_ = table;
 }
 
-std::vector<WaitingRequest> ReservationWriter::endTerm() {
-  std::vector<WaitingRequest> held_back;
+std::vector<QueuedSlotRequest> ReservationWriter::endTerm() {
+  std::vector<QueuedSlotRequest> held_back;
   for (PendingGrant& pending : pending_grants_) {
     held_back.push_back(std::move(pending.waiting));
   }
@@ -54,7 +54,7 @@
   return held_back;
 }
 
-void ReservationWriter::grant(WaitingRequest waiting, std::uint32_t slots, std::uint32_t held) {
+void ReservationWriter::grant(QueuedSlotRequest waiting, std::uint32_t slots, std::uint32_t held) {
   reserve(waiting.front(), waiting.request.branch, held);
   if (isReserved(waiting, slots)) {
     confirm_(waiting, slots);
@@ -99,7 +99,7 @@
   }
 }
 
-bool ReservationWriter::isReserved(const WaitingRequest& waiting, std::uint32_t granted) const {
+bool ReservationWriter::isReserved(const QueuedSlotRequest& waiting, std::uint32_t granted) const {
   if (!options_.reserve_before_granting) {
     return true;
   }
@@ -166,7 +166,7 @@
   std::vector<PendingGrant> pending;
   pending.swap(pending_grants_);
   for (PendingGrant& pending_grant : pending) {
-    const WaitingRequest& waiting = pending_grant.waiting;
+    const QueuedSlotRequest& waiting = pending_grant.waiting;
     if (isReserved(waiting, pending_grant.slots)) {
       confirm_(waiting, pending_grant.slots);
     } else if (is_written) {
--- a/libraries/admission/source/slot_ledger.cc
+++ b/libraries/admission/source/slot_ledger.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /** Beyond the longest request, for clocks and timers that run late. */
-constexpr base::Duration SilenceMargin = std::chrono::seconds(30);
+constexpr base::Duration TimeoutMargin = std::chrono::seconds(30);
 
 }  // namespace
 
@@ -26,12 +26,12 @@
           proposer, shard,
           ReservationWriterOptions{options.reservation_step, options.reserve_before_granting,
                                    options.fence_by_term},
-          [this](const WaitingRequest& waiting, std::uint32_t granted) {
+          [this](const QueuedSlotRequest& waiting, std::uint32_t granted) {
             answer(waiting, granted, false);
           },
           [this](const FrontIdentity& front, const std::string& branch) {
             const auto state = branches_.find(branch);
-            return state != branches_.end() && state->second.holdings.contains(front);
+            return state != branches_.end() && state->second.allocations.contains(front);
           }),
       fence_timer_(dispatcher.createTimer([this] { fence(); })) {}
 
@@ -83,11 +83,11 @@
 
 void SlotLedger::refuseNotServing() {
   // The fronts then look for the successor at once.
-  for (const WaitingRequest& waiting : reservations_.endTerm()) {
+  for (const QueuedSlotRequest& waiting : reservations_.endTerm()) {
     waiting.reply(wire::SlotReply{});
   }
   for (const auto& [branch, state] : branches_) {
-    for (const WaitingRequest& waiting : state.waiting) {
+    for (const QueuedSlotRequest& waiting : state.waiting) {
       waiting.reply(wire::SlotReply{});
     }
   }
@@ -97,14 +97,14 @@
   reservations_.takeOver(table);
   for (const auto& [front, reservations] : table.reserved) {
     for (const auto& [branch, slots] : reservations) {
-      branches_[branch].holdings.takeReservation(front, slots, dispatcher_.now());
+      branches_[branch].allocations.adoptReservation(front, slots, dispatcher_.now());
     }
-    askFront(front);
+    requestReport(front);
   }
   serving_ = true;
 }
 
-void SlotLedger::askFront(const FrontIdentity& front) {
+void SlotLedger::requestReport(const FrontIdentity& front) {
   const std::uint64_t term = term_;
   calls_.call(
       front.address, wire::SlotRecall{term, shard_, {}}, options_.recall_timeout,
@@ -132,7 +132,7 @@
   }
   for (auto& [path, state] : branches_) {
     const bool asked = branch.empty() || branch == path;
-    if (asked && state.holdings.contains(front)) {
+    if (asked && state.allocations.contains(front)) {
       noteReportOf(path, state, front, report);
     }
   }
@@ -140,23 +140,23 @@
 
 void SlotLedger::noteReportOf(const std::string& branch, BranchState& state,
                               const FrontIdentity& front, const wire::SlotReport& report) {
-  const Holding counted = state.holdings.of(front);
-  const auto told = std::ranges::find(report.holdings, branch, &wire::SlotHolding::branch);
-  if (told == report.holdings.end()) {
+  const Allocation counted = state.allocations.of(front);
+  const auto told = std::ranges::find(report.allocations, branch, &wire::SlotAllocation::branch);
+  if (told == report.allocations.end()) {
     // A request which the report was overtaken by is later than it.
     if (counted.sequence == 0) {
-      state.holdings.erase(front);
+      state.allocations.erase(front);
     }
   } else if (!isStale(counted, told->sequence)) {
-    state.holdings.noteTold(front, *told, dispatcher_.now());
+    state.allocations.recordReport(front, *told, dispatcher_.now());
     renewWaiting(front, state, *told);
   }
 }
 
 void SlotLedger::renewWaiting(const FrontIdentity& front, BranchState& state,
-                              const wire::SlotHolding& told) {
+                              const wire::SlotAllocation& told) {
   // What the front waits for is still wanted; a grant must stand on what it told last.
-  for (WaitingRequest& waiting : state.waiting) {
+  for (QueuedSlotRequest& waiting : state.waiting) {
     if (waiting.front() == front) {
       waiting.request.sequence = told.sequence;
       waiting.request.held = told.held;
@@ -165,15 +165,15 @@
   }
 }
 
-bool SlotLedger::isStale(const Holding& holding, std::uint64_t sequence) const {
-  return options_.order_by_sequence && sequence <= holding.sequence;
+bool SlotLedger::isStale(const Allocation& allocation, std::uint64_t sequence) const {
+  return options_.order_by_sequence && sequence <= allocation.sequence;
 }
 
 void SlotLedger::answerEarlierRequests(const FrontIdentity& front, BranchState& state) {
-  const auto is_earlier = [&front](const WaitingRequest& waiting) {
+  const auto is_earlier = [&front](const QueuedSlotRequest& waiting) {
     return waiting.front() == front;
   };
-  for (const WaitingRequest& waiting : state.waiting) {
+  for (const QueuedSlotRequest& waiting : state.waiting) {
     if (is_earlier(waiting)) {
       answer(waiting, 0, false);
     }
@@ -183,16 +183,16 @@
 
 void SlotLedger::dropFront(const FrontIdentity& front) {
   for (auto& [branch, state] : branches_) {
-    state.holdings.noteEnded(front, dispatcher_.now());
+    state.allocations.noteEnded(front, dispatcher_.now());
   }
   reservations_.forget(front);
 }
 
-void SlotLedger::askOtherInstances(const FrontIdentity& front) {
+void SlotLedger::queryOtherInstances(const FrontIdentity& front) {
   // Which instance is the later one can't be told from a message, which may be an old one. The
   // process that answers a call now is the living one.
   for (const FrontIdentity& other : reservations_.otherInstances(front)) {
-    askFront(other);
+    requestReport(other);
   }
 }
 
@@ -201,8 +201,8 @@
   longest_use_ = std::max(longest_use_, longest_use);
 }
 
-base::Duration SlotLedger::silenceBound() const {
-  return std::max(options_.silence_bound, longest_use_ + SilenceMargin);
+base::Duration SlotLedger::unresponsiveTimeout() const {
+  return std::max(options_.unresponsive_timeout, longest_use_ + TimeoutMargin);
 }
 
 void SlotLedger::onRequest(const wire::SlotRequest& request, transport::ReplyFunction reply) {
@@ -210,30 +210,30 @@
     reply(wire::SlotReply{});
     return;
   }
-  const WaitingRequest waiting{request, std::move(reply)};
+  const QueuedSlotRequest waiting{request, std::move(reply)};
   const FrontIdentity front = waiting.front();
-  askOtherInstances(front);
+  queryOtherInstances(front);
   BranchState& state = branches_[request.branch];
-  const Holding holding = state.holdings.of(front);
-  const bool unconfirmed = holding.sequence == 0 && holding.held > 0;
+  const Allocation allocation = state.allocations.of(front);
+  const bool unconfirmed = allocation.sequence == 0 && allocation.held > 0;
   if (unconfirmed && options_.confirm_after_takeover) {
     // The request may have been under way since before the predecessor's last grants.
-    askFront(front);
+    requestReport(front);
     answer(waiting, 0, false);
     return;
   }
-  if (isStale(holding, request.sequence)) {
-    if (request.sequence < holding.sequence) {
+  if (isStale(allocation, request.sequence)) {
+    if (request.sequence < allocation.sequence) {
       answer(waiting, 0, false);
     }
     return;
   }
-  state.holdings.noteTold(
-      front, wire::SlotHolding{request.branch, request.sequence, request.held, request.in_use},
+  state.allocations.recordReport(
+      front, wire::SlotAllocation{request.branch, request.sequence, request.held, request.in_use},
       dispatcher_.now());
   answerEarlierRequests(front, state);
   if (request.held == 0 && request.wanted == 0) {
-    state.holdings.erase(front);
+    state.allocations.erase(front);
   }
   if (request.wanted == 0) {
     answer(waiting, 0, false);
@@ -248,13 +248,13 @@
   if (limit == limits_.end()) {
     return 0;
   }
-  const std::uint32_t held = heldOf(branch);
+  const std::uint32_t held = allocatedSlots(branch);
   return limit->second > held ? limit->second - held : 0;
 }
 
-std::uint32_t SlotLedger::heldOf(const std::string& branch) const {
+std::uint32_t SlotLedger::allocatedSlots(const std::string& branch) const {
   const auto state = branches_.find(branch);
-  return state == branches_.end() ? 0 : state->second.holdings.held();
+  return state == branches_.end() ? 0 : state->second.allocations.held();
 }
 
 void SlotLedger::serveWaiting(const std::string& branch) {
@@ -262,26 +262,26 @@
     return;
   }
   BranchState& state = branches_[branch];
-  state.holdings.dropEnded(dispatcher_.now() - options_.ended_front_time);
+  state.allocations.dropEnded(dispatcher_.now() - options_.ended_front_time);
   while (!state.waiting.empty()) {
     const std::uint32_t available = freeSlots(branch);
     if (available == 0) {
       startRecall(branch);
       return;
     }
-    WaitingRequest waiting = std::move(state.waiting.front());
+    QueuedSlotRequest waiting = std::move(state.waiting.front());
     state.waiting.pop_front();
     const std::uint32_t slots = std::min(available, waiting.request.wanted);
     grant(branch, std::move(waiting), slots);
   }
 }
 
-void SlotLedger::grant(const std::string& branch, WaitingRequest waiting, std::uint32_t slots) {
-  const std::uint32_t held = branches_[branch].holdings.addGrant(waiting.front(), slots);
+void SlotLedger::grant(const std::string& branch, QueuedSlotRequest waiting, std::uint32_t slots) {
+  const std::uint32_t held = branches_[branch].allocations.addGrant(waiting.front(), slots);
   reservations_.grant(std::move(waiting), slots, held);
 }
 
-void SlotLedger::answer(const WaitingRequest& waiting, std::uint32_t granted,
+void SlotLedger::answer(const QueuedSlotRequest& waiting, std::uint32_t granted,
                         bool exhausted) const {
   wire::SlotReply reply;
   reply.is_ledger = true;
@@ -297,7 +297,7 @@
   if (!options_.recall_before_refusing) {
     return {};
   }
-  std::vector<FrontIdentity> fronts = branches_.at(branch).holdings.liveHolders();
+  std::vector<FrontIdentity> fronts = branches_.at(branch).allocations.liveHolders();
   // A recall would make void what a pending grant stands on.
   std::erase_if(fronts, [this, &branch](const FrontIdentity& front) {
     return reservations_.grantPending(branch, front);
@@ -311,7 +311,7 @@
     return;
   }
   const std::vector<FrontIdentity> asked = frontsToRecall(branch);
-  for (WaitingRequest& waiting : state.waiting) {
+  for (QueuedSlotRequest& waiting : state.waiting) {
     waiting.in_recall = true;
   }
   state.recalling = true;
@@ -339,7 +339,8 @@
                 } else if (const auto* report = result.as<wire::SlotReport>()) {
                   noteReport(front, *report, branch);
                 } else {
-                  state.holdings.noteUnanswered(front, dispatcher_.now() - silenceBound());
+                  state.allocations.noteUnanswered(front,
+                                                   dispatcher_.now() - unresponsiveTimeout());
                 }
                 if (--state.recalls_open == 0) {
                   finishRecall(branch);
@@ -354,27 +355,27 @@
     return false;
   }
   const base::TimePoint since = dispatcher_.now() - options_.evidence_age;
-  return state->second.holdings.inUseSince(since) >= limit->second;
+  return state->second.allocations.inUseSince(since) >= limit->second;
 }
 
 void SlotLedger::finishRecall(const std::string& branch) {
   BranchState& state = branches_[branch];
   state.recalling = false;
   while (!state.waiting.empty() && freeSlots(branch) > 0) {
-    WaitingRequest waiting = std::move(state.waiting.front());
+    QueuedSlotRequest waiting = std::move(state.waiting.front());
     state.waiting.pop_front();
     const std::uint32_t slots = std::min(freeSlots(branch), waiting.request.wanted);
     grant(branch, std::move(waiting), slots);
   }
   // A grant that waits for its reservation may come to nothing.
   const bool exhausted = allKnownInUse(branch) && !reservations_.grantPending(branch);
-  std::deque<WaitingRequest> later;
-  std::deque<WaitingRequest> refused;
-  for (WaitingRequest& waiting : state.waiting) {
+  std::deque<QueuedSlotRequest> later;
+  std::deque<QueuedSlotRequest> refused;
+  for (QueuedSlotRequest& waiting : state.waiting) {
     (waiting.in_recall ? refused : later).push_back(std::move(waiting));
   }
   state.waiting = std::move(later);
-  for (const WaitingRequest& waiting : refused) {
+  for (const QueuedSlotRequest& waiting : refused) {
     answer(waiting, 0, exhausted);
   }
   if (!state.waiting.empty()) {
--- a/libraries/admission/test/ledger_protocol_test.cc
+++ b/libraries/admission/test/ledger_protocol_test.cc
@@ -38,7 +38,7 @@
     wire::SlotReport report;
     report.front_instance = instance;
     report.term_accepted = true;
-    report.holdings = {{branch, sequence, held, held}};
+    report.allocations = {{branch, sequence, held, held}};
     return report;
   }
 
@@ -56,7 +56,7 @@
  protected:
   LedgerProtocolTest() { core.ledger->setLimits({{front.branch, Limit}}); }
 
-  void takeLease() {
+  void acquireLease() {
     if (core.has_lease) {
       core.has_lease = false;
       core.ledger->onLeaseLost();
@@ -75,7 +75,7 @@
     world.runFor(milliseconds(300));
     return answer;
   }
-  std::uint32_t held() const { return core.ledger->heldOf(front.branch); }
+  std::uint32_t held() const { return core.ledger->allocatedSlots(front.branch); }
 
   simulation::World world{1};
   simulation::Network network{world};
@@ -85,9 +85,9 @@
 };
 
 TEST_F(LedgerProtocolTest, ASuccessorDoesNotBelieveAMessageOlderThanItsPredecessorsGrants) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(2, 0, 5))->granted, 5U);
-  takeLease();
+  acquireLease();
   // Sent before the grant and held up on the way; the front has five slots in use.
   const auto late = tell(front.message(1, 0, 0));
   EXPECT_GE(held(), 5U);
@@ -98,7 +98,7 @@
 }
 
 TEST_F(LedgerProtocolTest, AMessageOfAnEarlierInstanceDoesNotFreeTheSlotsOfTheLivingOne) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(1, 0, 5))->granted, 5U);
   front.answer_recall = [this](const wire::SlotRecall&) { return front.reportOf(2, 5); };
   wire::SlotRequest late = front.message(9, 0, 1);
@@ -108,7 +108,7 @@
 }
 
 TEST_F(LedgerProtocolTest, ALaterInstanceFreesTheSlotsOfTheEarlierOne) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(1, 0, 5))->granted, 5U);
   front.instance = 8;
   front.answer_recall = [this](const wire::SlotRecall&) { return front.reportOf(2, 1); };
@@ -120,11 +120,11 @@
 }
 
 TEST_F(LedgerProtocolTest, AReportThatAFirstRequestOvertookDoesNotFreeItsSlots) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(1, 0, 5))->granted, 5U);
   front.answer_recall = [this](const wire::SlotRecall&) {
     wire::SlotReport report = front.reportOf(0, 0);
-    report.holdings.clear();
+    report.allocations.clear();
     return report;
   };
   wire::SlotRequest other = front.message(9, 0, 1);
@@ -135,7 +135,7 @@
 
 TEST_F(LedgerProtocolTest, AFrontWithALongStreamIsAskedBeforeItsSlotsCountAsFree) {
   core.ledger->setLongestUse(std::chrono::hours(1));
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(1, 0, Limit))->granted, Limit);
   world.runFor(std::chrono::minutes(10));
   wire::SlotRequest other = front.message(1, 0, 1);
@@ -149,7 +149,7 @@
 }
 
 TEST_F(LedgerProtocolTest, RequestsThatWaitAreAnsweredWhenTheLeaseIsLost) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(1, 0, Limit))->granted, Limit);
   wire::SlotRequest other = front.message(1, 0, 1);
   other.front = {"127.0.0.4", 300};
@@ -164,7 +164,7 @@
 }
 
 TEST_F(LedgerProtocolTest, AnOvertakenRequestIsAnsweredAtOnce) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(5, 0, 2))->granted, 2U);
   const auto answer = tell(front.message(4, 0, 2));
   EXPECT_TRUE(answer && answer->is_ledger && answer->granted == 0 && !answer->exhausted);
@@ -172,7 +172,7 @@
 }
 
 TEST_F(LedgerProtocolTest, AFrontThatWaitsIsRecalledTooAndItsGrantStandsOnTheReport) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(1, 0, Limit))->granted, Limit);
   // It asks for one more, and by the time of the recall it uses two fewer.
   front.answer_recall = [this](const wire::SlotRecall&) { return front.reportOf(3, Limit - 2); };
@@ -182,7 +182,7 @@
 }
 
 TEST_F(LedgerProtocolTest, ASmallerLimitDrainsWithoutNewGrants) {
-  takeLease();
+  acquireLease();
   ASSERT_EQ(tell(front.message(1, 0, 10))->granted, 10U);
   core.ledger->setLimits({{front.branch, 4}});
   std::uint64_t told = 2;
@@ -199,7 +199,7 @@
 }
 
 TEST_F(LedgerProtocolTest, NoRefusalIsCertainWhileAGrantWaitsForItsReservation) {
-  takeLease();
+  acquireLease();
   shared.available = false;
   std::optional<wire::SlotReply> first;
   core.ledger->onRequest(front.message(1, 0, Limit), [&first](const wire::Message& message) {
--- a/libraries/admission/test/slot_fleet.h
+++ b/libraries/admission/test/slot_fleet.h
@@ -206,7 +206,7 @@
         }
         return;
       }
-      auto hold = std::make_shared<SlotHoldPtr>(std::move(outcome.hold));
+      auto hold = std::make_shared<SlotPermitPtr>(std::move(outcome.hold));
       holds.push_back(hold);
       noteUse(1);
       process.postAfter(duration, [this, hold] {
@@ -220,7 +220,7 @@
 
   simulation::Process process;
   std::unique_ptr<LedgerSlotBroker> broker;
-  std::vector<std::shared_ptr<SlotHoldPtr>> holds;
+  std::vector<std::shared_ptr<SlotPermitPtr>> holds;
   std::map<base::ResultCode, int> answers;
   int asked = 0;
 
--- a/libraries/admission/test/slot_fleet_seeds_test.cc
+++ b/libraries/admission/test/slot_fleet_seeds_test.cc
@@ -40,7 +40,7 @@
       fronts.push_back(std::make_unique<FrontNode>(world, network, address, core_addresses,
                                                    mechanisms.broker, &observer));
     }
-    giveLease(0);
+    grantLease(0);
   }
 
   void run() {
@@ -64,7 +64,7 @@
     for (const auto& front : fronts) {
       revive(*front);
     }
-    giveLease(0);
+    grantLease(0);
     world.runFor(seconds(3));
   }
 
@@ -78,7 +78,7 @@
   std::vector<std::unique_ptr<FrontNode>> fronts;
 
  private:
-  void giveLease(std::size_t index) { moveLease(cores, index, ++term_); }
+  void grantLease(std::size_t index) { moveLease(cores, index, ++term_); }
 
   static void revive(FrontNode& front) {
     if (!front.alive()) {
@@ -112,7 +112,7 @@
         network.healAll();
         break;
       default:
-        giveLease(random.below(cores.size()));
+        grantLease(random.below(cores.size()));
         break;
     }
   }
--- a/libraries/admission/test/slot_ledger_test.cc
+++ b/libraries/admission/test/slot_ledger_test.cc
@@ -33,7 +33,7 @@
     cores.clear();
   }
 
-  void giveLease(std::size_t index) { moveLease(cores, index, ++term); }
+  void grantLease(std::size_t index) { moveLease(cores, index, ++term); }
 
   /** Slots in use as the workers would see them: a killed front's connections are closed. */
   std::size_t inUse() const {
@@ -65,7 +65,7 @@
 
 TEST_F(SlotLedgerTest, GrantsUpToTheLimitAndRefusesTheNextAtOnce) {
   build(1, 2);
-  giveLease(1);
+  grantLease(1);
   world->runFor(milliseconds(50));
   for (std::uint32_t index = 0; index < Limit; ++index) {
     fronts[index % 2]->request(branch, seconds(30));
@@ -82,7 +82,7 @@
 
 TEST_F(SlotLedgerTest, RecallsIdleSlotsBeforeItRefuses) {
   build(2, 2);
-  giveLease(0);
+  grantLease(0);
   world->runFor(milliseconds(50));
   for (std::uint32_t index = 0; index < Limit; ++index) {
     fronts[0]->request(branch, milliseconds(100));
@@ -96,7 +96,7 @@
 
 TEST_F(SlotLedgerTest, SlotsOfAKilledFrontComeBack) {
   build(3, 2);
-  giveLease(0);
+  grantLease(0);
   world->runFor(milliseconds(50));
   for (std::uint32_t index = 0; index < Limit; ++index) {
     fronts[0]->request(branch, seconds(60));
@@ -110,7 +110,7 @@
 
 TEST_F(SlotLedgerTest, ASuccessorCountsTheSlotsOfAFrozenFront) {
   build(4, 2);
-  giveLease(0);
+  grantLease(0);
   world->runFor(milliseconds(50));
   for (std::uint32_t index = 0; index < 8; ++index) {
     fronts[0]->request(branch, seconds(60));
@@ -119,7 +119,7 @@
   ASSERT_EQ(inUse(), 8U);
   fronts[0]->process.freeze();
   cores[0]->process.kill();
-  giveLease(2);
+  grantLease(2);
   world->runFor(milliseconds(300));
   for (std::uint32_t index = 0; index < Limit; ++index) {
     fronts[1]->request(branch, seconds(60));
@@ -140,7 +140,7 @@
 TEST_F(SlotLedgerTest, PausesBetweenFencesWhileTheRegisterIsUnavailable) {
   build(9, 1);
   shared->available = false;
-  giveLease(0);
+  grantLease(0);
   world->runFor(seconds(1));
   EXPECT_GE(shared->operations, 2U);
   EXPECT_LE(shared->operations, 12U);
--- a/libraries/allocation_probe/include/switchsaddle/allocation_probe/allocation_probe.h
+++ b/libraries/allocation_tracker/include/switchsaddle/allocation_tracker/allocation_tracker.h
@@ -8,10 +8,10 @@
  * which notes the size of what is asked for. For programs with one thread.
  */
 
-namespace switchsaddle::allocation_probe {
+namespace switchsaddle::allocation_tracker {
 
 /** The largest block, in bytes, this program has asked for since the last reset. */
 std::size_t largestAllocation();
 void resetLargestAllocation();
 
-}  // namespace switchsaddle::allocation_probe
+}  // namespace switchsaddle::allocation_tracker
--- a/libraries/allocation_probe/source/allocation_probe.cc
+++ b/libraries/allocation_tracker/source/allocation_tracker.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/allocation_probe/allocation_probe.h"
+#include "switchsaddle/allocation_tracker/allocation_tracker.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -25,7 +25,7 @@
   std::free(block);
 }
 
-namespace switchsaddle::allocation_probe {
+namespace switchsaddle::allocation_tracker {
 
 std::size_t largestAllocation() {
   return largest_allocation;
@@ -35,4 +35,4 @@
   largest_allocation = 0;
 }
 
-}  // namespace switchsaddle::allocation_probe
+}  // namespace switchsaddle::allocation_tracker
--- a/libraries/base/include/switchsaddle/base/incident_log.h
+++ b/libraries/base/include/switchsaddle/base/incident_log.h
@@ -57,7 +57,7 @@
   IncidentLogOptions options_;
   std::map<std::string, Written, std::less<>> written_;
   std::uint64_t dumps_ = 0;
-  bool told_without_folder_ = false;
+  bool reported_missing_folder_ = false;
 };
 
 }  // namespace switchsaddle::base
--- a/libraries/base/source/incident_log.cc
+++ b/libraries/base/source/incident_log.cc
@@ -64,10 +64,10 @@
 
 void IncidentLog::dump(std::string_view event, Written& written) {
   if (folder_.empty()) {
-    if (!told_without_folder_) {
+    if (!reported_missing_folder_) {
       logEvent(Severity::Warning, "log-ring-kept-in-memory", {{"reason", "no data folder is set"}});
     }
-    told_without_folder_ = true;
+    reported_missing_folder_ = true;
     return;
   }
   const TimePoint now = dispatcher_.now();
--- a/libraries/claims/include/switchsaddle/claims/peer_claim_client.h
+++ b/libraries/claims/include/switchsaddle/claims/peer_claim_client.h
@@ -16,7 +16,7 @@
 /** Bounds of the claim client. */
 struct ClaimClientOptions {
   /** A core node silent for this long is passed over for the next. */
-  base::Duration core_silence = std::chrono::milliseconds(300);
+  base::Duration core_timeout = std::chrono::milliseconds(300);
   /** The whole of a begin or finish; then it is answered as unavailable. */
   base::Duration deadline = std::chrono::seconds(2);
   /** Pause after all core nodes have been asked in vain. */
@@ -46,7 +46,7 @@
     ClaimCallback callback;
     base::TimePoint deadline;
     std::size_t core = 0;
-    std::size_t tries_in_round = 0;
+    std::size_t attempts_in_round = 0;
     /** The core asked last. */
     base::NodeAddress present;
     /** Cores that have not answered yet. */
@@ -56,7 +56,7 @@
   };
 
   void startOperation(wire::Message request, ClaimCallback callback);
-  void tryNext(std::uint64_t id);
+  void attemptNext(std::uint64_t id);
   void ask(std::uint64_t id, const base::NodeAddress& core, base::Duration left);
   void onAnswer(std::uint64_t id, const base::NodeAddress& core, std::size_t index,
                 const transport::CallResult& result);
--- a/libraries/claims/source/peer_claim_client.cc
+++ b/libraries/claims/source/peer_claim_client.cc
@@ -25,12 +25,12 @@
   operation.deadline = dispatcher_.now() + options_.deadline;
   operation.core = preferred_core_;
   operation.silence = dispatcher_.createTimer([this, id] { passOver(id); });
-  operation.pause = dispatcher_.createTimer([this, id] { tryNext(id); });
+  operation.pause = dispatcher_.createTimer([this, id] { attemptNext(id); });
   operations_.emplace(id, std::move(operation));
-  tryNext(id);
+  attemptNext(id);
 }
 
-void PeerClaimClient::tryNext(std::uint64_t id) {
+void PeerClaimClient::attemptNext(std::uint64_t id) {
   Operation& operation = operations_.at(id);
   const base::Duration left = operation.deadline - dispatcher_.now();
   if (left <= base::Duration::zero()) {
@@ -38,12 +38,12 @@
     return;
   }
   const std::vector<base::NodeAddress> cores = cores_();
-  if (cores.empty() || operation.tries_in_round >= cores.size()) {
-    operation.tries_in_round = 0;
+  if (cores.empty() || operation.attempts_in_round >= cores.size()) {
+    operation.attempts_in_round = 0;
     operation.pause->enable(std::min(options_.pause, left));
     return;
   }
-  ++operation.tries_in_round;
+  ++operation.attempts_in_round;
   const base::NodeAddress& core = cores[operation.core % cores.size()];
   if (operation.owing.contains(core)) {
     passOver(id);
@@ -56,7 +56,7 @@
   Operation& operation = operations_.at(id);
   operation.present = core;
   operation.owing.insert(core);
-  operation.silence->enable(std::min(options_.core_silence, left));
+  operation.silence->enable(std::min(options_.core_timeout, left));
   calls_.call(
       core, operation.request, left,
       [this, alive = std::weak_ptr(alive_), id, core, index = operation.core](const auto& result) {
@@ -86,7 +86,7 @@
 
 void PeerClaimClient::passOver(std::uint64_t id) {
   ++operations_.at(id).core;
-  tryNext(id);
+  attemptNext(id);
 }
 
 void PeerClaimClient::end(std::uint64_t id, const wire::ClaimReply& reply) {
--- a/libraries/compatibility/test/json_format_test.cc
+++ b/libraries/compatibility/test/json_format_test.cc
@@ -4,8 +4,8 @@
 #include "golden_file.h"
 #include "health_json.h"
 #include "status_json.h"
-#include "switchsaddle/configuration/beliefs.h"
 #include "switchsaddle/configuration/change_json.h"
+#include "switchsaddle/configuration/state_report.h"
 #include "switchsaddle/front/counters.h"
 #include "switchsaddle/streams/relay_machine.h"
 #include "value_filler.h"
@@ -35,8 +35,8 @@
 }
 
 TEST(JsonFormatTest, ConfigurationPagesKeepTheirText) {
-  const auto report = ValueFiller::filled<configuration::BeliefReport>();
-  const auto difference = ValueFiller::filled<configuration::BeliefDifference>();
+  const auto report = ValueFiller::filled<configuration::StateReport>();
+  const auto difference = ValueFiller::filled<configuration::StateDifference>();
   const auto result = ValueFiller::filled<configuration::ChangeResult>();
   auto acknowledged = result;
   acknowledged.code = base::ResultCode::Ok;
@@ -56,7 +56,7 @@
                                            {ValueFiller::filled<configuration::FrontInForce>()}),
               configuration::renderKeyResult(ValueFiller::filled<configuration::KeyIssue>(),
                                              acknowledged),
-              configuration::renderBeliefs(report),
+              configuration::renderStateReport(report),
               configuration::renderDifferencesJson(report, report, {difference}),
               configuration::renderDifferences(report, report, {difference})}));
 }
--- a/libraries/configuration/include/switchsaddle/configuration/forwarding.h
+++ b/libraries/configuration/include/switchsaddle/configuration/forwarding.h
@@ -73,9 +73,9 @@
   /** Connections that one worker takes from all callers together; zero: no bound is known. */
   std::uint32_t connections = 0;
   /** How long a worker stays cold after its start. */
-  std::uint32_t cold_ms = 0;
+  std::uint32_t slow_start_ms = 0;
   /** Requests a second that a cold worker bears from all fronts together. */
-  double cold_per_s = 0;
+  double slow_start_per_s = 0;
   /** Output tokens of one event; zero for services that are no model. */
   std::uint32_t tokens_per_event = 0;
   /** Models of the pool's workers; empty for services that are no model. */
--- a/libraries/configuration/include/switchsaddle/configuration/settings.h
+++ b/libraries/configuration/include/switchsaddle/configuration/settings.h
@@ -15,7 +15,7 @@
   base::Duration session_front_limit = std::chrono::milliseconds(1'000);
   base::Duration session_core_limit = std::chrono::milliseconds(1'500);
   base::Duration session_renewal = std::chrono::milliseconds(250);
-  base::Duration core_silence = std::chrono::milliseconds(300);
+  base::Duration core_timeout = std::chrono::milliseconds(300);
   base::Duration lease_duration = std::chrono::milliseconds(2'000);
   base::Duration register_deadline = std::chrono::milliseconds(2'000);
   base::Duration acknowledgement_deadline = std::chrono::milliseconds(2'000);
@@ -28,7 +28,7 @@
   /** How long a stopping front still takes new forwarded requests, until callers have noticed. */
   base::Duration stop_notice{};
   /** A core member silent for this long may be replaced by an announced empty one. */
-  base::Duration core_replacement_silence = std::chrono::seconds(10);
+  base::Duration core_replacement_timeout = std::chrono::seconds(10);
 
   bool operator==(const TimeSettings&) const = default;
 };
--- a/libraries/configuration/include/switchsaddle/configuration/beliefs.h
+++ b/libraries/configuration/include/switchsaddle/configuration/state_report.h
@@ -10,7 +10,7 @@
 namespace switchsaddle::configuration {
 
 /** One thing a node holds true. */
-struct Belief {
+struct StateEntry {
   /** What it is about, such as "configuration", "worker", "lease" or "session". */
   std::string subject;
   /** Which of them, such as a path or a worker's id. */
@@ -22,40 +22,40 @@
 };
 
 /** Everything a node believes: the body of GET /v1/beliefs. */
-struct BeliefReport {
+struct StateReport {
   std::string node;
   /** The node's clock; comparable with nothing but later reports of the same node. */
   std::int64_t now_ms = 0;
-  std::vector<Belief> beliefs;
+  std::vector<StateEntry> entries;
 };
 
-std::string renderBeliefs(const BeliefReport& report);
+std::string renderStateReport(const StateReport& report);
 /** Parses a report; returns nothing where faults were found. */
-std::optional<BeliefReport> parseBeliefs(const std::string& text, std::vector<Fault>& faults);
+std::optional<StateReport> parseStateReport(const std::string& text, std::vector<Fault>& faults);
 
 /** How two nodes differ over one thing. */
-enum class BeliefDifferenceKind : std::uint8_t { OnlyFirst, OnlySecond, Different };
+enum class StateDifferenceKind : std::uint8_t { OnlyFirst, OnlySecond, Different };
 
 /** One thing that two nodes don't agree on. A side which lacks it has empty fields. */
-struct BeliefDifference {
-  BeliefDifferenceKind kind = BeliefDifferenceKind::Different;
+struct StateDifference {
+  StateDifferenceKind kind = StateDifferenceKind::Different;
   std::string subject;
   std::string key;
-  std::optional<Belief> first;
-  std::optional<Belief> second;
+  std::optional<StateEntry> first;
+  std::optional<StateEntry> second;
 };
 
 /**
  * The differences in order of subject and key. Versions and values are compared, ages are not.
  */
-std::vector<BeliefDifference> compareBeliefs(const BeliefReport& first, const BeliefReport& second);
+std::vector<StateDifference> compareStates(const StateReport& first, const StateReport& second);
 
 /** {"first", "second", "differences": [{"kind", "subject", "key", "first", "second"}]}. */
-std::string renderDifferencesJson(const BeliefReport& first, const BeliefReport& second,
-                                  const std::vector<BeliefDifference>& differences);
+std::string renderDifferencesJson(const StateReport& first, const StateReport& second,
+                                  const std::vector<StateDifference>& differences);
 
 /** The differences as text for people. */
-std::string renderDifferences(const BeliefReport& first, const BeliefReport& second,
-                              const std::vector<BeliefDifference>& differences);
+std::string renderDifferences(const StateReport& first, const StateReport& second,
+                              const std::vector<StateDifference>& differences);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/checks/forwarding.cc
+++ b/libraries/configuration/source/checks/forwarding.cc
@@ -119,8 +119,8 @@
   pool.name = entry.name;
   pool.health_path = reader.text("health_path");
   pool.connections = readCount(reader, "connections", CountRange, 0);
-  pool.cold_ms = readCount(reader, "cold_ms", GoalRange, 0);
-  pool.cold_per_s = readAmount(reader, "cold_per_s");
+  pool.slow_start_ms = readCount(reader, "cold_ms", GoalRange, 0);
+  pool.slow_start_per_s = readAmount(reader, "cold_per_s");
   pool.tokens_per_event = readCount(reader, "tokens_per_event", CountRange, 0);
   pool.models = reader.texts("models");
   reader.finish();
--- a/libraries/configuration/source/checks/share.cc
+++ b/libraries/configuration/source/checks/share.cc
@@ -11,7 +11,7 @@
 using base::ResultCode;
 
 constexpr IntegerRange SlotRange{1, 1'000'000};
-constexpr IntegerRange PartRange{0, 1'000'000};
+constexpr IntegerRange ShareRange{0, 1'000'000};
 constexpr std::size_t MaximumDepth = 8;
 constexpr const char* RootName = "root";
 
@@ -51,7 +51,7 @@
       faults.push_back({entry.path, ResultCode::InvalidValue, "the root must be share/root"});
     }
   } else {
-    share.parts = static_cast<std::uint32_t>(reader.integer(member, PartRange, 1));
+    share.parts = static_cast<std::uint32_t>(reader.integer(member, ShareRange, 1));
   }
   reader.finish();
 }
--- a/libraries/configuration/source/settings.cc
+++ b/libraries/configuration/source/settings.cc
@@ -30,7 +30,7 @@
     TimeField{"session_front_limit_ms", {10, 60'000}, &TimeSettings::session_front_limit},
     TimeField{"session_core_limit_ms", {10, 60'000}, &TimeSettings::session_core_limit},
     TimeField{"session_renewal_ms", {1, 60'000}, &TimeSettings::session_renewal},
-    TimeField{"core_silence_ms", {1, 60'000}, &TimeSettings::core_silence},
+    TimeField{"core_silence_ms", {1, 60'000}, &TimeSettings::core_timeout},
     TimeField{"lease_duration_ms", {10, 60'000}, &TimeSettings::lease_duration},
     TimeField{"register_deadline_ms", {10, 60'000}, &TimeSettings::register_deadline},
     TimeField{"acknowledgement_deadline_ms", {10, 60'000}, &TimeSettings::acknowledgement_deadline},
@@ -40,7 +40,7 @@
     TimeField{"stop_notice_ms", {0, 3'600'000}, &TimeSettings::stop_notice},
     TimeField{"stop_deadline_ms", {0, 3'600'000}, &TimeSettings::stop_deadline},
     TimeField{
-        "core_replacement_silence_ms", {100, 3'600'000}, &TimeSettings::core_replacement_silence},
+        "core_replacement_silence_ms", {100, 3'600'000}, &TimeSettings::core_replacement_timeout},
 };
 
 bool isUnset(const JsonValue& value) {
--- a/libraries/configuration/source/share_tree.cc
+++ b/libraries/configuration/source/share_tree.cc
@@ -8,8 +8,8 @@
 namespace {
 
 /** Gives what the division left over to the largest remainders, one slot each. */
-void giveRemainder(std::uint64_t left, const std::vector<std::uint64_t>& remainders,
-                   std::vector<std::uint32_t>& shares) {
+void distributeRemainder(std::uint64_t left, const std::vector<std::uint64_t>& remainders,
+                         std::vector<std::uint32_t>& shares) {
   std::vector<std::size_t> order(shares.size());
   std::iota(order.begin(), order.end(), 0);
   std::ranges::stable_sort(order, [&](std::size_t first, std::size_t second) {
@@ -57,7 +57,7 @@
     remainders[index] = product % sum;
     left -= shares[index];
   }
-  giveRemainder(left, remainders, shares);
+  distributeRemainder(left, remainders, shares);
   fillEmptyShares(parts, shares);
   return shares;
 }
--- a/libraries/configuration/test/forwarding_test.cc
+++ b/libraries/configuration/test/forwarding_test.cc
@@ -19,7 +19,7 @@
   return document;
 }
 
-std::string soundText() {
+std::string validText() {
   return R"({
     "forwarding/pools/llm": {"health_path": "/h", "cold_ms": 3000, "cold_per_s": 10.5,
                              "tokens_per_event": 7, "models": ["m"]},
@@ -35,7 +35,7 @@
 }
 
 TEST(ForwardingTest, FindsTheLongestPrefixOfTheHost) {
-  const View view = buildView(documentOf(soundText()));
+  const View view = buildView(documentOf(validText()));
   const Forwarding& forwarding = view.forwarding;
   EXPECT_EQ(forwarding.find("a.example", "/chat/x")->name, "chat");
   EXPECT_EQ(forwarding.find("a.example", "/chat/deep/x")->name, "deep");
@@ -48,14 +48,14 @@
 }
 
 TEST(ForwardingTest, ReadsEveryField) {
-  const View view = buildView(documentOf(soundText()));
+  const View view = buildView(documentOf(validText()));
   const ForwardRoute& route = view.forwarding.routes.at("chat");
   EXPECT_EQ(route.kind, ForwardKind::ResumableStream);
   EXPECT_EQ(route.targets.size(), 2U);
   EXPECT_EQ(route.targets[0].weight, 9U);
   EXPECT_EQ(route.time_limit_ms, 9'000U);
   const ForwardPool& pool = *view.forwarding.findPool("llm");
-  EXPECT_DOUBLE_EQ(pool.cold_per_s, 10.5);
+  EXPECT_DOUBLE_EQ(pool.slow_start_per_s, 10.5);
   EXPECT_EQ(pool.tokens_per_event, 7U);
   const ForwardTenant& tenant = *view.forwarding.tenantOfKey(sampleHash('c'));
   EXPECT_EQ(tenant.unit, QuotaUnit::Tokens);
@@ -82,7 +82,7 @@
 class ForwardingFaults : public testing::TestWithParam<FaultyEntry> {};
 
 TEST_P(ForwardingFaults, AreNamed) {
-  Document document = documentOf(soundText());
+  Document document = documentOf(validText());
   document.entries[GetParam().path] = {GetParam().path, GetParam().json, 1, false};
   const std::vector<Fault> faults = checkDocument(document);
   ASSERT_FALSE(faults.empty());
--- a/libraries/configuration/test/json_value_test.cc
+++ b/libraries/configuration/test/json_value_test.cc
@@ -8,11 +8,11 @@
 
 #include "sample_document.h"
 #include "switchsaddle/base/random.h"
-#include "switchsaddle/configuration/beliefs.h"
 #include "switchsaddle/configuration/change_json.h"
 #include "switchsaddle/configuration/check_report.h"
 #include "switchsaddle/configuration/json_writer.h"
 #include "switchsaddle/configuration/settings.h"
+#include "switchsaddle/configuration/state_report.h"
 
 namespace switchsaddle::configuration::test {
 namespace {
@@ -114,8 +114,8 @@
     parseChange(mutate(change, random), faults);
     parseSettings(mutate(R"({"zone": "a", "seeds": ["127.0.0.1:1"], "times": {}})", random),
                   faults);
-    parseBeliefs(mutate(R"({"node": "a", "now_ms": 1, "beliefs": [{"subject": "s"}]})", random),
-                 faults);
+    parseStateReport(mutate(R"({"node": "a", "now_ms": 1, "beliefs": [{"subject": "s"}]})", random),
+                     faults);
     parseKeyRequest(mutate(R"({"change_id": "a", "tenant": "b"})", random), faults);
   }
   EXPECT_GT(refused, 1'500);
--- a/libraries/configuration/test/settings_test.cc
+++ b/libraries/configuration/test/settings_test.cc
@@ -23,7 +23,7 @@
   return placesOf(faults);
 }
 
-Settings soundSettings() {
+Settings validSettings() {
   std::vector<Fault> faults;
   return parseSettings(R"({
       // Comments are taken in files.
@@ -35,7 +35,7 @@
 }
 
 TEST(SettingsTest, ReadsEveryField) {
-  const Settings settings = soundSettings();
+  const Settings settings = validSettings();
   EXPECT_EQ(settings.peer_address.toString(), "127.0.0.1:7000");
   EXPECT_EQ(settings.seeds.size(), 2);
   EXPECT_EQ(settings.times.gossip_interval, std::chrono::milliseconds(500));
@@ -62,7 +62,7 @@
   EXPECT_THAT(placesOf(checkSettings(Settings{}, "core")),
               ElementsAre("peer_address MissingField", "http_address MissingField",
                           "zone MissingField", "seeds MissingField", "data_folder MissingField"));
-  Settings settings = soundSettings();
+  Settings settings = validSettings();
   settings.http_address = settings.peer_address;
   settings.zone = "North";
   settings.operator_hashes = {"12"};
--- a/libraries/core/include/switchsaddle/core/configuration_follower.h
+++ b/libraries/core/include/switchsaddle/core/configuration_follower.h
@@ -46,7 +46,7 @@
   void onAccepted(const std::string& value);
 
  private:
-  bool isBehind() const;
+  bool isLagging() const;
   void onTimer();
   void read();
   void onRead(const registers::RegisterOutcome& outcome);
--- a/libraries/core/include/switchsaddle/core/control_service.h
+++ b/libraries/core/include/switchsaddle/core/control_service.h
@@ -73,7 +73,7 @@
   void getHistory(const http::Request& request, const std::string& name, Respond respond);
   void getInForce(const http::Request& request, const std::string& name, Respond respond);
   void getStatus(const http::Request& request, const std::string& name, Respond respond);
-  void getBeliefs(const http::Request& request, const std::string& name, Respond respond);
+  void getState(const http::Request& request, const std::string& name, Respond respond);
   void postChange(const http::Request& request, const std::string& name, Respond respond);
   void postEvacuation(const http::Request& request, const std::string& name, Respond respond);
   void deleteEvacuation(const http::Request& request, const std::string& name, Respond respond);
--- a/libraries/core/include/switchsaddle/core/core_node.h
+++ b/libraries/core/include/switchsaddle/core/core_node.h
@@ -16,10 +16,10 @@
 #include "switchsaddle/core/in_force_tracker.h"
 #include "switchsaddle/core/ledger_host.h"
 #include "switchsaddle/core/load_ledger.h"
-#include "switchsaddle/core/membership_keeper.h"
+#include "switchsaddle/core/membership_reconciler.h"
 #include "switchsaddle/core/node_information.h"
 #include "switchsaddle/core/observed_proposer.h"
-#include "switchsaddle/core/quota_allotter.h"
+#include "switchsaddle/core/quota_allocator.h"
 #include "switchsaddle/core/quota_leases.h"
 #include "switchsaddle/core/quota_ledger.h"
 #include "switchsaddle/core/register_change_coordinator.h"
@@ -84,7 +84,7 @@
   const RegisterCounters& registerCounters() const { return observed_proposer_.counters(); }
   std::size_t sessionCount() const { return sessions_.localSessions().size(); }
   NodeStatus status() const override;
-  const journal::BeliefView& beliefs() const override { return beliefs_; }
+  const journal::StateView& beliefs() const override { return beliefs_; }
   const worker_health::HealthRanking& health() const override { return ranking_; }
   workers::WorkerSnapshotPtr fleet() const override { return workers_.snapshot(); }
   std::uint32_t requestsOn(const std::string& worker) const override;
@@ -92,7 +92,7 @@
  private:
   void openStore();
   void onOpened(base::ResultCode code, const storage::OpenedStore& opened);
-  void takePart();
+  void activate();
   void connectParts();
   void handleControlRequests();
   /** What a front hears along with the grant of its session. */
@@ -125,11 +125,11 @@
 
   CoreEnvironment environment_;
   /** Random, new for each life of the process. */
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   std::string storage_fault_;
-  bool taking_part_ = false;
+  bool active_ = false;
   bool campaigning_ = false;
-  journal::BeliefView beliefs_;
+  journal::StateView beliefs_;
   registers::Acceptor acceptor_;
   registers::QuorumProposer proposer_;
   ObservedProposer observed_proposer_;
@@ -138,7 +138,7 @@
   registers::Scrubber scrubber_;
   CoreMembership membership_;
   sessions::SessionTable sessions_;
-  QuotaAllotter quotas_;
+  QuotaAllocator quotas_;
   LoadLedger loads_;
   worker_health::EvidenceLedger evidence_;
   worker_health::Suspicion suspicion_;
@@ -155,7 +155,7 @@
   lease::LeaseHolder watcher_lease_;
   lease::LeaseHolder membership_lease_;
   workers::PlatformWatcher watcher_;
-  MembershipKeeper keeper_;
+  MembershipReconciler reconciler_;
   claims::ClaimService claims_;
   LedgerHost ledgers_;
   QuotaLeases quota_leases_;
--- a/libraries/core/include/switchsaddle/core/in_force_tracker.h
+++ b/libraries/core/include/switchsaddle/core/in_force_tracker.h
@@ -31,9 +31,9 @@
   /** Readings that a majority answered. */
   std::size_t readings = 0;
   /** Live sessions with an older version at the last of them. */
-  std::size_t behind = 0;
+  std::size_t lagging = 0;
   /** One of these fronts; empty where there is none. */
-  base::NodeAddress first_behind;
+  base::NodeAddress first_lagging;
 };
 
 /**
@@ -72,10 +72,10 @@
   };
 
   /** Reads the tables of a majority, or waits where this node's own shows fronts behind. */
-  void look();
+  void poll();
   /** Whether it shows fronts behind the oldest version that is waited for; pushes to those that
    * lack the newest. */
-  bool ownTableShowsSomeBehind();
+  bool localTableShowsLagging();
   std::uint64_t newestAwaited() const;
   std::uint64_t oldestAwaited() const;
   void startReading();
--- a/libraries/core/include/switchsaddle/core/load_ledger.h
+++ b/libraries/core/include/switchsaddle/core/load_ledger.h
@@ -19,17 +19,17 @@
  */
 class LoadLedger {
  public:
-  LoadLedger(base::Dispatcher& dispatcher, base::Duration silence_bound)
-      : dispatcher_(dispatcher), silence_bound_(silence_bound) {}
+  LoadLedger(base::Dispatcher& dispatcher, base::Duration unresponsive_timeout)
+      : dispatcher_(dispatcher), unresponsive_timeout_(unresponsive_timeout) {}
 
-  void hear(const wire::SessionRecord& record);
+  void update(const wire::SessionRecord& record);
   /** Most workers told of by themselves: what a front hears stays below the 5 KB a second that
    * control may take, however many workers there are. */
-  static constexpr std::size_t MostTold = 128;
+  static constexpr std::size_t MaximumReportedWorkers = 128;
 
   /** What the other fronts have under way, at the workers that have the most; the mean of the
    * others; and the kinds of work of all fronts. */
-  wire::FleetLoad toldTo(const wire::SessionRecord& record);
+  wire::FleetLoad loadFor(const wire::SessionRecord& record);
   /** Requests of all fronts on the worker with this workers::loadKey(). */
   std::uint32_t requestsOn(std::uint32_t worker) const;
 
@@ -42,26 +42,26 @@
     bool empty() const { return requests == 0 && prefill_ms == 0; }
   };
   struct Front {
-    base::TimePoint heard_at;
+    base::TimePoint last_seen;
     wire::FrontLoad load;
   };
 
   void add(const std::vector<wire::WorkerLoad>& loads);
-  void takeOff(const std::vector<wire::WorkerLoad>& loads);
+  void subtract(const std::vector<wire::WorkerLoad>& loads);
   /** Forgets silent fronts, and adds up the kinds of work, now and then. */
   void refresh();
-  void forgetSilent();
+  void forgetUnresponsive();
   void addUpKinds();
-  std::vector<wire::WorkerLoad> othersThan(const FrontKey& key) const;
+  std::vector<wire::WorkerLoad> loadsOfPeers(const FrontKey& key) const;
   /** Leaves the most loaded and puts the mean of those beyond into the rest. */
-  static void boundTold(wire::FleetLoad& load);
+  static void limitReported(wire::FleetLoad& load);
 
   base::Dispatcher& dispatcher_;
-  base::Duration silence_bound_;
+  base::Duration unresponsive_timeout_;
   std::map<FrontKey, Front> fronts_;
   /** Over all fronts, by worker. */
   std::map<std::uint32_t, Total> totals_;
-  std::vector<wire::KindWork> kinds_;
+  std::vector<wire::WorkKindCounts> kinds_;
   std::optional<base::TimePoint> refreshed_at_;
 };
 
--- a/libraries/core/include/switchsaddle/core/membership_keeper.h
+++ b/libraries/core/include/switchsaddle/core/membership_reconciler.h
@@ -20,7 +20,7 @@
 /** Times of the membership keeper. */
 struct MembershipOptions {
   /** A member silent for this long may be replaced. */
-  base::Duration silence_bound = std::chrono::seconds(10);
+  base::Duration unresponsive_timeout = std::chrono::seconds(10);
   base::Duration check_interval = std::chrono::milliseconds(500);
   base::Duration call_timeout = std::chrono::milliseconds(400);
   /** A candidate not heard of for this long is forgotten. */
@@ -45,19 +45,19 @@
  * zone that has the fewest members. An operator's replacement goes the same way without waiting for
  * silence. Runs on the control strand.
  */
-class MembershipKeeper {
+class MembershipReconciler {
  public:
   using Callback = std::function<void(base::ResultCode)>;
   /** Says what the set lacks for the losses to be borne; empty: nothing any more. */
   using ShortfallListener = std::function<void(const std::string& lacking)>;
 
   /** `holds_lease` is evaluated right before each replacement begins. */
-  MembershipKeeper(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
-                   journal::Journal& journal, const registers::Acceptor& acceptor,
-                   registers::AcceptorSetChange& change, std::function<bool()> holds_lease,
-                   MembershipOptions options);
-  MembershipKeeper(const MembershipKeeper&) = delete;
-  MembershipKeeper& operator=(const MembershipKeeper&) = delete;
+  MembershipReconciler(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
+                       journal::Journal& journal, const registers::Acceptor& acceptor,
+                       registers::AcceptorSetChange& change, std::function<bool()> holds_lease,
+                       MembershipOptions options);
+  MembershipReconciler(const MembershipReconciler&) = delete;
+  MembershipReconciler& operator=(const MembershipReconciler&) = delete;
 
   void setShortfallListener(ShortfallListener listener) {
     shortfall_listener_ = std::move(listener);
@@ -79,15 +79,15 @@
  private:
   struct Candidate {
     wire::CoreAnnounce announce;
-    base::TimePoint heard_at;
+    base::TimePoint last_seen;
     std::optional<base::TimePoint> forwarded_at;
   };
 
   void check();
-  void askMembers();
+  void sendHeartbeats();
   void onSign(const wire::AcceptorMember& member, const transport::CallResult& result);
   /** Whether a replacement was begun. */
-  bool replaceOneSilent();
+  bool replaceOneUnresponsive();
   /** Whether a core that the set needs was found and its joining begun. */
   bool addOneWanted();
   void spreadOverZones();
@@ -103,8 +103,8 @@
   void forgetOldCandidates();
   /** Asks the core at an address for its instance, up to `tries` times: one that has just started
    * stays silent until its store is open. */
-  void askInstance(const base::NodeAddress& address, std::uint32_t tries,
-                   std::function<void(const transport::CallResult&)> callback);
+  void queryInstance(const base::NodeAddress& address, std::uint32_t attempts,
+                     std::function<void(const transport::CallResult&)> callback);
   void journalReplacement(const wire::AcceptorMember& old_member,
                           const wire::AcceptorMember& new_member, base::ResultCode code);
 
@@ -117,14 +117,14 @@
   MembershipOptions options_;
   base::TimerPtr timer_;
   /** When each member was last heard of, or the lease gained. */
-  std::map<wire::AcceptorMember, base::TimePoint> heard_;
+  std::map<wire::AcceptorMember, base::TimePoint> last_seen_;
   /** By instance. */
   std::map<std::uint64_t, Candidate> candidates_;
   /** Zones that members have told. */
   std::map<wire::AcceptorMember, std::string> zones_;
   ShortfallListener shortfall_listener_;
   std::optional<base::TimePoint> short_since_;
-  bool told_short_ = false;
+  bool shortfall_reported_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/libraries/core/include/switchsaddle/core/node_information.h
+++ b/libraries/core/include/switchsaddle/core/node_information.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "switchsaddle/base/node_address.h"
-#include "switchsaddle/journal/belief_view.h"
+#include "switchsaddle/journal/state_view.h"
 #include "switchsaddle/wire/register_messages.h"
 #include "switchsaddle/worker_health/health_ranking.h"
 
@@ -40,7 +40,7 @@
  public:
   virtual ~NodeInformation() = default;
   virtual NodeStatus status() const = 0;
-  virtual const journal::BeliefView& beliefs() const = 0;
+  virtual const journal::StateView& beliefs() const = 0;
   /** The workers' health as this node ranks it. */
   virtual const worker_health::HealthRanking& health() const = 0;
   /** The workers known here; never null. */
--- a/libraries/core/include/switchsaddle/core/quota_allotter.h
+++ b/libraries/core/include/switchsaddle/core/quota_allocator.h
@@ -36,17 +36,17 @@
  * that it hears has run for a whole window and has known of no other fronts but these. Runs on the
  * control strand.
  */
-class QuotaAllotter {
+class QuotaAllocator {
  public:
   using RecordVisitor = std::function<void(const wire::SessionRecord&)>;
   /** Shows the visitor the record of each live session. */
   using RecordSource = std::function<void(const RecordVisitor&)>;
 
-  QuotaAllotter(base::Dispatcher& dispatcher, RecordSource records,
-                configuration::QuotaBounds bounds);
+  QuotaAllocator(base::Dispatcher& dispatcher, RecordSource records,
+                 configuration::QuotaBounds bounds);
 
   /** This core does not hear the fronts: it is starting, or joining. */
-  void stopHearing() { hearing_since_.reset(); }
+  void stopReceiving() { receiving_since_.reset(); }
   void setConfiguration(std::shared_ptr<const configuration::View> view) {
     view_ = std::move(view);
   }
@@ -56,8 +56,8 @@
   std::optional<QuotaUse> useOf(const std::string& tenant);
   /** The asks of the quota ledger that are settled by the record of the front last added up;
    * nothing where the front is not heard. */
-  std::optional<std::uint64_t> settledAsks(const base::NodeAddress& front,
-                                           std::uint64_t instance) const;
+  std::optional<std::uint64_t> settledRequests(const base::NodeAddress& front,
+                                               std::uint64_t instance) const;
   /** Whether there are quotas and this core may decide for all fronts: it knows what they let in,
    * or nobody can, since most fronts have just started. */
   bool mayDecide();
@@ -65,15 +65,15 @@
   std::uint64_t refreshes() const { return refreshes_; }
   /** The front's parts of the quotas of which much has been used; nothing while this core may not
    * know what ended fronts let in. */
-  std::optional<std::vector<wire::TenantAllotment>> allot(const wire::SessionRecord& record);
+  std::optional<std::vector<wire::TenantAllocation>> allocate(const wire::SessionRecord& record);
 
  private:
   using FrontKey = std::pair<base::NodeAddress, std::uint64_t>;
   struct Front {
-    base::TimePoint heard_at;
+    base::TimePoint last_seen;
     std::vector<wire::TenantDemand> demand;
-    wire::FrontWitness witness;
-    std::uint64_t settled_asks = 0;
+    wire::FleetKnowledge fleet_knowledge;
+    std::uint64_t settled_requests = 0;
   };
   struct Total {
     double units_per_s = 0;
@@ -86,14 +86,14 @@
   /** Whether no front can have ended within the window by what all of them tell. */
   bool nobodyMissing() const;
   /** Takes over what the live sessions tell, and counts them. */
-  void hearFronts();
+  void updateFronts();
 
   base::Duration window() const;
   /** The tenant's units in any window; nothing where it has no quota. */
   std::optional<double> limitOf(const std::string& tenant) const;
   bool muchUsed(const std::string& tenant, const Total& total) const;
   /** Part of a quota's window that ended fronts may have filled and this core does not know of. */
-  double unknownPart() const;
+  double unknownShare() const;
   bool mostFrontsAreYoung() const { return live_ > 0 && 2 * young_ >= live_; }
   bool hasQuotas() const;
   /** Counts what fronts that are cut off but may be serving could let in by themselves. */
@@ -106,7 +106,7 @@
   configuration::QuotaBounds bounds_;
   std::shared_ptr<const configuration::View> view_;
   /** Since when this core has heard the fronts without a break. */
-  std::optional<base::TimePoint> hearing_since_;
+  std::optional<base::TimePoint> receiving_since_;
   base::TimePoint refreshed_at_{};
   bool refreshed_ = false;
   std::uint64_t refreshes_ = 0;
--- a/libraries/core/include/switchsaddle/core/quota_ledger.h
+++ b/libraries/core/include/switchsaddle/core/quota_ledger.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "switchsaddle/base/dispatcher.h"
-#include "switchsaddle/core/quota_allotter.h"
+#include "switchsaddle/core/quota_allocator.h"
 #include "switchsaddle/transport/peer_calls.h"
 #include "switchsaddle/wire/quota_messages.h"
 
@@ -37,10 +37,10 @@
   /** When this node's lease of a tenant's shard was gained; nothing where it holds none. */
   using HeldSince = std::function<std::optional<base::TimePoint>(const std::string& tenant)>;
 
-  QuotaLedger(base::Dispatcher& dispatcher, transport::PeerCalls& calls, QuotaAllotter& allotter,
+  QuotaLedger(base::Dispatcher& dispatcher, transport::PeerCalls& calls, QuotaAllocator& allocator,
               double window_s, HeldSince held_since);
 
-  wire::QuotaAnswer decide(const wire::QuotaAsk& ask);
+  wire::QuotaReply decide(const wire::QuotaRequest& ask);
 
  private:
   static constexpr std::size_t Urgencies = 10;
@@ -62,7 +62,7 @@
   struct Tenant {
     std::deque<Pending> pending;
     double pending_units = 0;
-    /** QuotaAllotter::refreshes() when settled grants were last taken out. */
+    /** QuotaAllocator::refreshes() when settled grants were last taken out. */
     std::uint64_t settled_at_refresh = 0;
     std::array<Flow, Urgencies> flows;
     base::TimePoint decayed_at;
@@ -72,14 +72,14 @@
     base::TimePoint filled_at;
   };
 
-  void takeOutSettled(Tenant& tenant);
+  void removeSettled(Tenant& tenant);
   void decay(Tenant& tenant) const;
   void fill(Tenant& tenant, double units_per_s) const;
   /** Units to be left for the more urgent. */
   double reserveFor(const Tenant& tenant, std::size_t urgency, double most) const;
 
   base::Dispatcher& dispatcher_;
-  QuotaAllotter& allotter_;
+  QuotaAllocator& allocator_;
   double window_s_;
   HeldSince held_since_;
   std::map<std::string, Tenant> tenants_;
--- a/libraries/core/include/switchsaddle/core/register_change_coordinator.h
+++ b/libraries/core/include/switchsaddle/core/register_change_coordinator.h
@@ -66,7 +66,7 @@
   /** `change_id` is empty where the decision is not recorded under one known beforehand. */
   void commit(Decide decide, const std::string& change_id, Callback callback);
   void check(const configuration::Change& change, Callback callback);
-  void takeCommitted(const configuration::Document& document);
+  void adoptCommitted(const configuration::Document& document);
   void onCommitted(const registers::RegisterOutcome& outcome,
                    const configuration::ChangeDecision& decision, const std::string& change_id,
                    base::TimePoint begun_at, const Callback& callback);
--- a/libraries/core/source/configuration_follower.cc
+++ b/libraries/core/source/configuration_follower.cc
@@ -36,18 +36,18 @@
   } catch (const base::Error&) {
     return;
   }
-  if (running_ && !reading_ && isBehind()) {
+  if (running_ && !reading_ && isLagging()) {
     timer_->enable(options_.first_pause);
   }
 }
 
-bool ConfigurationFollower::isBehind() const {
+bool ConfigurationFollower::isLagging() const {
   return replica_.version() < membership_.acceptedVersion();
 }
 
 void ConfigurationFollower::onTimer() {
   const base::TimePoint now = dispatcher_.now();
-  if (!isBehind() && now < idle_due_) {
+  if (!isLagging() && now < idle_due_) {
     timer_->enable(idle_due_ - now);
     return;
   }
@@ -84,7 +84,7 @@
     }
     tracker_.pushToLocalSessions();
   }
-  const bool retry = outcome.code != base::ResultCode::Ok || isBehind();
+  const bool retry = outcome.code != base::ResultCode::Ok || isLagging();
   if (running_) {
     timer_->enable(retry ? options_.retry_pause : options_.idle_pause);
   }
--- a/libraries/core/source/control_health.cc
+++ b/libraries/core/source/control_health.cc
@@ -33,7 +33,7 @@
 std::vector<std::string> sickest(const worker_health::HealthRanking& ranking) {
   std::vector<std::string> workers;
   for (const worker_health::WorkerRank& rank : ranking.ranks()) {
-    if (rank.state == worker_health::HealthState::Sick) {
+    if (rank.state == worker_health::HealthState::Unhealthy) {
       workers.push_back(rank.worker);
     }
   }
--- a/libraries/core/source/control_service.cc
+++ b/libraries/core/source/control_service.cc
@@ -10,7 +10,7 @@
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/change_json.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/dissemination/belief_report.h"
+#include "switchsaddle/dissemination/state_report.h"
 
 namespace switchsaddle::core {
 
@@ -94,7 +94,7 @@
       {"POST", "/v1/keys", &Self::postKey},
       {"DELETE", "/v1/keys/{}", &Self::deleteKey},
       {"GET", "/v1/status", &Self::getStatus},
-      {"GET", "/v1/beliefs", &Self::getBeliefs},
+      {"GET", "/v1/beliefs", &Self::getState},
       {"POST", "/v1/core/replacements", &Self::postReplacement},
       {"GET", "/v1/health/workers", &Self::getHealth},
       {"GET", "/v1/health/workers/{}", &Self::getWorkerHealth},
@@ -245,11 +245,11 @@
                         replica.version(), replica.digest())));
 }
 
-void ControlService::getBeliefs(const http::Request& /*request*/, const std::string& /*name*/,
-                                Respond respond) {
+void ControlService::getState(const http::Request& /*request*/, const std::string& /*name*/,
+                              Respond respond) {
   const NodeInformation& node = dependencies_.node;
   respond(jsonResponse(
-      200, configuration::renderBeliefs(dissemination::reportBeliefs(
+      200, configuration::renderStateReport(dissemination::reportState(
                node.status().address, node.beliefs(), dependencies_.dispatcher.now()))));
 }
 
--- a/libraries/core/source/core_metrics.cc
+++ b/libraries/core/source/core_metrics.cc
@@ -30,19 +30,18 @@
 
 void appendHealth(const CoreNode& node, metrics::Page& page) {
   const std::vector<worker_health::WorkerRank>& ranks = node.health().ranks();
-  const auto sick = std::count_if(ranks.begin(), ranks.end(), [](const auto& rank) {
-    return rank.state == worker_health::HealthState::Sick;
+  const auto unhealthy = std::count_if(ranks.begin(), ranks.end(), [](const auto& rank) {
+    return rank.state == worker_health::HealthState::Unhealthy;
   });
   page.gauge("sick_workers", "Workers that the ranking of this node finds sick.",
-             static_cast<double>(sick));
+             static_cast<double>(unhealthy));
   page.gauge("workers_in_maintenance", "Workers that operators have taken out.",
              static_cast<double>(node.replica().view()->workers_in_maintenance.size()));
   for (const worker_health::WorkerRank& rank : ranks) {
-    if (rank.state == worker_health::HealthState::Sick) {
-      page.gauge(
-          "worker_severity", "Part of its requests that a sick worker spoils unexplained.",
-          rank.severity,
-          {{"worker", rank.worker}, {"sickness", worker_health::sicknessName(rank.sickness)}});
+    if (rank.state == worker_health::HealthState::Unhealthy) {
+      page.gauge("worker_severity", "Part of its requests that a sick worker spoils unexplained.",
+                 rank.severity,
+                 {{"worker", rank.worker}, {"sickness", worker_health::symptomName(rank.symptom)}});
     }
   }
 }
--- a/libraries/core/source/core_node.cc
+++ b/libraries/core/source/core_node.cc
@@ -42,7 +42,7 @@
 
 CoreNode::CoreNode(const CoreEnvironment& environment)
     : environment_(environment),
-      life_(environment.random.next()),
+      incarnation_(environment.random.next()),
       beliefs_(environment.journal),
       acceptor_(environment.dispatcher, environment.calls, environment.store, environment.journal,
                 acceptorOptionsOf(environment.faults)),
@@ -60,7 +60,7 @@
                 environment.faults.sessions),
       quotas_(
           environment.dispatcher,
-          [this](const QuotaAllotter::RecordVisitor& visitor) { sessions_.visitLocal(visitor); },
+          [this](const QuotaAllocator::RecordVisitor& visitor) { sessions_.visitLocal(visitor); },
           environment.settings.forwarding.quotas),
       loads_(environment.dispatcher, environment.settings.times.session_core_limit),
       evidence_(environment.dispatcher),
@@ -77,21 +77,21 @@
                    environment.settings.times.acknowledgement_deadline, environment.faults),
       watcher_lease_(environment.dispatcher, environment.calls, environment.random,
                      shortLeaseTimesOf(environment.settings.times), PlatformWatcherLease,
-                     membership_, life_),
+                     membership_, incarnation_),
       membership_lease_(environment.dispatcher, environment.calls, environment.random,
                         leaseTimesOf(environment.settings.times), CoreMembershipLease, membership_,
-                        life_),
+                        incarnation_),
       watcher_(environment.dispatcher, environment.platform, workers_, environment.journal,
                watcherOptionsOf(environment.settings.times),
                [this](const wire::WorkerView& view) { publishWorkers(view); }),
-      keeper_(
+      reconciler_(
           environment.dispatcher, environment.calls, environment.journal, acceptor_, set_change_,
           [this] { return membership_lease_.held(); }, membershipOptionsOf(environment.settings)),
       claims_(environment.calls, observed_proposer_),
       ledgers_(environment.dispatcher, environment.calls, environment.random, observed_proposer_,
-               membership_, leaseTimesOf(environment.settings.times), life_),
+               membership_, leaseTimesOf(environment.settings.times), incarnation_),
       quota_leases_(environment.dispatcher, environment.calls, environment.random, membership_,
-                    shortLeaseTimesOf(environment.settings.times), life_),
+                    shortLeaseTimesOf(environment.settings.times), incarnation_),
       quota_ledger_(environment.dispatcher, environment.calls, quotas_,
                     environment.settings.forwarding.quotas.window_s,
                     [this](const std::string& tenant) { return quota_leases_.heldSince(tenant); }),
@@ -114,7 +114,7 @@
   ReplaceCore replace = [this](const base::NodeAddress& old_member,
                                const base::NodeAddress& new_member,
                                std::function<void(base::ResultCode)> callback) {
-    keeper_.replace(old_member, new_member, std::move(callback));
+    reconciler_.replace(old_member, new_member, std::move(callback));
   };
   return {environment_.dispatcher,
           observed_proposer_,
@@ -139,14 +139,15 @@
     }
   });
   sessions_.setRecordListener([this](const wire::SessionRecord& record) {
-    evidence_.hear({record.front, record.instance}, record.zone, record.health);
-    loads_.hear(record);
+    evidence_.update({record.front, record.instance}, record.zone, record.health);
+    loads_.update(record);
   });
   sessions_.setGrantSource(
       [this](const wire::SessionRecord& record, wire::SessionOpenReply& granted) {
         addToGrant(record, granted);
       });
-  keeper_.setShortfallListener([this](const std::string& lacking) { reportShortfall(lacking); });
+  reconciler_.setShortfallListener(
+      [this](const std::string& lacking) { reportShortfall(lacking); });
   granter_.setMayVote([this] { return acceptor_.mayVote() && !membership_.joining(); });
   scrubber_.setOtherRecords([this] { return granter_.records(); });
   granter_.setEpochSource([this] { return membership_.setEpoch(); });
@@ -160,7 +161,7 @@
   });
   acceptor_.addSetListener([this](const wire::AcceptorSet&) { followMembership(); });
   bootstrap_.setCandidateListener(
-      [this](const wire::CoreAnnounce& candidate) { keeper_.onCandidate(candidate); });
+      [this](const wire::CoreAnnounce& candidate) { reconciler_.onCandidate(candidate); });
   coordinator_.setCommittedListener([this](const wire::ConfigurationDelta& delta) {
     for (const base::NodeAddress& core : membership_.coreAddresses()) {
       if (core != environment_.calls.localAddress()) {
@@ -236,11 +237,11 @@
   }
   environment_.journal.append(journal::Subject::Storage, "instance",
                               std::to_string(opened.instance), 0);
-  takePart();
+  activate();
 }
 
-void CoreNode::takePart() {
-  taking_part_ = true;
+void CoreNode::activate() {
+  active_ = true;
   if (const std::string* value = acceptor_.acceptedValue(registers::ConfigurationRegister)) {
     follower_.onAccepted(*value);
   }
@@ -256,7 +257,7 @@
 }
 
 void CoreNode::followMembership() {
-  const bool may_campaign = taking_part_ && membership_.isMember();
+  const bool may_campaign = active_ && membership_.isMember();
   followQuotas(may_campaign);
   if (may_campaign == campaigning_) {
     return;
@@ -275,7 +276,7 @@
 
 void CoreNode::followQuotas(bool may_campaign) {
   if (sessions_.recovering()) {
-    quotas_.stopHearing();
+    quotas_.stopReceiving();
   }
   quota_leases_.setCampaigning(may_campaign && quotas_.mayDecide());
 }
@@ -283,15 +284,15 @@
 void CoreNode::stop(std::function<void()> stopped) {
   open_timer_->disable();
   peers_timer_->disable();
-  if (taking_part_) {
+  if (active_) {
     watcher_timer_->disable();
     watcher_campaign_timer_->disable();
     watcher_.stop();
-    keeper_.stop();
+    reconciler_.stop();
     follower_.stop();
     gossip_.stop();
   }
-  taking_part_ = false;
+  active_ = false;
   followMembership();
   environment_.dispatcher.post(std::move(stopped));
 }
@@ -343,7 +344,7 @@
 void CoreNode::readFirstWorkers() {
   environment_.platform.read(
       [this, alive = std::weak_ptr(alive_)](const workers::PlatformReading& reading) {
-        if (alive.expired() || !taking_part_ || reading.code != base::ResultCode::Ok) {
+        if (alive.expired() || !active_ || reading.code != base::ResultCode::Ok) {
           return;
         }
         const bool known = workers_.view().term != 0 || !workers_.view().workers.empty();
@@ -367,9 +368,9 @@
 void CoreNode::onMembershipLease(bool gained) {
   reportLease(membership_lease_, CoreMembershipLease, gained);
   if (gained) {
-    keeper_.start();
+    reconciler_.start();
   } else {
-    keeper_.stop();
+    reconciler_.stop();
   }
 }
 
--- a/libraries/core/source/core_node_workers.cc
+++ b/libraries/core/source/core_node_workers.cc
@@ -15,16 +15,16 @@
 
 void CoreNode::addToGrant(const wire::SessionRecord& record, wire::SessionOpenReply& granted) {
   if (sessions_.recovering()) {
-    quotas_.stopHearing();
+    quotas_.stopReceiving();
   }
-  if (auto allotments = quotas_.allot(record)) {
+  if (auto allocations = quotas_.allocate(record)) {
     granted.quotas_known = true;
-    granted.allotments = std::move(*allotments);
+    granted.allocations = std::move(*allocations);
   }
   granted.health = suspicion_.advice(record.zone);
   addWatched(granted.health.watched);
   if (!sessions_.recovering()) {
-    granted.load = loads_.toldTo(record);
+    granted.load = loads_.loadFor(record);
   }
 }
 
--- a/libraries/core/source/core_options.cc
+++ b/libraries/core/source/core_options.cc
@@ -48,7 +48,7 @@
 
 MembershipOptions membershipOptionsOf(const configuration::Settings& settings) {
   MembershipOptions result;
-  result.silence_bound = settings.times.core_replacement_silence;
+  result.unresponsive_timeout = settings.times.core_replacement_timeout;
   result.tolerated_core_losses = settings.tolerated_core_losses;
   result.tolerated_zone_losses = settings.tolerated_zone_losses;
   return result;
--- a/libraries/core/source/core_options.h
+++ b/libraries/core/source/core_options.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "switchsaddle/configuration/settings.h"
-#include "switchsaddle/core/membership_keeper.h"
+#include "switchsaddle/core/membership_reconciler.h"
 #include "switchsaddle/lease/lease_times.h"
 #include "switchsaddle/registers/bootstrap.h"
 #include "switchsaddle/registers/quorum_proposer.h"
--- a/libraries/core/source/health_json.cc
+++ b/libraries/core/source/health_json.cc
@@ -30,7 +30,7 @@
   writer.name("pool").string(rank.pool);
   writer.name("zone").string(rank.zone);
   writer.name("state").string(worker_health::healthStateName(rank.state));
-  writer.name("sickness").string(worker_health::sicknessName(rank.sickness));
+  writer.name("sickness").string(worker_health::symptomName(rank.symptom));
   writer.name("severity_permille").unsignedInteger(thousandths(rank.severity));
   writer.name("since_s").unsignedInteger(
       static_cast<std::uint64_t>(base::toMilliseconds(rank.since)) / 1'000);
--- a/libraries/core/source/in_force_tracker.cc
+++ b/libraries/core/source/in_force_tracker.cc
@@ -15,7 +15,7 @@
       sessions_(sessions),
       replica_(replica),
       options_(options),
-      reading_timer_(dispatcher.createTimer([this] { look(); })) {}
+      reading_timer_(dispatcher.createTimer([this] { poll(); })) {}
 
 void InForceTracker::wait(std::uint64_t version, base::TimePoint deadline, Callback callback) {
   const std::uint64_t number = next_wait_++;
@@ -30,18 +30,18 @@
   }
   pushToLocalSessions();
   if (!reading_) {
-    look();
+    poll();
   }
 }
 
 void InForceTracker::pushToLocalSessions() {
-  push(sessions_.localBehind(replica_.version()));
+  push(sessions_.localLagging(replica_.version()));
 }
 
 void InForceTracker::pushCommitted(const wire::ConfigurationDelta& delta) {
   const base::TimePoint now = dispatcher_.now();
   std::vector<base::NodeAddress> fronts;
-  for (const wire::SessionTableEntry& session : sessions_.localBehind(delta.to_version)) {
+  for (const wire::SessionTableEntry& session : sessions_.localLagging(delta.to_version)) {
     pushes_[session.record.front] = {delta.to_version, now, options_.push_pause};
     fronts.push_back(session.record.front);
   }
@@ -64,22 +64,22 @@
   return oldest;
 }
 
-bool InForceTracker::ownTableShowsSomeBehind() {
-  const std::vector<wire::SessionTableEntry> behind = sessions_.localBehind(newestAwaited());
-  push(behind);
+bool InForceTracker::localTableShowsLagging() {
+  const std::vector<wire::SessionTableEntry> lagging = sessions_.localLagging(newestAwaited());
+  push(lagging);
   const std::uint64_t oldest = oldestAwaited();
-  return std::ranges::any_of(behind, [oldest](const wire::SessionTableEntry& session) {
+  return std::ranges::any_of(lagging, [oldest](const wire::SessionTableEntry& session) {
     return session.record.applied_version < oldest;
   });
 }
 
-void InForceTracker::look() {
+void InForceTracker::poll() {
   reading_timer_->disable();
   if (reading_ || waits_.empty()) {
     return;
   }
   const bool read_lately = dispatcher_.now() - last_reading_ < options_.longest_pause;
-  if (read_lately && ownTableShowsSomeBehind()) {
+  if (read_lately && localTableShowsLagging()) {
     reading_timer_->enable(options_.reading_pause);
   } else {
     startReading();
@@ -91,8 +91,8 @@
   reading_began_ = dispatcher_.now();
   last_reading_ = reading_began_;
   ++reading_number_;
-  sessions_.readBehind(newestAwaited(), [this, alive = std::weak_ptr(alive_)](
-                                            base::ResultCode code, const auto& sessions) {
+  sessions_.readLagging(newestAwaited(), [this, alive = std::weak_ptr(alive_)](
+                                             base::ResultCode code, const auto& sessions) {
     if (!alive.expired()) {
       onReading(code, sessions);
     }
@@ -153,15 +153,15 @@
 bool InForceTracker::see(Wait& wait, const std::vector<wire::SessionTableEntry>& sessions) {
   InForceOutcome& seen = wait.seen;
   ++seen.readings;
-  seen.behind = 0;
-  seen.first_behind = {};
+  seen.lagging = 0;
+  seen.first_lagging = {};
   for (const wire::SessionTableEntry& session : sessions) {
-    const bool behind = !session.record.closed && session.record.applied_version < wait.version;
-    if (behind && seen.behind++ == 0) {
-      seen.first_behind = session.record.front;
+    const bool lagging = !session.record.closed && session.record.applied_version < wait.version;
+    if (lagging && seen.lagging++ == 0) {
+      seen.first_lagging = session.record.front;
     }
   }
-  seen.in_force = seen.behind == 0;
+  seen.in_force = seen.lagging == 0;
   return seen.in_force;
 }
 
--- a/libraries/core/source/load_ledger.cc
+++ b/libraries/core/source/load_ledger.cc
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-void LoadLedger::hear(const wire::SessionRecord& record) {
+void LoadLedger::update(const wire::SessionRecord& record) {
   const FrontKey key{record.front, record.instance};
   const auto known = fronts_.find(key);
   if (known != fronts_.end()) {
-    takeOff(known->second.load.workers);
+    subtract(known->second.load.workers);
   }
   if (record.closed) {
     if (known != fronts_.end()) {
@@ -50,7 +50,7 @@
   }
 }
 
-void LoadLedger::takeOff(const std::vector<wire::WorkerLoad>& loads) {
+void LoadLedger::subtract(const std::vector<wire::WorkerLoad>& loads) {
   for (const wire::WorkerLoad& load : loads) {
     const auto total = totals_.find(load.worker);
     total->second.requests -= load.requests;
@@ -65,16 +65,16 @@
   const base::TimePoint now = dispatcher_.now();
   if (!refreshed_at_ || now - *refreshed_at_ >= RefreshInterval) {
     refreshed_at_ = now;
-    forgetSilent();
+    forgetUnresponsive();
     addUpKinds();
   }
 }
 
 void LoadLedger::addUpKinds() {
-  std::map<std::uint64_t, wire::KindWork> sums;
+  std::map<std::uint64_t, wire::WorkKindCounts> sums;
   for (const auto& [key, front] : fronts_) {
-    for (const wire::KindWork& work : front.load.kinds) {
-      wire::KindWork& sum = sums[work.kind];
+    for (const wire::WorkKindCounts& work : front.load.kinds) {
+      wire::WorkKindCounts& sum = sums[work.kind];
       sum.kind = work.kind;
       sum.prompts += work.prompts;
       sum.prompt_tokens += work.prompt_tokens;
@@ -87,30 +87,30 @@
   }
 }
 
-void LoadLedger::forgetSilent() {
+void LoadLedger::forgetUnresponsive() {
   const base::TimePoint now = dispatcher_.now();
   for (auto front = fronts_.begin(); front != fronts_.end();) {
-    if (now - front->second.heard_at < silence_bound_) {
+    if (now - front->second.last_seen < unresponsive_timeout_) {
       ++front;
       continue;
     }
-    takeOff(front->second.load.workers);
+    subtract(front->second.load.workers);
     front = fronts_.erase(front);
   }
 }
 
-wire::FleetLoad LoadLedger::toldTo(const wire::SessionRecord& record) {
+wire::FleetLoad LoadLedger::loadFor(const wire::SessionRecord& record) {
   refresh();
-  wire::FleetLoad load{true, othersThan(FrontKey{record.front, record.instance}), kinds_, 0, 0};
-  boundTold(load);
+  wire::FleetLoad load{true, loadsOfPeers(FrontKey{record.front, record.instance}), kinds_, 0, 0};
+  limitReported(load);
   return load;
 }
 
-void LoadLedger::boundTold(wire::FleetLoad& load) {
-  if (load.others.size() <= MostTold) {
+void LoadLedger::limitReported(wire::FleetLoad& load) {
+  if (load.others.size() <= MaximumReportedWorkers) {
     return;
   }
-  const auto end_of_told = load.others.begin() + MostTold;
+  const auto end_of_told = load.others.begin() + MaximumReportedWorkers;
   std::nth_element(load.others.begin(), end_of_told, load.others.end(),
                    [](const wire::WorkerLoad& first, const wire::WorkerLoad& second) {
                      return weightOf(first) > weightOf(second);
@@ -132,7 +132,7 @@
   return total == totals_.end() ? 0 : total->second.requests;
 }
 
-std::vector<wire::WorkerLoad> LoadLedger::othersThan(const FrontKey& key) const {
+std::vector<wire::WorkerLoad> LoadLedger::loadsOfPeers(const FrontKey& key) const {
   std::map<std::uint32_t, const wire::WorkerLoad*> own;
   const auto known = fronts_.find(key);
   if (known != fronts_.end()) {
--- a/libraries/core/source/membership_keeper.cc
+++ b/libraries/core/source/membership_reconciler.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/core/membership_keeper.h"
+#include "switchsaddle/core/membership_reconciler.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
 namespace {
 
 /** Questions to a new core before an operator is told that it does not answer. */
-constexpr std::uint32_t InstanceTries = 5;
+constexpr std::uint32_t InstanceAttempts = 5;
 
 ToleratedLosses toleratedBy(const MembershipOptions& options) {
   return {options.tolerated_core_losses, options.tolerated_zone_losses};
@@ -36,10 +36,12 @@
 
 }  // namespace
 
-MembershipKeeper::MembershipKeeper(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
-                                   journal::Journal& journal, const registers::Acceptor& acceptor,
-                                   registers::AcceptorSetChange& change,
-                                   std::function<bool()> holds_lease, MembershipOptions options)
+MembershipReconciler::MembershipReconciler(base::Dispatcher& dispatcher,
+                                           transport::PeerCalls& calls, journal::Journal& journal,
+                                           const registers::Acceptor& acceptor,
+                                           registers::AcceptorSetChange& change,
+                                           std::function<bool()> holds_lease,
+                                           MembershipOptions options)
     : dispatcher_(dispatcher),
       calls_(calls),
       journal_(journal),
@@ -49,25 +51,25 @@
       options_(options),
       timer_(dispatcher.createTimer([this] { check(); })) {}
 
-void MembershipKeeper::start() {
-  heard_.clear();
+void MembershipReconciler::start() {
+  last_seen_.clear();
   short_since_.reset();
-  told_short_ = false;
+  shortfall_reported_ = false;
   timer_->enable(options_.check_interval);
   // A change which another driver left under way is finished first.
   change_.resume([](base::ResultCode) {});
 }
 
-void MembershipKeeper::stop() {
+void MembershipReconciler::stop() {
   timer_->disable();
-  heard_.clear();
+  last_seen_.clear();
 }
 
-void MembershipKeeper::onCandidate(const wire::CoreAnnounce& announce) {
+void MembershipReconciler::onCandidate(const wire::CoreAnnounce& announce) {
   const base::TimePoint now = dispatcher_.now();
   Candidate& candidate = candidates_[announce.member.instance];
   candidate.announce = announce;
-  candidate.heard_at = now;
+  candidate.last_seen = now;
   forgetOldCandidates();
   const bool just_forwarded =
       candidate.forwarded_at && now - *candidate.forwarded_at < options_.forward_pause;
@@ -82,37 +84,37 @@
   }
 }
 
-void MembershipKeeper::forgetOldCandidates() {
+void MembershipReconciler::forgetOldCandidates() {
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(candidates_, [&](const auto& item) {
-    return now - item.second.heard_at > options_.candidate_lifetime;
+    return now - item.second.last_seen > options_.candidate_lifetime;
   });
 }
 
-void MembershipKeeper::check() {
+void MembershipReconciler::check() {
   timer_->enable(options_.check_interval);
   if (!holds_lease_()) {
     return;
   }
   forgetOldCandidates();
-  askMembers();
+  sendHeartbeats();
   noteShortfall();
-  if (!change_.active() && !replaceOneSilent() && !addOneWanted()) {
+  if (!change_.active() && !replaceOneUnresponsive() && !addOneWanted()) {
     spreadOverZones();
   }
 }
 
-void MembershipKeeper::askMembers() {
+void MembershipReconciler::sendHeartbeats() {
   const base::TimePoint now = dispatcher_.now();
   const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
   const auto has_left = [&members](const auto& item) {
     return !contains(members, item.first.instance);
   };
-  std::erase_if(heard_, has_left);
+  std::erase_if(last_seen_, has_left);
   std::erase_if(zones_, has_left);
   const wire::CoreAnnounce question{{calls_.localAddress(), acceptor_.instance()}, true, {}};
   for (const wire::AcceptorMember& member : members) {
-    heard_.try_emplace(member, now);
+    last_seen_.try_emplace(member, now);
     calls_.call(member.address, question, options_.call_timeout,
                 [this, alive = std::weak_ptr(alive_), member](const transport::CallResult& result) {
                   if (!alive.expired()) {
@@ -122,11 +124,11 @@
   }
 }
 
-void MembershipKeeper::onSign(const wire::AcceptorMember& member,
-                              const transport::CallResult& result) {
+void MembershipReconciler::onSign(const wire::AcceptorMember& member,
+                                  const transport::CallResult& result) {
   const auto* reply = result.as<wire::CoreAnnounceReply>();
-  const auto heard = heard_.find(member);
-  if (reply == nullptr || heard == heard_.end()) {
+  const auto heard = last_seen_.find(member);
+  if (reply == nullptr || heard == last_seen_.end()) {
     return;
   }
   const base::TimePoint now = dispatcher_.now();
@@ -137,16 +139,16 @@
     // Another instance has the member's address, so that the member is gone for good.
     candidates_[reply->member.instance] = {
         {reply->member, reply->holds_state, reply->zone}, now, {}};
-    heard->second = now - options_.silence_bound;
+    heard->second = now - options_.unresponsive_timeout;
   }
 }
 
-bool MembershipKeeper::replaceOneSilent() {
+bool MembershipReconciler::replaceOneUnresponsive() {
   const base::TimePoint now = dispatcher_.now();
-  for (const auto& [member, heard_at] : heard_) {
+  for (const auto& [member, last_seen] : last_seen_) {
     const std::optional<wire::AcceptorMember> candidate = candidateFor(member);
     const bool same_address = candidate && candidate->address == member.address;
-    const bool silent = now - heard_at >= options_.silence_bound;
+    const bool silent = now - last_seen >= options_.unresponsive_timeout;
     if (!candidate || !(silent || same_address)) {
       continue;
     }
@@ -156,7 +158,7 @@
   return false;
 }
 
-bool MembershipKeeper::addOneWanted() {
+bool MembershipReconciler::addOneWanted() {
   const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
   if (members.size() >= wantedMembers(toleratedBy(options_))) {
     return false;
@@ -176,7 +178,7 @@
   return true;
 }
 
-void MembershipKeeper::spreadOverZones() {
+void MembershipReconciler::spreadOverZones() {
   const std::optional<MemberExchange> exchange =
       exchangeForSpread(placedMembers(), candidatesElsewhere(), toleratedBy(options_));
   if (exchange) {
@@ -184,8 +186,8 @@
   }
 }
 
-void MembershipKeeper::exchangeMember(const wire::AcceptorMember& leaving,
-                                      const wire::AcceptorMember& joining) {
+void MembershipReconciler::exchangeMember(const wire::AcceptorMember& leaving,
+                                          const wire::AcceptorMember& joining) {
   change_.replace(leaving, joining,
                   [this, alive = std::weak_ptr(alive_), leaving, joining](base::ResultCode code) {
                     if (!alive.expired()) {
@@ -194,7 +196,7 @@
                   });
 }
 
-void MembershipKeeper::noteShortfall() {
+void MembershipReconciler::noteShortfall() {
   const SpreadShortfall shortfall = shortfallOf(placedMembers(), toleratedBy(options_));
   const base::TimePoint now = dispatcher_.now();
   if (shortfall == SpreadShortfall::None) {
@@ -203,16 +205,17 @@
     short_since_ = now;
   }
   const bool lasting = short_since_ && now - *short_since_ >= options_.shortfall_patience;
-  const bool is_over = shortfall == SpreadShortfall::None && told_short_;
-  if ((lasting && !told_short_) || is_over) {
-    told_short_ = lasting;
+  const bool is_over = shortfall == SpreadShortfall::None && shortfall_reported_;
+  if ((lasting && !shortfall_reported_) || is_over) {
+    shortfall_reported_ = lasting;
     if (shortfall_listener_) {
       shortfall_listener_(nameOf(shortfall));
     }
   }
 }
 
-std::vector<PlacedCore> MembershipKeeper::placedMembers(const wire::AcceptorMember* but_for) const {
+std::vector<PlacedCore> MembershipReconciler::placedMembers(
+    const wire::AcceptorMember* but_for) const {
   std::vector<PlacedCore> placed;
   for (const wire::AcceptorMember& member : acceptor_.acceptorSet().members) {
     if (but_for != nullptr && member == *but_for) {
@@ -224,7 +227,7 @@
   return placed;
 }
 
-std::vector<PlacedCore> MembershipKeeper::candidatesElsewhere() const {
+std::vector<PlacedCore> MembershipReconciler::candidatesElsewhere() const {
   const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
   std::vector<PlacedCore> candidates;
   for (const auto& [instance, candidate] : candidates_) {
@@ -239,7 +242,7 @@
   return candidates;
 }
 
-std::optional<wire::AcceptorMember> MembershipKeeper::candidateFor(
+std::optional<wire::AcceptorMember> MembershipReconciler::candidateFor(
     const wire::AcceptorMember& member) const {
   const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
   for (const auto& [instance, candidate] : candidates_) {
@@ -251,8 +254,8 @@
   return memberToAdd(placedMembers(&member), candidatesElsewhere());
 }
 
-void MembershipKeeper::replace(const base::NodeAddress& old_member,
-                               const base::NodeAddress& new_member, Callback callback) {
+void MembershipReconciler::replace(const base::NodeAddress& old_member,
+                                   const base::NodeAddress& new_member, Callback callback) {
   const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
   const auto found = std::find_if(members.begin(), members.end(),
                                   [&](const auto& member) { return member.address == old_member; });
@@ -262,44 +265,45 @@
     callback(done ? base::ResultCode::Ok : base::ResultCode::InvalidValue);
     return;
   }
-  askInstance(new_member, InstanceTries,
-              [this, alive = std::weak_ptr(alive_), leaving = *found,
-               callback = std::move(callback)](const transport::CallResult& result) {
-                const auto* reply = result.as<wire::CoreAnnounceReply>();
-                if (alive.expired() || reply == nullptr) {
-                  callback(result.code == base::ResultCode::Ok ? base::ResultCode::InvalidValue
-                                                               : result.code);
-                  return;
-                }
-                const wire::AcceptorMember joining = reply->member;
-                change_.replace(leaving, joining,
-                                [this, alive, leaving, joining, callback](base::ResultCode code) {
-                                  if (!alive.expired()) {
-                                    journalReplacement(leaving, joining, code);
-                                  }
-                                  callback(code);
-                                });
-              });
+  queryInstance(new_member, InstanceAttempts,
+                [this, alive = std::weak_ptr(alive_), leaving = *found,
+                 callback = std::move(callback)](const transport::CallResult& result) {
+                  const auto* reply = result.as<wire::CoreAnnounceReply>();
+                  if (alive.expired() || reply == nullptr) {
+                    callback(result.code == base::ResultCode::Ok ? base::ResultCode::InvalidValue
+                                                                 : result.code);
+                    return;
+                  }
+                  const wire::AcceptorMember joining = reply->member;
+                  change_.replace(leaving, joining,
+                                  [this, alive, leaving, joining, callback](base::ResultCode code) {
+                                    if (!alive.expired()) {
+                                      journalReplacement(leaving, joining, code);
+                                    }
+                                    callback(code);
+                                  });
+                });
 }
 
-void MembershipKeeper::askInstance(const base::NodeAddress& address, std::uint32_t tries,
-                                   std::function<void(const transport::CallResult&)> callback) {
+void MembershipReconciler::queryInstance(
+    const base::NodeAddress& address, std::uint32_t attempts,
+    std::function<void(const transport::CallResult&)> callback) {
   const wire::CoreAnnounce question{{calls_.localAddress(), acceptor_.instance()}, true, {}};
   calls_.call(address, question, options_.call_timeout,
-              [this, alive = std::weak_ptr(alive_), address, tries,
+              [this, alive = std::weak_ptr(alive_), address, attempts,
                callback = std::move(callback)](const transport::CallResult& result) {
                 const bool silent = result.code == base::ResultCode::PeerTimeout;
-                if (silent && tries > 1 && !alive.expired()) {
-                  askInstance(address, tries - 1, callback);
+                if (silent && attempts > 1 && !alive.expired()) {
+                  queryInstance(address, attempts - 1, callback);
                 } else {
                   callback(result);
                 }
               });
 }
 
-void MembershipKeeper::journalReplacement(const wire::AcceptorMember& old_member,
-                                          const wire::AcceptorMember& new_member,
-                                          base::ResultCode code) {
+void MembershipReconciler::journalReplacement(const wire::AcceptorMember& old_member,
+                                              const wire::AcceptorMember& new_member,
+                                              base::ResultCode code) {
   const std::string outcome(base::describe(code).name);
   journal_.append(
       journal::Subject::AcceptorSet, "replacement",
--- a/libraries/core/source/quota_allotter.cc
+++ b/libraries/core/source/quota_allocator.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/core/quota_allotter.h"
+#include "switchsaddle/core/quota_allocator.h"
 
 #include <algorithm>
 #include <set>
@@ -16,9 +16,9 @@
 /** What a silent front had let in counts for so long: at least the window of any quota. */
 constexpr base::Duration UseRemembered = std::chrono::seconds(10);
 /** A silent front's own part is kept back for so long: it may be cut off and serving. */
-constexpr base::Duration SilenceRemembered = std::chrono::seconds(60);
+constexpr base::Duration UnresponsiveRetention = std::chrono::seconds(60);
 /** Part that is divided equally, for demand that moves from front to front. */
-constexpr double EqualPart = 0.3;
+constexpr double EqualShare = 0.3;
 /** Fronts are told of a tenant from this part of its quota on, with what it asks for in so many
  * seconds counted in. */
 constexpr double MuchUsed = 0.4;
@@ -26,11 +26,11 @@
 
 }  // namespace
 
-QuotaAllotter::QuotaAllotter(base::Dispatcher& dispatcher, RecordSource records,
-                             configuration::QuotaBounds bounds)
+QuotaAllocator::QuotaAllocator(base::Dispatcher& dispatcher, RecordSource records,
+                               configuration::QuotaBounds bounds)
     : dispatcher_(dispatcher), records_(std::move(records)), bounds_(bounds) {}
 
-std::optional<double> QuotaAllotter::limitOf(const std::string& tenant) const {
+std::optional<double> QuotaAllocator::limitOf(const std::string& tenant) const {
   if (!view_) {
     return std::nullopt;
   }
@@ -38,13 +38,13 @@
   return found == view_->forwarding.tenants.end() ? std::nullopt : bounds_.limitOf(found->second);
 }
 
-bool QuotaAllotter::muchUsed(const std::string& tenant, const Total& total) const {
+bool QuotaAllocator::muchUsed(const std::string& tenant, const Total& total) const {
   const std::optional<double> limit = limitOf(tenant);
   const double soon_used = total.admitted + total.units_per_s * SoonS;
   return limit && soon_used >= *limit * MuchUsed;
 }
 
-void QuotaAllotter::refresh() {
+void QuotaAllocator::refresh() {
   const base::TimePoint now = dispatcher_.now();
   if (refreshed_ && now - refreshed_at_ < RefreshInterval) {
     return;
@@ -52,17 +52,18 @@
   refreshed_ = true;
   ++refreshes_;
   refreshed_at_ = now;
-  hearFronts();
-  const bool young = hearing_since_ && now - *hearing_since_ < window();
+  updateFronts();
+  const bool young = receiving_since_ && now - *receiving_since_ < window();
   if (young && nobodyMissing()) {
-    hearing_since_ = now - window();
+    receiving_since_ = now - window();
   }
-  std::erase_if(fronts_,
-                [now](const auto& item) { return now - item.second.heard_at > SilenceRemembered; });
+  std::erase_if(fronts_, [now](const auto& item) {
+    return now - item.second.last_seen > UnresponsiveRetention;
+  });
   totals_.clear();
   for (const auto& [key, front] : fronts_) {
-    const bool live = front.heard_at == now;
-    if (refreshed_at_ - front.heard_at > UseRemembered) {
+    const bool live = front.last_seen == now;
+    if (refreshed_at_ - front.last_seen > UseRemembered) {
       continue;
     }
     for (const wire::TenantDemand& demand : front.demand) {
@@ -74,48 +75,48 @@
   countCutOff();
 }
 
-base::Duration QuotaAllotter::window() const {
+base::Duration QuotaAllocator::window() const {
   return std::chrono::duration_cast<base::Duration>(
       std::chrono::duration<double>(bounds_.window_s));
 }
 
-void QuotaAllotter::hearFronts() {
+void QuotaAllocator::updateFronts() {
   live_ = 0;
   young_ = 0;
   const std::int64_t window_ms = base::toMilliseconds(window());
   records_([this, window_ms](const wire::SessionRecord& record) {
     ++live_;
-    young_ += record.witness.age_ms < window_ms ? 1 : 0;
+    young_ += record.fleet_knowledge.age_ms < window_ms ? 1 : 0;
     Front& front = fronts_[FrontKey{record.front, record.instance}];
-    front.heard_at = refreshed_at_;
+    front.last_seen = refreshed_at_;
     front.demand = record.demand;
-    front.witness = record.witness;
-    front.settled_asks = record.settled_asks;
+    front.fleet_knowledge = record.fleet_knowledge;
+    front.settled_requests = record.settled_requests;
   });
 }
 
-bool QuotaAllotter::nobodyMissing() const {
+bool QuotaAllocator::nobodyMissing() const {
   if (live_ == 0 || young_ > 0) {
     return false;
   }
   std::set<base::NodeAddress> heard;
   for (const auto& [key, front] : fronts_) {
-    if (front.heard_at == refreshed_at_) {
+    if (front.last_seen == refreshed_at_) {
       heard.insert(key.first);
     }
   }
   const std::uint64_t digest = sessions::digestOfFronts(heard);
   return std::ranges::all_of(fronts_, [this, digest](const auto& item) {
     const Front& front = item.second;
-    return front.heard_at != refreshed_at_ || front.witness.fronts_digest == digest;
+    return front.last_seen != refreshed_at_ || front.fleet_knowledge.fronts_digest == digest;
   });
 }
 
-std::map<std::string, double> QuotaAllotter::admittedBy(const FrontKey& key) const {
+std::map<std::string, double> QuotaAllocator::admittedBy(const FrontKey& key) const {
   std::map<std::string, double> admitted;
   const auto front = fronts_.find(key);
   const bool counted =
-      front != fronts_.end() && refreshed_at_ - front->second.heard_at <= UseRemembered;
+      front != fronts_.end() && refreshed_at_ - front->second.last_seen <= UseRemembered;
   if (counted) {
     for (const wire::TenantDemand& demand : front->second.demand) {
       admitted[demand.tenant] = demand.admitted;
@@ -124,12 +125,12 @@
   return admitted;
 }
 
-void QuotaAllotter::countCutOff() {
+void QuotaAllocator::countCutOff() {
   std::set<base::NodeAddress> live;
   std::set<base::NodeAddress> all;
   for (const auto& [key, front] : fronts_) {
     all.insert(key.first);
-    if (front.heard_at == refreshed_at_) {
+    if (front.last_seen == refreshed_at_) {
       live.insert(key.first);
     }
   }
@@ -147,51 +148,52 @@
   }
 }
 
-bool QuotaAllotter::knowsAll() {
+bool QuotaAllocator::knowsAll() {
   const base::TimePoint now = dispatcher_.now();
-  if (!hearing_since_) {
-    hearing_since_ = now;
+  if (!receiving_since_) {
+    receiving_since_ = now;
   }
   refresh();
-  return now - *hearing_since_ >= window();
+  return now - *receiving_since_ >= window();
 }
 
-std::optional<QuotaUse> QuotaAllotter::useOf(const std::string& tenant) {
+std::optional<QuotaUse> QuotaAllocator::useOf(const std::string& tenant) {
   const std::optional<double> limit = limitOf(tenant);
   const bool knows = knowsAll();
   if (!limit || (!knows && !mostFrontsAreYoung())) {
     return std::nullopt;
   }
-  const double unknown = knows ? 0 : unknownPart() * *limit * configuration::UsedShareOfQuota;
+  const double unknown = knows ? 0 : unknownShare() * *limit * configuration::UsedShareOfQuota;
   const auto total = totals_.find(tenant);
   const double admitted = total == totals_.end() ? 0 : total->second.admitted;
   return QuotaUse{*limit, admitted + unknown};
 }
 
-bool QuotaAllotter::hasQuotas() const {
+bool QuotaAllocator::hasQuotas() const {
   return view_ && std::ranges::any_of(view_->forwarding.tenants, [this](const auto& item) {
            return bounds_.limitOf(item.second).has_value();
          });
 }
 
-bool QuotaAllotter::mayDecide() {
+bool QuotaAllocator::mayDecide() {
   return hasQuotas() && (knowsAll() || mostFrontsAreYoung());
 }
 
-double QuotaAllotter::unknownPart() const {
-  const double heard_s = std::chrono::duration<double>(dispatcher_.now() - *hearing_since_).count();
+double QuotaAllocator::unknownShare() const {
+  const double heard_s =
+      std::chrono::duration<double>(dispatcher_.now() - *receiving_since_).count();
   const double left_of_window = std::max(0.0, 1 - heard_s / bounds_.window_s);
   const auto live = static_cast<double>(std::max<std::size_t>(1, live_));
   return left_of_window * static_cast<double>(young_) / live;
 }
 
-std::optional<std::uint64_t> QuotaAllotter::settledAsks(const base::NodeAddress& front,
-                                                        std::uint64_t instance) const {
+std::optional<std::uint64_t> QuotaAllocator::settledRequests(const base::NodeAddress& front,
+                                                             std::uint64_t instance) const {
   const auto found = fronts_.find(FrontKey{front, instance});
-  return found == fronts_.end() ? std::nullopt : std::optional(found->second.settled_asks);
+  return found == fronts_.end() ? std::nullopt : std::optional(found->second.settled_requests);
 }
 
-std::optional<std::vector<wire::TenantAllotment>> QuotaAllotter::allot(
+std::optional<std::vector<wire::TenantAllocation>> QuotaAllocator::allocate(
     const wire::SessionRecord& record) {
   if (!knowsAll()) {
     return std::nullopt;
@@ -202,7 +204,7 @@
     own[demand.tenant] = demand;
   }
   const std::map<std::string, double> counted = admittedBy(FrontKey{record.front, record.instance});
-  std::vector<wire::TenantAllotment> allotments;
+  std::vector<wire::TenantAllocation> allocations;
   for (const auto& [tenant, total] : totals_) {
     if (!muchUsed(tenant, total)) {
       continue;
@@ -210,14 +212,14 @@
     const wire::TenantDemand& asked = own[tenant];
     const double by_demand =
         total.units_per_s > 0 ? std::min(1.0, asked.units_per_s / total.units_per_s) : 1 / live;
-    const double share = (1 - EqualPart) * by_demand + EqualPart / live;
+    const double share = (1 - EqualShare) * by_demand + EqualShare / live;
     // What this very record tells goes before what was added up a moment ago.
     const auto before = counted.find(tenant);
     const double newer = asked.admitted - (before == counted.end() ? 0 : before->second);
-    allotments.push_back({tenant, static_cast<float>(share), static_cast<float>(total.units_per_s),
-                          static_cast<float>(total.admitted + newer)});
+    allocations.push_back({tenant, static_cast<float>(share), static_cast<float>(total.units_per_s),
+                           static_cast<float>(total.admitted + newer)});
   }
-  return allotments;
+  return allocations;
 }
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/quota_ledger.cc
+++ b/libraries/core/source/quota_ledger.cc
@@ -40,28 +40,29 @@
 }  // namespace
 
 QuotaLedger::QuotaLedger(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
-                         QuotaAllotter& allotter, double window_s, HeldSince held_since)
+                         QuotaAllocator& allocator, double window_s, HeldSince held_since)
     : dispatcher_(dispatcher),
-      allotter_(allotter),
+      allocator_(allocator),
       window_s_(window_s),
       held_since_(std::move(held_since)) {
-  calls.handle<wire::QuotaAsk>([this, alive = std::weak_ptr(alive_)](
-                                   const base::NodeAddress& /*from*/, const wire::QuotaAsk& ask,
-                                   const transport::ReplyFunction& reply) {
-    if (!alive.expired()) {
-      reply(decide(ask));
-    }
-  });
+  calls.handle<wire::QuotaRequest>(
+      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& /*from*/,
+                                            const wire::QuotaRequest& ask,
+                                            const transport::ReplyFunction& reply) {
+        if (!alive.expired()) {
+          reply(decide(ask));
+        }
+      });
 }
 
-void QuotaLedger::takeOutSettled(Tenant& tenant) {
-  if (tenant.settled_at_refresh == allotter_.refreshes()) {
+void QuotaLedger::removeSettled(Tenant& tenant) {
+  if (tenant.settled_at_refresh == allocator_.refreshes()) {
     return;
   }
-  tenant.settled_at_refresh = allotter_.refreshes();
+  tenant.settled_at_refresh = allocator_.refreshes();
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(tenant.pending, [this, &tenant, now](const Pending& pending) {
-    const auto settled = allotter_.settledAsks(pending.front, pending.instance);
+    const auto settled = allocator_.settledRequests(pending.front, pending.instance);
     const bool over =
         (settled && *settled >= pending.number) || now - pending.granted_at > PendingLifetime;
     tenant.pending_units -= over ? pending.units : 0;
@@ -112,21 +113,21 @@
   return std::min(more_urgent / SecondsHeld * ReserveTimeS + mean_units, most);
 }
 
-wire::QuotaAnswer QuotaLedger::decide(const wire::QuotaAsk& ask) {
-  wire::QuotaAnswer answer;
+wire::QuotaReply QuotaLedger::decide(const wire::QuotaRequest& ask) {
+  wire::QuotaReply answer;
   const std::optional<base::TimePoint> held_since = held_since_(ask.tenant);
   answer.is_ledger = held_since.has_value();
   if (!held_since || dispatcher_.now() - *held_since < TakeoverPause) {
     return answer;
   }
-  const std::optional<QuotaUse> use = allotter_.useOf(ask.tenant);
+  const std::optional<QuotaUse> use = allocator_.useOf(ask.tenant);
   if (!use) {
     // Its configuration may be older than the front's.
     return answer;
   }
   answer.known = true;
   Tenant& tenant = tenants_[ask.tenant];
-  takeOutSettled(tenant);
+  removeSettled(tenant);
   decay(tenant);
   const std::size_t urgency = std::min<std::size_t>(ask.urgency, Urgencies - 1);
   const double limit = use->limit * configuration::UsedShareOfQuota * StaleShare;
--- a/libraries/core/source/register_change_coordinator.cc
+++ b/libraries/core/source/register_change_coordinator.cc
@@ -144,7 +144,7 @@
                    });
 }
 
-void RegisterChangeCoordinator::takeCommitted(const configuration::Document& document) {
+void RegisterChangeCoordinator::adoptCommitted(const configuration::Document& document) {
   if (document.version <= replica_.version()) {
     return;
   }
@@ -168,7 +168,7 @@
   }
   const std::optional<RegisterValue> value = decode(outcome.value);
   if (value) {
-    takeCommitted(value->document);
+    adoptCommitted(value->document);
   }
   const ChangeAnswer answer = recordedAnswer(value, change_id, answerOf(decision), outcome.changed);
   if (answer.code != ResultCode::Ok || faults_.acknowledge_without_waiting) {
@@ -199,7 +199,7 @@
                                        base::Duration wait_took, const InForceOutcome& in_force) {
   const bool unclear =
       answer.code == ResultCode::CommittedNotYetInForce || answer.code == ResultCode::NoQuorum;
-  const bool is_behind = in_force.behind > 0;
+  const bool is_behind = in_force.lagging > 0;
   base::Incident incident;
   incident.event = "change-ended";
   incident.severity = unclear ? base::Severity::Warning : base::Severity::Notice;
@@ -209,8 +209,8 @@
                      {"commit_ms", std::to_string(base::toMilliseconds(commit_took))},
                      {"wait_ms", std::to_string(base::toMilliseconds(wait_took))},
                      {"readings", std::to_string(in_force.readings)},
-                     {"behind", std::to_string(in_force.behind)},
-                     {"first_behind", is_behind ? in_force.first_behind.toString() : ""}};
+                     {"behind", std::to_string(in_force.lagging)},
+                     {"first_behind", is_behind ? in_force.first_lagging.toString() : ""}};
   incidents_.report(incident);
 }
 
--- a/libraries/core/source/status_json.cc
+++ b/libraries/core/source/status_json.cc
@@ -1,8 +1,8 @@
 #include "status_json.h"
 
-#include "switchsaddle/configuration/beliefs.h"
 #include "switchsaddle/configuration/change_json.h"
 #include "switchsaddle/configuration/json_writer.h"
+#include "switchsaddle/configuration/state_report.h"
 
 namespace switchsaddle::core {
 
--- a/libraries/core/source/status_json.h
+++ b/libraries/core/source/status_json.h
@@ -5,7 +5,7 @@
 
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/core/node_information.h"
-#include "switchsaddle/journal/belief_view.h"
+#include "switchsaddle/journal/state_view.h"
 #include "switchsaddle/wire/session_messages.h"
 
 /**
--- a/libraries/core/test/control_service_test.cc
+++ b/libraries/core/test/control_service_test.cc
@@ -196,7 +196,7 @@
 class ControlHealthTest : public ControlServiceTest {
  protected:
   ControlHealthTest() {
-    wire::HealthStatement statement;
+    wire::HealthReport statement;
     wire::PoolHealth pool;
     pool.pool = worker_health::poolKey("p");
     for (int index = 0; index < 10; ++index) {
@@ -214,7 +214,7 @@
     }
     statement.pools.push_back(pool);
     node_.ranking.setWorkers(node_.snapshot);
-    node_.ledger.hear({{"10.0.0.1", 1}, 1}, "north", statement);
+    node_.ledger.update({{"10.0.0.1", 1}, 1}, "north", statement);
     node_.ranking.refresh();
   }
   static std::string order(const std::string& id) { return R"({"change_id":")" + id + R"("})"; }
--- a/libraries/core/test/core_incidents_test.cc
+++ b/libraries/core/test/core_incidents_test.cc
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 /** A platform that never answers. */
-class SilentPlatform : public workers::PlatformSource {
+class UnresponsivePlatform : public workers::PlatformSource {
  public:
   void read(std::function<void(workers::PlatformReading)> /*callback*/) override {}
 };
@@ -62,7 +62,7 @@
   simulation::SimulatedStorageExecutor executor_{world_, process_};
   storage::FileRecordStore store_{process_, disk_, executor_, world_.random()};
   journal::Journal journal_{process_};
-  SilentPlatform platform_;
+  UnresponsivePlatform platform_;
   configuration::Settings settings_;
   simulation::CollectingIncidents incidents_;
   std::unique_ptr<CoreNode> node_;
--- a/libraries/core/test/fakes.h
+++ b/libraries/core/test/fakes.h
@@ -51,19 +51,19 @@
     }
     callback(code, live);
   }
-  void readBehind(std::uint64_t /*version*/, sessions::LiveSessionsCallback callback) override {
+  void readLagging(std::uint64_t /*version*/, sessions::LiveSessionsCallback callback) override {
     readLive(std::move(callback));
   }
   std::vector<wire::SessionTableEntry> localSessions() const override { return live; }
-  std::vector<wire::SessionTableEntry> localBehind(std::uint64_t version) const override {
+  std::vector<wire::SessionTableEntry> localLagging(std::uint64_t version) const override {
     if (own_table_empty) {
       return {};
     }
-    std::vector<wire::SessionTableEntry> behind = live;
-    std::erase_if(behind, [version](const wire::SessionTableEntry& entry) {
+    std::vector<wire::SessionTableEntry> lagging = live;
+    std::erase_if(lagging, [version](const wire::SessionTableEntry& entry) {
       return entry.record.closed || entry.record.applied_version >= version;
     });
-    return behind;
+    return lagging;
   }
 
   void setSession(const base::NodeAddress& front, std::uint64_t applied) {
@@ -100,7 +100,7 @@
     status.leases.push_back({"platform-watcher", true, 4});
     return status;
   }
-  const journal::BeliefView& beliefs() const override { return beliefs_; }
+  const journal::StateView& beliefs() const override { return beliefs_; }
   const worker_health::HealthRanking& health() const override { return ranking; }
   workers::WorkerSnapshotPtr fleet() const override { return snapshot; }
   std::uint32_t requestsOn(const std::string& /*worker*/) const override { return 2; }
@@ -110,7 +110,7 @@
   std::shared_ptr<workers::WorkerSnapshot> snapshot = std::make_shared<workers::WorkerSnapshot>();
 
  private:
-  journal::BeliefView beliefs_;
+  journal::StateView beliefs_;
 };
 
 }  // namespace switchsaddle::core
--- a/libraries/core/test/load_ledger_test.cc
+++ b/libraries/core/test/load_ledger_test.cc
@@ -26,7 +26,7 @@
   /** What a front is told, as "worker:requests/prefill_ms". */
   std::vector<std::string> told(const wire::SessionRecord& record) {
     std::vector<std::string> texts;
-    for (const wire::WorkerLoad& load : ledger.toldTo(record).others) {
+    for (const wire::WorkerLoad& load : ledger.loadFor(record).others) {
       texts.push_back(std::to_string(load.worker) + ":" + std::to_string(load.requests) + "/" +
                       std::to_string(load.prefill_ms));
     }
@@ -41,8 +41,8 @@
 };
 
 TEST_F(LoadLedgerTest, TellsEachFrontWhatTheOthersHave) {
-  ledger.hear(first);
-  ledger.hear(second);
+  ledger.update(first);
+  ledger.update(second);
   EXPECT_THAT(told(first), testing::ElementsAre("11:3/50"));
   EXPECT_THAT(told(second), testing::ElementsAre("11:2/100", "22:1/0"));
   EXPECT_THAT(told(recordOf(3, {})), testing::ElementsAre("11:5/150", "22:1/0"));
@@ -55,31 +55,31 @@
   for (std::uint16_t worker = 0; worker < 2'100; ++worker) {
     loads.push_back({worker, 1, worker});
   }
-  ledger.hear(recordOf(1, loads));
-  const wire::FleetLoad load = ledger.toldTo(second);
-  ASSERT_EQ(load.others.size(), LoadLedger::MostTold);
-  for (const wire::WorkerLoad& told_of : load.others) {
-    EXPECT_GE(told_of.worker, 2'100 - LoadLedger::MostTold);
+  ledger.update(recordOf(1, loads));
+  const wire::FleetLoad load = ledger.loadFor(second);
+  ASSERT_EQ(load.others.size(), LoadLedger::MaximumReportedWorkers);
+  for (const wire::WorkerLoad& reported : load.others) {
+    EXPECT_GE(reported.worker, 2'100 - LoadLedger::MaximumReportedWorkers);
   }
   EXPECT_FLOAT_EQ(load.rest_requests, 1);
-  EXPECT_FLOAT_EQ(load.rest_prefill_ms, (2'100 - LoadLedger::MostTold - 1) / 2.0);
+  EXPECT_FLOAT_EQ(load.rest_prefill_ms, (2'100 - LoadLedger::MaximumReportedWorkers - 1) / 2.0);
 }
 
 TEST_F(LoadLedgerTest, ARecordTakesThePlaceOfTheOneBefore) {
-  ledger.hear(first);
-  ledger.hear(first);
-  ledger.hear(recordOf(1, {{FirstWorker, 1, 10}}));
+  ledger.update(first);
+  ledger.update(first);
+  ledger.update(recordOf(1, {{FirstWorker, 1, 10}}));
   EXPECT_THAT(told(second), testing::ElementsAre("11:1/10"));
-  ledger.hear(recordOf(1, {}));
+  ledger.update(recordOf(1, {}));
   EXPECT_THAT(told(second), testing::IsEmpty());
 }
 
 TEST_F(LoadLedgerTest, AFrontThatEndedOrIsSilentCountsWithNothing) {
-  ledger.hear(first);
+  ledger.update(first);
   first.closed = true;
-  ledger.hear(first);
+  ledger.update(first);
   EXPECT_THAT(told(second), testing::IsEmpty());
-  ledger.hear(second);
+  ledger.update(second);
   world.runFor(milliseconds(1'400));
   EXPECT_THAT(told(first), testing::ElementsAre("11:3/50"));
   world.runFor(milliseconds(200));
@@ -87,29 +87,29 @@
 }
 
 TEST_F(LoadLedgerTest, SilentFrontsAreForgottenAtACoreThatNobodyAsks) {
-  ledger.hear(first);
+  ledger.update(first);
   world.runFor(milliseconds(1'600));
-  ledger.hear(second);
+  ledger.update(second);
   EXPECT_EQ(ledger.requestsOn(FirstWorker), 3);
   EXPECT_EQ(ledger.requestsOn(SecondWorker), 0);
 }
 
 TEST_F(LoadLedgerTest, TwoProcessesOfOneAddressCountApart) {
-  ledger.hear(first);
+  ledger.update(first);
   wire::SessionRecord restarted = recordOf(1, {{FirstWorker, 1, 5}});
   restarted.instance = 7;
-  ledger.hear(restarted);
+  ledger.update(restarted);
   EXPECT_THAT(told(second), testing::ElementsAre("11:3/105", "22:1/0"));
 }
 
 TEST_F(LoadLedgerTest, AddsUpKindsOfWorkOfAllFronts) {
   first.load.kinds = {{7, 10, 1'000, 500}};
   second.load.kinds = {{7, 5, 500, 100}, {9, 1, 20, 20}};
-  ledger.hear(first);
-  ledger.hear(second);
+  ledger.update(first);
+  ledger.update(second);
   // They are added up five times a second.
   world.runFor(milliseconds(200));
-  const std::vector<wire::KindWork> kinds = ledger.toldTo(first).kinds;
+  const std::vector<wire::WorkKindCounts> kinds = ledger.loadFor(first).kinds;
   ASSERT_EQ(kinds.size(), 2U);
   EXPECT_EQ(kinds[0].kind, 7U);
   EXPECT_FLOAT_EQ(kinds[0].prompts, 15);
@@ -119,7 +119,7 @@
 
 TEST_F(LoadLedgerTest, SumsStopAtWhatTheMessageHolds) {
   for (std::uint16_t front = 10; front < 13; ++front) {
-    ledger.hear(recordOf(front, {{FirstWorker, 1, 60'000}}));
+    ledger.update(recordOf(front, {{FirstWorker, 1, 60'000}}));
   }
   EXPECT_THAT(told(second), testing::ElementsAre("11:3/65535"));
 }
--- a/libraries/core/test/quota_allotter_test.cc
+++ b/libraries/core/test/quota_allocator_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/core/quota_allotter.h"
+#include "switchsaddle/core/quota_allocator.h"
 
 #include <gtest/gtest.h>
 
@@ -8,21 +8,21 @@
 namespace switchsaddle::core {
 namespace {
 
-class QuotaAllotterTest : public testing::Test {
+class QuotaAllocatorTest : public testing::Test {
  protected:
-  QuotaAllotterTest() {
+  QuotaAllocatorTest() {
     auto view = std::make_shared<configuration::View>();
     configuration::ForwardTenant& tenant = view->forwarding.tenants["t"];
     tenant.name = "t";
     tenant.rate_per_s = 100;
-    allotter.setConfiguration(view);
+    allocator.setConfiguration(view);
     // It has heard the fronts for a whole window.
-    allotter.allot({});
+    allocator.allocate({});
     world.runFor(std::chrono::seconds(8));
   }
-  /** What the allotter says to the front of a record. */
-  std::vector<wire::TenantAllotment> told(std::size_t index) {
-    return allotter.allot(records[index].record).value();
+  /** What the allocator says to the front of a record. */
+  std::vector<wire::TenantAllocation> told(std::size_t index) {
+    return allocator.allocate(records[index].record).value();
   }
   wire::SessionRecord& front(std::uint16_t port, float per_s, float admitted) {
     wire::SessionTableEntry entry;
@@ -36,31 +36,31 @@
   simulation::World world{1};
   simulation::Process process{world};
   std::vector<wire::SessionTableEntry> records;
-  QuotaAllotter allotter{process,
-                         [this](const QuotaAllotter::RecordVisitor& visitor) {
-                           for (const wire::SessionTableEntry& entry : records) {
-                             visitor(entry.record);
-                           }
-                         },
-                         {8, 0, 0}};
+  QuotaAllocator allocator{process,
+                           [this](const QuotaAllocator::RecordVisitor& visitor) {
+                             for (const wire::SessionTableEntry& entry : records) {
+                               visitor(entry.record);
+                             }
+                           },
+                           {8, 0, 0}};
 };
 
-TEST_F(QuotaAllotterTest, KnowsNothingUntilItHasHeardTheFrontsForAWindow) {
+TEST_F(QuotaAllocatorTest, KnowsNothingUntilItHasHeardTheFrontsForAWindow) {
   front(1, 90, 700);
-  allotter.stopHearing();
-  EXPECT_FALSE(allotter.allot(records[0].record).has_value());
+  allocator.stopReceiving();
+  EXPECT_FALSE(allocator.allocate(records[0].record).has_value());
   world.runFor(std::chrono::milliseconds(7'900));
-  EXPECT_FALSE(allotter.allot(records[0].record).has_value());
+  EXPECT_FALSE(allocator.allocate(records[0].record).has_value());
   world.runFor(std::chrono::milliseconds(200));
-  EXPECT_TRUE(allotter.allot(records[0].record).has_value());
+  EXPECT_TRUE(allocator.allocate(records[0].record).has_value());
 }
 
-TEST_F(QuotaAllotterTest, SaysNothingOfATenantThatUsedLittle) {
+TEST_F(QuotaAllocatorTest, SaysNothingOfATenantThatUsedLittle) {
   front(1, 10, 100);
   EXPECT_TRUE(told(0).empty());
 }
 
-TEST_F(QuotaAllotterTest, PartsFollowDemandAndSumToTheWhole) {
+TEST_F(QuotaAllocatorTest, PartsFollowDemandAndSumToTheWhole) {
   front(1, 90, 300);
   front(2, 10, 300);
   const auto first = told(0);
@@ -72,7 +72,7 @@
   EXPECT_NEAR(first[0].share + second[0].share, 1.0, 1e-6);
 }
 
-TEST_F(QuotaAllotterTest, WhatASilentFrontLetInCountsOn) {
+TEST_F(QuotaAllocatorTest, WhatASilentFrontLetInCountsOn) {
   front(1, 50, 300);
   front(2, 50, 300);
   EXPECT_FLOAT_EQ(told(0)[0].fleet_admitted, 600);
@@ -93,24 +93,24 @@
   EXPECT_FLOAT_EQ(told(0)[0].fleet_admitted, 300);
 }
 
-TEST_F(QuotaAllotterTest, ACoreThatDoesNotKnowWhatWasUsedDecidesOnlyWhereNobodyCan) {
+TEST_F(QuotaAllocatorTest, ACoreThatDoesNotKnowWhatWasUsedDecidesOnlyWhereNobodyCan) {
   wire::SessionRecord& old = front(1, 50, 300);
-  old.witness.age_ms = 60'000;
-  EXPECT_TRUE(allotter.mayDecide());
-  EXPECT_DOUBLE_EQ(allotter.useOf("t").value().admitted, 300);
+  old.fleet_knowledge.age_ms = 60'000;
+  EXPECT_TRUE(allocator.mayDecide());
+  EXPECT_DOUBLE_EQ(allocator.useOf("t").value().admitted, 300);
   // It was cut off: the fronts have run on, and other cores have heard them.
-  allotter.stopHearing();
-  EXPECT_FALSE(allotter.mayDecide());
-  EXPECT_FALSE(allotter.useOf("t").has_value());
+  allocator.stopReceiving();
+  EXPECT_FALSE(allocator.mayDecide());
+  EXPECT_FALSE(allocator.useOf("t").has_value());
   // All have just started: nobody knows, and what was used before has left the window by and by.
   records.clear();
   front(2, 50, 10);
   world.runFor(std::chrono::milliseconds(200));
-  EXPECT_TRUE(allotter.mayDecide());
-  const double at_first = allotter.useOf("t").value().admitted;
+  EXPECT_TRUE(allocator.mayDecide());
+  const double at_first = allocator.useOf("t").value().admitted;
   world.runFor(std::chrono::seconds(4));
   // Half of the 0.84 x 800 that are assumed to have been used.
-  EXPECT_NEAR(at_first - allotter.useOf("t").value().admitted, 336, 1);
+  EXPECT_NEAR(at_first - allocator.useOf("t").value().admitted, 336, 1);
 }
 
 }  // namespace
--- a/libraries/dissemination/include/switchsaddle/dissemination/gossip_agent.h
+++ b/libraries/dissemination/include/switchsaddle/dissemination/gossip_agent.h
@@ -71,9 +71,9 @@
   void onConfiguration(const base::NodeAddress& from, const wire::ConfigurationDelta& delta);
   void fetchConfiguration(const base::NodeAddress& from);
   /** Takes a view in; where it is new, what it changed is pushed to `first` and random peers. */
-  void takeView(const wire::WorkerView& view, const std::vector<base::NodeAddress>& first = {});
-  void takeViewChange(const base::NodeAddress& from, const wire::WorkerViewChange& change);
-  void takeObservations(const std::vector<wire::WorkerObservation>& observations);
+  void receiveView(const wire::WorkerView& view, const std::vector<base::NodeAddress>& first = {});
+  void receiveViewChange(const base::NodeAddress& from, const wire::WorkerViewChange& change);
+  void applyObservations(const std::vector<wire::WorkerObservation>& observations);
   void pushObservations(const std::vector<wire::WorkerObservation>& observations);
   std::vector<base::NodeAddress> randomPeers(std::size_t count);
 
@@ -85,7 +85,7 @@
   base::TimerPtr timer_;
   std::vector<base::NodeAddress> peers_;
   /** Peers with a question of this node open. */
-  std::set<base::NodeAddress> asked_;
+  std::set<base::NodeAddress> requested_;
   std::set<base::NodeAddress> fetching_;
   ScoreSource score_source_;
   ScoreSink score_sink_;
--- a/libraries/dissemination/source/gossip_agent.cc
+++ b/libraries/dissemination/source/gossip_agent.cc
@@ -65,7 +65,7 @@
       [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& /*from*/,
                                             const wire::WorkerView& view, const auto& /*reply*/) {
         if (!alive.expired()) {
-          takeView(view);
+          receiveView(view);
         }
       });
   calls_.handle<wire::WorkerViewChange>(
@@ -73,7 +73,7 @@
                                             const wire::WorkerViewChange& change,
                                             const auto& /*reply*/) {
         if (!alive.expired()) {
-          takeViewChange(from, change);
+          receiveViewChange(from, change);
         }
       });
 }
@@ -103,7 +103,7 @@
 }
 
 void GossipAgent::pullFrom(const base::NodeAddress& peer) {
-  if (!asked_.insert(peer).second) {
+  if (!requested_.insert(peer).second) {
     return;
   }
   calls_.call(peer, digest(), options_.call_timeout,
@@ -111,7 +111,7 @@
                 if (alive.expired()) {
                   return;
                 }
-                asked_.erase(peer);
+                requested_.erase(peer);
                 if (const auto* delta = result.as<wire::GossipDelta>()) {
                   onDelta(peer, *delta);
                 }
@@ -181,8 +181,8 @@
   if (delta.configuration.to_version > replica_.version()) {
     onConfiguration(from, delta.configuration);
   }
-  takeView(delta.workers);
-  takeObservations(delta.observations);
+  receiveView(delta.workers);
+  applyObservations(delta.observations);
   if (score_sink_ && !delta.scores.empty()) {
     score_sink_(delta.scores);
   }
@@ -212,10 +212,10 @@
 }
 
 void GossipAgent::observe(const wire::WorkerObservation& observation) {
-  takeObservations({observation});
+  applyObservations({observation});
 }
 
-void GossipAgent::takeObservations(const std::vector<wire::WorkerObservation>& observations) {
+void GossipAgent::applyObservations(const std::vector<wire::WorkerObservation>& observations) {
   std::vector<wire::WorkerObservation> learned;
   for (const wire::WorkerObservation& observation : observations) {
     if (workers_.applyObservation(observation)) {
@@ -233,8 +233,8 @@
   calls_.notifyAll(randomPeers(options_.fanout), push);
 }
 
-void GossipAgent::takeView(const wire::WorkerView& view,
-                           const std::vector<base::NodeAddress>& first) {
+void GossipAgent::receiveView(const wire::WorkerView& view,
+                              const std::vector<base::NodeAddress>& first) {
   const wire::WorkerView before = workers_.view();
   if (!workers_.applyView(view)) {
     return;
@@ -246,14 +246,14 @@
   calls_.notifyAll(randomPeers(options_.fanout), change);
 }
 
-void GossipAgent::takeViewChange(const base::NodeAddress& from,
-                                 const wire::WorkerViewChange& change) {
+void GossipAgent::receiveViewChange(const base::NodeAddress& from,
+                                    const wire::WorkerViewChange& change) {
   const wire::WorkerView& held = workers_.view();
   if (!viewIsOlder(held.term, held.sequence, change.term, change.sequence)) {
     return;
   }
   if (const auto next = workers::applyChange(held, change)) {
-    takeView(*next);
+    receiveView(*next);
   } else {
     pullFrom(from);
   }
@@ -261,7 +261,7 @@
 
 void GossipAgent::publishView(const wire::WorkerView& view,
                               const std::vector<base::NodeAddress>& first) {
-  takeView(view, first);
+  receiveView(view, first);
 }
 
 std::vector<base::NodeAddress> GossipAgent::randomPeers(std::size_t count) {
--- a/libraries/experiments/source/fleet_model.cc
+++ b/libraries/experiments/source/fleet_model.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t MostTries = 3;
+constexpr std::size_t MaximumAttempts = 3;
 /** Delay of one exchange of scores between two fronts. */
 constexpr base::Duration ExchangeDelay = std::chrono::milliseconds(2);
 /** Times of the churn as shares of the measured time. */
@@ -68,9 +68,9 @@
   const std::size_t joining = settings_.workers;
   world_.schedule(settings_.warm_up + share(measured, CrashAt), [this, victim] { crash(victim); });
   world_.schedule(settings_.warm_up + share(measured, ReturnAt),
-                  [this, victim] { startCold(victim); });
+                  [this, victim] { startWarmingUp(victim); });
   world_.schedule(settings_.warm_up + share(measured, JoinAt),
-                  [this, joining] { startCold(joining); });
+                  [this, joining] { startWarmingUp(joining); });
 }
 
 void FleetModel::scheduleArrival() {
@@ -108,7 +108,7 @@
   }
   const bool had_first_token = result.time_to_first_token > base::Duration::zero();
   call->excluded.push_back(workers_[placement.worker]->id());
-  if (had_first_token || call->excluded.size() >= MostTries) {
+  if (had_first_token || call->excluded.size() >= MaximumAttempts) {
     recorder_.onLost();
     return;
   }
@@ -148,9 +148,9 @@
   announce(worker);
 }
 
-void FleetModel::startCold(std::size_t worker) {
+void FleetModel::startWarmingUp(std::size_t worker) {
   workers_[worker]->start();
-  recorder_.onColdStart(worker, world_.now());
+  recorder_.onSlowStart(worker, world_.now());
   announce(worker);
 }
 
--- a/libraries/experiments/source/fleet_model.h
+++ b/libraries/experiments/source/fleet_model.h
@@ -35,7 +35,7 @@
   void place(const CallPtr& call);
   void onDone(const CallPtr& call, const ModelledPlacement& placement, const StreamResult& result);
   void crash(std::size_t worker);
-  void startCold(std::size_t worker);
+  void startWarmingUp(std::size_t worker);
   /** Brings a worker's present state to each front within the list's delay. */
   void announce(std::size_t worker);
   void learn(std::size_t front, const ListedWorker& worker);
--- a/libraries/experiments/source/fleet_recorder.cc
+++ b/libraries/experiments/source/fleet_recorder.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr base::Duration ColdWindow = std::chrono::seconds(2);
+constexpr base::Duration SlowStartWindow = std::chrono::seconds(2);
 constexpr base::Duration WatchedAfterStart = std::chrono::seconds(20);
 constexpr base::Duration Step = std::chrono::milliseconds(250);
 constexpr double MillisecondsPerSecond = 1'000.0;
@@ -42,8 +42,8 @@
   }
 }
 
-void FleetRecorder::onColdStart(std::size_t worker, base::TimePoint now) {
-  cold_starts_.push_back(ColdStart{worker, now});
+void FleetRecorder::onSlowStart(std::size_t worker, base::TimePoint now) {
+  slow_starts_.push_back(SlowStart{worker, now});
 }
 
 double FleetRecorder::percentile(double share) const {
@@ -60,9 +60,9 @@
   return settings_.streams_per_s * secondsOf(window) / settings_.workers;
 }
 
-double FleetRecorder::coldShare(base::Duration offset, base::Duration window) const {
+double FleetRecorder::slowStartShare(base::Duration offset, base::Duration window) const {
   double worst = 0;
-  for (const ColdStart& start : cold_starts_) {
+  for (const SlowStart& start : slow_starts_) {
     const base::TimePoint from = start.at + offset;
     const auto inside = std::count_if(placed_.begin(), placed_.end(), [&](const Placed& one) {
       return one.worker == start.worker && one.at >= from && one.at < from + window;
@@ -72,24 +72,24 @@
   return worst;
 }
 
-double FleetRecorder::worstColdShareLater() const {
+double FleetRecorder::worstSlowStartShareLater() const {
   double worst = 0;
-  for (base::Duration offset = ColdWindow; offset < WatchedAfterStart; offset += 2 * Step) {
-    worst = std::max(worst, coldShare(offset, ColdWindow));
+  for (base::Duration offset = SlowStartWindow; offset < WatchedAfterStart; offset += 2 * Step) {
+    worst = std::max(worst, slowStartShare(offset, SlowStartWindow));
   }
   return worst;
 }
 
 double FleetRecorder::secondsUntilWarm() const {
   double longest = 0;
-  for (const ColdStart& start : cold_starts_) {
-    base::Duration end = ColdWindow;
+  for (const SlowStart& start : slow_starts_) {
+    base::Duration end = SlowStartWindow;
     for (; end < WatchedAfterStart; end += Step) {
       const base::TimePoint until = start.at + end;
       const auto inside = std::count_if(placed_.begin(), placed_.end(), [&](const Placed& one) {
-        return one.worker == start.worker && one.at >= until - ColdWindow && one.at < until;
+        return one.worker == start.worker && one.at >= until - SlowStartWindow && one.at < until;
       });
-      if (static_cast<double>(inside) >= 0.5 * fairShare(ColdWindow)) {
+      if (static_cast<double>(inside) >= 0.5 * fairShare(SlowStartWindow)) {
         break;
       }
     }
@@ -109,8 +109,8 @@
   double steady = 0;
   for (std::size_t worker = 0; worker < counts.size(); ++worker) {
     const bool came_or_went =
-        std::any_of(cold_starts_.begin(), cold_starts_.end(),
-                    [worker](const ColdStart& start) { return start.worker == worker; });
+        std::any_of(slow_starts_.begin(), slow_starts_.end(),
+                    [worker](const SlowStart& start) { return start.worker == worker; });
     if (!came_or_went) {
       total += static_cast<double>(counts[worker]);
       most = std::max(most, static_cast<double>(counts[worker]));
@@ -129,8 +129,8 @@
           {"cached_share", static_cast<double>(cached_tokens_) / prefix_tokens},
           {"spread", spread()},
           {"tokens_per_s", static_cast<double>(output_tokens_) / measured_s},
-          {"cold_share_2s", coldShare(base::Duration::zero(), ColdWindow)},
-          {"cold_share_later", worstColdShareLater()},
+          {"cold_share_2s", slowStartShare(base::Duration::zero(), SlowStartWindow)},
+          {"cold_share_later", worstSlowStartShareLater()},
           {"warm_after_s", secondsUntilWarm()},
           {"lost", static_cast<double>(lost_)},
           {"score_bytes_per_front_s", static_cast<double>(score_bytes_) / front_seconds}};
--- a/libraries/experiments/source/fleet_recorder.h
+++ b/libraries/experiments/source/fleet_recorder.h
@@ -18,13 +18,13 @@
   void onDone(const ModelledPrompt& prompt, const StreamResult& result, base::TimePoint now);
   void onLost() { ++lost_; }
   /** A worker returned or joined with an empty cache. */
-  void onColdStart(std::size_t worker, base::TimePoint now);
+  void onSlowStart(std::size_t worker, base::TimePoint now);
   void onCrash(std::size_t worker) { crashed_.push_back(worker); }
   void onScoresSent(std::size_t bytes) { score_bytes_ += bytes; }
   std::vector<Measure> measures() const;
 
  private:
-  struct ColdStart {
+  struct SlowStart {
     std::size_t worker = 0;
     base::TimePoint at{};
   };
@@ -38,8 +38,8 @@
   double fairShare(base::Duration window) const;
   /** Prompts a cold worker got in the window after its start, over its fair share; the largest of
    * all cold starts. */
-  double coldShare(base::Duration offset, base::Duration window) const;
-  double worstColdShareLater() const;
+  double slowStartShare(base::Duration offset, base::Duration window) const;
+  double worstSlowStartShareLater() const;
   /** Longest time from a cold start until half the fair share arrives within two seconds. */
   double secondsUntilWarm() const;
   double spread() const;
@@ -47,7 +47,7 @@
   const FleetSettings& settings_;
   std::vector<double> first_tokens_s_;
   std::vector<Placed> placed_;
-  std::vector<ColdStart> cold_starts_;
+  std::vector<SlowStart> slow_starts_;
   std::vector<std::size_t> crashed_;
   std::uint64_t cached_tokens_ = 0;
   std::uint64_t prefix_tokens_ = 0;
--- a/libraries/experiments/source/fleet_settings.h
+++ b/libraries/experiments/source/fleet_settings.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/laboratory/worker_speed.h"
+#include "switchsaddle/testbed/worker_speed.h"
 
 namespace switchsaddle::experiments {
 
@@ -20,7 +20,7 @@
   double zipf_exponent = 1.0;
   std::uint32_t slots = 16;
   std::uint64_t cache_tokens = 200'000;
-  laboratory::WorkerSpeed speed;
+  testbed::WorkerSpeed speed;
   /** Workers' speeds lie in [1 - spread, 1 + spread] of the mean. */
   double speed_spread = 0.3;
   base::Duration warm_up = std::chrono::seconds(30);
--- a/libraries/experiments/source/learned_placer.cc
+++ b/libraries/experiments/source/learned_placer.cc
@@ -21,7 +21,7 @@
   } else if (policy == "no-load-estimates") {
     options.load_estimates = false;
   } else if (policy == "no-cold-guard") {
-    options.cold_guard = false;
+    options.slow_start_limiter = false;
   } else if (policy == "no-score-hygiene") {
     options.score_hygiene = false;
   } else if (policy != "ours" && policy != "no-score-sharing") {
--- a/libraries/experiments/source/modelled_worker.cc
+++ b/libraries/experiments/source/modelled_worker.cc
@@ -28,16 +28,16 @@
       slot_count_(settings.slots) {
   speed_.prefill_tokens_per_s *= speed_factor;
   speed_.decode_tokens_per_s *= speed_factor;
-  cache_ = std::make_unique<laboratory::KvCache>(cache_tokens_);
-  slots_ = std::make_unique<laboratory::SlotQueue>(slot_count_, QueueBound);
+  cache_ = std::make_unique<testbed::KvCache>(cache_tokens_);
+  slots_ = std::make_unique<testbed::SlotQueue>(slot_count_, QueueBound);
 }
 
 void ModelledWorker::start() {
   up_ = true;
   ++instance_;
   started_ = world_.now();
-  cache_ = std::make_unique<laboratory::KvCache>(cache_tokens_);
-  slots_ = std::make_unique<laboratory::SlotQueue>(slot_count_, QueueBound);
+  cache_ = std::make_unique<testbed::KvCache>(cache_tokens_);
+  slots_ = std::make_unique<testbed::SlotQueue>(slot_count_, QueueBound);
 }
 
 void ModelledWorker::crash() {
@@ -76,7 +76,7 @@
   }
   open_.insert(stream);
   const auto ticket = slots_->acquire([this, stream] { onSlot(stream); });
-  if (ticket == laboratory::SlotQueue::Refused) {
+  if (ticket == testbed::SlotQueue::Refused) {
     open_.erase(stream);
     fail(stream);
   }
--- a/libraries/experiments/source/modelled_worker.h
+++ b/libraries/experiments/source/modelled_worker.h
@@ -8,9 +8,9 @@
 
 #include "fleet_settings.h"
 #include "prompt_source.h"
-#include "switchsaddle/laboratory/kv_cache.h"
-#include "switchsaddle/laboratory/slot_queue.h"
 #include "switchsaddle/simulation/world.h"
+#include "switchsaddle/testbed/kv_cache.h"
+#include "switchsaddle/testbed/slot_queue.h"
 
 namespace switchsaddle::experiments {
 
@@ -75,14 +75,14 @@
   simulation::World& world_;
   std::string id_;
   std::string model_;
-  laboratory::WorkerSpeed speed_;
+  testbed::WorkerSpeed speed_;
   std::uint64_t cache_tokens_;
   std::uint32_t slot_count_;
   bool up_ = false;
   std::uint64_t instance_ = 0;
   base::TimePoint started_{};
-  std::unique_ptr<laboratory::KvCache> cache_;
-  std::unique_ptr<laboratory::SlotQueue> slots_;
+  std::unique_ptr<testbed::KvCache> cache_;
+  std::unique_ptr<testbed::SlotQueue> slots_;
   std::set<StreamPtr> open_;
 };
 
--- a/libraries/experiments/source/placer.cc
+++ b/libraries/experiments/source/placer.cc
@@ -20,9 +20,9 @@
   void setWorkers(const std::vector<ListedWorker>& workers) override {
     for (const ListedWorker& worker : workers) {
       states_.resize(std::max(states_.size(), worker.index + 1));
-      WorkerBelief& state = states_[worker.index];
+      WorkerEstimate& state = states_[worker.index];
       if (state.instance != worker.instance) {
-        state = WorkerBelief{};
+        state = WorkerEstimate{};
         state.instance = worker.instance;
       }
     }
@@ -46,7 +46,7 @@
     if (best == nullptr) {
       return std::nullopt;
     }
-    WorkerBelief& state = states_[best->index];
+    WorkerEstimate& state = states_[best->index];
     ++state.in_flight;
     state.last_placed = ++placements_;
     return ModelledPlacement{best->index, state.instance};
@@ -54,7 +54,7 @@
 
   void complete(const ModelledPlacement& placement, const StreamResult& result,
                 std::uint32_t) override {
-    WorkerBelief& state = states_[placement.worker];
+    WorkerEstimate& state = states_[placement.worker];
     if (state.instance != placement.ticket) {
       return;
     }
@@ -64,7 +64,7 @@
   }
 
  protected:
-  struct WorkerBelief {
+  struct WorkerEstimate {
     std::uint64_t instance = 0;
     std::uint32_t in_flight = 0;
     /** Last reported load less this front's own part. */
@@ -76,7 +76,7 @@
   virtual double costOf(const ListedWorker& worker, const ModelledPrompt& prompt) = 0;
 
   std::vector<ListedWorker> workers_;
-  std::vector<WorkerBelief> states_;
+  std::vector<WorkerEstimate> states_;
   std::uint64_t placements_ = 0;
 };
 
@@ -93,7 +93,7 @@
 
  protected:
   double costOf(const ListedWorker& worker, const ModelledPrompt&) override {
-    const WorkerBelief& state = states_[worker.index];
+    const WorkerEstimate& state = states_[worker.index];
     // Ties are broken at random, else all fronts would take the same worker.
     return state.in_flight + state.others + 0.5 * random_.uniform();
   }
--- a/libraries/experiments/source/prompt_source.cc
+++ b/libraries/experiments/source/prompt_source.cc
@@ -9,9 +9,9 @@
 
 constexpr std::uint64_t Tenants = 5;
 constexpr std::uint64_t VariantsPerFamily = 4;
-constexpr std::uint32_t TenantPartTokens = 600;
-constexpr std::uint32_t FamilyPartTokens = 3'000;
-constexpr std::uint32_t VariantPartTokens = 800;
+constexpr std::uint32_t TenantSegmentTokens = 600;
+constexpr std::uint32_t FamilySegmentTokens = 3'000;
+constexpr std::uint32_t VariantSegmentTokens = 800;
 constexpr std::uint32_t LeastOwnTokens = 50;
 constexpr std::uint32_t OwnTokensRange = 250;
 constexpr std::uint32_t LeastOutputTokens = 20;
@@ -43,13 +43,13 @@
   const std::uint64_t variant = random_.below(VariantsPerFamily);
   ModelledPrompt drawn;
   drawn.prompt.model = "model-" + std::to_string(model);
-  drawn.prompt.prefix_parts = {
-      {"tenant-" + std::to_string(family % Tenants), TenantPartTokens},
-      {"family-" + family_name, FamilyPartTokens},
-      {"variant-" + family_name + "-" + std::to_string(variant), VariantPartTokens}};
-  for (const routing::PrefixPart& part : drawn.prompt.prefix_parts) {
+  drawn.prompt.prefix_segments = {
+      {"tenant-" + std::to_string(family % Tenants), TenantSegmentTokens},
+      {"family-" + family_name, FamilySegmentTokens},
+      {"variant-" + family_name + "-" + std::to_string(variant), VariantSegmentTokens}};
+  for (const routing::PrefixSegment& part : drawn.prompt.prefix_segments) {
     drawn.prefix_tokens += part.tokens;
-    drawn.parts.push_back(laboratory::PrefixPart{part.id, part.tokens});
+    drawn.parts.push_back(testbed::PrefixSegment{part.id, part.tokens});
   }
   const auto own_tokens = static_cast<std::uint32_t>(random_.below(OwnTokensRange));
   drawn.prompt.prompt_tokens = drawn.prefix_tokens + LeastOwnTokens + own_tokens;
--- a/libraries/experiments/source/prompt_source.h
+++ b/libraries/experiments/source/prompt_source.h
@@ -4,15 +4,15 @@
 
 #include "fleet_settings.h"
 #include "switchsaddle/base/random.h"
-#include "switchsaddle/laboratory/kv_cache.h"
 #include "switchsaddle/routing/router.h"
+#include "switchsaddle/testbed/kv_cache.h"
 
 namespace switchsaddle::experiments {
 
 /** One caller's prompt, and how many tokens its answer will have. */
 struct ModelledPrompt {
   routing::Prompt prompt;
-  std::vector<laboratory::PrefixPart> parts;
+  std::vector<testbed::PrefixSegment> parts;
   std::uint32_t prefix_tokens = 0;
   std::uint32_t output_tokens = 0;
 };
--- a/libraries/experiments/source/routing_experiment.h
+++ b/libraries/experiments/source/routing_experiment.h
@@ -4,7 +4,8 @@
 
 namespace switchsaddle::experiments {
 
-/** Placement policies compared on one simulated fleet: `lab experiment routing`. */
+/** Placement policies compared on one simulated fleet: `switchsaddle-testbed experiment routing`.
+ */
 class RoutingExperiment : public Experiment {
  public:
   std::string name() const override { return "routing"; }
--- a/libraries/front/include/switchsaddle/front/admission_gate.h
+++ b/libraries/front/include/switchsaddle/front/admission_gate.h
@@ -14,7 +14,7 @@
 
 /** Holds a placement's first-token estimate against the shape's bound: FirstTokenTooLate where it
  * is above, with Retry-After by how much. */
-PlacementVerdict judgePlacement(const routing::Placement& placement,
-                                const configuration::SessionShape& shape);
+PlacementVerdict evaluatePlacement(const routing::Placement& placement,
+                                   const configuration::SessionShape& shape);
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/caller_service.h
+++ b/libraries/front/include/switchsaddle/front/caller_service.h
@@ -13,7 +13,7 @@
 #include "switchsaddle/configuration/view.h"
 #include "switchsaddle/front/control_forwarder.h"
 #include "switchsaddle/front/counters.h"
-#include "switchsaddle/front/fleet_beliefs.h"
+#include "switchsaddle/front/fleet_view.h"
 #include "switchsaddle/front/forward_flow.h"
 #include "switchsaddle/front/one_shot_flow.h"
 #include "switchsaddle/front/stage.h"
@@ -28,7 +28,7 @@
 struct CallerDependencies {
   base::Dispatcher& dispatcher;
   const sessions::SessionClient& session;
-  FleetBeliefs& beliefs;
+  FleetView& beliefs;
   const routing::Router& router;
   StreamFlow& streams;
   OneShotFlow& one_shots;
@@ -37,7 +37,7 @@
   /** Hashes of the first operators' keys, from the settings. */
   std::vector<std::string> operator_hashes;
   /** The body of GET /v1/beliefs. */
-  std::function<std::string()> belief_report;
+  std::function<std::string()> state_report;
   /** The body of GET /metrics. */
   std::function<std::string()> metrics;
   /** What GET /v1/routing tells of this node, as a JSON object. */
@@ -89,7 +89,7 @@
   http::Response plainAnswer(const http::Request& request, std::string_view path) const;
   void countOneShot(const OneShotRequest& request, const OneShotAnswer& answer);
   http::Response routingTable(const http::Request& request) const;
-  http::Response beliefReport(const http::Request& request) const;
+  http::Response stateReport(const http::Request& request) const;
   const configuration::Tenant& authenticate(const configuration::View& view,
                                             const http::Request& request) const;
   void checkServing() const;
--- a/libraries/front/include/switchsaddle/front/control_forwarder.h
+++ b/libraries/front/include/switchsaddle/front/control_forwarder.h
@@ -30,7 +30,7 @@
   void forward(const http::Request& request, Respond respond);
 
  private:
-  void tryCore(wire::ControlRequest request, std::size_t tries, Respond respond);
+  void attemptCore(wire::ControlRequest request, std::size_t attempts, Respond respond);
 
   transport::PeerCalls& calls_;
   CoreAddresses cores_;
--- a/libraries/front/include/switchsaddle/front/counters.h
+++ b/libraries/front/include/switchsaddle/front/counters.h
@@ -17,7 +17,7 @@
   std::uint64_t streams_started = 0;
   std::uint64_t streams_finished = 0;
   std::uint64_t streams_broken = 0;
-  std::uint64_t stream_pieces = 0;
+  std::uint64_t stream_chunks = 0;
   std::uint64_t one_shots_ran = 0;
   std::uint64_t one_shots_not_run = 0;
   std::uint64_t one_shots_unknown = 0;
--- a/libraries/front/include/switchsaddle/front/fleet_beliefs.h
+++ b/libraries/front/include/switchsaddle/front/fleet_view.h
@@ -8,9 +8,9 @@
 namespace switchsaddle::front {
 
 /** What a front believes of the fleet at this moment, and where its own observations go. */
-class FleetBeliefs {
+class FleetView {
  public:
-  virtual ~FleetBeliefs() = default;
+  virtual ~FleetView() = default;
   /** The configuration in force here; never null. */
   virtual std::shared_ptr<const configuration::View> configuration() const = 0;
   /** Never null. */
--- a/libraries/front/include/switchsaddle/front/forward_flow.h
+++ b/libraries/front/include/switchsaddle/front/forward_flow.h
@@ -7,7 +7,7 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/front/counters.h"
-#include "switchsaddle/front/fleet_beliefs.h"
+#include "switchsaddle/front/fleet_view.h"
 #include "switchsaddle/front/forward_headers.h"
 #include "switchsaddle/front/forward_losses.h"
 #include "switchsaddle/front/forward_placer.h"
@@ -35,7 +35,7 @@
   base::RandomSource& random;
   ForwardPort& port;
   ForwardPlacer& placer;
-  FleetBeliefs& beliefs;
+  FleetView& fleet_view;
   RetryBudget& retries;
   WorkerCircuit& circuit;
   QuotaMeter& quotas;
--- a/libraries/front/include/switchsaddle/front/forward_headers.h
+++ b/libraries/front/include/switchsaddle/front/forward_headers.h
@@ -22,7 +22,7 @@
   /** "PROMPT,MOST OUT" in tokens. */
   std::string token_count = "Token-Count";
   /** "ID:TOKENS,..." of the prompt's parts in order; the last is the request's own. */
-  std::string prefix_parts = "Prefix-Parts";
+  std::string prefix_segments = "Prefix-Parts";
   /** 0 to 9, 0 first. */
   std::string priority = "Request-Priority";
   /** The worker instance meant; any other answers that it did not run the request. */
--- a/libraries/front/include/switchsaddle/front/forward_request.h
+++ b/libraries/front/include/switchsaddle/front/forward_request.h
@@ -27,7 +27,7 @@
   /** Model, parts and tokens, as far as they are told. */
   routing::Prompt prompt;
   /** Whether the caller told its tokens. */
-  bool tells_tokens = false;
+  bool reports_tokens = false;
   /** As received. */
   http::Request message;
 
--- a/libraries/front/include/switchsaddle/front/front_history.h
+++ b/libraries/front/include/switchsaddle/front/front_history.h
@@ -23,7 +23,7 @@
   void see(const std::vector<base::NodeAddress>& listed);
   /** In order of address, this front included. */
   std::vector<base::NodeAddress> recent() const;
-  wire::FrontWitness witness() const;
+  wire::FleetKnowledge fleet_knowledge() const;
 
  private:
   base::Dispatcher& dispatcher_;
--- a/libraries/front/include/switchsaddle/front/front_node.h
+++ b/libraries/front/include/switchsaddle/front/front_node.h
@@ -16,7 +16,7 @@
 #include "switchsaddle/dissemination/gossip_agent.h"
 #include "switchsaddle/front/caller_service.h"
 #include "switchsaddle/front/control_forwarder.h"
-#include "switchsaddle/front/fleet_beliefs.h"
+#include "switchsaddle/front/fleet_view.h"
 #include "switchsaddle/front/forward_flow.h"
 #include "switchsaddle/front/front_history.h"
 #include "switchsaddle/front/one_shot_flow.h"
@@ -30,7 +30,7 @@
 
 namespace switchsaddle::front {
 
-class BeliefKeeper;
+class StateReporter;
 
 /** What a front stands on; real in the daemon, simulated in tests. All outlive the node. */
 struct FrontEnvironment {
@@ -69,7 +69,7 @@
  * fleet: that can't be withdrawn within one instance, and a worker that restarts fast stays listed
  * as the same instance.
  */
-class FrontNode : private FleetBeliefs {
+class FrontNode : private FleetView {
  public:
   explicit FrontNode(const FrontEnvironment& environment);
   ~FrontNode() override;
@@ -92,7 +92,7 @@
   /** Other cores to ask, where none of those known answers. */
   void setSeeds(std::vector<base::NodeAddress> seeds) { session_.setSeeds(std::move(seeds)); }
   /** What the flows see of the fleet, and tell it. */
-  FleetBeliefs& beliefs() { return *this; }
+  FleetView& beliefs() { return *this; }
 
  private:
   std::shared_ptr<const configuration::View> configuration() const override;
@@ -121,7 +121,7 @@
   routing::LearnedRouter router_;
   claims::PeerClaimClient claims_;
   admission::LedgerSlotBroker ledger_slots_;
-  std::unique_ptr<BeliefKeeper> beliefs_;
+  std::unique_ptr<StateReporter> beliefs_;
   RetryBudget retries_;
   WorkerCircuit circuit_;
   Counters counters_;
--- a/libraries/front/include/switchsaddle/front/one_shot_flow.h
+++ b/libraries/front/include/switchsaddle/front/one_shot_flow.h
@@ -13,7 +13,7 @@
 #include "switchsaddle/base/result_code.h"
 #include "switchsaddle/claims/claim_client.h"
 #include "switchsaddle/front/counters.h"
-#include "switchsaddle/front/fleet_beliefs.h"
+#include "switchsaddle/front/fleet_view.h"
 #include "switchsaddle/front/retry_budget.h"
 #include "switchsaddle/front/worker_circuit.h"
 #include "switchsaddle/front/worker_port.h"
@@ -67,7 +67,7 @@
   admission::SlotBroker& slots;
   const sessions::SessionClient& session;
   WorkerPort& workers;
-  FleetBeliefs& beliefs;
+  FleetView& fleet_view;
   RetryBudget& retries;
   WorkerCircuit& circuit;
   Counters& counters;
@@ -111,7 +111,7 @@
                                       const std::set<std::string>& excluded) const;
   std::string newRunName();
   /** Records an end of a run, again and again while the core can't be reached, within bounds. */
-  void record(const wire::ClaimFinish& finish, claims::ClaimCallback callback, int tries_left);
+  void record(const wire::ClaimFinish& finish, claims::ClaimCallback callback, int attempts_left);
 
   OneShotEnvironment environment_;
   std::set<std::shared_ptr<OneShotRun>> runs_;
--- a/libraries/front/include/switchsaddle/front/quota_ledger_client.h
+++ b/libraries/front/include/switchsaddle/front/quota_ledger_client.h
@@ -21,7 +21,7 @@
  public:
   virtual ~QuotaAuthority() = default;
   /** The answer; nothing where no ledger could tell. */
-  using Callback = std::function<void(std::optional<wire::QuotaAnswer>)>;
+  using Callback = std::function<void(std::optional<wire::QuotaReply>)>;
   virtual void ask(const std::string& tenant, std::uint32_t urgency, double units,
                    Callback callback) = 0;
   /** Whether asking is worthwhile now. */
@@ -45,15 +45,15 @@
            Callback callback) override;
   bool reachable() const override;
   /** Up to this number every ask has its answer, or will be given none. */
-  std::uint64_t settledAsks() const;
+  std::uint64_t settledRequests() const;
 
  private:
   struct Ask;
   using AskPtr = std::shared_ptr<Ask>;
 
-  void tryNext(const AskPtr& ask);
+  void attemptNext(const AskPtr& ask);
   void onAnswer(const AskPtr& ask, const transport::CallResult& result);
-  void end(const AskPtr& ask, const std::optional<wire::QuotaAnswer>& answer);
+  void end(const AskPtr& ask, const std::optional<wire::QuotaReply>& answer);
 
   base::Dispatcher& dispatcher_;
   transport::PeerCalls& calls_;
@@ -65,7 +65,7 @@
   /** The core that last was the ledger, by shard. */
   std::map<std::uint32_t, base::NodeAddress> ledgers_;
   /** Nobody is asked before. */
-  base::TimePoint silent_until_;
+  base::TimePoint backoff_until_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/libraries/front/include/switchsaddle/front/quota_meter.h
+++ b/libraries/front/include/switchsaddle/front/quota_meter.h
@@ -25,14 +25,14 @@
   double used = configuration::UsedShareOfQuota;
   /** What the fronts let in is known to each other after at most about this time. */
   base::Duration knowledge_lag = std::chrono::milliseconds(750);
-  /** An allotment older than this is no longer relied on. */
-  base::Duration allotment_lifetime = std::chrono::milliseconds(1'000);
+  /** An allocation older than this is no longer relied on. */
+  base::Duration allocation_lifetime = std::chrono::milliseconds(1'000);
   /** While what is left is more than so many times what all fronts could use before they hear of
    * each other, a front lets in what comes; else it asks the ledger. */
   double comfortable = 3;
   /** Part of the quota that a front may use between two reports for a tenant of which the cores say
    * nothing. */
-  double untold_part = 0.25;
+  double unreported_share = 0.25;
   /** A front that has heard nothing since its start does not know how many others there are: it
    * counts on at least so many. */
   std::size_t assumed_fronts = 8;
@@ -40,7 +40,7 @@
    * many times its equal part of what comes free, and this part of the quota besides: what was let
    * in before its start may be known to nobody any more. */
   double young_factor = 0.8;
-  double young_part = 0.015;
+  double young_share = 0.015;
 };
 
 /**
@@ -68,12 +68,12 @@
   /** Decides at once, by this front's part. */
   Decision take(const configuration::ForwardTenant& tenant, double units);
   /** Takes back what a request counted that in the end did not run. */
-  void giveBack(const configuration::ForwardTenant& tenant, double units);
+  void refund(const configuration::ForwardTenant& tenant, double units);
   /** Whether any tenant with a quota has asked for something. */
   bool holdsTenants() const { return !usages_.empty(); }
   /** Fronts with live sessions, this one included. */
   void setFronts(std::size_t fronts);
-  void setAllotments(const std::vector<wire::TenantAllotment>& allotments);
+  void setAllocations(const std::vector<wire::TenantAllocation>& allocations);
   /** What each tenant asked for lately and was let in for; noted as told to the cores. */
   std::vector<wire::TenantDemand> demand();
 
@@ -86,17 +86,17 @@
     /** Let in, oldest first. */
     std::deque<Slice> slices;
     double in_window = 0;
-    /** Let in ever; and of that, what the cores were told last, and what the allotment counts. */
+    /** Let in ever; and of that, what the cores were told last, and what the allocation counts. */
     double total = 0;
-    double told_total = 0;
-    double allotted_total = 0;
+    double reported_total = 0;
+    double allocated_total = 0;
     /** The last one told; nothing where the cores last said nothing of the tenant. */
-    std::optional<wire::TenantAllotment> allotment;
+    std::optional<wire::TenantAllocation> allocation;
     /** The last part told, for when the cores fall silent. */
     std::optional<double> last_share;
     /** The most that the fleet was told to have let in, as it has left the window since. */
-    double most_told = 0;
-    base::TimePoint most_told_at;
+    double highest_reported = 0;
+    base::TimePoint highest_reported_at;
     /** Asked for since `demand_at`, and the mean before it. */
     double asked = 0;
     double demand_per_s = 0;
@@ -110,16 +110,17 @@
   void tell(const configuration::ForwardTenant& tenant, double units, const Decision& decision,
             const DecisionCallback& callback);
   /** Decides by this front's part without noting what was asked for. */
-  Decision takeFromPart(const configuration::ForwardTenant& tenant, double limit, double units);
+  Decision acquireFromShare(const configuration::ForwardTenant& tenant, double limit, double units);
   void expire(Usage& usage) const;
   void count(Usage& usage, double units);
   /** Units that may be let in now, of a quota of `limit`. */
-  double roomOf(double limit, const Usage& usage) const;
+  double availableUnits(double limit, const Usage& usage) const;
   /** Whether the cores told lately how much the fleet lets in. */
-  bool isTold() const;
-  double roomByAllotment(double limit, const Usage& usage) const;
-  /** What is left of `most_told`: a core that has just started forgets what ended fronts let in. */
-  double stillTold(const Usage& usage) const;
+  bool hasRecentReport() const;
+  double availableByAllocation(double limit, const Usage& usage) const;
+  /** What is left of `highest_reported`: a core that has just started forgets what ended fronts let
+   * in. */
+  double unexpiredReported(const Usage& usage) const;
 
   base::Dispatcher& dispatcher_;
   QuotaOptions options_;
@@ -127,7 +128,7 @@
   base::TimePoint started_at_;
   std::size_t fronts_ = 1;
   /** When the cores last told how much the fleet lets in. */
-  std::optional<base::TimePoint> told_at_;
+  std::optional<base::TimePoint> reported_at_;
   std::map<std::string, Usage> usages_;
   /** Expires with this object, so that answers do not outlive it. */
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/libraries/front/include/switchsaddle/front/retry_budget.h
+++ b/libraries/front/include/switchsaddle/front/retry_budget.h
@@ -29,14 +29,14 @@
 
   explicit RetryBudget(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
 
-  void countFirstTry(const std::string& service);
-  /** Whether trySpend() would count one now. `extra`: repeats in a window beyond the share; the
+  void countFirstAttempt(const std::string& service);
+  /** Whether tryAcquire() would count one now. `extra`: repeats in a window beyond the share; the
    * fronts of a fleet together must not be given more than it may have. */
-  bool maySpend(const std::string& service, double share, double extra = 0);
+  bool mayAcquire(const std::string& service, double share, double extra = 0);
   /** To be asked right before the retry is sent. Counts a retry and returns true where it stays
    * within the share; else counts nothing.
    */
-  bool trySpend(const std::string& service, double share, double extra = 0);
+  bool tryAcquire(const std::string& service, double share, double extra = 0);
 
  private:
   struct SliceCount {
@@ -48,12 +48,12 @@
     std::uint64_t total = 0;
   };
   struct ServiceCounts {
-    Counts first_tries;
+    Counts first_attempts;
     Counts retries;
   };
 
   /** First tries that may be relied on while the load goes up and down by chance. */
-  static double dependable(std::uint64_t first_tries);
+  static double dependable(std::uint64_t first_attempts);
   std::uint64_t countWithin(const Counts& counts, base::Duration age) const;
   void count(Counts& counts);
   void expire(Counts& counts, base::Duration age);
--- a/libraries/front/include/switchsaddle/front/session_monitor.h
+++ b/libraries/front/include/switchsaddle/front/session_monitor.h
@@ -23,14 +23,14 @@
   void stop() { timer_->disable(); }
 
  private:
-  void look();
+  void poll();
 
   base::Dispatcher& dispatcher_;
   const sessions::SessionClient& session_;
   base::IncidentSink& incidents_;
   /** The last state told. */
-  sessions::SessionState told_ = sessions::SessionState::Lapsed;
-  base::TimePoint told_at_;
+  sessions::SessionState reported_ = sessions::SessionState::Lapsed;
+  base::TimePoint reported_at_;
   base::TimerPtr timer_;
 };
 
--- a/libraries/front/include/switchsaddle/front/stream_flow.h
+++ b/libraries/front/include/switchsaddle/front/stream_flow.h
@@ -13,7 +13,7 @@
 #include "switchsaddle/base/result_code.h"
 #include "switchsaddle/configuration/view.h"
 #include "switchsaddle/front/counters.h"
-#include "switchsaddle/front/fleet_beliefs.h"
+#include "switchsaddle/front/fleet_view.h"
 #include "switchsaddle/front/retry_budget.h"
 #include "switchsaddle/front/stage.h"
 #include "switchsaddle/front/worker_circuit.h"
@@ -75,7 +75,7 @@
   const sessions::SessionClient& session;
   routing::Router& router;
   WorkerPort& workers;
-  FleetBeliefs& beliefs;
+  FleetView& fleet_view;
   RetryBudget& retries;
   WorkerCircuit& circuit;
   Counters& counters;
--- a/libraries/front/include/switchsaddle/front/worker_circuit.h
+++ b/libraries/front/include/switchsaddle/front/worker_circuit.h
@@ -23,7 +23,7 @@
   explicit WorkerCircuit(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
 
   /** Whether a request may go to the worker now. Changes nothing. */
-  bool mayTry(const workers::Worker& worker) const;
+  bool mayAttempt(const workers::Worker& worker) const;
   /** A request goes to the worker; after an open time it is the probe. */
   void onDispatch(const workers::Worker& worker);
   void onRefused(const workers::Worker& worker);
--- a/libraries/front/source/caller_service.cc
+++ b/libraries/front/source/caller_service.cc
@@ -223,13 +223,14 @@
   }
   const std::shared_ptr<StreamHandle> handle =
       dependencies_.streams.run(std::move(stream), std::move(sink));
-  writer->onClientGone([&dispatcher = dependencies_.dispatcher, weak = std::weak_ptr(handle)] {
-    dispatcher.post([weak] {
-      if (const auto running = weak.lock()) {
-        running->cancel();
-      }
-    });
-  });
+  writer->onClientDisconnected(
+      [&dispatcher = dependencies_.dispatcher, weak = std::weak_ptr(handle)] {
+        dispatcher.post([weak] {
+          if (const auto running = weak.lock()) {
+            running->cancel();
+          }
+        });
+      });
 }
 
 void CallerService::handleOneShot(const http::Request& request,
@@ -301,7 +302,7 @@
     return routingTable(request);
   }
   if (path == "/v1/beliefs") {
-    return beliefReport(request);
+    return stateReport(request);
   }
   throw base::Error(ResultCode::UnknownPath, "");
 }
@@ -344,7 +345,7 @@
   return jsonAnswer(writer.text());
 }
 
-http::Response CallerService::beliefReport(const http::Request& request) const {
+http::Response CallerService::stateReport(const http::Request& request) const {
   const std::string hash = secretHash(request);
   const std::vector<std::string>& first = dependencies_.operator_hashes;
   const std::shared_ptr<const configuration::View> view = dependencies_.beliefs.configuration();
@@ -354,7 +355,7 @@
     throw base::Error(
         view->keys.contains(hash) ? ResultCode::NotAnOperator : ResultCode::UnknownKey, "");
   }
-  return jsonAnswer(dependencies_.belief_report());
+  return jsonAnswer(dependencies_.state_report());
 }
 
 const configuration::Tenant& CallerService::authenticate(const configuration::View& view,
--- a/libraries/front/source/control_forwarder.cc
+++ b/libraries/front/source/control_forwarder.cc
@@ -34,25 +34,26 @@
   message.target = request.target;
   message.authorization = request.header("Authorization");
   message.body = request.body;
-  tryCore(std::move(message), 0, std::move(respond));
+  attemptCore(std::move(message), 0, std::move(respond));
 }
 
-void ControlForwarder::tryCore(wire::ControlRequest request, std::size_t tries, Respond respond) {
+void ControlForwarder::attemptCore(wire::ControlRequest request, std::size_t attempts,
+                                   Respond respond) {
   const std::vector<base::NodeAddress> cores = cores_();
-  if (tries >= cores.size()) {
+  if (attempts >= cores.size()) {
     respond(http::errorResponse(base::ResultCode::NoQuorum, "no core node answered"));
     return;
   }
-  const std::size_t core = (preferred_ + tries) % cores.size();
+  const std::size_t core = (preferred_ + attempts) % cores.size();
   calls_.call(cores[core], request, CoreTimeout,
-              [this, alive = std::weak_ptr(alive_), request, tries, core,
+              [this, alive = std::weak_ptr(alive_), request, attempts, core,
                respond = std::move(respond)](const transport::CallResult& result) mutable {
                 if (alive.expired()) {
                   return;
                 }
                 const auto* reply = result.as<wire::ControlReply>();
                 if (reply == nullptr) {
-                  tryCore(std::move(request), tries + 1, std::move(respond));
+                  attemptCore(std::move(request), attempts + 1, std::move(respond));
                   return;
                 }
                 preferred_ = core;
--- a/libraries/front/source/counters.cc
+++ b/libraries/front/source/counters.cc
@@ -17,7 +17,7 @@
   add("streams_started_total", "Streams dispatched to a worker.", streams_started);
   add("streams_finished_total", "Streams that their worker finished.", streams_finished);
   add("streams_broken_total", "Streams that broke off after their first piece.", streams_broken);
-  add("stream_pieces_total", "Pieces relayed.", stream_pieces);
+  add("stream_pieces_total", "Pieces relayed.", stream_chunks);
   add("one_shots_ran_total", "One-shots that ran.", one_shots_ran);
   add("one_shots_not_run_total", "One-shots answered not-run.", one_shots_not_run);
   add("one_shots_unknown_total", "One-shots answered unknown.", one_shots_unknown);
--- a/libraries/front/source/forward_losses.cc
+++ b/libraries/front/source/forward_losses.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr base::Duration TellInterval = std::chrono::seconds(2);
+constexpr base::Duration ReportInterval = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -40,7 +40,7 @@
 void ForwardLosses::note(const std::string& route, ForwardLoss loss) {
   ++counts_[route][loss];
   if (!timer_->enabled()) {
-    timer_->enable(TellInterval);
+    timer_->enable(ReportInterval);
   }
 }
 
--- a/libraries/front/source/forward_placer.cc
+++ b/libraries/front/source/forward_placer.cc
@@ -29,39 +29,39 @@
 }  // namespace
 
 ForwardPlacer::ForwardPlacer(base::Dispatcher& dispatcher, base::RandomSource& random,
-                             routing::Router& router, WorkerCircuit& circuit, FleetBeliefs& beliefs,
+                             routing::Router& router, WorkerCircuit& circuit, FleetView& fleet_view,
                              base::NodeAddress self)
     : dispatcher_(dispatcher),
       random_(random),
       router_(router),
       circuit_(circuit),
-      beliefs_(beliefs),
+      fleet_view_(fleet_view),
       self_(std::move(self)) {}
 
 void ForwardPlacer::setFronts(const std::vector<base::NodeAddress>& fronts) {
-  cold_guard_.setFronts(self_, fronts);
+  slow_start_limiter_.setFronts(self_, fronts);
 }
 
 std::optional<ForwardPlacement> ForwardPlacer::choose(const configuration::ForwardPool& pool,
                                                       const routing::Prompt& prompt,
-                                                      const std::vector<std::string>& tried) {
+                                                      const std::vector<std::string>& attempted) {
   const bool model_served = contains(pool.models, prompt.model);
-  return model_served ? chooseLearned(pool, prompt, tried) : chooseLeastLoaded(pool, tried);
+  return model_served ? chooseLearned(pool, prompt, attempted) : chooseLeastLoaded(pool, attempted);
 }
 
 std::optional<ForwardPlacement> ForwardPlacer::chooseLearned(
     const configuration::ForwardPool& pool, const routing::Prompt& prompt,
-    const std::vector<std::string>& tried) {
+    const std::vector<std::string>& attempted) {
   configuration::Route route;
   route.pool = pool.name;
   std::vector<std::string> excluded = circuit_.openWorkers();
-  excluded.insert(excluded.end(), tried.begin(), tried.end());
+  excluded.insert(excluded.end(), attempted.begin(), attempted.end());
   const std::vector<std::string> avoided = avoidedWorkers(pool);
   excluded.insert(excluded.end(), avoided.begin(), avoided.end());
   std::optional<routing::Placement> placement = router_.choose(prompt, route, excluded);
   if (!placement) {
     // A worker behind an open circuit, or one that fails at times, is better than none.
-    placement = router_.choose(prompt, route, tried);
+    placement = router_.choose(prompt, route, attempted);
   }
   if (!placement) {
     return std::nullopt;
@@ -88,7 +88,7 @@
   if (avoided_.empty()) {
     return workers;
   }
-  for (const auto& [id, worker] : beliefs_.workers()->workers) {
+  for (const auto& [id, worker] : fleet_view_.workers()->workers) {
     if (worker.entry.service == pool.name && isAvoided(worker.entry)) {
       workers.push_back(id);
     }
@@ -100,10 +100,11 @@
   Usage& usage = usage_[worker.entry.id];
   usage.load_key = workers::loadKey(worker.entry);
   usage.cold.instance = base::hashBytes(worker.entry.id);
-  usage.cold.bearable_per_s = pool.cold_ms > 0 ? pool.cold_per_s : 0;
-  usage.cold.listed_cold = worker.entry.cold;
+  usage.cold.bearable_per_s = pool.slow_start_ms > 0 ? pool.slow_start_per_s : 0;
+  usage.cold.listed_warming_up = worker.entry.cold;
   usage.cold.present_at_start = true;
-  return cold_guard_.mayPlace(usage.cold, std::max(1U, worker.entry.slots), dispatcher_.now());
+  return slow_start_limiter_.mayPlace(usage.cold, std::max(1U, worker.entry.slots),
+                                      dispatcher_.now());
 }
 
 void ForwardPlacer::forgetVanished(const workers::WorkerSnapshot& snapshot) {
@@ -128,20 +129,20 @@
 
 std::vector<ForwardPlacer::Eligible> ForwardPlacer::eligibleWorkers(
     const configuration::ForwardPool& pool, const workers::WorkerSnapshot& snapshot,
-    const std::vector<std::string>& tried) {
-  const std::shared_ptr<const configuration::View> view = beliefs_.configuration();
+    const std::vector<std::string>& attempted) {
+  const std::shared_ptr<const configuration::View> view = fleet_view_.configuration();
   std::vector<Eligible> first_choice;
   std::vector<Eligible> last_choice;
   for (const auto& [id, worker] : snapshot.workers) {
     const bool eligible = worker.entry.service == pool.name && worker.usable() &&
-                          view->allowsWorker(worker.entry) && !contains(tried, id) &&
+                          view->allowsWorker(worker.entry) && !contains(attempted, id) &&
                           mayUse(worker, pool);
     if (!eligible) {
       continue;
     }
     const Usage& usage = usage_[id];
-    const double others = others_.of(usage.load_key, dispatcher_.now()).requests;
-    const bool last = !circuit_.mayTry(worker) || isAvoided(worker.entry);
+    const double others = peer_load_.of(usage.load_key, dispatcher_.now()).requests;
+    const bool last = !circuit_.mayAttempt(worker) || isAvoided(worker.entry);
     const bool has_connection = usage.in_flight == 0 && usage.last_ended &&
                                 dispatcher_.now() - *usage.last_ended < ConnectionKept;
     (last ? last_choice : first_choice)
@@ -151,14 +152,14 @@
 }
 
 std::optional<ForwardPlacement> ForwardPlacer::chooseLeastLoaded(
-    const configuration::ForwardPool& pool, const std::vector<std::string>& tried) {
-  const workers::WorkerSnapshotPtr snapshot = beliefs_.workers();
+    const configuration::ForwardPool& pool, const std::vector<std::string>& attempted) {
+  const workers::WorkerSnapshotPtr snapshot = fleet_view_.workers();
   forgetVanished(*snapshot);
-  const std::vector<Eligible> eligible = eligibleWorkers(pool, *snapshot, tried);
+  const std::vector<Eligible> eligible = eligibleWorkers(pool, *snapshot, attempted);
   if (eligible.empty()) {
     return std::nullopt;
   }
-  const bool fleet_known = others_.known(dispatcher_.now());
+  const bool fleet_known = peer_load_.known(dispatcher_.now());
   const double least_load = std::ranges::min(eligible, {}, &Eligible::load).load;
   double total = 0;
   for (const Eligible& each : eligible) {
@@ -200,8 +201,8 @@
   return load;
 }
 
-void ForwardPlacer::setOthersLoads(const wire::FleetLoad& loads) {
-  others_.set(loads, dispatcher_.now());
+void ForwardPlacer::setPeerLoads(const wire::FleetLoad& loads) {
+  peer_load_.set(loads, dispatcher_.now());
   router_.importLoads(loads);
 }
 
--- a/libraries/front/source/forward_request.cc
+++ b/libraries/front/source/forward_request.cc
@@ -80,7 +80,7 @@
   if (prompt && most_out) {
     request.prompt.prompt_tokens = *prompt;
     request.prompt.maximum_tokens = *most_out;
-    request.tells_tokens = true;
+    request.reports_tokens = true;
   }
 }
 
@@ -97,7 +97,7 @@
     if (!tokens) {
       return;
     }
-    prompt.prefix_parts.push_back({std::string(part.substr(0, colon)), *tokens});
+    prompt.prefix_segments.push_back({std::string(part.substr(0, colon)), *tokens});
   }
 }
 
@@ -127,7 +127,7 @@
   if (tenant == nullptr || tenant->unit == configuration::QuotaUnit::Requests) {
     return 1;
   }
-  if (!tells_tokens) {
+  if (!reports_tokens) {
     return tenant->default_tokens;
   }
   return static_cast<double>(prompt.prompt_tokens) + static_cast<double>(prompt.maximum_tokens);
@@ -160,8 +160,8 @@
   }
   request.prompt.model = message.header(headers.model);
   readTokenCount(message.header(headers.token_count), request);
-  readPrefixParts(message.header(headers.prefix_parts), request.prompt);
-  request.prompt.last_part_own = true;
+  readPrefixParts(message.header(headers.prefix_segments), request.prompt);
+  request.prompt.last_segment_private = true;
   request.prompt.event_gap_goal = std::chrono::milliseconds(request.route->event_gap_goal_ms);
   request.prompt.first_token_goal = std::chrono::milliseconds(request.route->answer_goal_ms);
   request.prompt.kind = base::hashBytes(request.route->name);
--- a/libraries/front/source/forward_run.cc
+++ b/libraries/front/source/forward_run.cc
@@ -72,10 +72,10 @@
   }
   limit_at_ = started_at_ + limit;
   pool_ = &choosePool();
-  environment_.retries.countFirstTry(pool_->name);
+  environment_.retries.countFirstAttempt(pool_->name);
   limit_timer_ = environment_.dispatcher.createTimer([this] { onTimeLimit(); });
   limit_timer_->enable(limit);
-  writer_->onClientGone([&dispatcher = environment_.dispatcher, weak = weak_from_this()] {
+  writer_->onClientDisconnected([&dispatcher = environment_.dispatcher, weak = weak_from_this()] {
     dispatcher.post([weak] {
       if (const auto run = weak.lock()) {
         run->cancel();
@@ -256,7 +256,7 @@
   }
   if (failure == WorkerFailure::NotSent) {
     environment_.circuit.onRefused(placement_->worker);
-    environment_.beliefs.observeRefused(placement_->worker);
+    environment_.fleet_view.observeRefused(placement_->worker);
     --dispatches_;
     onNotRun(ResultCode::NoWorkerAvailable);
     return;
@@ -324,7 +324,7 @@
 bool ForwardRun::spendRetry() {
   const RetryAllowance& allowance = environment_.retry_allowance;
   const double extra = allowance.fleet_extra / static_cast<double>(flow_.fronts_);
-  if (!environment_.retries.trySpend(pool_->name, allowance.share, extra)) {
+  if (!environment_.retries.tryAcquire(pool_->name, allowance.share, extra)) {
     return false;
   }
   ++environment_.counters.retries;
--- a/libraries/front/source/forward_run_answers.cc
+++ b/libraries/front/source/forward_run_answers.cc
@@ -58,7 +58,7 @@
   ++environment_.counters.refusals[code];
   noteLoss(refusalOf(code));
   if (request_.tenant != nullptr && quota_taken_ > 0) {
-    environment_.quotas.giveBack(*request_.tenant, quota_taken_);
+    environment_.quotas.refund(*request_.tenant, quota_taken_);
   }
   http::Response response = errorAnswer(code, {Outcome::NotRun, 0, {}, {}});
   response.headers.push_back({"Retry-After", secondsText(retry_after)});
--- a/libraries/front/source/front_history.cc
+++ b/libraries/front/source/front_history.cc
@@ -36,7 +36,7 @@
   return fronts;
 }
 
-wire::FrontWitness FrontHistory::witness() const {
+wire::FleetKnowledge FrontHistory::fleet_knowledge() const {
   constexpr std::int64_t Most = std::numeric_limits<std::uint32_t>::max();
   std::set<base::NodeAddress> fronts{self_};
   for (const auto& [front, seen_at] : seen_) {
--- a/libraries/front/source/front_node.cc
+++ b/libraries/front/source/front_node.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "belief_keeper.h"
+#include "state_reporter.h"
 #include "switchsaddle/configuration/change_json.h"
 #include "switchsaddle/configuration/json_writer.h"
 #include "switchsaddle/node_options/node_options.h"
@@ -33,7 +33,7 @@
 
 claims::ClaimClientOptions claimOptions(const configuration::TimeSettings& settings) {
   claims::ClaimClientOptions options;
-  options.core_silence = settings.core_silence;
+  options.core_timeout = settings.core_timeout;
   options.deadline = settings.register_deadline;
   return options;
 }
@@ -58,9 +58,9 @@
       ledger_slots_(
           environment.dispatcher, environment.calls, environment.instance,
           [this] { return session_.coreAddresses(); }, admission::SlotBrokerOptions{}),
-      beliefs_(std::make_unique<BeliefKeeper>(
+      beliefs_(std::make_unique<StateReporter>(
           environment.dispatcher, environment.journal,
-          BeliefOwner{environment.calls.localAddress(), environment.instance}, session_,
+          StateOwner{environment.calls.localAddress(), environment.instance}, session_,
           ledger_slots_)),
       retries_(environment.dispatcher),
       circuit_(environment.dispatcher),
@@ -150,10 +150,10 @@
       [this](const std::vector<wire::RouteScore>& scores) { router_.importScores(scores); });
   session_.setRecordSource([this](wire::SessionRecord& record) {
     record.demand = quotas_.demand();
-    record.settled_asks = quota_ledgers_.settledAsks();
+    record.settled_requests = quota_ledgers_.settledRequests();
     record.health = health_.statement();
     record.load = placer_.load();
-    record.witness = history_.witness();
+    record.fleet_knowledge = history_.fleet_knowledge();
   });
   session_.setGrantListener([this](const wire::SessionOpenReply& granted) { onGranted(granted); });
   peers_timer_ = environment_.dispatcher.createTimer([this] { refreshPeers(); });
@@ -164,13 +164,13 @@
 
 void FrontNode::onGranted(const wire::SessionOpenReply& granted) {
   if (granted.quotas_known) {
-    quotas_.setAllotments(granted.allotments);
+    quotas_.setAllocations(granted.allocations);
   } else if (quotas_.holdsTenants()) {
     // This core has lost its memory; another may know what the fleet let in.
     session_.turnToAnotherCore();
   }
   if (environment_.settings.forwarding.fleet_loads) {
-    placer_.setOthersLoads(granted.load);
+    placer_.setPeerLoads(granted.load);
   }
   if (granted.health.known) {
     health_.setWatched(granted.health.watched);
@@ -196,7 +196,7 @@
 }
 
 void FrontNode::refreshPeers() {
-  beliefs_->look();
+  beliefs_->poll();
   history_.see(session_.frontAddresses());
   const std::vector<base::NodeAddress> fronts = history_.recent();
   std::vector<base::NodeAddress> peers = session_.coreAddresses();
