--- a/libraries/front/source/one_shot_flow.cc
+++ b/libraries/front/source/one_shot_flow.cc
@@ -45,7 +45,7 @@
 const workers::Worker* OneShotFlow::chooseWorker(const workers::WorkerSnapshot& snapshot,
                                                  const OneShotRequest& request,
                                                  const std::set<std::string>& excluded) const {
-  const std::shared_ptr<const configuration::View> view = environment_.beliefs.configuration();
+  const std::shared_ptr<const configuration::View> view = environment_.fleet_view.configuration();
   const configuration::Route* route = nullptr;
   for (const auto& [name, candidate] : view->routes) {
     route = candidate.service == request.service ? &candidate : route;
@@ -56,7 +56,7 @@
   for (const auto& [id, worker] : snapshot.workers) {
     const bool eligible = route != nullptr && worker.entry.service == route->pool &&
                           worker.usable() && view->allowsWorker(worker.entry) &&
-                          !excluded.contains(id) && environment_.circuit.mayTry(worker);
+                          !excluded.contains(id) && environment_.circuit.mayAttempt(worker);
     if (!eligible) {
       continue;
     }
@@ -83,18 +83,18 @@
 }
 
 void OneShotFlow::record(const wire::ClaimFinish& finish, claims::ClaimCallback callback,
-                         int tries_left) {
+                         int attempts_left) {
   environment_.claims.finish(
       finish, [this, alive = std::weak_ptr(alive_), finish, callback = std::move(callback),
-               tries_left](const wire::ClaimReply& reply) {
+               attempts_left](const wire::ClaimReply& reply) {
         if (alive.expired()) {
           return;
         }
         if (callback) {
           callback(reply);
         }
-        if (!alive.expired() && !reply.available && tries_left > 0) {
-          record(finish, {}, tries_left - 1);
+        if (!alive.expired() && !reply.available && attempts_left > 0) {
+          record(finish, {}, attempts_left - 1);
         }
       });
 }
--- a/libraries/front/source/one_shot_run.cc
+++ b/libraries/front/source/one_shot_run.cc
@@ -18,7 +18,7 @@
 /** Longest answer that is recorded. */
 constexpr std::size_t MaximumAnswerBytes = 1U << 20U;
 /** Rounds of recording an end while the core can't be reached. */
-constexpr int RecordTries = 10;
+constexpr int RecordAttempts = 10;
 constexpr std::uint16_t StatusOk = 200;
 
 OneShotAnswer notRun(ResultCode code, std::uint32_t retry_after_ms) {
@@ -79,7 +79,7 @@
         const bool awaited = run && run->state_ == State::Claiming && run->run_ == withdrawal.run;
         if (!reply.available || (reply.won && !awaited)) {
           // The key must not stay claimed by an attempt that will never dispatch.
-          flow->record(withdrawal, {}, RecordTries);
+          flow->record(withdrawal, {}, RecordAttempts);
         }
         if (awaited) {
           run->onClaim(reply);
@@ -140,7 +140,7 @@
 }
 
 void OneShotRun::dispatch() {
-  const workers::WorkerSnapshotPtr snapshot = environment_.beliefs.workers();
+  const workers::WorkerSnapshotPtr snapshot = environment_.fleet_view.workers();
   const workers::Worker* worker = flow_.chooseWorker(*snapshot, request_, excluded_);
   if (worker == nullptr) {
     withhold(ResultCode::NoWorkerAvailable, OneShotAnswer{}.retry_after_ms);
@@ -150,12 +150,12 @@
     withhold(ResultCode::NotServing, OneShotAnswer{}.retry_after_ms);
     return;
   }
-  if (!environment_.beliefs.configuration()->keys.contains(request_.key_hash)) {
+  if (!environment_.fleet_view.configuration()->keys.contains(request_.key_hash)) {
     // Revoked since the request came in.
     withhold(ResultCode::UnknownKey, 0);
     return;
   }
-  if (first_try_counted_ && !spendRetry()) {
+  if (first_attempt_counted_ && !spendRetry()) {
     withhold(ResultCode::RetryBudgetSpent, OneShotAnswer{}.retry_after_ms);
     return;
   }
@@ -164,16 +164,16 @@
 
 bool OneShotRun::spendRetry() {
   // Claiming anew may have taken long, so what was allowed then need not be now.
-  const double share = environment_.beliefs.configuration()->tuning.retry_share;
-  const bool spent = environment_.retries.trySpend(request_.service, share);
+  const double share = environment_.fleet_view.configuration()->tuning.retry_share;
+  const bool spent = environment_.retries.tryAcquire(request_.service, share);
   environment_.counters.retries += spent ? 1 : 0;
   return spent;
 }
 
 void OneShotRun::send(const workers::Worker& worker) {
-  if (!first_try_counted_) {
-    first_try_counted_ = true;
-    environment_.retries.countFirstTry(request_.service);
+  if (!first_attempt_counted_) {
+    first_attempt_counted_ = true;
+    environment_.retries.countFirstAttempt(request_.service);
   }
   state_ = State::Dispatched;
   worker_ = worker;
@@ -202,7 +202,7 @@
   }
   environment_.circuit.onConnected(worker_);
   if (head.draining) {
-    environment_.beliefs.observeDraining(worker_);
+    environment_.fleet_view.observeDraining(worker_);
   }
   const bool answers_this = head.request_id == run_;
   head_matches_ = answers_this && head.status == StatusOk;
@@ -210,7 +210,7 @@
     endNotRun();
   } else if (!head_matches_) {
     // A worker that has refused runs nothing; after another's answer it may still be running.
-    const admission::SlotHoldPtr used_slot = answers_this ? std::move(slot_) : nullptr;
+    const admission::SlotPermitPtr used_slot = answers_this ? std::move(slot_) : nullptr;
     endUnknown();
   }
 }
@@ -243,7 +243,7 @@
   }
   if (refused) {
     environment_.circuit.onRefused(worker_);
-    environment_.beliefs.observeRefused(worker_);
+    environment_.fleet_view.observeRefused(worker_);
   }
   if (failure != WorkerFailure::NotSent) {
     endUnknown();
@@ -260,7 +260,7 @@
 
 void OneShotRun::retryOrWithhold() {
   state_ = State::Recording;
-  const admission::SlotHoldPtr unused_slot = std::move(slot_);
+  const admission::SlotPermitPtr unused_slot = std::move(slot_);
   flow_.record(
       finishOf(ClaimState::NotRun),
       [weak = weak_from_this()](const wire::ClaimReply& reply) {
@@ -279,25 +279,25 @@
         }
         run->answer(notRun(code, OneShotAnswer{}.retry_after_ms));
       },
-      RecordTries);
+      RecordAttempts);
 }
 
 ResultCode OneShotRun::mayRetry() {
-  const workers::WorkerSnapshotPtr snapshot = environment_.beliefs.workers();
+  const workers::WorkerSnapshotPtr snapshot = environment_.fleet_view.workers();
   const bool possible = !grace_given_ && environment_.session.mayDispatch() &&
                         flow_.chooseWorker(*snapshot, request_, excluded_) != nullptr;
   if (!possible) {
     return ResultCode::NotRun;
   }
-  const double share = environment_.beliefs.configuration()->tuning.retry_share;
-  const bool allowed = environment_.retries.maySpend(request_.service, share);
+  const double share = environment_.fleet_view.configuration()->tuning.retry_share;
+  const bool allowed = environment_.retries.mayAcquire(request_.service, share);
   return allowed ? ResultCode::Ok : ResultCode::RetryBudgetSpent;
 }
 
 void OneShotRun::withhold(ResultCode code, std::uint32_t retry_after_ms) {
   state_ = State::Recording;
   // Nothing runs and nothing will: the slot is not kept while the core can't be reached.
-  const admission::SlotHoldPtr unused_slot = std::move(slot_);
+  const admission::SlotPermitPtr unused_slot = std::move(slot_);
   flow_.record(
       finishOf(ClaimState::NotRun),
       [weak = weak_from_this(), code, retry_after_ms](const wire::ClaimReply& reply) {
@@ -307,13 +307,13 @@
                                 : unknown(ResultCode::OutcomeUnknown));
         }
       },
-      RecordTries);
+      RecordAttempts);
 }
 
 void OneShotRun::endRan() {
   leaveWorker();
   // The worker has finished: its slot is free for others while the end is being recorded.
-  const admission::SlotHoldPtr used_slot = std::move(slot_);
+  const admission::SlotPermitPtr used_slot = std::move(slot_);
   state_ = State::Recording;
   ran_ = true;
   wire::ClaimFinish finish = finishOf(ClaimState::Ran);
@@ -327,7 +327,7 @@
           run->answer(OneShotAnswer{Outcome::Ran, false, run->body_, ResultCode::Ok, 0});
         }
       },
-      RecordTries);
+      RecordAttempts);
 }
 
 void OneShotRun::endUnknown() {
@@ -341,7 +341,7 @@
           run->answer(unknown(ResultCode::OutcomeUnknown));
         }
       },
-      RecordTries);
+      RecordAttempts);
 }
 
 void OneShotRun::leaveWorker() {
--- a/libraries/front/source/one_shot_run.h
+++ b/libraries/front/source/one_shot_run.h
@@ -57,9 +57,9 @@
   /** Name of this attempt: the claim's run and the worker's Request-Id. */
   std::string run_;
   bool seen_in_flight_elsewhere_ = false;
-  bool first_try_counted_ = false;
+  bool first_attempt_counted_ = false;
   bool grace_given_ = false;
-  admission::SlotHoldPtr slot_;
+  admission::SlotPermitPtr slot_;
   workers::Worker worker_;
   std::set<std::string> excluded_;
   WorkerCallPtr call_;
--- a/libraries/front/source/quota_meter.cc
+++ b/libraries/front/source/quota_meter.cc
@@ -61,28 +61,28 @@
   usage.total += units;
 }
 
-double QuotaMeter::roomOf(double limit, const Usage& usage) const {
-  const double room = roomByAllotment(limit, usage);
+double QuotaMeter::availableUnits(double limit, const Usage& usage) const {
+  const double room = availableByAllocation(limit, usage);
   const double age_s = secondsOf(dispatcher_.now() - started_at_);
   // Cores that tell have heard every front for a window, also this one's earlier life.
-  if (isTold() || age_s >= options_.bounds.window_s) {
+  if (hasRecentReport() || age_s >= options_.bounds.window_s) {
     return room;
   }
   const auto fronts =
-      static_cast<double>(told_at_ ? fronts_ : std::max(fronts_, options_.assumed_fronts));
+      static_cast<double>(reported_at_ ? fronts_ : std::max(fronts_, options_.assumed_fronts));
   const double part = limit / fronts * age_s / options_.bounds.window_s;
-  const double young = part * options_.young_factor + limit * options_.young_part;
+  const double young = part * options_.young_factor + limit * options_.young_share;
   return std::min(room, young - usage.in_window);
 }
 
-bool QuotaMeter::isTold() const {
-  return told_at_ && dispatcher_.now() - *told_at_ < options_.allotment_lifetime;
+bool QuotaMeter::hasRecentReport() const {
+  return reported_at_ && dispatcher_.now() - *reported_at_ < options_.allocation_lifetime;
 }
 
-double QuotaMeter::roomByAllotment(double limit, const Usage& usage) const {
-  const double untold = usage.total - usage.allotted_total;
-  const double still_told = stillTold(usage);
-  if (!isTold()) {
+double QuotaMeter::availableByAllocation(double limit, const Usage& usage) const {
+  const double untold = usage.total - usage.allocated_total;
+  const double still_told = unexpiredReported(usage);
+  if (!hasRecentReport()) {
     const double equal = 1.0 / static_cast<double>(fronts_);
     const double last = usage.last_share.value_or(equal);
     const double alone = limit * std::min(equal, last) - usage.in_window;
@@ -90,32 +90,32 @@
     const double freed = (limit - still_told) * std::max(equal, last) - untold;
     return still_told > 0 ? std::min(alone, freed) : alone;
   }
-  if (!usage.allotment) {
-    return std::min(limit * options_.untold_part, limit - still_told) - untold;
+  if (!usage.allocation) {
+    return std::min(limit * options_.unreported_share, limit - still_told) - untold;
   }
-  const double admitted = std::max<double>(usage.allotment->fleet_admitted, still_told);
+  const double admitted = std::max<double>(usage.allocation->fleet_admitted, still_told);
   const double left = limit - admitted;
-  const double soon_used = usage.allotment->fleet_units_per_s * secondsOf(options_.knowledge_lag);
-  return std::max(left * usage.allotment->share, left - soon_used) - untold;
+  const double soon_used = usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
+  return std::max(left * usage.allocation->share, left - soon_used) - untold;
 }
 
-double QuotaMeter::stillTold(const Usage& usage) const {
-  const double age_s = secondsOf(dispatcher_.now() - usage.most_told_at);
-  return usage.most_told * std::max(0.0, 1 - age_s / options_.bounds.window_s);
+double QuotaMeter::unexpiredReported(const Usage& usage) const {
+  const double age_s = secondsOf(dispatcher_.now() - usage.highest_reported_at);
+  return usage.highest_reported * std::max(0.0, 1 - age_s / options_.bounds.window_s);
 }
 
 bool QuotaMeter::isNearQuota(const configuration::ForwardTenant& tenant, double limit,
                              double units) {
   const Usage& usage = usageOf(tenant.name);
-  if (!isTold()) {
+  if (!hasRecentReport()) {
     return true;
   }
-  if (!usage.allotment) {
+  if (!usage.allocation) {
     return false;
   }
-  const double left = limit - usage.allotment->fleet_admitted;
-  const double soon_used = usage.allotment->fleet_units_per_s * secondsOf(options_.knowledge_lag);
-  const double untold = usage.total - usage.allotted_total;
+  const double left = limit - usage.allocation->fleet_admitted;
+  const double soon_used = usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
+  const double untold = usage.total - usage.allocated_total;
   return left - options_.comfortable * soon_used - untold < units;
 }
 
@@ -131,18 +131,18 @@
   usageOf(tenant.name).asked += units;
   const bool asks = authority_ != nullptr && authority_->reachable();
   if (!asks || !isNearQuota(tenant, limit, units)) {
-    tell(tenant, units, takeFromPart(tenant, limit, units), callback);
+    tell(tenant, units, acquireFromShare(tenant, limit, units), callback);
     return;
   }
   authority_->ask(tenant.name, urgency, units,
                   [this, alive = std::weak_ptr(alive_), tenant, limit, units,
-                   callback = std::move(callback)](const std::optional<wire::QuotaAnswer>& answer) {
+                   callback = std::move(callback)](const std::optional<wire::QuotaReply>& answer) {
                     if (alive.expired()) {
                       return;
                     }
                     Decision decision;
                     if (!answer) {
-                      decision = takeFromPart(tenant, limit, units);
+                      decision = acquireFromShare(tenant, limit, units);
                     } else if (answer->granted) {
                       count(usageOf(tenant.name), units);
                     } else {
@@ -156,7 +156,7 @@
                       const Decision& decision, const DecisionCallback& callback) {
   const bool goes_on = callback(decision);
   if (!goes_on && !decision) {
-    giveBack(tenant, units);
+    refund(tenant, units);
   }
 }
 
@@ -166,14 +166,14 @@
     return std::nullopt;
   }
   usageOf(tenant.name).asked += units;
-  return takeFromPart(tenant, *limit * options_.used, units);
+  return acquireFromShare(tenant, *limit * options_.used, units);
 }
 
-QuotaMeter::Decision QuotaMeter::takeFromPart(const configuration::ForwardTenant& tenant,
-                                              double limit, double units) {
+QuotaMeter::Decision QuotaMeter::acquireFromShare(const configuration::ForwardTenant& tenant,
+                                                  double limit, double units) {
   Usage& usage = usageOf(tenant.name);
   expire(usage);
-  const double room = roomOf(limit, usage);
+  const double room = availableUnits(limit, usage);
   if (units <= room) {
     count(usage, units);
     return std::nullopt;
@@ -184,27 +184,27 @@
   return std::clamp(wait, ShortestWait, LongestWait);
 }
 
-void QuotaMeter::giveBack(const configuration::ForwardTenant& tenant, double units) {
+void QuotaMeter::refund(const configuration::ForwardTenant& tenant, double units) {
   const auto found = usages_.find(tenant.name);
   if (found != usages_.end() && !found->second.slices.empty()) {
     count(found->second, -units);
   }
 }
 
-void QuotaMeter::setAllotments(const std::vector<wire::TenantAllotment>& allotments) {
-  told_at_ = dispatcher_.now();
+void QuotaMeter::setAllocations(const std::vector<wire::TenantAllocation>& allocations) {
+  reported_at_ = dispatcher_.now();
   for (auto& [name, usage] : usages_) {
-    usage.allotment.reset();
-    usage.allotted_total = usage.told_total;
-  }
-  for (const wire::TenantAllotment& allotment : allotments) {
-    Usage& usage = usageOf(allotment.tenant);
-    if (allotment.fleet_admitted >= stillTold(usage)) {
-      usage.most_told = allotment.fleet_admitted;
-      usage.most_told_at = *told_at_;
+    usage.allocation.reset();
+    usage.allocated_total = usage.reported_total;
+  }
+  for (const wire::TenantAllocation& allocation : allocations) {
+    Usage& usage = usageOf(allocation.tenant);
+    if (allocation.fleet_admitted >= unexpiredReported(usage)) {
+      usage.highest_reported = allocation.fleet_admitted;
+      usage.highest_reported_at = *reported_at_;
     }
-    usage.allotment = allotment;
-    usage.last_share = allotment.share;
+    usage.allocation = allocation;
+    usage.last_share = allocation.share;
   }
 }
 
@@ -220,7 +220,7 @@
       usage.demand_at = now;
     }
     expire(usage);
-    usage.told_total = usage.total;
+    usage.reported_total = usage.total;
     const auto admitted = static_cast<float>(std::max(0.0, usage.in_window));
     if (admitted > 0 || usage.demand_per_s >= LeastDemandPerS) {
       demands.push_back({name, static_cast<float>(usage.demand_per_s), admitted});
--- a/libraries/front/source/request_parser.cc
+++ b/libraries/front/source/request_parser.cc
@@ -22,7 +22,7 @@
     "model", "messages", "stream", "max_tokens", "user",         "temperature",
     "top_p", "stop",     "n",      "seed",       "prefix_parts", "conversation"};
 constexpr std::array<std::string_view, 3> OneShotFields{"service", "model", "payload"};
-constexpr std::array<std::string_view, 2> PrefixPartFields{"id", "tokens"};
+constexpr std::array<std::string_view, 2> PrefixSegmentFields{"id", "tokens"};
 constexpr std::size_t MaximumDepth = 32;
 /** Rough length of a token in bytes, for prompts that do not tell their tokens. */
 constexpr std::size_t BytesPerToken = 4;
@@ -119,8 +119,8 @@
   return bytes;
 }
 
-std::vector<routing::PrefixPart> readPrefixParts(const JsonValue* parts) {
-  std::vector<routing::PrefixPart> read;
+std::vector<routing::PrefixSegment> readPrefixParts(const JsonValue* parts) {
+  std::vector<routing::PrefixSegment> read;
   if (parts == nullptr) {
     return read;
   }
@@ -129,7 +129,7 @@
     const std::string path = "prefix_parts[" + std::to_string(index) + "]";
     const JsonValue& part = parts->elements[index];
     requireKind(part, JsonKind::Object, path, "an object");
-    refuseUnknown(part, PrefixPartFields, path + ".");
+    refuseUnknown(part, PrefixSegmentFields, path + ".");
     const std::string id = requireText(part, "id", path + ".");
     const JsonValue& tokens = require(part, "tokens", path + ".");
     read.push_back({id, requireCount(tokens, 0, path + ".tokens")});
@@ -165,9 +165,9 @@
   const JsonValue* maximum = object.find("max_tokens");
   parsed.prompt.maximum_tokens =
       maximum == nullptr ? default_maximum_tokens : requireCount(*maximum, 1, "max_tokens");
-  parsed.prompt.prefix_parts = readPrefixParts(object.find("prefix_parts"));
+  parsed.prompt.prefix_segments = readPrefixParts(object.find("prefix_parts"));
   std::uint64_t tokens = bytes / BytesPerToken;
-  for (const routing::PrefixPart& part : parsed.prompt.prefix_parts) {
+  for (const routing::PrefixSegment& part : parsed.prompt.prefix_segments) {
     tokens += part.tokens;
   }
   parsed.prompt.prompt_tokens =
--- a/libraries/front/source/retry_budget.cc
+++ b/libraries/front/source/retry_budget.cc
@@ -4,37 +4,37 @@
 
 namespace switchsaddle::front {
 
-void RetryBudget::countFirstTry(const std::string& service) {
+void RetryBudget::countFirstAttempt(const std::string& service) {
   ServiceCounts& counts = services_[service];
-  expire(counts.first_tries, Window - Headroom);
-  count(counts.first_tries);
+  expire(counts.first_attempts, Window - Headroom);
+  count(counts.first_attempts);
 }
 
-bool RetryBudget::maySpend(const std::string& service, double share, double extra) {
+bool RetryBudget::mayAcquire(const std::string& service, double share, double extra) {
   ServiceCounts& counts = services_[service];
-  expire(counts.first_tries, Window - Headroom);
+  expire(counts.first_attempts, Window - Headroom);
   expire(counts.retries, Window + Slice);
-  const double allowed = share * dependable(counts.first_tries.total) + extra;
+  const double allowed = share * dependable(counts.first_attempts.total) + extra;
   const double allowed_now =
-      share * static_cast<double>(countWithin(counts.first_tries, ShortWindow)) + extra;
+      share * static_cast<double>(countWithin(counts.first_attempts, ShortWindow)) + extra;
   const bool within = static_cast<double>(counts.retries.total + 1) <= allowed;
   const bool spread = static_cast<double>(countWithin(counts.retries, ShortWindow)) <= allowed_now;
   return within && spread;
 }
 
-bool RetryBudget::trySpend(const std::string& service, double share, double extra) {
-  if (!maySpend(service, share, extra)) {
+bool RetryBudget::tryAcquire(const std::string& service, double share, double extra) {
+  if (!mayAcquire(service, share, extra)) {
     return false;
   }
   count(services_[service].retries);
   return true;
 }
 
-double RetryBudget::dependable(std::uint64_t first_tries) {
+double RetryBudget::dependable(std::uint64_t first_attempts) {
   // Independent arrivals vary by the root of their number. Small counts lose enough by rounding.
   constexpr std::uint64_t SmallCount = 40;
-  const auto counted = static_cast<double>(first_tries);
-  return first_tries <= SmallCount ? counted : counted - std::sqrt(counted);
+  const auto counted = static_cast<double>(first_attempts);
+  return first_attempts <= SmallCount ? counted : counted - std::sqrt(counted);
 }
 
 std::uint64_t RetryBudget::countWithin(const Counts& counts, base::Duration age) const {
--- a/libraries/front/source/session_monitor.cc
+++ b/libraries/front/source/session_monitor.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr base::Duration LookInterval = std::chrono::milliseconds(100);
+constexpr base::Duration PollInterval = std::chrono::milliseconds(100);
 
 using sessions::SessionState;
 
@@ -55,25 +55,25 @@
     : dispatcher_(dispatcher),
       session_(session),
       incidents_(incidents),
-      timer_(dispatcher.createTimer([this] { look(); })) {}
+      timer_(dispatcher.createTimer([this] { poll(); })) {}
 
 void SessionMonitor::start() {
-  told_at_ = dispatcher_.now();
-  look();
+  reported_at_ = dispatcher_.now();
+  poll();
 }
 
-void SessionMonitor::look() {
-  timer_->enable(LookInterval);
+void SessionMonitor::poll() {
+  timer_->enable(PollInterval);
   const SessionState state = session_.state();
-  if (state == told_) {
+  if (state == reported_) {
     return;
   }
   base::Incident incident = incidentOf(state);
   const base::TimePoint now = dispatcher_.now();
-  incident.fields = {{"before", std::string(sessionStateName(told_))},
-                     {"for_ms", std::to_string(base::toMilliseconds(now - told_at_))}};
-  told_ = state;
-  told_at_ = now;
+  incident.fields = {{"before", std::string(sessionStateName(reported_))},
+                     {"for_ms", std::to_string(base::toMilliseconds(now - reported_at_))}};
+  reported_ = state;
+  reported_at_ = now;
   incidents_.report(incident);
 }
 
--- a/libraries/front/source/belief_keeper.cc
+++ b/libraries/front/source/state_reporter.cc
@@ -1,8 +1,8 @@
-#include "belief_keeper.h"
+#include "state_reporter.h"
 
 #include <utility>
 
-#include "switchsaddle/dissemination/belief_report.h"
+#include "switchsaddle/dissemination/state_report.h"
 
 namespace switchsaddle::front {
 
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-BeliefKeeper::BeliefKeeper(base::Dispatcher& dispatcher, journal::Journal& journal,
-                           BeliefOwner owner, const sessions::SessionClient& session,
-                           const admission::LedgerSlotBroker& slots)
+StateReporter::StateReporter(base::Dispatcher& dispatcher, journal::Journal& journal,
+                             StateOwner owner, const sessions::SessionClient& session,
+                             const admission::LedgerSlotBroker& slots)
     : dispatcher_(dispatcher),
       journal_(journal),
       view_(journal),
@@ -41,10 +41,10 @@
       session_(session),
       slots_(slots) {}
 
-void BeliefKeeper::note(Subject subject, const std::string& key, const std::string& value,
-                        std::uint64_t version) {
-  const auto held = view_.beliefs().find({subject, key});
-  const bool known = held != view_.beliefs().end();
+void StateReporter::note(Subject subject, const std::string& key, const std::string& value,
+                         std::uint64_t version) {
+  const auto held = view_.entries().find({subject, key});
+  const bool known = held != view_.entries().end();
   const bool same =
       known ? held->second.value == value && held->second.version == version : value.empty();
   if (!same) {
@@ -52,7 +52,7 @@
   }
 }
 
-void BeliefKeeper::look() {
+void StateReporter::poll() {
   const SessionState state = session_.state();
   // The same words as in the cores' session tables, so that the two can be compared.
   note(Subject::Session, owner_.address.toString(),
@@ -62,28 +62,28 @@
     note(Subject::Lease, "limit-ledger/" + std::to_string(shard) + ", term heard",
          std::to_string(term), term);
   }
-  lookAtSlots();
+  refreshSlots();
 }
 
-void BeliefKeeper::lookAtSlots() {
-  for (const auto& [branch, held, in_use] : slots_.holdings()) {
+void StateReporter::refreshSlots() {
+  for (const auto& [branch, held, in_use] : slots_.allocations()) {
     const std::string value = std::to_string(held) + " held, " + std::to_string(in_use) + " in use";
-    journal::Belief& belief = slot_beliefs_[branch];
-    if (belief.value != value) {
-      belief = {value, 0, dispatcher_.now()};
+    journal::StateEntry& entry = slot_state_[branch];
+    if (entry.value != value) {
+      entry = {value, 0, dispatcher_.now()};
     }
   }
 }
 
-std::string BeliefKeeper::report() {
-  look();
+std::string StateReporter::report() {
+  poll();
   const base::TimePoint now = dispatcher_.now();
-  configuration::BeliefReport report = dissemination::reportBeliefs(owner_.address, view_, now);
-  for (const auto& [branch, belief] : slot_beliefs_) {
-    report.beliefs.push_back({journal::subjectName(Subject::Limits), branch, belief.value, 0,
-                              base::toMilliseconds(now - belief.at)});
+  configuration::StateReport report = dissemination::reportState(owner_.address, view_, now);
+  for (const auto& [branch, entry] : slot_state_) {
+    report.entries.push_back({journal::subjectName(Subject::Limits), branch, entry.value, 0,
+                              base::toMilliseconds(now - entry.at)});
   }
-  return configuration::renderBeliefs(report);
+  return configuration::renderStateReport(report);
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/stream_run.cc
+++ b/libraries/front/source/stream_run.cc
@@ -136,7 +136,7 @@
 }
 
 std::optional<routing::Placement> StreamRun::choose() {
-  const std::shared_ptr<const configuration::View> view = environment_.beliefs.configuration();
+  const std::shared_ptr<const configuration::View> view = environment_.fleet_view.configuration();
   const configuration::Route* route = findRoute(*view, request_.prompt.model);
   if (route == nullptr) {
     refuse(ResultCode::UnknownModel, 0);
@@ -153,7 +153,7 @@
 }
 
 bool StreamRun::mayDispatch(const routing::Placement& placement) {
-  if (!environment_.beliefs.configuration()->keys.contains(request_.key_hash)) {
+  if (!environment_.fleet_view.configuration()->keys.contains(request_.key_hash)) {
     // Revoked since the request came in.
     refuse(ResultCode::UnknownKey, 0);
     return false;
@@ -161,11 +161,11 @@
   PlacementVerdict verdict;
   verdict.retry_after_ms = DefaultRetryAfterMs;
   if (attempts_ == 0) {
-    const PlacementVerdict judged = judgePlacement(placement, request_.shape);
+    const PlacementVerdict judged = evaluatePlacement(placement, request_.shape);
     verdict = judged.code == ResultCode::Ok ? verdict : judged;
   } else {
-    const double share = environment_.beliefs.configuration()->tuning.retry_share;
-    const bool spent = environment_.retries.trySpend(CompletionsService, share);
+    const double share = environment_.fleet_view.configuration()->tuning.retry_share;
+    const bool spent = environment_.retries.tryAcquire(CompletionsService, share);
     verdict.code = spent ? ResultCode::Ok : ResultCode::RetryBudgetSpent;
     environment_.counters.retries += spent ? 1 : 0;
   }
@@ -181,7 +181,7 @@
 
 void StreamRun::send(const routing::Placement& placement) {
   if (attempts_ == 0) {
-    environment_.retries.countFirstTry(CompletionsService);
+    environment_.retries.countFirstAttempt(CompletionsService);
   }
   ++attempts_;
   placement_sent_ = true;
@@ -215,7 +215,7 @@
   const workers::Worker& worker = placement_->prefill;
   environment_.circuit.onConnected(worker);
   if (head.draining) {
-    environment_.beliefs.observeDraining(worker);
+    environment_.fleet_view.observeDraining(worker);
   }
   completion_.weights_version = head.weights_version;
   completion_.cached_tokens = head.cached_tokens;
@@ -240,9 +240,9 @@
   if (!isCurrent(attempt)) {
     return;
   }
-  const bool first = relay_.pieces() == 0;
+  const bool first = relay_.chunks() == 0;
   const streams::RelayStep step = relay_.onBytes(bytes);
-  if (first && relay_.pieces() > 0) {
+  if (first && relay_.chunks() > 0) {
     completion_.time_to_first_token = environment_.dispatcher.now() - dispatched_at_;
     environment_.counters.first_token.observe(completion_.time_to_first_token);
     sink_->setRun(relay_.run(), completion_.cached_tokens);
@@ -277,7 +277,7 @@
   }
   if (refused) {
     environment_.circuit.onRefused(placement_->prefill);
-    environment_.beliefs.observeRefused(placement_->prefill);
+    environment_.fleet_view.observeRefused(placement_->prefill);
   }
   sent_ = sent_ || failure != WorkerFailure::NotSent;
   attemptFailed(relay_.mayRetryElsewhere() ? ResultCode::WorkerFailed : ResultCode::StreamBroken);
@@ -359,7 +359,7 @@
                      {"tenant", request_.tenant},
                      {"worker", placement_ ? placement_->prefill.entry.id : std::string()},
                      {"run", relay_.run()},
-                     {"pieces", std::to_string(relay_.pieces())}};
+                     {"pieces", std::to_string(relay_.chunks())}};
   incident.dumps_ring = true;
   environment_.incidents->report(incident);
 }
@@ -390,7 +390,7 @@
   if (placement_sent_) {
     completion_.total = environment_.dispatcher.now() - dispatched_at_;
   }
-  environment_.counters.stream_pieces += relay_.pieces();
+  environment_.counters.stream_chunks += relay_.chunks();
   placement_.reset();
   environment_.router.complete(completion_);
 }
--- a/libraries/front/source/stream_run.h
+++ b/libraries/front/source/stream_run.h
@@ -53,7 +53,7 @@
   bool sent_ = false;
   base::ResultCode last_failure_ = base::ResultCode::NoWorkerAvailable;
   StageTicket ticket_;
-  admission::SlotHoldPtr slot_;
+  admission::SlotPermitPtr slot_;
   std::vector<std::string> excluded_;
   std::optional<routing::Placement> placement_;
   routing::Completion completion_;
--- a/libraries/front/source/worker_circuit.cc
+++ b/libraries/front/source/worker_circuit.cc
@@ -4,7 +4,7 @@
 
 namespace switchsaddle::front {
 
-bool WorkerCircuit::mayTry(const workers::Worker& worker) const {
+bool WorkerCircuit::mayAttempt(const workers::Worker& worker) const {
   const auto found = circuits_.find(worker.entry.id);
   if (found == circuits_.end() || found->second.instance != worker.entry.instance) {
     return true;
--- a/libraries/front/test/caller_service_test.cc
+++ b/libraries/front/test/caller_service_test.cc
@@ -29,7 +29,7 @@
   }
   void endStream() override { ended = true; }
   void abort() override { ADD_FAILURE(); }
-  void onClientGone(std::function<void()> callback) override { gone = std::move(callback); }
+  void onClientDisconnected(std::function<void()> callback) override { gone = std::move(callback); }
   /** The error's code; 0 where there is none. */
   std::int64_t code() const {
     std::vector<configuration::Fault> faults;
@@ -85,7 +85,7 @@
   FakeSession session;
   FakeRouter router;
   FakeWorkers workers;
-  FakeBeliefs beliefs;
+  FakeFleetView beliefs;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   Counters counters;
--- a/libraries/front/test/chaos_workers.cc
+++ b/libraries/front/test/chaos_workers.cc
@@ -28,7 +28,7 @@
   return Fault::None;
 }
 
-std::string pieceEvent(std::uint64_t id, const std::string& run, std::uint64_t text) {
+std::string chunkEvent(std::uint64_t id, const std::string& run, std::uint64_t text) {
   const std::string number = std::to_string(id);
   return "id: " + number + "\ndata: {\"run\":\"" + run + "\",\"index\":" + number + ",\"text\":\"" +
          std::to_string(text) + "\"}\n\n";
@@ -63,7 +63,7 @@
   const bool stream = request.idempotency_key.empty();
   const base::Duration delay = milliseconds(world_.random().below(60));
   ledger_.attempts.push_back(
-      {world_.now(), stream, front_life_(), request.address, request.caller_request_id});
+      {world_.now(), stream, front_incarnation_(), request.address, request.caller_request_id});
   if (world_.random().chance(rates_.refused)) {
     tell(call, observer, delay,
          [](WorkerObserver& to) { to.onFailure(WorkerFailure::NotSent, true); });
@@ -127,12 +127,12 @@
   at += fault == Fault::Late ? VeryLate : base::Duration::zero();
   const WorkerHead head = headOf(request.request_id, run);
   tell(call, observer, at, [head](WorkerObserver& to) { to.onHead(head); });
-  const std::uint64_t pieces = 1 + world_.random().below(20);
-  const std::uint64_t struck = world_.random().below(pieces);
+  const std::uint64_t chunks = 1 + world_.random().below(20);
+  const std::uint64_t struck = world_.random().below(chunks);
   std::uint64_t id = 0;
-  for (std::uint64_t piece = 0; piece < pieces; ++piece) {
+  for (std::uint64_t chunk = 0; chunk < chunks; ++chunk) {
     at += milliseconds(10 + world_.random().below(30));
-    const bool now = piece == struck;
+    const bool now = chunk == struck;
     if (now && (fault == Fault::StallOrCut || fault == Fault::CutOrSilentClose)) {
       const bool silent = fault == Fault::CutOrSilentClose;
       tell(call, observer, at, [silent](WorkerObserver& to) {
@@ -141,19 +141,19 @@
       return;
     }
     id += now && fault == Fault::DoubledOrGap ? 1 : 0;
-    std::string events = pieceEvent(id, run, piece);
+    std::string events = chunkEvent(id, run, chunk);
     events += now && fault == Fault::CrossedOrRepeat ? events : "";
     if (now && fault == Fault::LostUnrunOrChangedRun) {
-      events = pieceEvent(id, "other-" + run, piece);
+      events = chunkEvent(id, "other-" + run, chunk);
     }
     if (now && fault == Fault::DoubledOrGap) {
       // The piece before the gap is lost as well, so that the text shows it.
-      events = pieceEvent(id, run, piece + 1);
+      events = chunkEvent(id, run, chunk + 1);
     }
     tell(call, observer, at, [events](WorkerObserver& to) { to.onBytes(events, [] {}); });
     ++id;
   }
-  record.pieces = pieces;
+  record.chunks = chunks;
   record.ended = fault == Fault::None || fault == Fault::Late;
   tell(call, observer, at, [id](WorkerObserver& to) { to.onBytes(doneEvent(id), [] {}); });
   tell(call, observer, at, [](WorkerObserver& to) { to.onComplete(); });
--- a/libraries/front/test/chaos_workers.h
+++ b/libraries/front/test/chaos_workers.h
@@ -25,7 +25,7 @@
 
 /** What one stream's run came to at its worker. */
 struct WorkerRun {
-  std::uint64_t pieces = 0;
+  std::uint64_t chunks = 0;
   bool ended = false;
 };
 
@@ -56,16 +56,16 @@
  */
 class ChaosWorkers : public WorkerPort {
  public:
-  /** `front_life` names the present life of the front that sends. */
+  /** `front_incarnation` names the present life of the front that sends. */
   ChaosWorkers(simulation::World& world, simulation::Process& worker, simulation::Process& front,
                WorkerLedger& ledger, WorkerFaultRates rates,
-               std::function<std::string()> front_life)
+               std::function<std::string()> front_incarnation)
       : world_(world),
         worker_(worker),
         front_(front),
         ledger_(ledger),
         rates_(rates),
-        front_life_(std::move(front_life)) {}
+        front_incarnation_(std::move(front_incarnation)) {}
 
   WorkerCallPtr send(const WorkerRequest& request,
                      std::shared_ptr<WorkerObserver> observer) override;
@@ -86,7 +86,7 @@
   simulation::Process& front_;
   WorkerLedger& ledger_;
   WorkerFaultRates rates_;
-  std::function<std::string()> front_life_;
+  std::function<std::string()> front_incarnation_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/test/contract/live_fleet.h
+++ b/libraries/front/test/contract/live_fleet.h
@@ -22,7 +22,7 @@
                [](simulation::World&, simulation::Process& process) {
                  return std::make_unique<PromptWorkers>(process);
                }),
-        core_service_(fleet_.cores[0]->life->node, nullptr),
+        core_service_(fleet_.cores[0]->incarnation->node, nullptr),
         front_server_(http::startServer(
             context_, {"127.0.0.1", 0}, {},
             [this](http::Request request, http::ResponseWriterPtr writer) {
@@ -39,7 +39,7 @@
             })) {}
 
   /** Runs until the configuration is in force and everything serves. */
-  bool begin() { return fleet_.change(0, wholeConfiguration()) == 200 && fleet_.allReady(); }
+  bool begin() { return fleet_.change(0, fullConfiguration()) == 200 && fleet_.allReady(); }
 
   /** The address of the node of this role: "front" or "core". */
   base::NodeAddress address(const std::string& role) const {
--- a/libraries/front/test/fakes.h
+++ b/libraries/front/test/fakes.h
@@ -10,7 +10,7 @@
 
 #include "switchsaddle/admission/slot_broker.h"
 #include "switchsaddle/claims/claim_client.h"
-#include "switchsaddle/front/fleet_beliefs.h"
+#include "switchsaddle/front/fleet_view.h"
 #include "switchsaddle/front/worker_port.h"
 #include "switchsaddle/routing/router.h"
 #include "switchsaddle/sessions/session_client.h"
@@ -130,7 +130,7 @@
   }
 
  private:
-  class Hold : public admission::SlotHold {
+  class Hold : public admission::SlotPermit {
    public:
     explicit Hold(FakeSlots& slots) : slots_(slots), in_use_(slots.in_use) { ++*in_use_; }
     ~Hold() override {
@@ -204,12 +204,12 @@
 };
 
 /** Beliefs the test sets; collects observations. */
-class FakeBeliefs : public FleetBeliefs {
+class FakeFleetView : public FleetView {
  public:
   /** A key which is in force until the test removes it. */
   static constexpr const char* KeyHash = "key-hash";
 
-  FakeBeliefs() { view.keys[KeyHash] = configuration::Key{"caller", KeyHash, "editors"}; }
+  FakeFleetView() { view.keys[KeyHash] = configuration::Key{"caller", KeyHash, "editors"}; }
   std::shared_ptr<const configuration::View> configuration() const override {
     return std::make_shared<configuration::View>(view);
   }
--- a/libraries/front/test/fleet_chaos_test.cc
+++ b/libraries/front/test/fleet_chaos_test.cc
@@ -27,8 +27,8 @@
     writer->answered = [this, key](const http::Response& response) {
       const bool not_run = response.body.find("\"not-run\"") != std::string::npos;
       EXPECT_FALSE(not_run && runs[key] > 0) << key << " told not-run after it ran";
-      told_not_run += not_run ? 1 : 0;
-      told_ran += response.body.find("\"ran\"") != std::string::npos ? 1 : 0;
+      answered_not_run += not_run ? 1 : 0;
+      answered_ran += response.body.find("\"ran\"") != std::string::npos ? 1 : 0;
     };
     fleet.fronts[front]->node().service().enqueue(
         {"POST",
@@ -76,8 +76,8 @@
 
   RunCounts runs;
   std::map<std::string, std::vector<std::shared_ptr<CallerWriter>>> writers;
-  int told_ran = 0;
-  int told_not_run = 0;
+  int answered_ran = 0;
+  int answered_not_run = 0;
 };
 
 TEST_P(FleetChaos, NoOneShotRunsTwiceAndNotRunIsTrue) {
@@ -89,7 +89,7 @@
     return std::make_unique<FaultyWorkers>(world, *worker, front, runs);
   });
   ASSERT_TRUE(fleet.allReady());
-  ASSERT_EQ(fleet.change(0, wholeConfiguration()), 200);
+  ASSERT_EQ(fleet.change(0, fullConfiguration()), 200);
   scheduleRequests(fleet);
   scheduleFaults(fleet);
   fleet.world.runFor(std::chrono::seconds(90));
@@ -105,7 +105,7 @@
   }
   // The scenario has to bring about what it checks.
   EXPECT_GT(keys_run, 0);
-  EXPECT_GT(told_ran, 0);
+  EXPECT_GT(answered_ran, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FleetChaos, testing::Range<std::uint64_t>(1, Seeds + 1));
--- a/libraries/front/test/fleet_loads_test.cc
+++ b/libraries/front/test/fleet_loads_test.cc
@@ -14,7 +14,7 @@
 class FleetLoadsTest : public testing::TestWithParam<std::uint64_t> {
  protected:
   static std::string configurationOfManySlots() {
-    std::string text = wholeConfiguration();
+    std::string text = fullConfiguration();
     const std::string few = "\"slots\": 10";
     text.replace(text.find(few), few.size(), "\"slots\": 1000");
     return text;
@@ -36,7 +36,7 @@
   }
   /** Requests on all workers together, as a core hears of them. */
   std::uint32_t heardBy(int core) const {
-    const core::CoreNode& node = fleet.cores[core]->life->node;
+    const core::CoreNode& node = fleet.cores[core]->incarnation->node;
     std::uint32_t requests = 0;
     for (const auto& [id, worker] : node.workers().snapshot()->workers) {
       requests += node.requestsOn(id);
--- a/libraries/front/test/fleet_test.cc
+++ b/libraries/front/test/fleet_test.cc
@@ -12,7 +12,7 @@
     return std::make_unique<PromptWorkers>(process);
   });
   ASSERT_TRUE(fleet.allReady());
-  ASSERT_EQ(fleet.change(0, wholeConfiguration()), 200);
+  ASSERT_EQ(fleet.change(0, fullConfiguration()), 200);
   const auto stream = fleet.stream(1);
   EXPECT_EQ(stream->response->status, 200) << stream->response->body;
   EXPECT_TRUE(stream->chunks.ends_with("id: 1\ndata: [DONE]\n\n")) << stream->chunks;
--- a/libraries/front/test/forward_fakes.h
+++ b/libraries/front/test/forward_fakes.h
@@ -77,7 +77,7 @@
   }
   void endStream() override { ended = true; }
   void abort() override { aborted = true; }
-  void onClientGone(std::function<void()> callback) override { gone = std::move(callback); }
+  void onClientDisconnected(std::function<void()> callback) override { gone = std::move(callback); }
 
   std::optional<http::Response> response;
   std::optional<http::Response> started;
--- a/libraries/front/test/forward_fixture.h
+++ b/libraries/front/test/forward_fixture.h
@@ -19,7 +19,7 @@
   simulation::Process process{world};
   FakeForwardPort port;
   FakeRouter router;
-  FakeBeliefs beliefs;
+  FakeFleetView beliefs;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   QuotaMeter quotas{process, {}};
--- a/libraries/front/test/forward_flow_test.cc
+++ b/libraries/front/test/forward_flow_test.cc
@@ -31,9 +31,9 @@
       beliefs.addWorker(name, "shop");
     }
     for (int count = 0; count < 100; ++count) {
-      retries.countFirstTry("shop");
+      retries.countFirstAttempt("shop");
     }
-    quotas.setAllotments({});
+    quotas.setAllocations({});
   }
   void addRoute(const std::string& name, ForwardKind kind, std::uint32_t attempts) {
     configuration::ForwardRoute& route = beliefs.view.forwarding.routes[name];
@@ -272,7 +272,7 @@
   run("once");
   last().lose();
   world.runFor(std::chrono::seconds(1));
-  const wire::HealthStatement told = health.statement();
+  const wire::HealthReport told = health.statement();
   ASSERT_FALSE(told.workers.empty());
   EXPECT_GT(told.workers.front().recent_failed, 0.5);
 }
@@ -353,8 +353,8 @@
 
 TEST_F(ForwardFlowTest, AColdWorkerGetsNoMoreThanItsPart) {
   configuration::ForwardPool& pool = beliefs.view.forwarding.pools["shop"];
-  pool.cold_ms = 3'000;
-  pool.cold_per_s = 2;
+  pool.slow_start_ms = 3'000;
+  pool.slow_start_per_s = 2;
   for (const char* name : {"w1", "w2", "w3"}) {
     beliefs.snapshot.workers[name].entry.cold = true;
   }
--- a/libraries/front/test/forward_placer_test.cc
+++ b/libraries/front/test/forward_placer_test.cc
@@ -30,9 +30,9 @@
     beliefs_.snapshot = *snapshot;
   }
 
-  void tellOthers(const std::string& worker, std::uint16_t requests) {
+  void reportPeers(const std::string& worker, std::uint16_t requests) {
     const std::uint32_t key = workers::loadKey(beliefs_.snapshot.workers.at(worker).entry);
-    placer_.setOthersLoads({true, {{key, requests, 0}}, {}});
+    placer_.setPeerLoads({true, {{key, requests, 0}}, {}});
   }
   /** Places requests, each of which ends before the next, and counts them by worker. */
   std::map<std::string, int> placeInTurn() {
@@ -49,7 +49,7 @@
   simulation::Process process_{world_};
   FakeRouter router_;
   WorkerCircuit circuit_{process_};
-  FakeBeliefs beliefs_;
+  FakeFleetView beliefs_;
   configuration::ForwardPool pool_;
   ForwardPlacer placer_{process_, world_.random(), router_, circuit_, beliefs_, {"127.0.0.1", 1}};
 };
@@ -63,7 +63,7 @@
 }
 
 TEST_F(ForwardPlacerTest, AWorkerThatTheOthersFilledGetsLittle) {
-  tellOthers("a", 6);
+  reportPeers("a", 6);
   std::map<std::string, int> counts = placeInTurn();
   EXPECT_LT(counts["a"], Requests / 20);
   EXPECT_GT(counts["b"], Requests / 3);
@@ -71,13 +71,13 @@
 }
 
 TEST_F(ForwardPlacerTest, FrontsThatHearTheSameDoNotAllChooseTheLeastLoaded) {
-  tellOthers("a", 1);
+  reportPeers("a", 1);
   const std::map<std::string, int> counts = placeInTurn();
   EXPECT_THAT(counts, testing::Each(testing::Pair(testing::_, testing::Gt(Requests / 6))));
 }
 
 TEST_F(ForwardPlacerTest, FullWorkersAreUsedWhereThereIsNoOther) {
-  tellOthers("a", 40);
+  reportPeers("a", 40);
   EXPECT_EQ(placer_.choose(pool_, {}, {"b", "c"})->worker.entry.id, "a");
 }
 
--- a/libraries/front/test/forward_seeds_test.cc
+++ b/libraries/front/test/forward_seeds_test.cc
@@ -163,10 +163,10 @@
       }
       world_.runFor(milliseconds(2'100));
     }
-    void judge() const {
+    void checkHistory() const {
       double repeats = 0;
-      for (const Asked& asked : asked_) {
-        judgeOne(asked);
+      for (const Asked& asked : requested_) {
+        checkOne(asked);
         repeats += std::max(0, countOf(port_.arrivals, asked.id) - 1);
       }
       EXPECT_LE(repeats, RetryShare * Requests + RetryExtra);
@@ -187,15 +187,15 @@
     void ask(const std::string& route, const std::string& id) {
       http::Request message{"POST", "/" + route + "/", {{"Host", "h"}, {"Request-Id", id}}, "b"};
       const ForwardKind kind = beliefs_.view.forwarding.routes.at(route).kind;
-      asked_.push_back({id, kind, std::make_shared<ForwardWriter>()});
+      requested_.push_back({id, kind, std::make_shared<ForwardWriter>()});
       flow_.run(parseForwardRequest(beliefs_.configuration(), std::move(message), {}),
-                asked_.back().writer);
+                requested_.back().writer);
     }
     static int countOf(const std::map<std::string, int>& counts, const std::string& id) {
       const auto found = counts.find(id);
       return found == counts.end() ? 0 : found->second;
     }
-    void judgeOne(const Asked& asked) const {
+    void checkOne(const Asked& asked) const {
       const int runs = countOf(port_.runs, asked.id);
       const bool repeatable = configuration::mayRepeat(asked.kind);
       EXPECT_LE(runs, repeatable ? 2 : 1) << asked.id;
@@ -204,7 +204,7 @@
       if (writer.response) {
         judgeAnswer(*writer.response, runs, repeatable);
       } else {
-        judgeStream(writer);
+        checkStream(writer);
       }
     }
     static void judgeAnswer(const http::Response& response, int runs, bool repeatable) {
@@ -219,7 +219,7 @@
         EXPECT_GE(runs, 1);
       }
     }
-    static void judgeStream(const ForwardWriter& writer) {
+    static void checkStream(const ForwardWriter& writer) {
       streams::EventSplitter splitter;
       std::vector<streams::RawEvent> events;
       EXPECT_TRUE(splitter.feed(writer.body, events));
@@ -236,7 +236,7 @@
     simulation::Process process_{world_};
     ChaosForwardPort port_{world_, process_};
     FakeRouter router_;
-    FakeBeliefs beliefs_;
+    FakeFleetView beliefs_;
     RetryBudget retries_{process_};
     WorkerCircuit circuit_{process_};
     QuotaMeter quotas_{process_, {}};
@@ -255,7 +255,7 @@
                                          counters_,
                                          {},
                                          {RetryShare, RetryExtra}}};
-    std::vector<Asked> asked_;
+    std::vector<Asked> requested_;
   };
 };
 
@@ -263,7 +263,7 @@
   for (std::uint64_t seed = 1; seed <= 1'000; ++seed) {
     Play play(seed);
     play.run();
-    play.judge();
+    play.checkHistory();
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
   }
 }
--- a/libraries/front/test/front_node_test.cc
+++ b/libraries/front/test/front_node_test.cc
@@ -72,7 +72,7 @@
   }
   void endStream() override { ended = true; }
   void abort() override {}
-  void onClientGone(std::function<void()>) override {}
+  void onClientDisconnected(std::function<void()>) override {}
 
   std::optional<http::Response> response;
   std::string chunks;
--- a/libraries/front/test/limits_test.cc
+++ b/libraries/front/test/limits_test.cc
@@ -17,47 +17,47 @@
 TEST_F(LimitsTest, RetriesStayBelowTheShareWithoutAFloor) {
   RetryBudget budget(process);
   for (int count = 0; count < 9; ++count) {
-    budget.countFirstTry("orders");
+    budget.countFirstAttempt("orders");
   }
-  EXPECT_FALSE(budget.trySpend("orders", 0.1));
-  budget.countFirstTry("orders");
-  EXPECT_TRUE(budget.trySpend("orders", 0.1));
-  EXPECT_FALSE(budget.trySpend("orders", 0.1));
-  EXPECT_FALSE(budget.trySpend("cues", 0.1));
+  EXPECT_FALSE(budget.tryAcquire("orders", 0.1));
+  budget.countFirstAttempt("orders");
+  EXPECT_TRUE(budget.tryAcquire("orders", 0.1));
+  EXPECT_FALSE(budget.tryAcquire("orders", 0.1));
+  EXPECT_FALSE(budget.tryAcquire("cues", 0.1));
 }
 
 TEST_F(LimitsTest, TheRetryWindowSlides) {
   RetryBudget budget(process);
   for (int count = 0; count < 20; ++count) {
-    budget.countFirstTry("orders");
+    budget.countFirstAttempt("orders");
   }
-  EXPECT_TRUE(budget.trySpend("orders", 0.1));
+  EXPECT_TRUE(budget.tryAcquire("orders", 0.1));
   world.runFor(std::chrono::seconds(9));
-  EXPECT_TRUE(budget.trySpend("orders", 0.1));
-  EXPECT_FALSE(budget.trySpend("orders", 0.1));
+  EXPECT_TRUE(budget.tryAcquire("orders", 0.1));
+  EXPECT_FALSE(budget.tryAcquire("orders", 0.1));
   world.runFor(std::chrono::seconds(2));
-  EXPECT_FALSE(budget.trySpend("orders", 0.1));
+  EXPECT_FALSE(budget.tryAcquire("orders", 0.1));
   for (int count = 0; count < 20; ++count) {
-    budget.countFirstTry("orders");
+    budget.countFirstAttempt("orders");
   }
   // One of the retries is still within the window.
-  EXPECT_TRUE(budget.trySpend("orders", 0.1));
-  EXPECT_FALSE(budget.trySpend("orders", 0.1));
+  EXPECT_TRUE(budget.tryAcquire("orders", 0.1));
+  EXPECT_FALSE(budget.tryAcquire("orders", 0.1));
 }
 
 TEST_F(LimitsTest, WhatACrowdEarnedIsNotSpentAsABurst) {
   RetryBudget budget(process);
   for (int second = 0; second < 9; ++second) {
     for (int count = 0; count < 100; ++count) {
-      budget.countFirstTry("orders");
+      budget.countFirstAttempt("orders");
     }
     world.runFor(std::chrono::seconds(1));
   }
   for (int count = 0; count < 20; ++count) {
-    budget.countFirstTry("orders");
+    budget.countFirstAttempt("orders");
   }
   int spent = 0;
-  while (budget.trySpend("orders", 0.1)) {
+  while (budget.tryAcquire("orders", 0.1)) {
     ++spent;
   }
   EXPECT_EQ(spent, 3) << "a tenth of the last second's, and one";
@@ -68,19 +68,19 @@
   workers::Worker worker;
   worker.entry.id = "w1";
   worker.entry.instance = 1;
-  EXPECT_TRUE(circuit.mayTry(worker));
+  EXPECT_TRUE(circuit.mayAttempt(worker));
   circuit.onRefused(worker);
-  EXPECT_FALSE(circuit.mayTry(worker));
+  EXPECT_FALSE(circuit.mayAttempt(worker));
   EXPECT_EQ(circuit.openWorkers(), std::vector<std::string>{"w1"});
   world.runFor(WorkerCircuit::FirstOpenTime);
-  EXPECT_TRUE(circuit.mayTry(worker));
+  EXPECT_TRUE(circuit.mayAttempt(worker));
   circuit.onDispatch(worker);
-  EXPECT_FALSE(circuit.mayTry(worker));
+  EXPECT_FALSE(circuit.mayAttempt(worker));
   circuit.onConnected(worker);
-  EXPECT_TRUE(circuit.mayTry(worker));
+  EXPECT_TRUE(circuit.mayAttempt(worker));
   circuit.onRefused(worker);
   worker.entry.instance = 2;
-  EXPECT_TRUE(circuit.mayTry(worker));
+  EXPECT_TRUE(circuit.mayAttempt(worker));
 }
 
 TEST(Stage, BoundsWhatRunsAndWhatWaits) {
--- a/libraries/front/test/one_shot_fixture.h
+++ b/libraries/front/test/one_shot_fixture.h
@@ -24,7 +24,7 @@
     beliefs.addWorker("w2", "ordinary");
   }
   std::shared_ptr<std::optional<OneShotAnswer>> run(
-      std::uint64_t fingerprint = 7, const std::string& key_hash = FakeBeliefs::KeyHash) {
+      std::uint64_t fingerprint = 7, const std::string& key_hash = FakeFleetView::KeyHash) {
     auto result = std::make_shared<std::optional<OneShotAnswer>>();
     OneShotRequest request;
     request.key_hash = key_hash;
@@ -42,7 +42,7 @@
   /** Many first tries, so that the budget allows retries. */
   void fillBudget() {
     for (int count = 0; count < 100; ++count) {
-      retries.countFirstTry("orders");
+      retries.countFirstAttempt("orders");
     }
   }
   void passDeadline() { world.runFor(std::chrono::seconds(11)); }
@@ -53,7 +53,7 @@
   FakeSlots slots;
   FakeSession session;
   FakeWorkers workers;
-  FakeBeliefs beliefs;
+  FakeFleetView beliefs;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   Counters counters;
--- a/libraries/front/test/one_shot_flow_test.cc
+++ b/libraries/front/test/one_shot_flow_test.cc
@@ -160,7 +160,7 @@
   for (int count = 0; count < 20; ++count) {
     run();
   }
-  EXPECT_FALSE(retries.trySpend("orders", 0.1));
+  EXPECT_FALSE(retries.tryAcquire("orders", 0.1));
 }
 
 TEST_F(OneShotFlowTest, ARetryIsMeasuredWhenItIsSent) {
@@ -197,7 +197,7 @@
   slots.passes_on = true;
   for (int count = 0; count < 5; ++count) {
     OneShotRequest request;
-    request.key_hash = FakeBeliefs::KeyHash;
+    request.key_hash = FakeFleetView::KeyHash;
     request.tenant = "editors";
     request.service = "orders";
     request.idempotency_key = "waiting" + std::to_string(count);
--- a/libraries/front/test/one_shot_resend_test.cc
+++ b/libraries/front/test/one_shot_resend_test.cc
@@ -107,24 +107,24 @@
                std::function<void(admission::SlotOutcome)> callback) override {
     waiting_.push_back(std::move(callback));
     if (!taken_) {
-      giveNext();
+      answerNext();
     }
   }
 
  private:
-  class Hold : public admission::SlotHold {
+  class Hold : public admission::SlotPermit {
    public:
     explicit Hold(HandedOverSlot& slot) : slot_(slot) {}
     ~Hold() override {
       slot_.taken_ = false;
-      slot_.giveNext();
+      slot_.answerNext();
     }
 
    private:
     HandedOverSlot& slot_;
   };
 
-  void giveNext() {
+  void answerNext() {
     if (waiting_.empty()) {
       return;
     }
--- a/libraries/front/test/one_shot_seeds_test.cc
+++ b/libraries/front/test/one_shot_seeds_test.cc
@@ -19,12 +19,12 @@
 /** One front process with its own session; shares claims and workers with the others. */
 struct SeedFront {
   SeedFront(simulation::World& world, FakeClaims& claims, FaultyWorkers& workers,
-            FakeBeliefs& beliefs)
+            FakeFleetView& beliefs)
       : process(world),
         flow(OneShotEnvironment{process, world.random(), claims, slots, session, workers, beliefs,
                                 retries, circuit, counters}) {
     for (int count = 0; count < 1'000; ++count) {
-      retries.countFirstTry("orders");
+      retries.countFirstAttempt("orders");
     }
   }
   simulation::Process process;
@@ -41,7 +41,7 @@
   int answers = 0;
   int ran = 0;
   int not_run = 0;
-  int runs_when_told_not_run = 0;
+  int runs_when_answered_not_run = 0;
 };
 
 class OneShotSeeds : public testing::Test {
@@ -52,7 +52,7 @@
     FakeClaims claims;
     RunCounts runs;
     FaultyWorkers workers(world, worker_process, worker_process, runs);
-    FakeBeliefs beliefs;
+    FakeFleetView beliefs;
     beliefs.view.routes["orders"] = configuration::Route{"orders", "orders", {}, "ordinary"};
     beliefs.addWorker("w1", "ordinary");
     beliefs.addWorker("w2", "ordinary");
@@ -66,7 +66,7 @@
       SeedFront& front = *fronts[world.random().below(Fronts)];
       world.schedule(std::chrono::milliseconds(world.random().below(20'000)), [&, key] {
         OneShotRequest request;
-        request.key_hash = FakeBeliefs::KeyHash;
+        request.key_hash = FakeFleetView::KeyHash;
         request.service = "orders";
         request.idempotency_key = key;
         request.deadline = std::chrono::seconds(3);
@@ -75,7 +75,8 @@
           ++seen.answers;
           seen.ran += answer.outcome == Outcome::Ran ? 1 : 0;
           seen.not_run += answer.outcome == Outcome::NotRun ? 1 : 0;
-          seen.runs_when_told_not_run += answer.outcome == Outcome::NotRun ? workers.runs[key] : 0;
+          seen.runs_when_answered_not_run +=
+              answer.outcome == Outcome::NotRun ? workers.runs[key] : 0;
         });
       });
     }
@@ -84,10 +85,10 @@
     for (auto& [key, seen] : history) {
       EXPECT_LE(workers.runs[key], 1) << key << " ran twice";
       EXPECT_EQ(seen.answers, RequestsOfKey) << key;
-      EXPECT_EQ(seen.runs_when_told_not_run, 0) << key << " told not-run after it ran";
+      EXPECT_EQ(seen.runs_when_answered_not_run, 0) << key << " told not-run after it ran";
       EXPECT_TRUE(seen.ran == 0 || workers.runs[key] == 1) << key << " told ran";
-      told_ran += seen.ran;
-      told_not_run += seen.not_run;
+      answered_ran += seen.ran;
+      answered_not_run += seen.not_run;
       keys_run += workers.runs[key];
     }
   }
@@ -107,8 +108,8 @@
     }
   }
 
-  int told_ran = 0;
-  int told_not_run = 0;
+  int answered_ran = 0;
+  int answered_not_run = 0;
   int keys_run = 0;
 };
 
@@ -118,11 +119,11 @@
     runSeed(seed);
   }
   // The scenario has to bring about what it checks.
-  EXPECT_GT(told_ran, Seeds);
-  EXPECT_GT(told_not_run, Seeds);
+  EXPECT_GT(answered_ran, Seeds);
+  EXPECT_GT(answered_not_run, Seeds);
   EXPECT_GT(keys_run, Seeds);
-  RecordProperty("told_ran", told_ran);
-  RecordProperty("told_not_run", told_not_run);
+  RecordProperty("told_ran", answered_ran);
+  RecordProperty("told_not_run", answered_not_run);
 }
 
 }  // namespace
--- a/libraries/front/test/quota_ledger_test.cc
+++ b/libraries/front/test/quota_ledger_test.cc
@@ -80,19 +80,19 @@
   void takeOver(bool forgets) {
     ledger_.reset();
     if (forgets) {
-      allotter_ = std::make_unique<core::QuotaAllotter>(
+      allocator_ = std::make_unique<core::QuotaAllocator>(
           process_,
-          [this](const core::QuotaAllotter::RecordVisitor& visitor) {
+          [this](const core::QuotaAllocator::RecordVisitor& visitor) {
             for (const wire::SessionTableEntry& entry : heard()) {
               visitor(entry.record);
             }
           },
           Bounds);
-      allotter_->setConfiguration(view_);
+      allocator_->setConfiguration(view_);
     }
     held_since_ = world_.now();
     ledger_ = std::make_unique<core::QuotaLedger>(
-        process_, calls_, *allotter_, Bounds.window_s,
+        process_, calls_, *allocator_, Bounds.window_s,
         [this](const std::string&) { return std::optional<base::TimePoint>(held_since_); });
   }
   void kill(std::size_t index) { fronts_[index]->meter.reset(); }
@@ -107,7 +107,7 @@
   double letIn() const { return let_in_; }
   /** Of one kind, asked for and let in, in requests. */
   double servedShare(std::size_t kind) const {
-    return static_cast<double>(served_[kind]) / static_cast<double>(asked_[kind]);
+    return static_cast<double>(served_[kind]) / static_cast<double>(requested_[kind]);
   }
 
  private:
@@ -131,7 +131,7 @@
     std::unique_ptr<QuotaMeter> meter;
     std::unique_ptr<FrontHistory> history;
     bool is_cut = false;
-    base::TimePoint heard_at{};
+    base::TimePoint last_seen{};
     std::uint64_t asks = 0;
     std::set<std::uint64_t> open_asks;
   };
@@ -140,7 +140,7 @@
     Front& front = *fronts_[index];
     front.entry.record.front = {"127.0.0.1", static_cast<std::uint16_t>(index + 1)};
     front.entry.record.demand.clear();
-    front.entry.record.witness = {};
+    front.entry.record.fleet_knowledge = {};
     front.asks = 0;
     front.open_asks.clear();
     front.authority = std::make_unique<Authority>(*this, index);
@@ -155,14 +155,14 @@
     Front& front = *fronts_[index];
     const std::uint64_t number = ++front.asks;
     front.open_asks.insert(number);
-    const wire::QuotaAsk ask{tenant,
-                             static_cast<float>(units),
-                             static_cast<std::uint8_t>(urgency),
-                             front.entry.record.front,
-                             front.entry.record.instance,
-                             number};
+    const wire::QuotaRequest ask{tenant,
+                                 static_cast<float>(units),
+                                 static_cast<std::uint8_t>(urgency),
+                                 front.entry.record.front,
+                                 front.entry.record.instance,
+                                 number};
     process_.postAfter(milliseconds(1 + random().below(8)), [this, index, ask, callback] {
-      std::optional<wire::QuotaAnswer> answer;
+      std::optional<wire::QuotaReply> answer;
       if (!fronts_[index]->is_cut) {
         answer = ledger_->decide(ask);
       }
@@ -193,21 +193,21 @@
       }
       wire::SessionRecord& record = front.entry.record;
       record.demand = front.meter->demand();
-      record.settled_asks = front.open_asks.empty() ? front.asks : *front.open_asks.begin() - 1;
+      record.settled_requests = front.open_asks.empty() ? front.asks : *front.open_asks.begin() - 1;
       front.meter->setFronts(fronts_.size());
       front.history->see(listed);
-      record.witness = front.history->witness();
-      front.heard_at = world_.now();
-      if (const auto allotments = allotter_->allot(record)) {
-        front.meter->setAllotments(*allotments);
+      record.fleet_knowledge = front.history->fleet_knowledge();
+      front.last_seen = world_.now();
+      if (const auto allocations = allocator_->allocate(record)) {
+        front.meter->setAllocations(*allocations);
       }
     }
   }
   std::vector<wire::SessionTableEntry> heard() const {
     std::vector<wire::SessionTableEntry> records;
     for (const std::unique_ptr<Front>& front : fronts_) {
-      const bool live = front->heard_at != base::TimePoint{} &&
-                        world_.now() - front->heard_at < milliseconds(1'500);
+      const bool live = front->last_seen != base::TimePoint{} &&
+                        world_.now() - front->last_seen < milliseconds(1'500);
       if (live) {
         records.push_back(front->entry);
       }
@@ -224,7 +224,7 @@
     if (!front.meter) {
       return;
     }
-    ++asked_[kind];
+    ++requested_[kind];
     front.meter->acquire(tenantOf(), Kinds[kind].urgency, Kinds[kind].units,
                          [this, kind](const QuotaMeter::Decision& wait) {
                            if (!wait) {
@@ -251,12 +251,12 @@
   transport::PeerCalls calls_{process_, *transport_};
   bool with_ledger_;
   std::shared_ptr<const configuration::View> view_;
-  std::unique_ptr<core::QuotaAllotter> allotter_;
+  std::unique_ptr<core::QuotaAllocator> allocator_;
   std::unique_ptr<core::QuotaLedger> ledger_;
   base::TimePoint held_since_;
   std::vector<std::unique_ptr<Front>> fronts_;
   std::deque<std::pair<base::TimePoint, double>> admitted_;
-  std::array<std::uint64_t, Kinds.size()> asked_{};
+  std::array<std::uint64_t, Kinds.size()> requested_{};
   std::array<std::uint64_t, Kinds.size()> served_{};
   std::uint64_t steps_ = 0;
   double owed_ = 0;
@@ -266,7 +266,7 @@
 };
 
 /** Part of what the quota allows that is let in while callers ask for `factor` times the rate. */
-double usedPart(std::uint64_t seed, std::size_t fronts, double factor, bool with_ledger) {
+double usedShare(std::uint64_t seed, std::size_t fronts, double factor, bool with_ledger) {
   LedgerFleet fleet(seed, fronts, with_ledger);
   fleet.run(seconds(10), Rate * factor);
   const double before = fleet.letIn();
@@ -278,7 +278,7 @@
 TEST(QuotaLedgerTest, TheWholeQuotaIsLetInHoweverManyFrontsThereAre) {
   for (const std::size_t fronts : {6U, 67U, 291U}) {
     for (const double factor : {1.5, 7.5}) {
-      const double part = usedPart(fronts, fronts, factor, true);
+      const double part = usedShare(fronts, fronts, factor, true);
       std::cout << fronts << " fronts, asked for " << factor << " of the rate: " << part << '\n';
       EXPECT_GE(part, 0.97) << fronts << " fronts, " << factor;
     }
@@ -286,7 +286,7 @@
 }
 
 TEST(QuotaLedgerTest, WithoutTheLedgerManyFrontsLetInLess) {
-  const double part = usedPart(1, 291, 7.5, false);
+  const double part = usedShare(1, 291, 7.5, false);
   std::cout << "without the ledger: " << part << '\n';
   EXPECT_LT(part, 0.9);
 }
--- a/libraries/front/test/quota_meter_test.cc
+++ b/libraries/front/test/quota_meter_test.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <memory>
 
-#include "switchsaddle/core/quota_allotter.h"
+#include "switchsaddle/core/quota_allocator.h"
 #include "switchsaddle/front/front_history.h"
 #include "switchsaddle/simulation/process.h"
 #include "switchsaddle/simulation/world.h"
@@ -41,7 +41,7 @@
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
   meter.setFronts(4);
-  meter.setAllotments({});
+  meter.setAllocations({});
   world.runFor(std::chrono::seconds(9));
   const configuration::ForwardTenant tenant = tenantOf(1'000);
   double let_in = 0;
@@ -75,14 +75,14 @@
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
   world.runFor(std::chrono::seconds(9));
-  meter.setAllotments({{"t", 1, 0, 0}});
+  meter.setAllocations({{"t", 1, 0, 0}});
   const configuration::ForwardTenant tenant = tenantOf(100);
   const double all = *Bounds.limitOf(tenant) * 0.84;
   EXPECT_FALSE(meter.take(tenant, all - 1).has_value());
   const auto wait = meter.take(tenant, 50);
   ASSERT_TRUE(wait.has_value());
   EXPECT_GT(*wait, base::Duration::zero());
-  meter.giveBack(tenant, all - 1);
+  meter.refund(tenant, all - 1);
   EXPECT_FALSE(meter.take(tenant, 50).has_value());
 }
 
@@ -98,7 +98,7 @@
       meters_.push_back(std::make_unique<QuotaMeter>(process_, optionsOf()));
       meters_.back()->setFronts(fronts);
       // A front serves only once its session is open, which tells it this much.
-      meters_.back()->setAllotments({});
+      meters_.back()->setAllocations({});
       records_.emplace_back();
       records_.back().record.front = {"127.0.0.1", static_cast<std::uint16_t>(index + 1)};
       histories_.push_back(std::make_unique<FrontHistory>(process_, records_.back().record.front));
@@ -122,7 +122,7 @@
       meters_[index]->setFronts(meters_.size());
       records_[index].record.instance += 1;
       records_[index].record.demand.clear();
-      records_[index].record.witness = {};
+      records_[index].record.fleet_knowledge = {};
       histories_[index] = std::make_unique<FrontHistory>(process_, records_[index].record.front);
     }
   }
@@ -134,18 +134,18 @@
   }
   /** The core that all ask is replaced by one that knows the live sessions alone. */
   void replaceCore() {
-    allotter_ = std::make_unique<core::QuotaAllotter>(
+    allocator_ = std::make_unique<core::QuotaAllocator>(
         process_,
-        [this](const core::QuotaAllotter::RecordVisitor& visitor) {
+        [this](const core::QuotaAllocator::RecordVisitor& visitor) {
           for (const wire::SessionTableEntry& entry : heard()) {
             visitor(entry.record);
           }
         },
         Bounds);
-    allotter_->setConfiguration(view_);
+    allocator_->setConfiguration(view_);
   }
   /** Whether the core has forgotten what nobody can tell it any more. */
-  bool coreKnows() { return allotter_->allot(records_[0].record).has_value(); }
+  bool coreKnows() { return allocator_->allocate(records_[0].record).has_value(); }
   double mostInAnyWindow() const { return most_; }
   double letIn() const { return let_in_; }
   const configuration::ForwardTenant& tenant() const { return tenant_; }
@@ -157,9 +157,9 @@
       if ((steps_ + index * 7) % 25 == 0) {
         records_[index].record.demand = meters_[index]->demand();
         histories_[index]->see(listed());
-        records_[index].record.witness = histories_[index]->witness();
-        if (const auto allotments = allotter_->allot(records_[index].record)) {
-          meters_[index]->setAllotments(*allotments);
+        records_[index].record.fleet_knowledge = histories_[index]->fleet_knowledge();
+        if (const auto allocations = allocator_->allocate(records_[index].record)) {
+          meters_[index]->setAllocations(*allocations);
         }
       }
     }
@@ -202,7 +202,7 @@
   configuration::ForwardTenant tenant_;
   std::vector<wire::SessionTableEntry> records_;
   std::shared_ptr<const configuration::View> view_;
-  std::unique_ptr<core::QuotaAllotter> allotter_;
+  std::unique_ptr<core::QuotaAllocator> allocator_;
   std::vector<std::unique_ptr<QuotaMeter>> meters_;
   std::vector<std::unique_ptr<FrontHistory>> histories_;
   std::deque<std::pair<base::TimePoint, double>> admitted_;
--- a/libraries/front/test/retry_budget_test.cc
+++ b/libraries/front/test/retry_budget_test.cc
@@ -12,8 +12,8 @@
   simulation::World world{1};
   simulation::Process process{world};
   RetryBudget budget(process);
-  budget.countFirstTry("s");
-  EXPECT_FALSE(budget.trySpend("s", 0.2));
+  budget.countFirstAttempt("s");
+  EXPECT_FALSE(budget.tryAcquire("s", 0.2));
 }
 
 TEST(RetryBudgetTest, SpendsItsPartOfTheFleetsExtraOnceInAWindow) {
@@ -22,13 +22,13 @@
   RetryBudget budget(process);
   int spent = 0;
   for (int attempt = 0; attempt < 100; ++attempt) {
-    spent += budget.trySpend("s", 0.2, 5) ? 1 : 0;
+    spent += budget.tryAcquire("s", 0.2, 5) ? 1 : 0;
   }
   EXPECT_EQ(spent, 5);
   world.runFor(std::chrono::seconds(9));
-  EXPECT_FALSE(budget.trySpend("s", 0.2, 5));
+  EXPECT_FALSE(budget.tryAcquire("s", 0.2, 5));
   world.runFor(std::chrono::seconds(2));
-  EXPECT_TRUE(budget.trySpend("s", 0.2, 5));
+  EXPECT_TRUE(budget.tryAcquire("s", 0.2, 5));
 }
 
 }  // namespace
--- a/libraries/front/test/simulated_fleet.h
+++ b/libraries/front/test/simulated_fleet.h
@@ -109,7 +109,7 @@
   }
   void endStream() override { ended = true; }
   void abort() override { aborted = true; }
-  void onClientGone(std::function<void()>) override {}
+  void onClientDisconnected(std::function<void()>) override {}
 
   std::optional<http::Response> response;
   /** Runs with the answer, where set. */
@@ -134,17 +134,17 @@
   }
   void start() {
     process.start();
-    life = std::make_unique<Life>(*this);
-    life->node.start();
+    incarnation = std::make_unique<Incarnation>(*this);
+    incarnation->node.start();
   }
   void kill() {
     process.kill();
-    life.reset();
+    incarnation.reset();
     disk.resume();
   }
   /** What dies with the process. */
-  struct Life {
-    explicit Life(CoreProcess& core)
+  struct Incarnation {
+    explicit Incarnation(CoreProcess& core)
         : transport(core.network.attach(core.settings.peer_address, core.process)),
           calls(core.process, *transport),
           journal(core.process),
@@ -165,7 +165,7 @@
   simulation::Process process;
   simulation::SimulatedDisk disk;
   FixedPlatform platform;
-  std::unique_ptr<Life> life;
+  std::unique_ptr<Incarnation> incarnation;
 };
 
 /** Makes the workers that one front reaches. */
@@ -191,18 +191,18 @@
   }
   void start() {
     process.start();
-    life = std::make_unique<Life>(*this);
-    life->node->start();
+    incarnation = std::make_unique<Incarnation>(*this);
+    incarnation->node->start();
   }
   void kill() {
     process.kill();
-    life.reset();
+    incarnation.reset();
   }
-  bool running() const { return life != nullptr; }
-  FrontNode& node() { return *life->node; }
+  bool running() const { return incarnation != nullptr; }
+  FrontNode& node() { return *incarnation->node; }
   /** What dies with the process. */
-  struct Life {
-    explicit Life(FrontProcess& front)
+  struct Incarnation {
+    explicit Incarnation(FrontProcess& front)
         : transport(front.network.attach(front.settings.peer_address, front.process)),
           calls(front.process, *transport),
           journal(front.process) {
@@ -225,7 +225,7 @@
   simulation::Process process;
   std::unique_ptr<WorkerPort> workers;
   FrontAdjustment adjustment;
-  std::unique_ptr<Life> life;
+  std::unique_ptr<Incarnation> incarnation;
 };
 
 /** Three cores and two fronts, all real but for network, disks, platform and workers. */
@@ -306,7 +306,7 @@
   std::vector<std::unique_ptr<FrontProcess>> fronts;
 };
 
-inline std::string wholeConfiguration() {
+inline std::string fullConfiguration() {
   return R"({"change_id":"c1","base_version":0,"document":{
     "shapes/chat": {"services": ["completions", "orders"], "first_token_ms": 9000},
     "tenants/editors": {"shape": "chat", "stream_branch": "root", "one_shot_branch": "root"},
--- a/libraries/front/test/slow_caller_test.cc
+++ b/libraries/front/test/slow_caller_test.cc
@@ -17,8 +17,8 @@
 
 using boost::asio::ip::tcp;
 
-constexpr std::size_t PieceBytes = 32U << 10U;
-constexpr std::uint64_t Pieces = 2'000;
+constexpr std::size_t ChunkBytes = 32U << 10U;
+constexpr std::uint64_t Chunks = 2'000;
 /** Far above the kernel's socket buffers and the relay's own, far below the whole stream. */
 constexpr std::uint64_t MostUnread = 32U << 20U;
 constexpr int SmallReceiveBuffer = 64 << 10;
@@ -39,14 +39,14 @@
  private:
   void writeNext() {
     const std::string number = std::to_string(next_);
-    if (next_ == Pieces) {
+    if (next_ == Chunks) {
       writer_->writeChunk("id: " + number + "\ndata: [DONE]\n\n", [](bool) {});
       writer_->endStream();
       return;
     }
     ++next_;
     std::string event = "id: " + number + "\ndata: {\"run\":\"r1\",\"index\":" + number +
-                        ",\"text\":\"" + std::string(PieceBytes, 'x') + "\"}\n\n";
+                        ",\"text\":\"" + std::string(ChunkBytes, 'x') + "\"}\n\n";
     const std::size_t size = event.size();
     writer_->writeChunk(std::move(event), [self = shared_from_this(), size](bool taken) {
       self->written_ += size;
@@ -106,7 +106,7 @@
       before = written;
       context.restart();
       context.run_for(std::chrono::milliseconds(200));
-    } while (written != before && written < Pieces * PieceBytes);
+    } while (written != before && written < Chunks * ChunkBytes);
   }
   /** Reads until the final chunk, serving meanwhile. */
   std::string readAll() {
@@ -145,7 +145,7 @@
   FakeSlots slots;
   FakeSession session;
   FakeRouter router;
-  FakeBeliefs beliefs;
+  FakeFleetView beliefs;
   RetryBudget retries{dispatcher};
   WorkerCircuit circuit{dispatcher};
   Counters counters;
@@ -181,10 +181,10 @@
   EXPECT_LT(written, MostUnread);
   const std::string text = readAll();
   EXPECT_LT(most_unread, MostUnread);
-  EXPECT_GT(written, Pieces * PieceBytes);
+  EXPECT_GT(written, Chunks * ChunkBytes);
   EXPECT_NE(text.find("data: [DONE]"), std::string::npos);
   std::size_t at = 0;
-  for (std::uint64_t index = 0; index < Pieces; ++index) {
+  for (std::uint64_t index = 0; index < Chunks; ++index) {
     at = text.find("id: " + std::to_string(index) + "\n", at);
     ASSERT_NE(at, std::string::npos) << "piece " << index << " is missing";
   }
--- a/libraries/front/test/stream_flow_test.cc
+++ b/libraries/front/test/stream_flow_test.cc
@@ -14,7 +14,7 @@
 
 using base::ResultCode;
 
-std::string piece(std::uint64_t index, const std::string& run = "r1") {
+std::string chunk(std::uint64_t index, const std::string& run = "r1") {
   const std::string number = std::to_string(index);
   return "id: " + number + "\ndata: {\"run\":\"" + run + "\",\"index\":" + number + "}\n\n";
 }
@@ -63,10 +63,10 @@
         configuration::Route{"large", "completions", {"large"}, "models"};
     router.workers = {beliefs.addWorker("w1", "models"), beliefs.addWorker("w2", "models")};
     for (int count = 0; count < 100; ++count) {
-      retries.countFirstTry("completions");
+      retries.countFirstAttempt("completions");
     }
   }
-  std::shared_ptr<FakeSink> run(const std::string& key_hash = FakeBeliefs::KeyHash) {
+  std::shared_ptr<FakeSink> run(const std::string& key_hash = FakeFleetView::KeyHash) {
     auto sink = std::make_shared<FakeSink>();
     StreamRequest request;
     request.key_hash = key_hash;
@@ -87,7 +87,7 @@
   FakeSession session;
   FakeRouter router;
   FakeWorkers workers;
-  FakeBeliefs beliefs;
+  FakeFleetView beliefs;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   Counters counters;
@@ -99,13 +99,13 @@
 };
 
 TEST_F(StreamFlowTest, WhatWasNeverSentEarnsNoRetries) {
-  while (retries.trySpend("completions", 0.1)) {
+  while (retries.tryAcquire("completions", 0.1)) {
   }
   session.now = sessions::SessionState::Lapsed;
   for (int count = 0; count < 20; ++count) {
     run();
   }
-  EXPECT_FALSE(retries.trySpend("completions", 0.1));
+  EXPECT_FALSE(retries.tryAcquire("completions", 0.1));
 }
 
 TEST_F(StreamFlowTest, AKeyRevokedBeforeTheDispatchIsRefused) {
@@ -128,9 +128,9 @@
 TEST_F(StreamFlowTest, RelaysAWholeRun) {
   const auto sink = run();
   workers.sent[0].head();
-  workers.sent[0].bytes(piece(0) + piece(1));
+  workers.sent[0].bytes(chunk(0) + chunk(1));
   workers.sent[0].bytes(done(2));
-  EXPECT_EQ(sink->events, (std::vector<std::string>{piece(0), piece(1), done(2)}));
+  EXPECT_EQ(sink->events, (std::vector<std::string>{chunk(0), chunk(1), done(2)}));
   EXPECT_EQ(sink->ended, ResultCode::Ok);
   EXPECT_EQ(sink->run, "r1");
   expectReleased();
@@ -145,10 +145,10 @@
   ASSERT_EQ(workers.sent.size(), 2U);
   EXPECT_NE(workers.sent[1].request.address, workers.sent[0].request.address);
   EXPECT_NE(workers.sent[1].request.request_id, workers.sent[0].request.request_id);
-  workers.sent[0].bytes(piece(0, "late"));
+  workers.sent[0].bytes(chunk(0, "late"));
   workers.sent[1].head(200, "r2");
-  workers.sent[1].bytes(piece(0, "r2") + done(1));
-  EXPECT_EQ(sink->events, (std::vector<std::string>{piece(0, "r2"), done(1)}));
+  workers.sent[1].bytes(chunk(0, "r2") + done(1));
+  EXPECT_EQ(sink->events, (std::vector<std::string>{chunk(0, "r2"), done(1)}));
   EXPECT_TRUE(router.completions[0].failed);
   expectReleased();
 }
@@ -181,11 +181,11 @@
 TEST_F(StreamFlowTest, ABrokenStreamIsToldWithItsRequestIdAndAWholeOneIsNot) {
   run();
   workers.sent[0].head();
-  workers.sent[0].bytes(piece(0) + done(1));
+  workers.sent[0].bytes(chunk(0) + done(1));
   EXPECT_TRUE(incidents.all.empty());
   run();
   workers.sent[1].head();
-  workers.sent[1].bytes(piece(0) + piece(2));
+  workers.sent[1].bytes(chunk(0) + chunk(2));
   ASSERT_EQ(incidents.all.size(), 1U);
   EXPECT_EQ(incidents.all[0].event, "stream-broken");
   EXPECT_EQ(incidents.all[0].code, ResultCode::StreamGap);
@@ -196,10 +196,10 @@
 TEST_F(StreamFlowTest, EndsAreCountedByOutcomeAndCode) {
   run();
   workers.sent[0].head();
-  workers.sent[0].bytes(piece(0) + done(1));
+  workers.sent[0].bytes(chunk(0) + done(1));
   run();
   workers.sent[1].head();
-  workers.sent[1].bytes(piece(0) + piece(2));
+  workers.sent[1].bytes(chunk(0) + chunk(2));
   slots.code = ResultCode::OverBranchLimit;
   run();
   EXPECT_EQ((counters.requests.at({"stream", "ran", ResultCode::Ok})), 1U);
@@ -211,7 +211,7 @@
 TEST_F(StreamFlowTest, ACrashAfterTheFirstPieceEndsWithAnErrorEvent) {
   const auto sink = run();
   workers.sent[0].head();
-  workers.sent[0].bytes(piece(0));
+  workers.sent[0].bytes(chunk(0));
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
   ASSERT_EQ(sink->events.size(), 2U);
   EXPECT_TRUE(sink->events[1].starts_with("event: error\nid: 1\n"));
@@ -225,7 +225,7 @@
 TEST_P(BrokenStream, EndsWithAnErrorEventAndNeverWithDone) {
   const auto sink = run();
   workers.sent[0].head();
-  workers.sent[0].bytes(piece(0) + GetParam());
+  workers.sent[0].bytes(chunk(0) + GetParam());
   workers.sent[0].observer->onComplete();
   ASSERT_EQ(sink->events.size(), 2U);
   EXPECT_TRUE(sink->events[1].starts_with("event: error\n"));
@@ -235,7 +235,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults, BrokenStream,
-                         testing::Values(piece(2), piece(0), piece(1, "r2"), std::string(), done(2),
+                         testing::Values(chunk(2), chunk(0), chunk(1, "r2"), std::string(), done(2),
                                          std::string("data: [DONE]\n\n")));
 
 TEST_F(StreamFlowTest, WithoutBudgetAFailureIsRefusedWithoutPromise) {
@@ -266,7 +266,7 @@
   EXPECT_EQ(sink->refusal->code, ResultCode::NotServing);
   EXPECT_FALSE(sink->refusal->sent);
   workers.sent[0].head();
-  workers.sent[0].bytes(piece(0) + done(1));
+  workers.sent[0].bytes(chunk(0) + done(1));
   EXPECT_EQ(open->ended, ResultCode::Ok);
   EXPECT_EQ(workers.sent.size(), 1U);
 }
@@ -310,7 +310,7 @@
   bool resumed = true;
   while (resumed && index < 1'000) {
     resumed = false;
-    workers.sent[0].observer->onBytes(piece(index), [&resumed] { resumed = true; });
+    workers.sent[0].observer->onBytes(chunk(index), [&resumed] { resumed = true; });
     ++index;
   }
   EXPECT_EQ(sink->waiting.size(), streams::RelayMachine::DefaultMaximumOutstanding);
@@ -321,7 +321,7 @@
 TEST_F(StreamFlowTest, ACallerWhoGoesGivesTheSlotBack) {
   const auto sink = run();
   workers.sent[0].head();
-  workers.sent[0].bytes(piece(0));
+  workers.sent[0].bytes(chunk(0));
   handle->cancel();
   EXPECT_TRUE(workers.sent[0].call->cancelled);
   EXPECT_FALSE(sink->ended);
@@ -332,7 +332,7 @@
   const auto before = run();
   const auto after = run();
   workers.sent[1].head();
-  workers.sent[1].bytes(piece(0));
+  workers.sent[1].bytes(chunk(0));
   world.runFor(std::chrono::seconds(301));
   EXPECT_TRUE(before->refusal);
   EXPECT_EQ(after->ended, ResultCode::StreamBroken);
--- a/libraries/front/test/traffic_scenario.cc
+++ b/libraries/front/test/traffic_scenario.cc
@@ -131,9 +131,9 @@
   schedule();
   fleet_->world.runFor(milliseconds(LoadMs + 1'000));
   healAll();
-  judgeServing();
+  checkServing();
   fleet_->world.runFor(seconds(40));
-  judge();
+  checkHistory();
   return result_;
 }
 
@@ -322,7 +322,7 @@
   const auto chosen = static_cast<int>(world.random().below(Cores));
   for (int number = 0; number < Cores; ++number) {
     CoreProcess& core = *fleet_->cores[number];
-    if ((!all && number != chosen) || !core.life || core.process.frozen()) {
+    if ((!all && number != chosen) || !core.incarnation || core.process.frozen()) {
       continue;
     }
     const auto pause = milliseconds(100 + world.random().below(4'000));
@@ -333,7 +333,7 @@
     }
     core.kill();
     world.schedule(pause, [&core] {
-      if (!core.life) {
+      if (!core.incarnation) {
         core.start();
       }
     });
@@ -346,7 +346,7 @@
   fleet_->network.conditions.loss = 0;
   for (const auto& core : fleet_->cores) {
     core->process.wake();
-    if (!core->life) {
+    if (!core->incarnation) {
       core->start();
     }
   }
--- a/libraries/front/test/traffic_scenario.h
+++ b/libraries/front/test/traffic_scenario.h
@@ -60,13 +60,13 @@
     std::shared_ptr<CallerWriter> writer;
     /** Numbered lives of the front; the call is excused where its front was killed. */
     int front = 0;
-    int life = 0;
+    int incarnation = 0;
     std::string caller_request_id;
   };
   struct StreamCall {
     std::shared_ptr<CallerWriter> writer;
     int front = 0;
-    int life = 0;
+    int incarnation = 0;
     std::string caller_request_id;
   };
 
@@ -91,21 +91,21 @@
   void order(const http::Request& order_request, int attempts_left,
              std::function<void()> acknowledged);
 
-  void judgeServing();
-  void judge();
-  void judgeKeys();
-  void judgeStream(const StreamCall& call);
+  void checkServing();
+  void checkHistory();
+  void checkKeys();
+  void checkStream(const StreamCall& call);
   /** When first tries and retries were sent, in order. */
   struct RetryTimes {
     std::vector<base::TimePoint> firsts;
     std::vector<base::TimePoint> retries;
   };
-  void judgeRetries();
-  void judgeRetryTimes(const std::string& who, const RetryTimes& times,
+  void checkRetries();
+  void checkRetryTimes(const std::string& who, const RetryTimes& times,
                        base::Duration paying_window);
-  void judgeRevocation();
-  void judgeEvacuation();
-  bool excused(int front, int life) const;
+  void checkRevocation();
+  void checkEvacuation();
+  bool excused(int front, int incarnation) const;
   void violated(const std::string& rule, const std::string& detail);
 
   TrafficOptions options_;
--- a/libraries/front/test/traffic_scenario_judge.cc
+++ b/libraries/front/test/traffic_scenario_checks.cc
@@ -37,15 +37,15 @@
 
 }  // namespace
 
-bool TrafficScenario::excused(int front, int life) const {
-  return lives_[front] != life;
+bool TrafficScenario::excused(int front, int incarnation) const {
+  return lives_[front] != incarnation;
 }
 
 void TrafficScenario::violated(const std::string& rule, const std::string& detail) {
   result_.violations.push_back(rule + ": " + detail);
 }
 
-void TrafficScenario::judgeServing() {
+void TrafficScenario::checkServing() {
   const base::TimePoint healed = fleet_->world.now();
   fleet_->world.runUntil([this] { return fleet_->allReadyNow(); }, ServingLimit);
   if (fleet_->world.now() - healed >= ServingLimit) {
@@ -54,17 +54,17 @@
   }
 }
 
-void TrafficScenario::judge() {
-  judgeKeys();
+void TrafficScenario::checkHistory() {
+  checkKeys();
   for (const StreamCall& call : streams_) {
-    judgeStream(call);
+    checkStream(call);
   }
-  judgeRetries();
-  judgeRevocation();
-  judgeEvacuation();
+  checkRetries();
+  checkRevocation();
+  checkEvacuation();
 }
 
-void TrafficScenario::judgeKeys() {
+void TrafficScenario::checkKeys() {
   for (const auto& [key, runs] : ledger_.key_runs) {
     if (runs.size() > 1) {
       violated("ran-twice", key);
@@ -87,13 +87,13 @@
     if (ran && !ledger_.key_runs.contains(call.key)) {
       violated("answered-without-run", call.key);
     }
-    if (!call.writer->response && !excused(call.front, call.life)) {
+    if (!call.writer->response && !excused(call.front, call.incarnation)) {
       violated("never-answered", call.caller_request_id);
     }
   }
 }
 
-void TrafficScenario::judgeStream(const StreamCall& call) {
+void TrafficScenario::checkStream(const StreamCall& call) {
   const CallerWriter& writer = *call.writer;
   if (tells(writer, "not-run") && ledger_.stream_runs_by_request.contains(call.caller_request_id)) {
     violated("ran-after-refusal", call.caller_request_id);
@@ -116,7 +116,7 @@
   result_.streams_broken += broken ? 1 : 0;
   if (done) {
     const WorkerRun run = runs.empty() ? WorkerRun{} : ledger_.streams[runs.front()];
-    if (!run.ended || run.pieces != texts.size()) {
+    if (!run.ended || run.chunks != texts.size()) {
       violated("early-end", call.caller_request_id);
     }
   }
@@ -124,13 +124,13 @@
   if (!done && !broken && !whole_refusal && !writer.aborted) {
     if (writer.ended) {
       violated("silent-end", call.caller_request_id);
-    } else if (!excused(call.front, call.life)) {
+    } else if (!excused(call.front, call.incarnation)) {
       violated("never-answered", call.caller_request_id);
     }
   }
 }
 
-void TrafficScenario::judgeRetries() {
+void TrafficScenario::checkRetries() {
   for (const bool stream : {true, false}) {
     // Of the whole fleet under the empty name.
     std::map<std::string, RetryTimes> times;
@@ -148,12 +148,12 @@
     for (const auto& [who, of_front] : times) {
       // Each front keeps to its share of the window that ends with its own last retry. Where work
       // moves from front to front, those windows together reach back twice as far.
-      judgeRetryTimes(who, of_front, who.empty() ? 2 * RetryWindow : RetryWindow);
+      checkRetryTimes(who, of_front, who.empty() ? 2 * RetryWindow : RetryWindow);
     }
   }
 }
 
-void TrafficScenario::judgeRetryTimes(const std::string& who, const RetryTimes& times,
+void TrafficScenario::checkRetryTimes(const std::string& who, const RetryTimes& times,
                                       base::Duration paying_window) {
   for (const base::TimePoint at : times.retries) {
     const auto within = [at](base::Duration window) {
@@ -161,17 +161,17 @@
     };
     const auto retried =
         std::count_if(times.retries.begin(), times.retries.end(), within(RetryWindow));
-    const auto tried =
+    const auto attempted =
         std::count_if(times.firsts.begin(), times.firsts.end(), within(paying_window + RetrySlack));
-    if (static_cast<double>(retried) > RetryShare * static_cast<double>(tried)) {
+    if (static_cast<double>(retried) > RetryShare * static_cast<double>(attempted)) {
       violated("too-many-retries",
-               "front " + who + " " + std::to_string(retried) + " of " + std::to_string(tried));
+               "front " + who + " " + std::to_string(retried) + " of " + std::to_string(attempted));
       return;
     }
   }
 }
 
-void TrafficScenario::judgeRevocation() {
+void TrafficScenario::checkRevocation() {
   result_.revocation_acknowledged = revoked_.has_value();
   for (const WorkerAttempt& attempt : ledger_.attempts) {
     const bool late = revoked_ && attempt.at > *revoked_ + RevocationLimit;
@@ -181,7 +181,7 @@
   }
 }
 
-void TrafficScenario::judgeEvacuation() {
+void TrafficScenario::checkEvacuation() {
   result_.evacuation_acknowledged = evacuated_.has_value();
   for (const WorkerAttempt& attempt : ledger_.attempts) {
     const bool late = evacuated_ && attempt.at > *evacuated_ + EvacuationLimit;
--- a/libraries/fuzz/include/switchsaddle/fuzz/mutator.h
+++ b/libraries/fuzz/include/switchsaddle/fuzz/mutator.h
@@ -23,8 +23,8 @@
   void flipBit(std::string& input);
   void setByte(std::string& input);
   void insertToken(std::string& input);
-  void removePiece(std::string& input);
-  void repeatPiece(std::string& input);
+  void removeChunk(std::string& input);
+  void repeatChunk(std::string& input);
   void splice(std::string& input, const std::string& other);
   std::size_t placeIn(const std::string& input);
 
--- a/libraries/fuzz/source/mutator.cc
+++ b/libraries/fuzz/source/mutator.cc
@@ -12,7 +12,7 @@
 
 constexpr std::size_t LongestInput = 64U << 10U;
 constexpr std::uint64_t MostChanges = 6;
-constexpr std::uint64_t LongestPiece = 64;
+constexpr std::uint64_t LongestChunk = 64;
 constexpr std::uint64_t MostRepeats = 200;
 
 /** What often breaks a reader: ends of numbers and nesting, lengths, quotes, ends of lines. */
@@ -75,10 +75,10 @@
       insertToken(input);
       break;
     case 3:
-      removePiece(input);
+      removeChunk(input);
       break;
     case 4:
-      repeatPiece(input);
+      repeatChunk(input);
       break;
     default:
       splice(input, corpus[random_.below(corpus.size())]);
@@ -108,18 +108,18 @@
   input.insert(placeIn(input), Tokens.at(random_.below(Tokens.size())));
 }
 
-void Mutator::removePiece(std::string& input) {
+void Mutator::removeChunk(std::string& input) {
   const std::size_t from = placeIn(input);
-  input.erase(from, 1 + random_.below(LongestPiece));
+  input.erase(from, 1 + random_.below(LongestChunk));
 }
 
-void Mutator::repeatPiece(std::string& input) {
+void Mutator::repeatChunk(std::string& input) {
   const std::size_t from = placeIn(input);
-  const std::string piece = input.substr(from, 1 + random_.below(LongestPiece));
+  const std::string chunk = input.substr(from, 1 + random_.below(LongestChunk));
   const std::uint64_t repeats = 1 + random_.below(MostRepeats);
   std::string repeated;
   for (std::uint64_t number = 0; number < repeats; ++number) {
-    repeated += piece;
+    repeated += chunk;
   }
   input.insert(from, repeated);
 }
--- a/libraries/fuzz/source/text_targets.cc
+++ b/libraries/fuzz/source/text_targets.cc
@@ -1,10 +1,10 @@
 #include "text_targets.h"
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/configuration/beliefs.h"
 #include "switchsaddle/configuration/change_json.h"
 #include "switchsaddle/configuration/json_value.h"
 #include "switchsaddle/configuration/settings.h"
+#include "switchsaddle/configuration/state_report.h"
 #include "switchsaddle/front/http_worker_port.h"
 #include "switchsaddle/front/request_parser.h"
 #include "switchsaddle/streams/event_stream_parser.h"
@@ -77,7 +77,7 @@
 
 void readBeliefs(const std::string& input) {
   std::vector<Fault> faults;
-  const auto report = configuration::parseBeliefs(input, faults);
+  const auto report = configuration::parseStateReport(input, faults);
   require(report.has_value() || !faults.empty(), "refused without a fault");
 }
 
--- a/libraries/fuzz/test/fuzz_test.cc
+++ b/libraries/fuzz/test/fuzz_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "source_directory.h"
-#include "switchsaddle/allocation_probe/allocation_probe.h"
+#include "switchsaddle/allocation_tracker/allocation_tracker.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/fuzz/mutator.h"
 #include "switchsaddle/fuzz/target.h"
@@ -42,14 +42,14 @@
 TEST_P(FuzzTest, RefusesOrTakesEveryInputInOrderAndWithinBoundedMemory) {
   const Target tested = target();
   const std::size_t executions = GetParam() == "http-server" ? HttpExecutions : Executions;
-  allocation_probe::resetLargestAllocation();
+  allocation_tracker::resetLargestAllocation();
   const FuzzReport report =
       runTarget(tested, Seed, [&](std::size_t done) { return done < executions; });
   EXPECT_EQ(report.executions, executions);
   for (const auto& [input, what] : report.faults) {
     ADD_FAILURE() << what << " for: " << printable(input);
   }
-  EXPECT_LT(allocation_probe::largestAllocation(), LargestBlock);
+  EXPECT_LT(allocation_tracker::largestAllocation(), LargestBlock);
 }
 
 INSTANTIATE_TEST_SUITE_P(Readers, FuzzTest,
--- a/libraries/http/include/switchsaddle/http/server.h
+++ b/libraries/http/include/switchsaddle/http/server.h
@@ -32,7 +32,7 @@
   /** Closes the connection without the final chunk, so that the client sees the body cut short. */
   virtual void abort() = 0;
   /** Runs once, when the client goes away before the exchange has ended. */
-  virtual void onClientGone(std::function<void()> callback) = 0;
+  virtual void onClientDisconnected(std::function<void()> callback) = 0;
 };
 
 using ResponseWriterPtr = std::shared_ptr<ResponseWriter>;
--- a/libraries/http/source/client_exchange.cc
+++ b/libraries/http/source/client_exchange.cc
@@ -298,16 +298,16 @@
   ++timer_arming_;
   timer_.cancel();
   observer_->onBodyBytes(
-      std::string(body_bytes_.data(), filled), [self = shared_from_this(), piece = ++piece_] {
-        asio::post(self->client_->strand, [self, piece] { self->resume(piece); });
+      std::string(body_bytes_.data(), filled), [self = shared_from_this(), chunk = ++chunk_] {
+        asio::post(self->client_->strand, [self, chunk] { self->resume(chunk); });
       });
 }
 
-void ClientExchange::resume(std::uint64_t piece) {
-  if (ended_ || piece != piece_) {
+void ClientExchange::resume(std::uint64_t chunk) {
+  if (ended_ || chunk != chunk_) {
     return;
   }
-  ++piece_;
+  ++chunk_;
   if (cut_) {
     fail(ExchangeFailure::BodyCut);
   } else {
--- a/libraries/http/source/client_exchange.h
+++ b/libraries/http/source/client_exchange.h
@@ -57,7 +57,7 @@
   void setConnectedOptions();
   void readBody();
   void onBody(const boost::system::error_code& error);
-  void resume(std::uint64_t piece);
+  void resume(std::uint64_t chunk);
   void complete();
   void failBeforeHead(bool any_byte_sent);
   void fail(ExchangeFailure failure, bool refused = false);
@@ -77,7 +77,7 @@
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   std::array<char, 16U << 10U> body_bytes_;
-  std::uint64_t piece_ = 0;
+  std::uint64_t chunk_ = 0;
   /** The connection ended with the piece the observer has. */
   bool cut_ = false;
   bool reused_ = false;
--- a/libraries/http/source/connection_writer.h
+++ b/libraries/http/source/connection_writer.h
@@ -65,10 +65,10 @@
     answered_ = true;
     run([](ServerConnection& connection) { connection.close(); });
   }
-  void onClientGone(std::function<void()> callback) override {
+  void onClientDisconnected(std::function<void()> callback) override {
     boost::asio::dispatch(strand_, [connection = connection_, exchange = exchange_,
                                     callback = std::move(callback)]() mutable {
-      connection->onClientGone(exchange, std::move(callback));
+      connection->onClientDisconnected(exchange, std::move(callback));
     });
   }
 
--- a/libraries/http/source/server_connection.cc
+++ b/libraries/http/source/server_connection.cc
@@ -84,7 +84,7 @@
     }
   }
   queue_.clear();
-  std::function<void()> gone = std::exchange(client_gone_, nullptr);
+  std::function<void()> gone = std::exchange(client_disconnected_, nullptr);
   if (in_exchange && gone && !server_->closed) {
     asio::post(server_->strand, std::move(gone));
   }
@@ -320,14 +320,15 @@
   enqueue(chunked ? std::string(LastChunk) : std::string(), nullptr);
 }
 
-void ServerConnection::onClientGone(std::uint64_t exchange, std::function<void()> callback) {
+void ServerConnection::onClientDisconnected(std::uint64_t exchange,
+                                            std::function<void()> callback) {
   if (exchange != exchange_) {
     return;
   }
   if (phase_ == Phase::Closed) {
     asio::post(server_->strand, std::move(callback));
   } else if (current(exchange)) {
-    client_gone_ = std::move(callback);
+    client_disconnected_ = std::move(callback);
   }
 }
 
@@ -375,7 +376,7 @@
 }
 
 void ServerConnection::finish() {
-  client_gone_ = nullptr;
+  client_disconnected_ = nullptr;
   if (keep_alive_ && !server_->closed) {
     nextRequest();
   } else {
--- a/libraries/http/source/server_connection.h
+++ b/libraries/http/source/server_connection.h
@@ -53,7 +53,7 @@
   void startStream(Response head);
   void writeChunk(const std::string& chunk, std::function<void(bool)> written);
   void endStream();
-  void onClientGone(std::uint64_t exchange, std::function<void()> callback);
+  void onClientDisconnected(std::uint64_t exchange, std::function<void()> callback);
   /** Runs a chunk's callback, later and on the strand. */
   void postWritten(std::function<void(bool)> written, bool result);
   bool streaming() const { return phase_ == Phase::Streaming; }
@@ -113,7 +113,7 @@
   BodyFraming framing_ = BodyFraming::Chunked;
   std::deque<Pending> queue_;
   bool writing_ = false;
-  std::function<void()> client_gone_;
+  std::function<void()> client_disconnected_;
   std::size_t lingered_bytes_ = 0;
 };
 
--- a/libraries/http/test/server_test.cc
+++ b/libraries/http/test/server_test.cc
@@ -170,7 +170,7 @@
   int gone = 0;
   serve([&](const Request&, const ResponseWriterPtr& writer) {
     kept = writer;
-    writer->onClientGone([&] { ++gone; });
+    writer->onClientDisconnected([&] { ++gone; });
   });
   exchange({"GET", "/", {}, ""});
   ASSERT_TRUE(runUntil([&] { return kept != nullptr; }));
@@ -188,7 +188,7 @@
   int gone = 0;
   serve([&](const Request&, const ResponseWriterPtr& writer) {
     kept = writer;
-    writer->onClientGone([&] { ++gone; });
+    writer->onClientDisconnected([&] { ++gone; });
     writer->startStream({200, {}, ""});
     writer->writeChunk("piece", nullptr);
   });
@@ -292,7 +292,7 @@
   int calls = 0;
   serve([&](const Request&, const ResponseWriterPtr& writer) {
     kept = writer;
-    writer->onClientGone([&] { ++calls; });
+    writer->onClientDisconnected([&] { ++calls; });
     writer->startStream({200, {}, ""});
   });
   const auto observer = exchange({"GET", "/", {}, ""});
--- a/libraries/journal/test/belief_view_test.cc
+++ b/libraries/journal/test/state_view_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/journal/belief_view.h"
+#include "switchsaddle/journal/state_view.h"
 
 #include <gtest/gtest.h>
 
@@ -13,26 +13,26 @@
   void post(std::function<void()> /*callback*/) override {}
 };
 
-TEST(BeliefViewTest, KeepsTheNewestBeliefAndForgetsWithdrawnOnes) {
+TEST(StateViewTest, KeepsTheNewestBeliefAndForgetsWithdrawnOnes) {
   StillDispatcher dispatcher;
   Journal journal(dispatcher, 2);
   journal.append(Subject::Lease, "early", "x", 1);
-  BeliefView view(journal);
+  StateView view(journal);
   journal.append(Subject::Configuration, "a", "1", 1);
   journal.append(Subject::Configuration, "a", "2", 2);
   journal.append(Subject::Configuration, "b", "1", 3);
   journal.append(Subject::Configuration, "b", "", 4);
-  ASSERT_EQ(view.beliefs().size(), 2U);
-  EXPECT_EQ(view.beliefs().at({Subject::Configuration, "a"}).value, "2");
-  EXPECT_EQ(view.beliefs().at({Subject::Lease, "early"}).version, 1U);
+  ASSERT_EQ(view.entries().size(), 2U);
+  EXPECT_EQ(view.entries().at({Subject::Configuration, "a"}).value, "2");
+  EXPECT_EQ(view.entries().at({Subject::Lease, "early"}).version, 1U);
 }
 
-TEST(BeliefViewTest, DigestsAgreeWhereBeliefsDo) {
+TEST(StateViewTest, DigestsAgreeWhereBeliefsDo) {
   StillDispatcher dispatcher;
   Journal first_journal(dispatcher);
   Journal second_journal(dispatcher);
-  BeliefView first(first_journal);
-  BeliefView second(second_journal);
+  StateView first(first_journal);
+  StateView second(second_journal);
   first_journal.append(Subject::Workers, "a", "1", 1);
   first_journal.append(Subject::Workers, "b", "1", 2);
   second_journal.append(Subject::Workers, "b", "1", 2);
--- a/libraries/lease/include/switchsaddle/lease/lease_holder.h
+++ b/libraries/lease/include/switchsaddle/lease/lease_holder.h
@@ -53,7 +53,7 @@
   /** One question to all granters, for a new term or a renewal. */
   struct Round {
     std::uint64_t term = 0;
-    base::TimePoint asked_at;
+    base::TimePoint requested_at;
     std::set<base::NodeAddress> granted_by;
     /** Granters that refused for each rival's sake. */
     std::map<base::NodeAddress, std::set<base::NodeAddress>> held_by;
@@ -102,7 +102,7 @@
   /** Whether the listener was last told of a gain. */
   bool announced_ = false;
   std::uint64_t term_ = 0;
-  std::uint64_t highest_heard_ = 0;
+  std::uint64_t highest_term_seen_ = 0;
   /** The next renewal has to raise the term, so that every granter can grant it. */
   bool contested_ = false;
   std::optional<base::TimePoint> held_until_;
--- a/libraries/lease/source/lease_holder.cc
+++ b/libraries/lease/source/lease_holder.cc
@@ -69,14 +69,14 @@
 std::uint64_t LeaseHolder::nextTerm() const {
   // Where a higher epoch was heard of, the granters refuse until this node knows their set.
   const std::uint64_t lowest = granters_.setEpoch() << TermCountBits;
-  return ofPresentEpoch(highest_heard_) ? highest_heard_ + 1 : lowest + 1;
+  return ofPresentEpoch(highest_term_seen_) ? highest_term_seen_ + 1 : lowest + 1;
 }
 
 void LeaseHolder::startRound(std::uint64_t term) {
   round_ = std::make_shared<Round>();
   round_->term = term;
-  round_->asked_at = dispatcher_.now();
-  highest_heard_ = std::max(highest_heard_, term);
+  round_->requested_at = dispatcher_.now();
+  highest_term_seen_ = std::max(highest_term_seen_, term);
   round_timer_->enable(times_.call_timeout);
   wire::LeaseRequest request;
   request.name = name_;
@@ -115,7 +115,7 @@
 
 void LeaseHolder::onReply(const RoundPtr& round, const base::NodeAddress& granter,
                           const wire::LeaseReply& reply) {
-  highest_heard_ = std::max(highest_heard_, reply.term);
+  highest_term_seen_ = std::max(highest_term_seen_, reply.term);
   if (round != round_ || (round->settled && reply.granted)) {
     return;
   }
@@ -159,7 +159,7 @@
   round->settled = true;
   round_timer_->disable();
   const base::TimePoint now = dispatcher_.now();
-  const base::TimePoint from = faults_.count_from_receipt ? now : round->asked_at;
+  const base::TimePoint from = faults_.count_from_receipt ? now : round->requested_at;
   const base::TimePoint until = from + holdTime();
   if (now >= until) {
     onRoundEnded();
--- a/libraries/hollow/include/switchsaddle/hollow/counting_transport.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/counting_transport.h
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/transport/transport.h"
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 
 /** Frames and bytes of one kind of message. */
 struct KindCount {
@@ -50,4 +50,4 @@
   bool weigh_;
 };
 
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/include/switchsaddle/hollow/hollow_front.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/lightweight_front.h
@@ -8,12 +8,12 @@
 #include "switchsaddle/configuration/settings.h"
 #include "switchsaddle/front/front_node.h"
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 
-/** What a hollow front does beyond its control work. */
-struct HollowOptions {
+/** What a lightweight front does beyond its control work. */
+struct LightweightFrontOptions {
   /** Takes a slot of a random tenant for each made-up prompt from the real limit ledgers. */
-  bool take_slots = false;
+  bool acquire_slots = false;
 };
 
 /**
@@ -21,18 +21,18 @@
  * directory, router) on a transport of its own, with no HTTP side and no workers that answer. Many
  * of them share a process and a strand, for runs at the size of a whole fleet.
  */
-class HollowFront {
+class LightweightFront {
  public:
   /** Tells of each new version in force: the one before and the new one. */
   using AppliedListener = std::function<void(std::uint64_t before, std::uint64_t after)>;
 
   /** The dispatcher and the transport outlive the front. */
-  HollowFront(base::Dispatcher& dispatcher, transport::Transport& transport, std::uint64_t seed,
-              configuration::Settings settings, AppliedListener applied,
-              HollowOptions options = {});
-  ~HollowFront();
-  HollowFront(const HollowFront&) = delete;
-  HollowFront& operator=(const HollowFront&) = delete;
+  LightweightFront(base::Dispatcher& dispatcher, transport::Transport& transport,
+                   std::uint64_t seed, configuration::Settings settings, AppliedListener applied,
+                   LightweightFrontOptions options = {});
+  ~LightweightFront();
+  LightweightFront(const LightweightFront&) = delete;
+  LightweightFront& operator=(const LightweightFront&) = delete;
 
   void start() { node_.start(); }
   void stop(std::function<void()> stopped) { node_.stop(std::move(stopped)); }
@@ -51,7 +51,7 @@
 
  private:
   std::unique_ptr<admission::SlotBroker> makeSlots(base::Dispatcher& dispatcher);
-  void takeSlot();
+  void acquireSlot();
   void noteVersion(const journal::Event& event);
   void completeOpen();
 
@@ -63,14 +63,14 @@
   std::uint64_t instance_;
   AppliedListener applied_;
   std::uint64_t version_ = 0;
-  HollowOptions options_;
+  LightweightFrontOptions options_;
   std::vector<std::uint64_t> open_tickets_;
   std::uint64_t slots_got_ = 0;
   std::uint64_t slots_refused_ = 0;
   front::FrontNode node_;
   /** Takes the recalls in place of the node's own broker, which no caller uses here. */
   std::unique_ptr<admission::SlotBroker> slots_;
-  std::vector<admission::SlotHoldPtr> held_;
+  std::vector<admission::SlotPermitPtr> held_;
 };
 
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/include/switchsaddle/hollow/version_tally.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/version_tally.h
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/base/time.h"
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 
 /** When a version of the configuration came into force on the fronts of one process. */
 struct VersionTimes {
@@ -33,4 +33,4 @@
   std::uint64_t applications_ = 0;
 };
 
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/source/counting_transport.cc
+++ b/libraries/lightweight_fronts/source/counting_transport.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/hollow/counting_transport.h"
+#include "switchsaddle/lightweight_fronts/counting_transport.h"
 
 #include <utility>
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 
 namespace {
 
@@ -95,4 +95,4 @@
   }
 }
 
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/source/hollow_front.cc
+++ b/libraries/lightweight_fronts/source/lightweight_front.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/hollow/hollow_front.h"
+#include "switchsaddle/lightweight_fronts/lightweight_front.h"
 
 #include <iterator>
 #include <string>
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/admission/ledger_slot_broker.h"
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 
 namespace {
 
@@ -22,7 +22,7 @@
   void cancel() override {}
 };
 
-/** No worker can be reached; a hollow front sends none a request. */
+/** No worker can be reached; a lightweight front sends none a request. */
 class NoWorkers final : public front::WorkerPort {
  public:
   explicit NoWorkers(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
@@ -40,9 +40,9 @@
 
 }  // namespace
 
-HollowFront::HollowFront(base::Dispatcher& dispatcher, transport::Transport& transport,
-                         std::uint64_t seed, configuration::Settings settings,
-                         AppliedListener applied, HollowOptions options)
+LightweightFront::LightweightFront(base::Dispatcher& dispatcher, transport::Transport& transport,
+                                   std::uint64_t seed, configuration::Settings settings,
+                                   AppliedListener applied, LightweightFrontOptions options)
     : settings_(std::move(settings)),
       calls_(dispatcher, transport),
       random_(seed),
@@ -54,17 +54,17 @@
       node_(front::FrontEnvironment{dispatcher, calls_, random_, journal_, settings_, *workers_,
                                     instance_}) {
   journal_.addListener([this](const journal::Event& event) { noteVersion(event); });
-  if (options_.take_slots) {
+  if (options_.acquire_slots) {
     slots_ = makeSlots(dispatcher);
   }
 }
 
-HollowFront::~HollowFront() {
+LightweightFront::~LightweightFront() {
   // The holds give their slots back to the broker.
   held_.clear();
 }
 
-std::unique_ptr<admission::SlotBroker> HollowFront::makeSlots(base::Dispatcher& dispatcher) {
+std::unique_ptr<admission::SlotBroker> LightweightFront::makeSlots(base::Dispatcher& dispatcher) {
   return std::make_unique<admission::LedgerSlotBroker>(
       dispatcher, calls_, instance_,
       [this] {
@@ -74,7 +74,7 @@
       admission::SlotBrokerOptions{});
 }
 
-void HollowFront::takeSlot() {
+void LightweightFront::acquireSlot() {
   const auto& tenants = node_.replica().view()->tenants;
   if (tenants.empty()) {
     return;
@@ -91,7 +91,7 @@
   });
 }
 
-void HollowFront::noteVersion(const journal::Event& event) {
+void LightweightFront::noteVersion(const journal::Event& event) {
   const bool applied = event.subject == journal::Subject::Configuration && event.key == "version";
   if (applied) {
     const std::uint64_t before = std::exchange(version_, event.version);
@@ -99,7 +99,7 @@
   }
 }
 
-void HollowFront::completeOpen() {
+void LightweightFront::completeOpen() {
   for (const std::uint64_t ticket : std::exchange(open_tickets_, {})) {
     routing::Completion completion;
     completion.ticket = ticket;
@@ -111,7 +111,7 @@
   }
 }
 
-void HollowFront::placePrompts(std::size_t count) {
+void LightweightFront::placePrompts(std::size_t count) {
   completeOpen();
   held_.clear();
   const dissemination::ViewPtr& view = node_.replica().view();
@@ -120,8 +120,8 @@
       continue;
     }
     for (std::size_t index = 0; index < count; ++index) {
-      if (options_.take_slots) {
-        takeSlot();
+      if (options_.acquire_slots) {
+        acquireSlot();
       }
       routing::Prompt prompt;
       prompt.model = route.models[random_.below(route.models.size())];
@@ -135,4 +135,4 @@
   }
 }
 
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/source/version_tally.cc
+++ b/libraries/lightweight_fronts/source/version_tally.cc
@@ -1,6 +1,6 @@
-#include "switchsaddle/hollow/version_tally.h"
+#include "switchsaddle/lightweight_fronts/version_tally.h"
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 
 void VersionTally::applied(std::uint64_t before, std::uint64_t after, base::TimePoint now) {
   ++applications_;
@@ -11,4 +11,4 @@
   }
 }
 
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/test/hollow_fleet.h
+++ b/libraries/lightweight_fronts/test/lightweight_fleet.h
@@ -5,17 +5,17 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/hollow/counting_transport.h"
-#include "switchsaddle/hollow/hollow_front.h"
-#include "switchsaddle/hollow/version_tally.h"
+#include "switchsaddle/lightweight_fronts/counting_transport.h"
+#include "switchsaddle/lightweight_fronts/lightweight_front.h"
+#include "switchsaddle/lightweight_fronts/version_tally.h"
 #include "switchsaddle/scenarios/fleet.h"
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 
-/** Simulated cores with hollow fronts before them, whose messages are weighed. */
-class HollowFleet {
+/** Simulated cores with lightweight fronts before them, whose messages are weighed. */
+class LightweightFleet {
  public:
-  HollowFleet(std::uint64_t seed, std::size_t count)
+  LightweightFleet(std::uint64_t seed, std::size_t count)
       : fleet(seed, {.cores = 5, .fronts = 0, .operators = 1}) {
     for (std::size_t index = 0; index < count; ++index) {
       addFront(index);
@@ -38,7 +38,7 @@
   std::vector<std::unique_ptr<simulation::Process>> processes;
   std::vector<std::unique_ptr<transport::Transport>> endpoints;
   std::vector<std::unique_ptr<CountingTransport>> transports;
-  std::vector<std::unique_ptr<HollowFront>> fronts;
+  std::vector<std::unique_ptr<LightweightFront>> fronts;
 
  private:
   void addFront(std::size_t index) {
@@ -51,7 +51,7 @@
     endpoints.push_back(fleet.network.attach(settings.peer_address, process));
     transports.push_back(
         std::make_unique<CountingTransport>(*endpoints.back(), sent, received, true));
-    fronts.push_back(std::make_unique<HollowFront>(
+    fronts.push_back(std::make_unique<LightweightFront>(
         process, *transports.back(), fleet.world.random().next(), settings,
         [this, &process](std::uint64_t before, std::uint64_t after) {
           tally.applied(before, after, process.now());
@@ -60,4 +60,4 @@
   }
 };
 
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/test/traffic_test.cc
+++ b/libraries/lightweight_fronts/test/traffic_test.cc
@@ -1,23 +1,23 @@
 #include <gtest/gtest.h>
 
-#include "hollow_fleet.h"
+#include "lightweight_fleet.h"
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 namespace {
 
 using std::chrono::seconds;
 
 /** Bytes that each front receives in a quiet second, of one kind of message or of all. */
 double quietBytes(std::size_t fronts, const wire::Message* kind) {
-  HollowFleet hollow(7, fronts);
-  EXPECT_TRUE(hollow.runUntilAllServe(0, seconds(12)));
-  hollow.fleet.world.runFor(seconds(5));
-  hollow.received = {};
-  hollow.fleet.world.runFor(seconds(10));
+  LightweightFleet fleet(7, fronts);
+  EXPECT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
+  fleet.fleet.world.runFor(seconds(5));
+  fleet.received = {};
+  fleet.fleet.world.runFor(seconds(10));
   double bytes = 0;
-  for (std::size_t index = 0; index < hollow.received.size(); ++index) {
+  for (std::size_t index = 0; index < fleet.received.size(); ++index) {
     if (kind == nullptr || index == kind->index()) {
-      bytes += static_cast<double>(hollow.received.at(index).bytes);
+      bytes += static_cast<double>(fleet.received.at(index).bytes);
     }
   }
   return bytes / 10 / static_cast<double>(fronts);
@@ -36,4 +36,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/hollow/test/version_tally_test.cc
+++ b/libraries/lightweight_fronts/test/version_tally_test.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/hollow/version_tally.h"
+#include "switchsaddle/lightweight_fronts/version_tally.h"
 
 #include <gtest/gtest.h>
 
-namespace switchsaddle::hollow {
+namespace switchsaddle::lightweight_fronts {
 namespace {
 
 base::TimePoint at(int milliseconds) {
@@ -29,4 +29,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::hollow
+}  // namespace switchsaddle::lightweight_fronts
--- a/libraries/metrics/include/switchsaddle/metrics/strand_watch.h
+++ b/libraries/metrics/include/switchsaddle/metrics/strand_watch.h
@@ -21,7 +21,7 @@
   const Histogram& lateness() const { return lateness_; }
 
  private:
-  void look();
+  void poll();
 
   base::Dispatcher& dispatcher_;
   base::IncidentSink& incidents_;
--- a/libraries/metrics/source/strand_watch.cc
+++ b/libraries/metrics/source/strand_watch.cc
@@ -7,22 +7,22 @@
 
 namespace {
 
-constexpr base::Duration LookInterval = std::chrono::milliseconds(250);
+constexpr base::Duration PollInterval = std::chrono::milliseconds(250);
 
 }  // namespace
 
 StrandWatch::StrandWatch(base::Dispatcher& dispatcher, base::IncidentSink& incidents)
     : dispatcher_(dispatcher),
       incidents_(incidents),
-      timer_(dispatcher.createTimer([this] { look(); })),
+      timer_(dispatcher.createTimer([this] { poll(); })),
       lateness_(roundTripBounds()) {}
 
 void StrandWatch::start() {
-  due_ = dispatcher_.now() + LookInterval;
-  timer_->enable(LookInterval);
+  due_ = dispatcher_.now() + PollInterval;
+  timer_->enable(PollInterval);
 }
 
-void StrandWatch::look() {
+void StrandWatch::poll() {
   const base::TimePoint now = dispatcher_.now();
   const base::Duration late = std::max(base::Duration::zero(), now - due_);
   lateness_.observe(late);
--- a/libraries/node_options/source/node_options.cc
+++ b/libraries/node_options/source/node_options.cc
@@ -7,7 +7,7 @@
   result.front_limit = times.session_front_limit;
   result.core_limit = times.session_core_limit;
   result.renewal = times.session_renewal;
-  result.core_silence = times.core_silence;
+  result.core_timeout = times.core_timeout;
   result.read_deadline = times.register_deadline;
   result.core_refused_grace = times.core_refused_grace;
   return result;
--- a/libraries/operator_client/include/switchsaddle/operator_client/operator_client.h
+++ b/libraries/operator_client/include/switchsaddle/operator_client/operator_client.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "switchsaddle/command_line/exit_code.h"
-#include "switchsaddle/configuration/beliefs.h"
+#include "switchsaddle/configuration/state_report.h"
 #include "switchsaddle/operator_client/control_endpoint.h"
 
 namespace switchsaddle::operator_client {
@@ -73,7 +73,7 @@
   ExitCode endOrder(const std::string& target, const std::string& change_id);
   std::optional<std::uint64_t> findBaseVersion(const ChangeOptions& options);
   std::optional<std::uint64_t> baseFromHistory(const std::string& change_id);
-  std::optional<configuration::BeliefReport> fetchBeliefs(const base::NodeAddress& address);
+  std::optional<configuration::StateReport> fetchState(const base::NodeAddress& address);
   ExitCode report(const ControlOutcome& outcome, const std::string& resend_hint);
   ExitCode reportFailure(const ControlOutcome& outcome, const std::string& resend_hint);
 
--- a/libraries/operator_client/source/operator_client.cc
+++ b/libraries/operator_client/source/operator_client.cc
@@ -312,7 +312,7 @@
   return endOrder("/v1/keys/" + escapeForUrl(id), change_id);
 }
 
-std::optional<configuration::BeliefReport> OperatorClient::fetchBeliefs(
+std::optional<configuration::StateReport> OperatorClient::fetchState(
     const base::NodeAddress& address) {
   const ControlOutcome outcome = endpoint_.callAt(address, {"GET", "/v1/beliefs", ""});
   if (outcome.status != StatusOk) {
@@ -320,8 +320,8 @@
     return std::nullopt;
   }
   std::vector<Fault> faults;
-  std::optional<configuration::BeliefReport> report =
-      configuration::parseBeliefs(outcome.body, faults);
+  std::optional<configuration::StateReport> report =
+      configuration::parseStateReport(outcome.body, faults);
   if (!report) {
     errors_ << address.toString() << " sent no report of beliefs\n";
     writeFaults(faults, errors_);
@@ -330,12 +330,12 @@
 }
 
 ExitCode OperatorClient::compare(const base::NodeAddress& first, const base::NodeAddress& second) {
-  const auto first_report = fetchBeliefs(first);
-  const auto second_report = fetchBeliefs(second);
+  const auto first_report = fetchState(first);
+  const auto second_report = fetchState(second);
   if (!first_report || !second_report) {
     return ExitCode::Unknown;
   }
-  const auto differences = configuration::compareBeliefs(*first_report, *second_report);
+  const auto differences = configuration::compareStates(*first_report, *second_report);
   if (json_) {
     out_ << configuration::renderDifferencesJson(*first_report, *second_report, differences)
          << "\n";
--- a/libraries/operator_client/test/operator_client_test.cc
+++ b/libraries/operator_client/test/operator_client_test.cc
@@ -36,7 +36,7 @@
   void answer(std::uint16_t status, const std::string& body = "{}") {
     script.push_back({status, {}, body});
   }
-  void beSilent() { answer(0); }
+  void beUnresponsive() { answer(0); }
 
   std::deque<http::Response> script;
   std::vector<SentRequest> sent;
@@ -55,7 +55,7 @@
 constexpr const char* RetrySafe = R"({"error": {"code": 7001, "retry_safe": true}})";
 
 TEST_F(OperatorClientTest, AResendGoesToTheNextAddressByteForByte) {
-  transport_.beSilent();
+  transport_.beUnresponsive();
   transport_.answer(503, RetrySafe);
   transport_.answer(202, R"({"version": 5})");
   transport_.answer(200, R"({"version": 5, "acknowledged": true})");
--- a/libraries/registers/include/switchsaddle/registers/acceptor_set_change.h
+++ b/libraries/registers/include/switchsaddle/registers/acceptor_set_change.h
@@ -10,7 +10,7 @@
 
 namespace switchsaddle::registers {
 
-class RegisterCopy;
+class RegisterTransfer;
 struct SetInstallResult;
 
 /** Bounds of a change of the acceptor set. */
@@ -21,7 +21,7 @@
   base::Duration idle_limit = std::chrono::seconds(4);
   std::uint32_t page_limit = 200;
   /** Leaves out the copy of the registers. For tests only: it loses committed values. */
-  bool test_skip_copy = false;
+  bool test_skip_transfer = false;
 };
 
 /**
@@ -74,7 +74,7 @@
   void onChosen(const RegisterOutcome& outcome, std::uint64_t base_epoch);
   void installJoint();
   void onJointInstalled(const SetInstallResult& result);
-  void copyNext();
+  void transferNext();
   void onCopied(bool complete);
   void proposeFinal(const std::vector<wire::AcceptorMember>& members);
   void installFinal(const wire::AcceptorSet& final_set);
@@ -97,8 +97,8 @@
   /** The joint set being worked on; the final set is installed at majorities of both its lists. */
   wire::AcceptorSet joint_;
   /** New members that have yet to be given the registers. */
-  std::vector<wire::AcceptorMember> to_copy_;
-  std::shared_ptr<RegisterCopy> copy_;
+  std::vector<wire::AcceptorMember> to_transfer_;
+  std::shared_ptr<RegisterTransfer> transfer_;
   /** Expires with this object, so that callbacks do not outlive it. */
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/libraries/registers/source/acceptor_expiry.cc
+++ b/libraries/registers/source/acceptor_expiry.cc
@@ -13,7 +13,7 @@
 
 /** A pass over all registers takes about so many looks; each look is at this many at least. */
 constexpr std::size_t LooksForAPass = 600;
-constexpr std::size_t FewestPerLook = 200;
+constexpr std::size_t MinimumPerScan = 200;
 /** The time that the acceptor has run is stored at least so often, in seconds. */
 constexpr std::uint64_t LivedStoredEvery = 600;
 
@@ -65,7 +65,7 @@
   if (!mayVote()) {
     return;
   }
-  const std::size_t most = std::max(FewestPerLook, registers_.size() / LooksForAPass);
+  const std::size_t most = std::max(MinimumPerScan, registers_.size() / LooksForAPass);
   std::vector<storage::Record> records;
   auto position = registers_.upper_bound(expiry_cursor_);
   for (std::size_t seen = 0; seen < most && position != registers_.end(); ++seen) {
--- a/libraries/registers/source/acceptor_set_change.cc
+++ b/libraries/registers/source/acceptor_set_change.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "register_copy.h"
 #include "register_state.h"
+#include "register_transfer.h"
 #include "set_install_round.h"
 #include "switchsaddle/base/error.h"
 
@@ -51,8 +51,8 @@
       retry_timer_(dispatcher.createTimer([this] { learn(); })) {}
 
 AcceptorSetChange::~AcceptorSetChange() {
-  if (copy_) {
-    copy_->cancel();
+  if (transfer_) {
+    transfer_->cancel();
   }
 }
 
@@ -205,11 +205,11 @@
     evaluate();
     return;
   }
-  to_copy_.clear();
+  to_transfer_.clear();
   bool joined = true;
   for (const wire::AcceptorMember& member : joint_.members) {
     if (!contains(joint_.previous, member)) {
-      to_copy_.push_back(member);
+      to_transfer_.push_back(member);
       joined = joined && result.synced.contains(member.instance);
     }
   }
@@ -218,18 +218,18 @@
     return;
   }
   progress();
-  copyNext();
+  transferNext();
 }
 
-void AcceptorSetChange::copyNext() {
-  if (to_copy_.empty() || options_.test_skip_copy) {
+void AcceptorSetChange::transferNext() {
+  if (to_transfer_.empty() || options_.test_skip_transfer) {
     proposeFinal(joint_.members);
     return;
   }
-  copy_ = std::make_shared<RegisterCopy>(
-      calls_, proposer_, joint_, to_copy_.back(),
-      RegisterCopyOptions{options_.call_timeout, options_.page_limit});
-  copy_->start([this] { progress(); }, [this](bool complete) { onCopied(complete); });
+  transfer_ = std::make_shared<RegisterTransfer>(
+      calls_, proposer_, joint_, to_transfer_.back(),
+      RegisterTransferOptions{options_.call_timeout, options_.page_limit});
+  transfer_->start([this] { progress(); }, [this](bool complete) { onCopied(complete); });
 }
 
 void AcceptorSetChange::onCopied(bool complete) {
@@ -237,8 +237,8 @@
     retryLater();
     return;
   }
-  to_copy_.pop_back();
-  copyNext();
+  to_transfer_.pop_back();
+  transferNext();
 }
 
 void AcceptorSetChange::proposeFinal(const std::vector<wire::AcceptorMember>& members) {
--- a/libraries/registers/source/register_copy.cc
+++ b/libraries/registers/source/register_transfer.cc
@@ -1,38 +1,38 @@
-#include "register_copy.h"
+#include "register_transfer.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace switchsaddle::registers {
 
-RegisterCopy::RegisterCopy(transport::PeerCalls& calls, QuorumProposer& proposer,
-                           wire::AcceptorSet joint, wire::AcceptorMember target,
-                           RegisterCopyOptions options)
+RegisterTransfer::RegisterTransfer(transport::PeerCalls& calls, QuorumProposer& proposer,
+                                   wire::AcceptorSet joint, wire::AcceptorMember target,
+                                   RegisterTransferOptions options)
     : calls_(calls),
       proposer_(proposer),
       joint_(std::move(joint)),
       target_(std::move(target)),
       options_(options) {}
 
-void RegisterCopy::start(std::function<void()> on_page, DoneCallback on_done) {
+void RegisterTransfer::start(std::function<void()> on_page, DoneCallback on_done) {
   on_page_ = std::move(on_page);
   on_done_ = std::move(on_done);
   requestPage();
 }
 
-void RegisterCopy::cancel() {
+void RegisterTransfer::cancel() {
   on_page_ = nullptr;
   on_done_ = nullptr;
 }
 
-void RegisterCopy::end(bool complete) {
+void RegisterTransfer::end(bool complete) {
   if (on_done_) {
     const DoneCallback callback = std::exchange(on_done_, nullptr);
     callback(complete);
   }
 }
 
-void RegisterCopy::requestPage() {
+void RegisterTransfer::requestPage() {
   wire::AcceptorSet sources;
   sources.members = joint_.previous;
   tally_.emplace(sources);
@@ -51,8 +51,8 @@
   }
 }
 
-void RegisterCopy::onPage(std::uint64_t page, const base::NodeAddress& from,
-                          const transport::CallResult& result) {
+void RegisterTransfer::onPage(std::uint64_t page, const base::NodeAddress& from,
+                              const transport::CallResult& result) {
   if (page != page_ || !on_done_) {
     return;
   }
@@ -72,7 +72,7 @@
   }
 }
 
-void RegisterCopy::mergePage() {
+void RegisterTransfer::mergePage() {
   // Up to the frontier every source has told all its keys.
   std::optional<std::string> frontier;
   for (const wire::RegisterScanReply& reply : replies_) {
@@ -103,7 +103,7 @@
   installPage();
 }
 
-void RegisterCopy::installPage() {
+void RegisterTransfer::installPage() {
   if (entries_.empty() && removed_floor_ == installed_floor_) {
     nextPage();
     return;
@@ -128,7 +128,7 @@
       });
 }
 
-void RegisterCopy::proposeAnew(std::size_t index) {
+void RegisterTransfer::proposeAnew(std::size_t index) {
   if (index == entries_.size()) {
     proposed_anew_ = true;
     installPage();
@@ -148,7 +148,7 @@
                     });
 }
 
-void RegisterCopy::nextPage() {
+void RegisterTransfer::nextPage() {
   if (on_page_) {
     on_page_();
   }
--- a/libraries/registers/source/register_copy.h
+++ b/libraries/registers/source/register_transfer.h
@@ -13,7 +13,7 @@
 namespace switchsaddle::registers {
 
 /** Bounds of a copy. */
-struct RegisterCopyOptions {
+struct RegisterTransferOptions {
   base::Duration call_timeout{};
   std::uint32_t page_limit = 0;
 };
@@ -25,12 +25,12 @@
  * false at the first page that fails; a later copy starts over, and what is already held is not
  * written again.
  */
-class RegisterCopy : public std::enable_shared_from_this<RegisterCopy> {
+class RegisterTransfer : public std::enable_shared_from_this<RegisterTransfer> {
  public:
   using DoneCallback = std::function<void(bool complete)>;
 
-  RegisterCopy(transport::PeerCalls& calls, QuorumProposer& proposer, wire::AcceptorSet joint,
-               wire::AcceptorMember target, RegisterCopyOptions options);
+  RegisterTransfer(transport::PeerCalls& calls, QuorumProposer& proposer, wire::AcceptorSet joint,
+                   wire::AcceptorMember target, RegisterTransferOptions options);
   /** `on_page` is called after each page copied. */
   void start(std::function<void()> on_page, DoneCallback on_done);
   /** No callback runs afterwards. */
@@ -50,7 +50,7 @@
   QuorumProposer& proposer_;
   wire::AcceptorSet joint_;
   wire::AcceptorMember target_;
-  RegisterCopyOptions options_;
+  RegisterTransferOptions options_;
   std::function<void()> on_page_;
   DoneCallback on_done_;
   std::string cursor_;
--- a/libraries/registers/test/acceptor_set_change_test.cc
+++ b/libraries/registers/test/acceptor_set_change_test.cc
@@ -31,9 +31,9 @@
 }
 
 /** Replaces all five members one by one; how many keys the new members still know. */
-std::size_t keysAfterReplacingAll(bool skip_copy) {
+std::size_t keysAfterReplacingAll(bool skip_transfer) {
   TestOptions options;
-  options.change.test_skip_copy = skip_copy;
+  options.change.test_skip_transfer = skip_transfer;
   options.scrubber.page_interval = std::chrono::hours(1);
   options.proposer.operation_deadline = seconds(20);
   TestCluster cluster(11, 5, options);
--- a/libraries/routing/include/switchsaddle/routing/arm.h
+++ b/libraries/routing/include/switchsaddle/routing/arm.h
@@ -6,10 +6,10 @@
 #include <optional>
 #include <string>
 
-#include "switchsaddle/routing/cold_guard.h"
 #include "switchsaddle/routing/prefill_queue.h"
 #include "switchsaddle/routing/prefix_index.h"
 #include "switchsaddle/routing/route_statistics.h"
+#include "switchsaddle/routing/slow_start_limiter.h"
 #include "switchsaddle/workers/worker_directory.h"
 
 namespace switchsaddle::routing {
@@ -20,9 +20,9 @@
   workers::Worker worker;
   WorkerNumber number = NoWorker;
   std::uint64_t hash = 0;
-  ColdState cold;
+  SlowStartState cold;
   /** Last Worker-Load: running plus queued, less this front's own part at that moment. */
-  std::uint32_t others_load = 0;
+  std::uint32_t peer_load = 0;
   std::uint32_t slots = 1;
   /** workers::loadKey() of the instance. */
   std::uint32_t load_key = 0;
--- a/libraries/routing/include/switchsaddle/routing/learned_router.h
+++ b/libraries/routing/include/switchsaddle/routing/learned_router.h
@@ -13,7 +13,7 @@
 #include "switchsaddle/routing/arm_selection.h"
 #include "switchsaddle/routing/chain_rate.h"
 #include "switchsaddle/routing/model_pool.h"
-#include "switchsaddle/routing/others_load.h"
+#include "switchsaddle/routing/peer_load.h"
 #include "switchsaddle/routing/prefix_chains.h"
 #include "switchsaddle/routing/router.h"
 #include "switchsaddle/routing/work_lanes.h"
@@ -24,7 +24,7 @@
 struct RouterOptions {
   bool prefix_affinity = true;
   bool load_estimates = true;
-  bool cold_guard = true;
+  bool slow_start_limiter = true;
   /** Draw on speed apart from prefix hits and lengths, in place of raw end-to-end tokens/s. */
   bool score_hygiene = true;
   /** Keep kinds of work with long prompts and with short ones on different workers. */
@@ -34,7 +34,7 @@
   bool fleet_loads = false;
   /** Chains of shared prefix parts remembered. */
   std::size_t prefix_chains = 1U << 16U;
-  ColdPrior cold_prior;
+  UnmeasuredPrior unmeasured_prior;
 
   /** The source's policy alone, as a baseline. */
   static RouterOptions plain();
@@ -189,11 +189,11 @@
   workers::WorkerSnapshotPtr snapshot_;
   bool first_list_taken_ = false;
   configuration::Tuning tuning_;
-  ColdGuard cold_guard_;
+  SlowStartLimiter slow_start_limiter_;
   PrefixIndex prefix_index_;
   ChainRate chain_rate_;
   WorkLanes lanes_;
-  OthersLoad others_;
+  PeerLoad peer_load_;
   std::size_t fronts_ = 1;
   std::map<std::string, WorkerRecordPtr> workers_;
   WorkerNumber next_number_ = 0;
--- a/libraries/routing/include/switchsaddle/routing/model_pool.h
+++ b/libraries/routing/include/switchsaddle/routing/model_pool.h
@@ -33,7 +33,7 @@
 };
 
 /** Time limits and guesses for arms never measured; ours, not the source's. */
-struct ColdPrior {
+struct UnmeasuredPrior {
   double seconds_per_prefill_token = 0.000'2;
   double seconds_per_output_token = 0.02;
   double base_seconds = 0.005;
@@ -43,15 +43,15 @@
  * Estimated time to the first token of a prompt on an arm, in seconds. `pool_rate` goes before the
  * arm's own prefill rate where it is above zero: what an arm measured is mostly the load it had
  * then, and if all fronts sent their long prompts to the arm that looked fastest it would be the
- * slowest. An arm SickRatio times as slow as its pool is judged by its own rate all the same.
+ * slowest. An arm UnhealthyRatio times as slow as its pool is judged by its own rate all the same.
  */
 double estimateFirstToken(const Arm& arm, std::uint32_t uncached_tokens,
-                          std::uint32_t output_tokens, const ColdPrior& prior, base::TimePoint now,
-                          double pool_rate = 0);
-inline constexpr double SickRatio = 2.5;
+                          std::uint32_t output_tokens, const UnmeasuredPrior& prior,
+                          base::TimePoint now, double pool_rate = 0);
+inline constexpr double UnhealthyRatio = 2.5;
 
 /** Seconds in which the arm reads a prompt token; `pool_rate` as above. */
-double prefillRate(const Arm& arm, const ColdPrior& prior, double pool_rate);
+double prefillRate(const Arm& arm, const UnmeasuredPrior& prior, double pool_rate);
 
 /** Requests believed to be on the worker now, this front's own included. */
 std::uint32_t believedLoad(const WorkerRecord& record, base::TimePoint now);
--- a/libraries/routing/include/switchsaddle/routing/others_load.h
+++ b/libraries/routing/include/switchsaddle/routing/peer_load.h
@@ -13,7 +13,7 @@
  * read then are taken to have been read on since. A view that is not told anew in time says nothing
  * any more: the front then goes by its own load alone. Runs on the control strand.
  */
-class OthersLoad {
+class PeerLoad {
  public:
   /** How long a view is used. */
   static constexpr base::Duration Lifetime = std::chrono::seconds(2);
@@ -27,14 +27,14 @@
   void set(const wire::FleetLoad& load, base::TimePoint now);
   /** Of the worker with this workers::loadKey(); of one that was not told of, the mean of these. */
   Load of(std::uint32_t worker, base::TimePoint now) const;
-  bool known(base::TimePoint now) const { return told_ && now - told_at_ < Lifetime; }
+  bool known(base::TimePoint now) const { return reported_ && now - reported_at_ < Lifetime; }
 
  private:
   std::unordered_map<std::uint32_t, wire::WorkerLoad> loads_;
   double rest_requests_ = 0;
   double rest_prefill_ms_ = 0;
-  base::TimePoint told_at_{};
-  bool told_ = false;
+  base::TimePoint reported_at_{};
+  bool reported_ = false;
 };
 
 }  // namespace switchsaddle::routing
--- a/libraries/routing/include/switchsaddle/routing/prefill_queue.h
+++ b/libraries/routing/include/switchsaddle/routing/prefill_queue.h
@@ -28,11 +28,11 @@
   /** Seconds of reading left. */
   double left(base::TimePoint now) const {
     const double elapsed_s = std::chrono::duration<double>(now - drained_at_).count();
-    return std::max(left_s_ - elapsed_s, unanswered_s_ * LeastPartLeft);
+    return std::max(left_s_ - elapsed_s, unanswered_s_ * MinimumRemainingShare);
   }
 
  private:
-  static constexpr double LeastPartLeft = 0.25;
+  static constexpr double MinimumRemainingShare = 0.25;
 
   void drain(base::TimePoint now) {
     left_s_ = left(now);
--- a/libraries/routing/include/switchsaddle/routing/router.h
+++ b/libraries/routing/include/switchsaddle/routing/router.h
@@ -14,7 +14,7 @@
 namespace switchsaddle::routing {
 
 /** One shared prefix part of a prompt, in order. */
-struct PrefixPart {
+struct PrefixSegment {
   std::string id;
   std::uint32_t tokens = 0;
 };
@@ -22,7 +22,7 @@
 /** What routing needs of a prompt. */
 struct Prompt {
   std::string model;
-  std::vector<PrefixPart> prefix_parts;
+  std::vector<PrefixSegment> prefix_segments;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t maximum_tokens = 0;
   /** Prompts of one kind of work, such as one route's, have the same; zero: not known. */
@@ -33,7 +33,7 @@
   base::Duration event_gap_goal{};
   /** The last part is this prompt's own: no other has it, so that none can have left it anywhere.
    */
-  bool last_part_own = false;
+  bool last_segment_private = false;
 };
 
 /** How a placement was chosen; ADR-0021's modes. */
--- a/libraries/routing/include/switchsaddle/routing/work_lanes.h
+++ b/libraries/routing/include/switchsaddle/routing/work_lanes.h
@@ -30,8 +30,8 @@
   /** Means closer than this share their workers. */
   static constexpr double LeastRatio = 2.5;
   /** Bounds of the long lane's part of the workers. */
-  static constexpr double LeastPart = 0.25;
-  static constexpr double LargestPart = 0.7;
+  static constexpr double MinimumLongShare = 0.25;
+  static constexpr double MaximumLongShare = 0.7;
   /** Fewer workers are not divided. */
   static constexpr std::size_t FewestWorkers = 4;
   /** Fewer prompts of a kind say nothing of its length. */
@@ -41,15 +41,15 @@
   /** How long the cores' word holds. */
   static constexpr base::Duration FleetLifetime = std::chrono::seconds(5);
   /** Parts of the workers are multiples of this, so that fronts agree on them. */
-  static constexpr double PartStep = 0.05;
+  static constexpr double ShareStep = 0.05;
 
   void add(std::uint64_t kind, std::uint32_t prompt_tokens, base::TimePoint now);
   /** Of a prompt that add() has counted, so many tokens are to be read. */
   void addRead(std::uint64_t kind, std::uint32_t tokens);
   /** The work that this front got. */
-  std::vector<wire::KindWork> kinds() const;
+  std::vector<wire::WorkKindCounts> kinds() const;
   /** The work that all fronts got. */
-  void setFleet(const std::vector<wire::KindWork>& kinds, base::TimePoint now);
+  void setFleet(const std::vector<wire::WorkKindCounts>& kinds, base::TimePoint now);
   /** Whether the kinds known are parted into two lanes. */
   bool divided() const { return divided_; }
   /** Mean prompt tokens of a kind; zero where it is not known. */
@@ -74,7 +74,7 @@
   /** Tokens that workers read for the kind. */
   static double workOf(const Kind& kind);
   /** Gives the long kinds a part of the workers like `wanted`. */
-  void movePart(double wanted);
+  void adjustLongShare(double wanted);
 
   /** This front's own work. */
   Kinds kinds_;
@@ -88,7 +88,7 @@
   /** Mean length from which on a kind is long. */
   double long_from_ = 0;
   /** Part of the workers for the long kinds; kept while the work asks for nearly the same. */
-  double long_part_ = 0;
+  double long_share_ = 0;
 };
 
 }  // namespace switchsaddle::routing
--- a/libraries/routing/source/candidates.cc
+++ b/libraries/routing/source/candidates.cc
@@ -129,7 +129,7 @@
                                   const PrefixChains& chains) {
   std::uint32_t cached_tokens = 0;
   for (std::size_t depth = 1; depth <= chains.depth(); ++depth) {
-    cached_tokens += prompt.prefix_parts[depth - 1].tokens;
+    cached_tokens += prompt.prefix_segments[depth - 1].tokens;
   }
   for (std::size_t depth = chains.depth(); depth > 0; --depth) {
     for (const WorkerNumber owner : prefix_index_.find(chains.at(depth))) {
@@ -137,7 +137,7 @@
         consider(*arm, cached_tokens);
       }
     }
-    cached_tokens -= prompt.prefix_parts[depth - 1].tokens;
+    cached_tokens -= prompt.prefix_segments[depth - 1].tokens;
   }
 }
 
@@ -148,7 +148,8 @@
     return 0;
   }
   const double measured_s = home.front()->statistics.mean().seconds_per_output_token;
-  const double token_s = measured_s > 0 ? measured_s : options_.cold_prior.seconds_per_output_token;
+  const double token_s =
+      measured_s > 0 ? measured_s : options_.unmeasured_prior.seconds_per_output_token;
   // Where loads are known, what a home cannot take goes on to the next; elsewhere it must not be
   // overrun, so that a chain gets further homes sooner.
   const base::TimePoint now = dispatcher_.now();
@@ -157,7 +158,7 @@
   const double streams_per_s = own_per_s * static_cast<double>(fronts_);
   const double busy_slots = streams_per_s * token_s * prompt.maximum_tokens;
   const double own_tokens =
-      prompt.last_part_own ? static_cast<double>(prompt.prefix_parts.back().tokens) : 0;
+      prompt.last_segment_private ? static_cast<double>(prompt.prefix_segments.back().tokens) : 0;
   const double prefill_share = streams_per_s * own_tokens * pool.seconds_per_prefill_token;
   const double homes =
       std::ceil(std::max(busy_slots / (HomeSlotShare * home.front()->prefill->slots),
@@ -281,7 +282,7 @@
     const std::uint32_t cached = std::min(candidate.cached_tokens, prompt.prompt_tokens);
     candidate.first_token_s =
         estimateFirstToken(*candidate.arm, prompt.prompt_tokens - cached, prompt.maximum_tokens,
-                           options_.cold_prior, now, pool.seconds_per_prefill_token);
+                           options_.unmeasured_prior, now, pool.seconds_per_prefill_token);
   }
   std::stable_sort(candidates_.begin(), candidates_.end(),
                    [](const Candidate& first, const Candidate& second) {
@@ -317,19 +318,19 @@
 }
 
 bool LearnedRouter::mayScout(const Arm& arm) const {
-  if (!options_.cold_guard) {
+  if (!options_.slow_start_limiter) {
     return true;
   }
   const base::TimePoint now = dispatcher_.now();
   const auto allows = [this, now](const WorkerRecord& worker) {
-    return cold_guard_.mayPlace(worker.cold, worker.slots, now);
+    return slow_start_limiter_.mayPlace(worker.cold, worker.slots, now);
   };
   return allows(*arm.prefill) && (!arm.decode || allows(*arm.decode));
 }
 
 bool LearnedRouter::scoutDue(const Arm& arm) const {
   const base::Duration interval = ScoutSpacing * static_cast<std::int64_t>(fronts_);
-  const bool spaced = options_.cold_guard && fronts_ > 1 && arm.scouted;
+  const bool spaced = options_.slow_start_limiter && fronts_ > 1 && arm.scouted;
   return !spaced || dispatcher_.now() - arm.scouted_at >= interval;
 }
 
--- a/libraries/routing/source/expected_work.cc
+++ b/libraries/routing/source/expected_work.cc
@@ -27,25 +27,26 @@
 
 double LearnedRouter::queueSeconds(const Arm& arm, base::TimePoint now) const {
   const WorkerRecord& worker = *arm.prefill;
-  return worker.prefill.left(now) + others_.of(worker.load_key, now).prefill_s;
+  return worker.prefill.left(now) + peer_load_.of(worker.load_key, now).prefill_s;
 }
 
 double LearnedRouter::prefillSeconds(const ModelPool& pool, const Arm& arm,
                                      std::uint32_t tokens) const {
   const double own = arm.statistics.mean().seconds_per_prefill_token;
   const double mean = pool.seconds_per_prefill_token;
-  const bool slow = mean > 0 && own > mean * SickRatio;
+  const bool slow = mean > 0 && own > mean * UnhealthyRatio;
   return tokens * pool.first_token.secondsPerToken() * (slow ? own / mean : 1.0);
 }
 
 double LearnedRouter::slotWaitSeconds(const Arm& arm, const Prompt& prompt,
                                       base::TimePoint now) const {
   const WorkerRecord& worker = *arm.prefill;
-  const double under_way = worker.cold.in_flight + others_.of(worker.load_key, now).requests;
+  const double under_way = worker.cold.in_flight + peer_load_.of(worker.load_key, now).requests;
   const double slots = std::max(1U, worker.slots);
   const double waiting = std::max(0.0, under_way + 1 - slots);
   const double measured = arm.statistics.mean().seconds_per_output_token;
-  const double token_s = measured > 0 ? measured : options_.cold_prior.seconds_per_output_token;
+  const double token_s =
+      measured > 0 ? measured : options_.unmeasured_prior.seconds_per_output_token;
   return waiting / slots * token_s * prompt.maximum_tokens;
 }
 
@@ -66,7 +67,7 @@
   expected.first_token_s = candidate.first_token_s;
   expected.backlog_s = backlog_s;
   expected.queue_s = queue_s;
-  expected.streams = worker.cold.in_flight + others_.of(worker.load_key, now).requests;
+  expected.streams = worker.cold.in_flight + peer_load_.of(worker.load_key, now).requests;
   expected.gap_goal_s = seconds(prompt.event_gap_goal);
   expected.goal_s = seconds(prompt.first_token_goal);
   expected.size = mean_tokens > 0 ? prompt.prompt_tokens / mean_tokens : 1;
@@ -138,7 +139,7 @@
 }
 
 void LearnedRouter::importLoads(const wire::FleetLoad& loads) {
-  others_.set(loads, dispatcher_.now());
+  peer_load_.set(loads, dispatcher_.now());
   if (loads.known) {
     lanes_.setFleet(loads.kinds, dispatcher_.now());
   }
--- a/libraries/routing/source/first_token_model.cc
+++ b/libraries/routing/source/first_token_model.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /** What one answer keeps of those before it: some fifty are in force. */
-constexpr double KeptPart = 0.98;
+constexpr double RetainedShare = 0.98;
 /** Guesses that stand for a first answer, until there are some: a short prompt and a long one. */
 constexpr double GuessWeight = 0.2;
 constexpr double GuessedBase = 0.02;
@@ -32,11 +32,11 @@
 
 void FirstTokenModel::add(double tokens, double seconds) {
   const double most = expect(tokens) * MostTimesExpected + MostBeyond;
-  weight_ *= KeptPart;
-  tokens_ *= KeptPart;
-  seconds_ *= KeptPart;
-  tokens_squared_ *= KeptPart;
-  products_ *= KeptPart;
+  weight_ *= RetainedShare;
+  tokens_ *= RetainedShare;
+  seconds_ *= RetainedShare;
+  tokens_squared_ *= RetainedShare;
+  products_ *= RetainedShare;
   count(tokens, std::clamp(seconds, 0.0, most), 1.0);
   fit();
 }
--- a/libraries/routing/source/learned_router.cc
+++ b/libraries/routing/source/learned_router.cc
@@ -42,7 +42,7 @@
   RouterOptions options;
   options.prefix_affinity = false;
   options.load_estimates = false;
-  options.cold_guard = false;
+  options.slow_start_limiter = false;
   options.score_hygiene = false;
   return options;
 }
@@ -105,8 +105,8 @@
   placement.cached_tokens = std::min(chosen.cached_tokens, prompt.prompt_tokens);
   const std::uint32_t uncached_tokens = prompt.prompt_tokens - placement.cached_tokens;
   placement.prefill_estimate =
-      fromSeconds(uncached_tokens *
-                  prefillRate(*chosen.arm, options_.cold_prior, pool->seconds_per_prefill_token));
+      fromSeconds(uncached_tokens * prefillRate(*chosen.arm, options_.unmeasured_prior,
+                                                pool->seconds_per_prefill_token));
   placement.ticket = next_ticket_++;
   notePlacement(*chosen.arm->prefill);
   if (selection.mode == Mode::Scout) {
@@ -181,7 +181,7 @@
   }
   const std::uint32_t reported = completion.running + completion.queued;
   const std::uint32_t own = worker.cold.in_flight + 1;
-  worker.others_load = reported > own ? reported - own : 0;
+  worker.peer_load = reported > own ? reported - own : 0;
   worker.load_at = dispatcher_.now();
   if (completion.slots > 0) {
     worker.slots = completion.slots;
@@ -219,7 +219,8 @@
       row.mass = statistics.mass(now, tuning_.route_stats_half_life_s);
       row.status = armStatusName(status);
       row.epoch = pool.epoch;
-      row.first_token_estimate_ms = estimateFirstToken(*arm, 0, 1, options_.cold_prior, now) * 1e3;
+      row.first_token_estimate_ms =
+          estimateFirstToken(*arm, 0, 1, options_.unmeasured_prior, now) * 1e3;
       row.in_flight = arm->prefill->cold.in_flight;
       row.seconds_per_prefill_token = statistics.mean().seconds_per_prefill_token;
       row.seconds_per_output_token = statistics.mean().seconds_per_output_token;
@@ -248,7 +249,7 @@
     for (const ArmPtr& arm : pool.arms) {
       const RouteStatistics& statistics = arm->statistics;
       if (statistics.measured() && statistics.measuredAt() >= pool.epoch_start) {
-        const bool cold = cold_guard_.isCold(arm->prefill->cold, now);
+        const bool cold = slow_start_limiter_.isWarmingUp(arm->prefill->cold, now);
         fresh.push_back(FreshArm{cold, statistics.measuredAt(), &pool, arm.get()});
       }
     }
--- a/libraries/routing/source/model_pool.cc
+++ b/libraries/routing/source/model_pool.cc
@@ -21,18 +21,18 @@
 
 std::uint32_t believedLoad(const WorkerRecord& record, base::TimePoint now) {
   const bool fresh = now - record.load_at < LoadReportLifetime;
-  return record.cold.in_flight + (fresh ? record.others_load : 0);
+  return record.cold.in_flight + (fresh ? record.peer_load : 0);
 }
 
-double prefillRate(const Arm& arm, const ColdPrior& prior, double pool_rate) {
+double prefillRate(const Arm& arm, const UnmeasuredPrior& prior, double pool_rate) {
   const double own_rate = arm.statistics.mean().seconds_per_prefill_token;
-  const bool pooled = pool_rate > 0 && own_rate < pool_rate * SickRatio;
+  const bool pooled = pool_rate > 0 && own_rate < pool_rate * UnhealthyRatio;
   return pooled ? pool_rate : orPrior(own_rate, prior.seconds_per_prefill_token);
 }
 
 double estimateFirstToken(const Arm& arm, std::uint32_t uncached_tokens,
-                          std::uint32_t output_tokens, const ColdPrior& prior, base::TimePoint now,
-                          double pool_rate) {
+                          std::uint32_t output_tokens, const UnmeasuredPrior& prior,
+                          base::TimePoint now, double pool_rate) {
   const SpeedSample& mean = arm.statistics.mean();
   const double output_rate = orPrior(mean.seconds_per_output_token, prior.seconds_per_output_token);
   const double prefill_s = uncached_tokens * prefillRate(arm, prior, pool_rate);
--- a/libraries/routing/source/others_load.cc
+++ b/libraries/routing/source/peer_load.cc
@@ -1,15 +1,15 @@
-#include "switchsaddle/routing/others_load.h"
+#include "switchsaddle/routing/peer_load.h"
 
 #include <algorithm>
 
 namespace switchsaddle::routing {
 
-void OthersLoad::set(const wire::FleetLoad& load, base::TimePoint now) {
+void PeerLoad::set(const wire::FleetLoad& load, base::TimePoint now) {
   if (!load.known) {
     return;
   }
-  told_ = true;
-  told_at_ = now;
+  reported_ = true;
+  reported_at_ = now;
   rest_requests_ = load.rest_requests;
   rest_prefill_ms_ = load.rest_prefill_ms;
   loads_.clear();
@@ -18,7 +18,7 @@
   }
 }
 
-OthersLoad::Load OthersLoad::of(std::uint32_t worker, base::TimePoint now) const {
+PeerLoad::Load PeerLoad::of(std::uint32_t worker, base::TimePoint now) const {
   if (!known(now)) {
     return {};
   }
@@ -27,7 +27,7 @@
   const bool told = found != loads_.end();
   const double requests = told ? found->second.requests : rest_requests_;
   const double prefill_ms = told ? found->second.prefill_ms : rest_prefill_ms_;
-  const double age_s = std::chrono::duration<double>(now - told_at_).count();
+  const double age_s = std::chrono::duration<double>(now - reported_at_).count();
   return {requests, std::max(0.0, prefill_ms * SecondsPerMs - age_s)};
 }
 
--- a/libraries/routing/source/placement_cost.cc
+++ b/libraries/routing/source/placement_cost.cc
@@ -9,7 +9,7 @@
 /** A late prompt of mean size weighs as much as so many shared tokens read again. */
 constexpr double LateTokens = 4'000;
 /** The part of it that does not grow with the prompt, and the largest size that counts. */
-constexpr double FixedPart = 0.3;
+constexpr double FixedShare = 0.3;
 constexpr double LargestSize = 4;
 constexpr double ConnectionTokens = 100;
 /** A second earlier is worth this much even where both would be in time: it leaves room for what is
@@ -62,7 +62,7 @@
 }  // namespace
 
 double placementCost(const ExpectedPlacement& expected) {
-  const double size = FixedPart + (1 - FixedPart) * std::min(expected.size, LargestSize);
+  const double size = FixedShare + (1 - FixedShare) * std::min(expected.size, LargestSize);
   return lateness(expected.first_token_s, expected.goal_s) * LateTokens * size +
          congestion(expected.backlog_s, expected.goal_s) + stalledBeside(expected) +
          expected.read_again + (expected.connects ? ConnectionTokens : 0) +
--- a/libraries/routing/source/pool_builder.cc
+++ b/libraries/routing/source/pool_builder.cc
@@ -30,7 +30,7 @@
 }
 
 void LearnedRouter::setFronts(const std::vector<base::NodeAddress>& fronts) {
-  cold_guard_.setFronts(self_, fronts);
+  slow_start_limiter_.setFronts(self_, fronts);
   fronts_ = std::max<std::size_t>(1, fronts.size());
 }
 
@@ -49,7 +49,7 @@
       record->cold.present_at_start = !first_list_taken_;
     }
     record->worker = worker;
-    record->cold.listed_cold = worker.entry.cold;
+    record->cold.listed_warming_up = worker.entry.cold;
     record->slots = std::max(1U, worker.entry.slots);
   }
   std::erase_if(workers_,
@@ -65,11 +65,12 @@
   for (const auto& [id, record] : workers_) {
     const configuration::ForwardPool* pool =
         view_->forwarding.findPool(record->worker.entry.service);
-    record->cold.bearable_per_s = pool == nullptr ? 0 : pool->cold_per_s;
+    record->cold.bearable_per_s = pool == nullptr ? 0 : pool->slow_start_per_s;
     const bool evacuated = !view_->allowsWorker(record->worker.entry);
     if (record->evacuated && !evacuated && pool != nullptr) {
       // A worker that was empty may come back cold, which the list tells later.
-      record->cold.cold_until = dispatcher_.now() + std::chrono::milliseconds(pool->cold_ms);
+      record->cold.warming_up_until =
+          dispatcher_.now() + std::chrono::milliseconds(pool->slow_start_ms);
     }
     record->evacuated = evacuated;
   }
--- a/libraries/routing/source/prefix_chains.cc
+++ b/libraries/routing/source/prefix_chains.cc
@@ -7,12 +7,12 @@
 namespace switchsaddle::routing {
 
 PrefixChains::PrefixChains(const Prompt& prompt)
-    : depth_(std::min(prompt.prefix_parts.size(), MaximumDepth)) {
+    : depth_(std::min(prompt.prefix_segments.size(), MaximumDepth)) {
   std::uint64_t chain = base::hashBytes(prompt.model);
   std::uint32_t longest = 0;
-  const std::size_t shared = prompt.last_part_own && depth_ > 0 ? depth_ - 1 : depth_;
+  const std::size_t shared = prompt.last_segment_private && depth_ > 0 ? depth_ - 1 : depth_;
   for (std::size_t index = 0; index < depth_; ++index) {
-    const PrefixPart& part = prompt.prefix_parts[index];
+    const PrefixSegment& part = prompt.prefix_segments[index];
     chain = base::combineHashes(chain, base::hashBytes(part.id));
     hashes_[index] = chain;
     tokens_ += part.tokens;
--- a/libraries/routing/source/cold_guard.cc
+++ b/libraries/routing/source/slow_start_limiter.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/routing/cold_guard.h"
+#include "switchsaddle/routing/slow_start_limiter.h"
 
 #include <algorithm>
 
@@ -6,8 +6,8 @@
 
 namespace switchsaddle::routing {
 
-void ColdGuard::setFronts(const base::NodeAddress& self,
-                          const std::vector<base::NodeAddress>& fronts) {
+void SlowStartLimiter::setFronts(const base::NodeAddress& self,
+                                 const std::vector<base::NodeAddress>& fronts) {
   self_hash_ = base::hashBytes(self.toString());
   other_hashes_.clear();
   for (const base::NodeAddress& front : fronts) {
@@ -17,19 +17,20 @@
   }
 }
 
-bool ColdGuard::isCold(const ColdState& state, base::TimePoint now) const {
+bool SlowStartLimiter::isWarmingUp(const SlowStartState& state, base::TimePoint now) const {
   if (state.bearable_per_s > 0) {
-    return state.listed_cold || now < state.cold_until;
+    return state.listed_warming_up || now < state.warming_up_until;
   }
   const base::Duration age = now - state.first_seen;
-  if (state.present_at_start || age >= LongestGuard) {
+  if (state.present_at_start || age >= MaximumSlowStart) {
     return false;
   }
-  return age < ShortestGuard || state.samples < WarmSamples;
+  return age < MinimumSlowStart || state.samples < WarmSamples;
 }
 
-bool ColdGuard::mayPlace(const ColdState& state, std::uint32_t slots, base::TimePoint now) const {
-  if (!isCold(state, now)) {
+bool SlowStartLimiter::mayPlace(const SlowStartState& state, std::uint32_t slots,
+                                base::TimePoint now) const {
+  if (!isWarmingUp(state, now)) {
     return true;
   }
   const bool too_soon = state.placed && now - state.last_placed < PlacementInterval;
@@ -43,11 +44,11 @@
   }
   const base::Duration age = now - state.first_seen;
   const std::size_t admitted =
-      age >= ShortestGuard ? std::max(1U, slots) : std::size_t{1} << (age / DoublingTime);
+      age >= MinimumSlowStart ? std::max(1U, slots) : std::size_t{1} << (age / DoublingTime);
   return rankOfSelf(state.instance) < admitted;
 }
 
-std::size_t ColdGuard::rankOfSelf(std::uint64_t instance) const {
+std::size_t SlowStartLimiter::rankOfSelf(std::uint64_t instance) const {
   const std::uint64_t own = base::combineHashes(self_hash_, instance);
   return static_cast<std::size_t>(std::count_if(
       other_hashes_.begin(), other_hashes_.end(),
--- a/libraries/routing/source/work_lanes.cc
+++ b/libraries/routing/source/work_lanes.cc
@@ -34,8 +34,8 @@
   }
 }
 
-std::vector<wire::KindWork> WorkLanes::kinds() const {
-  std::vector<wire::KindWork> kinds;
+std::vector<wire::WorkKindCounts> WorkLanes::kinds() const {
+  std::vector<wire::WorkKindCounts> kinds;
   for (const auto& [name, kind] : kinds_) {
     kinds.push_back({name, static_cast<float>(kind.prompts), static_cast<float>(kind.tokens),
                      static_cast<float>(kind.read)});
@@ -43,10 +43,10 @@
   return kinds;
 }
 
-void WorkLanes::setFleet(const std::vector<wire::KindWork>& kinds, base::TimePoint now) {
+void WorkLanes::setFleet(const std::vector<wire::WorkKindCounts>& kinds, base::TimePoint now) {
   fleet_at_ = now;
   fleet_.clear();
-  for (const wire::KindWork& work : kinds) {
+  for (const wire::WorkKindCounts& work : kinds) {
     fleet_[work.kind] = {work.prompts, work.prompt_tokens, work.read_tokens};
   }
 }
@@ -90,7 +90,7 @@
   for (std::size_t index = cut; index < known.size(); ++index) {
     long_work += workOf(known[index]);
   }
-  movePart(std::clamp(long_work / total, LeastPart, LargestPart));
+  adjustLongShare(std::clamp(long_work / total, MinimumLongShare, MaximumLongShare));
 }
 
 double WorkLanes::workOf(const Kind& kind) {
@@ -98,9 +98,9 @@
   return kind.read > 0 ? kind.read : kind.tokens;
 }
 
-void WorkLanes::movePart(double wanted) {
-  if (std::abs(wanted - long_part_) > LeastMove) {
-    long_part_ = std::round(wanted / PartStep) * PartStep;
+void WorkLanes::adjustLongShare(double wanted) {
+  if (std::abs(wanted - long_share_) > LeastMove) {
+    long_share_ = std::round(wanted / ShareStep) * ShareStep;
   }
 }
 
@@ -120,7 +120,7 @@
     return workers;
   }
   const auto long_workers =
-      static_cast<std::size_t>(std::lround(static_cast<double>(workers) * long_part_));
+      static_cast<std::size_t>(std::lround(static_cast<double>(workers) * long_share_));
   return workers - std::clamp<std::size_t>(long_workers, 1, workers - 1);
 }
 
--- a/libraries/routing/test/fleet_loads_router_test.cc
+++ b/libraries/routing/test/fleet_loads_router_test.cc
@@ -50,7 +50,7 @@
     Prompt prompt{
         "m", {{subject, SharedTokens}, {"own", PromptTokens - SharedTokens}}, PromptTokens, 100};
     prompt.kind = 1;
-    prompt.last_part_own = true;
+    prompt.last_segment_private = true;
     return prompt;
   }
   Placement place(const std::string& subject) {
@@ -73,7 +73,7 @@
     answer(placement);
     return placement.arm;
   }
-  void tellOthers(const std::string& worker, std::uint16_t requests, std::uint16_t prefill_ms) {
+  void reportPeers(const std::string& worker, std::uint16_t requests, std::uint16_t prefill_ms) {
     const std::uint32_t key = workers::loadKey(workers->workers.at(worker).entry);
     router.importLoads({true, {{key, requests, prefill_ms}}, {}});
   }
@@ -108,7 +108,7 @@
 TEST(FleetLoadsRouterTest, ASubjectStaysWhereItIsHeldWhileItWouldBeInTime) {
   RoutedFront front(1);
   const std::string home = front.run("subject");
-  front.tellOthers(home, 3, 300);
+  front.reportPeers(home, 3, 300);
   EXPECT_EQ(front.run("subject"), home);
 }
 
@@ -118,7 +118,7 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RoutedFront front(seed);
     home = front.run("subject");
-    front.tellOthers(home, 3, LongQueueMs);
+    front.reportPeers(home, 3, LongQueueMs);
     next.insert(front.run("subject"));
   }
   EXPECT_EQ(next.size(), 1U);
@@ -128,8 +128,8 @@
 TEST(FleetLoadsRouterTest, AViewThatStopsLeavesTheOrderOfHomes) {
   RoutedFront front(1);
   const std::string home = front.run("subject");
-  front.tellOthers(home, 3, LongQueueMs);
-  front.wait(OthersLoad::Lifetime);
+  front.reportPeers(home, 3, LongQueueMs);
+  front.wait(PeerLoad::Lifetime);
   EXPECT_EQ(front.run("subject"), home);
 }
 
@@ -160,7 +160,7 @@
 TEST(FleetLoadsRouterTest, FullSlotsAreAQueue) {
   RoutedFront front(1);
   const std::string home = front.run("subject");
-  front.tellOthers(home, 100, 0);
+  front.reportPeers(home, 100, 0);
   EXPECT_NE(front.run("subject"), home);
 }
 
--- a/libraries/routing/test/learned_router_test.cc
+++ b/libraries/routing/test/learned_router_test.cc
@@ -57,7 +57,7 @@
   }
 
   std::optional<Placement> place(std::vector<std::string> excluded = {},
-                                 std::vector<PrefixPart> parts = {}) {
+                                 std::vector<PrefixSegment> parts = {}) {
     Prompt prompt{"m", std::move(parts), 100, 100};
     return router_.choose(prompt, route_, excluded);
   }
@@ -171,7 +171,7 @@
   for (int index = 0; index < 60; ++index) {
     finish(*place(), 50);
   }
-  const std::vector<PrefixPart> parts{{"system", 4000}, {"menu", 4000}};
+  const std::vector<PrefixSegment> parts{{"system", 4000}, {"menu", 4000}};
   Prompt prompt{"m", parts, 8100, 100};
   const std::optional<Placement> first = router_.choose(prompt, route_, {});
   finish(*first, 50);
@@ -363,7 +363,7 @@
     auto view = std::make_shared<configuration::View>();
     configuration::ForwardPool& pool = view->forwarding.pools["llm"];
     pool.models = {"m"};
-    pool.cold_per_s = per_s;
+    pool.slow_start_per_s = per_s;
     auto snapshot = std::make_shared<workers::WorkerSnapshot>();
     snapshot->revision = 1;
     workers::Worker cold{entry("w0"), false, false};
--- a/libraries/routing/test/others_load_test.cc
+++ b/libraries/routing/test/peer_load_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/routing/others_load.h"
+#include "switchsaddle/routing/peer_load.h"
 
 #include <gtest/gtest.h>
 
@@ -10,8 +10,8 @@
 constexpr std::uint32_t Worker = 5;
 const base::TimePoint Start{std::chrono::seconds(100)};
 
-TEST(OthersLoadTest, ReadsOnSinceItWasTold) {
-  OthersLoad others;
+TEST(PeerLoadTest, ReadsOnSinceItWasTold) {
+  PeerLoad others;
   EXPECT_FALSE(others.known(Start));
   others.set({true, {{Worker, 4, 300}}, {}}, Start);
   EXPECT_DOUBLE_EQ(others.of(Worker, Start).prefill_s, 0.3);
@@ -21,24 +21,24 @@
   EXPECT_DOUBLE_EQ(others.of(Worker + 1, Start).requests, 0);
 }
 
-TEST(OthersLoadTest, AWorkerThatIsNotToldOfCountsWithTheMeanOfTheRest) {
-  OthersLoad others;
+TEST(PeerLoadTest, AWorkerThatIsNotToldOfCountsWithTheMeanOfTheRest) {
+  PeerLoad others;
   others.set({true, {{Worker, 4, 400}}, {}, 1.5, 100}, Start);
   EXPECT_EQ(others.of(Worker, Start).requests, 4);
   EXPECT_EQ(others.of(Worker + 1, Start).requests, 1.5);
   EXPECT_NEAR(others.of(Worker + 1, Start).prefill_s, 0.1, 1e-6);
 }
 
-TEST(OthersLoadTest, AViewThatIsNotToldAnewSaysNothing) {
-  OthersLoad others;
+TEST(PeerLoadTest, AViewThatIsNotToldAnewSaysNothing) {
+  PeerLoad others;
   others.set({true, {{Worker, 4, 3'000}}, {}}, Start);
-  const base::TimePoint later = Start + OthersLoad::Lifetime;
+  const base::TimePoint later = Start + PeerLoad::Lifetime;
   EXPECT_FALSE(others.known(later));
   EXPECT_DOUBLE_EQ(others.of(Worker, later).requests, 0);
 }
 
-TEST(OthersLoadTest, ACoreThatHasNotHeardTheFrontsChangesNothing) {
-  OthersLoad others;
+TEST(PeerLoadTest, ACoreThatHasNotHeardTheFrontsChangesNothing) {
+  PeerLoad others;
   others.set({true, {{Worker, 4, 300}}, {}}, Start);
   others.set({false, {}, {}}, Start);
   EXPECT_DOUBLE_EQ(others.of(Worker, Start).requests, 4);
--- a/libraries/routing/test/cold_guard_fleet_test.cc
+++ b/libraries/routing/test/slow_start_limiter_fleet_test.cc
@@ -12,9 +12,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr const char* ColdWorker = "cold";
+constexpr const char* WarmingUpWorker = "cold";
 constexpr base::Duration StreamTime = milliseconds(50);
-constexpr base::Duration ColdWindow = seconds(2);
+constexpr base::Duration SlowStartWindow = seconds(2);
 
 /** A fleet's size and load. */
 struct FleetSize {
@@ -34,7 +34,7 @@
  * Fronts which hear nothing of each other, on one model, with streams that end at once: the worst
  * case for a bound that counts streams under way.
  */
-class ColdGuardFleetTest : public testing::TestWithParam<FleetSize> {
+class SlowStartLimiterFleetTest : public testing::TestWithParam<FleetSize> {
  protected:
   struct Front {
     Front(simulation::World& world, std::size_t number)
@@ -98,7 +98,7 @@
     const Prompt prompt{"m", {{"family-" + family, 3'000}}, 3'200, 100};
     const auto placement = front.router.choose(prompt, route_, {});
     ASSERT_TRUE(placement);
-    on_cold_ += placement->arm == placed_on_ ? 1 : 0;
+    on_warming_up_ += placement->arm == placed_on_ ? 1 : 0;
     world_.schedule(StreamTime, [&front, ticket = placement->ticket] {
       Completion completion;
       completion.ticket = ticket;
@@ -122,7 +122,7 @@
   }
 
   double fairShare() const {
-    const double window_s = std::chrono::duration<double>(ColdWindow).count();
+    const double window_s = std::chrono::duration<double>(SlowStartWindow).count();
     return GetParam().streams_per_s * window_s / static_cast<double>(GetParam().workers);
   }
 
@@ -130,26 +130,26 @@
   configuration::Route route_;
   workers::WorkerSnapshot snapshot_;
   std::vector<std::unique_ptr<Front>> fronts_;
-  std::string placed_on_ = ColdWorker;
-  int on_cold_ = 0;
+  std::string placed_on_ = WarmingUpWorker;
+  int on_warming_up_ = 0;
 };
 
-TEST_P(ColdGuardFleetTest, AWorkerReturnedColdGetsAtMostItsFairShareFromAllFronts) {
+TEST_P(SlowStartLimiterFleetTest, AWorkerReturnedColdGetsAtMostItsFairShareFromAllFronts) {
   startFleet();
   world_.runFor(seconds(20));
   if (GetParam().measured) {
     loadFor(seconds(4));
   }
-  addWorker(ColdWorker);
+  addWorker(WarmingUpWorker);
   publish();
-  loadFor(ColdWindow);
-  EXPECT_LE(on_cold_, fairShare());
-  EXPECT_LE(on_cold_, ColdGuard::MostInFirstTwoSeconds);
+  loadFor(SlowStartWindow);
+  EXPECT_LE(on_warming_up_, fairShare());
+  EXPECT_LE(on_warming_up_, SlowStartLimiter::MostInFirstTwoSeconds);
   loadFor(seconds(10));
-  EXPECT_GE(on_cold_, 8) << "the worker was never tried";
+  EXPECT_GE(on_warming_up_, 8) << "the worker was never tried";
 }
 
-TEST_P(ColdGuardFleetTest, ScoresOfAFormerInstanceDoNotOpenTheGuard) {
+TEST_P(SlowStartLimiterFleetTest, ScoresOfAFormerInstanceDoNotOpenTheGuard) {
   startFleet();
   world_.runFor(seconds(20));
   loadFor(seconds(4));
@@ -161,7 +161,7 @@
   snapshot_.workers[returning].entry.instance = 2;
   publish();
   placed_on_ = returning;
-  on_cold_ = 0;
+  on_warming_up_ = 0;
   // Each front hears every other one, the most that dissemination could bring.
   for (int half_second = 0; half_second < 4; ++half_second) {
     loadFor(milliseconds(500));
@@ -169,10 +169,10 @@
       fronts_[front + 1]->router.importScores(fronts_[front]->router.exportScores());
     }
   }
-  EXPECT_LE(on_cold_, fairShare());
+  EXPECT_LE(on_warming_up_, fairShare());
 }
 
-INSTANTIATE_TEST_SUITE_P(Fleets, ColdGuardFleetTest,
+INSTANTIATE_TEST_SUITE_P(Fleets, SlowStartLimiterFleetTest,
                          testing::Values(FleetSize{6, 9, 35, true}, FleetSize{6, 9, 35, false},
                                          FleetSize{8, 12, 60, true}, FleetSize{8, 12, 60, false},
                                          FleetSize{360, 233, 1'167, true},
--- a/libraries/routing/test/work_lanes_test.cc
+++ b/libraries/routing/test/work_lanes_test.cc
@@ -54,8 +54,8 @@
 TEST(WorkLanesTest, FollowsTheWorkOfAllFrontsWhileItIsTold) {
   WorkLanes lanes;
   base::TimePoint now = base::TimePoint{} + std::chrono::seconds(100);
-  const std::vector<wire::KindWork> fleet = {{Short, 100, 100'000, 100'000},
-                                             {Long, 100, 900'000, 300'000}};
+  const std::vector<wire::WorkKindCounts> fleet = {{Short, 100, 100'000, 100'000},
+                                                   {Long, 100, 900'000, 300'000}};
   lanes.setFleet(fleet, now);
   lanes.add(Short, 50'000, now);
   EXPECT_FALSE(lanes.isLong(Short));
@@ -74,7 +74,7 @@
   SpeedSample sample;
   sample.seconds_per_prefill_token = 0.000'01;
   arm.statistics.add(sample, {}, 600);
-  const ColdPrior prior;
+  const UnmeasuredPrior prior;
   const double quick = estimateFirstToken(arm, 1'000, 1, prior, {}, 0.000'02);
   EXPECT_NEAR(quick, prior.base_seconds + 0.02, 1e-6);
   EXPECT_NEAR(estimateFirstToken(arm, 1'000, 1, prior, {}), prior.base_seconds + 0.01, 1e-6);
@@ -89,11 +89,11 @@
 TEST(PrefixChainsTest, APromptsOwnPartMakesNoHome) {
   Prompt prompt{"m", {{"system", 100}, {"subject", 400}, {"own", 5'000}}, 5'500, 10};
   EXPECT_EQ(PrefixChains(prompt).homeDepth(), 3U);
-  prompt.last_part_own = true;
+  prompt.last_segment_private = true;
   const PrefixChains chains(prompt);
   EXPECT_EQ(chains.homeDepth(), 2U);
   EXPECT_EQ(chains.sharedTokens(), 500U);
-  prompt.prefix_parts = {{"own", 5'000}};
+  prompt.prefix_segments = {{"own", 5'000}};
   EXPECT_EQ(PrefixChains(prompt).homeDepth(), 0U);
 }
 
--- a/libraries/scenarios/include/switchsaddle/scenarios/configuration_scenario.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/configuration_scenario.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/scenarios/disk_troubles.h"
+#include "switchsaddle/scenarios/disk_faults.h"
 #include "switchsaddle/scenarios/fleet.h"
 
 namespace switchsaddle::scenarios {
@@ -90,8 +90,8 @@
  private:
   void prepare();
   bool settle(const std::function<bool()>& condition, base::Duration limit);
-  void look();
-  void runUnderTrouble();
+  void poll();
+  void runUnderFaults();
   void injectFault();
   void killCores();
   void freezeSome();
@@ -130,7 +130,7 @@
 
   ConfigurationScenarioOptions options_;
   Fleet fleet_;
-  std::unique_ptr<DiskTroubles> disk_troubles_;
+  std::unique_ptr<DiskFaults> disk_faults_;
   /** The newest version an operator was told is in force. */
   std::uint64_t acknowledged_version_ = 0;
   /** Keys by what operators were told of them: in force, and removed. */
--- a/libraries/scenarios/include/switchsaddle/scenarios/disk_troubles.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/disk_faults.h
@@ -15,12 +15,12 @@
  * emptied files). At most two cores are impaired at one time, and at most one of them has lost
  * state, so that the promises of a majority stand.
  */
-class DiskTroubles {
+class DiskFaults {
  public:
   /** Runs an action after a delay, unless the trouble is over by then. */
   using Later = std::function<void(base::Duration, std::function<void()>)>;
 
-  DiskTroubles(Fleet& fleet, Later later);
+  DiskFaults(Fleet& fleet, Later later);
 
   /** Brings about the next fault; a fault for which no core is fit is left out. */
   void injectNext();
--- a/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/laboratory/branch_judge.h"
 #include "switchsaddle/scenarios/fleet.h"
 #include "switchsaddle/scenarios/simulated_front.h"
+#include "switchsaddle/testbed/branch_limit_checker.h"
 
 namespace switchsaddle::scenarios {
 
@@ -28,8 +28,8 @@
 
 /** What callers and workers saw. */
 struct LimitsScenarioResult {
-  laboratory::Evidence evidence;
-  laboratory::BranchJudgement judgement;
+  testbed::Evidence evidence;
+  testbed::BranchLimitReport report;
   /** Answers by result code; 0 for those that were served. */
   std::map<int, int> answers;
   /** Attempts at each worker's address. */
@@ -64,7 +64,7 @@
   bool allReady();
   void sendOne(const std::string& tenant, bool stream);
   void sendArrivals();
-  void record(laboratory::CallEvent event);
+  void record(testbed::CallEvent event);
   void scheduleFaults();
   void disturb();
   void disturbFront();
@@ -78,7 +78,7 @@
   SimulatedWorkers workers_;
   std::vector<std::unique_ptr<SimulatedFront>> fronts_;
   LimitsScenarioResult result_;
-  laboratory::WorkerJournal journal_;
+  testbed::WorkerJournal journal_;
   std::uint64_t calls_ = 0;
   bool over_ = false;
 };
--- a/libraries/scenarios/include/switchsaddle/scenarios/operator_stand_in.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/operator_stand_in.h
@@ -92,7 +92,7 @@
   void send();
   void onReply(std::uint64_t attempt, const transport::CallResult& result);
   void take(const wire::ControlReply& reply);
-  void takeCommitted(std::uint64_t version);
+  void adoptCommitted(std::uint64_t version);
   void settle(ChangeFate fate, std::uint64_t version);
   void end(ChangeFate fate);
   std::string body() const;
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_core.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_core.h
@@ -39,22 +39,22 @@
   /** Starts the process, with whatever the disk holds. */
   void start();
   void kill(Death death);
-  bool running() const { return life_ != nullptr; }
+  bool running() const { return incarnation_ != nullptr; }
   /** The next piece of the running process's disk work takes this much longer. */
   void stallDisk(base::Duration duration) {
-    if (life_) {
-      life_->executor->stallNext(duration);
+    if (incarnation_) {
+      incarnation_->executor->stallNext(duration);
     }
   }
   simulation::Process& process() { return process_; }
   simulation::SimulatedDisk& disk() { return disk_; }
   const base::NodeAddress& address() const { return settings_.peer_address; }
   /** The node of the present life; only while running. */
-  core::CoreNode& node() { return *life_->node; }
+  core::CoreNode& node() { return *incarnation_->node; }
 
  private:
   /** All that dies with the process. */
-  struct Life {
+  struct Incarnation {
     std::unique_ptr<transport::Transport> transport;
     std::unique_ptr<transport::PeerCalls> calls;
     std::unique_ptr<base::RandomSource> random;
@@ -71,7 +71,7 @@
   core::CoreFaults faults_;
   simulation::Process process_;
   simulation::SimulatedDisk disk_;
-  std::unique_ptr<Life> life_;
+  std::unique_ptr<Incarnation> incarnation_;
 };
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_front.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_front.h
@@ -17,15 +17,15 @@
   void start();
   /** The connections to its workers are closed with it. */
   void kill();
-  bool running() const { return life_ != nullptr; }
+  bool running() const { return incarnation_ != nullptr; }
   simulation::Process& process() { return process_; }
   const base::NodeAddress& address() const { return settings_.peer_address; }
   /** The node of the present life; only while running. */
-  front::FrontNode& node() { return *life_->node; }
+  front::FrontNode& node() { return *incarnation_->node; }
 
  private:
   /** All that dies with the process. */
-  struct Life {
+  struct Incarnation {
     std::unique_ptr<transport::Transport> transport;
     std::unique_ptr<transport::PeerCalls> calls;
     std::unique_ptr<base::RandomSource> random;
@@ -39,7 +39,7 @@
   SimulatedWorkers& workers_;
   configuration::Settings settings_;
   simulation::Process process_;
-  std::unique_ptr<Life> life_;
+  std::unique_ptr<Incarnation> incarnation_;
 };
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_workers.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_workers.h
@@ -36,8 +36,8 @@
  */
 class SimulatedWorkers {
  public:
-  SimulatedWorkers(simulation::World& world, WorkerWitness& witness)
-      : world_(world), witness_(witness) {}
+  SimulatedWorkers(simulation::World& world, WorkerWitness& fleet_knowledge)
+      : world_(world), witness_(fleet_knowledge) {}
 
   /** The workers as one process reaches them. */
   std::unique_ptr<front::WorkerPort> connect(simulation::Process& process);
--- a/libraries/scenarios/include/switchsaddle/scenarios/watched_front.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/watched_front.h
@@ -46,7 +46,7 @@
   /** Starts the process without any knowledge. */
   void start();
   void kill();
-  bool running() const { return life_ != nullptr; }
+  bool running() const { return incarnation_ != nullptr; }
   simulation::Process& process() { return process_; }
   const base::NodeAddress& address() const { return settings_.peer_address; }
   /** The node of the present life; only while running. */
@@ -60,10 +60,10 @@
   /** What it believes of the workers; nullptr while it does not run. */
   workers::WorkerSnapshotPtr workers() const;
   /** It hears from a worker it knows that this one is draining; only while running. */
-  void hearOfDraining(const std::string& worker);
+  void onDraining(const std::string& worker);
 
  private:
-  struct Life;
+  struct Incarnation;
 
   void handleControlRequests();
 
@@ -74,7 +74,7 @@
   DispatchListener on_dispatch_;
   AnswerListener on_answer_;
   simulation::Process process_;
-  std::unique_ptr<Life> life_;
+  std::unique_ptr<Incarnation> incarnation_;
 };
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/source/configuration_faults.cc
+++ b/libraries/scenarios/source/configuration_faults.cc
@@ -20,8 +20,8 @@
 
 void ConfigurationScenario::injectFault() {
   ++result_.faults;
-  if (disk_troubles_ && fleet_.world.random().chance(DiskFaultShare)) {
-    disk_troubles_->injectNext();
+  if (disk_faults_ && fleet_.world.random().chance(DiskFaultShare)) {
+    disk_faults_->injectNext();
     return;
   }
   switch (fleet_.world.random().below(13)) {
@@ -41,7 +41,7 @@
       break;
     case 6:
       // The disk troubles keep count of the disks they empty themselves.
-      if (!disk_troubles_) {
+      if (!disk_faults_) {
         wipeOne();
       }
       break;
@@ -119,7 +119,7 @@
     if (process.running() && process.frozen()) {
       process.wake();
       // At this very moment a woken front has heard nothing yet.
-      look();
+      poll();
     }
   });
 }
@@ -154,7 +154,7 @@
     cutOff(front.address(), seconds(3));
     if (front.running() && front.process().frozen()) {
       front.process().wake();
-      look();
+      poll();
     }
   });
 }
--- a/libraries/scenarios/source/configuration_scenario.cc
+++ b/libraries/scenarios/source/configuration_scenario.cc
@@ -17,7 +17,7 @@
 using std::chrono::seconds;
 
 /** How often each front is looked at. */
-constexpr base::Duration LookInterval = milliseconds(5);
+constexpr base::Duration PollInterval = milliseconds(5);
 /** How often a stream is opened at each front. */
 constexpr base::Duration StreamInterval = milliseconds(20);
 /** How often an operator reads the configuration. */
@@ -79,7 +79,7 @@
     one->setBegunListener([this](OperatorChange& change) { noteBegun(change); });
     one->setAcknowledgedListener([this](const OperatorChange& change) {
       noteAcknowledged(change);
-      look();
+      poll();
     });
     one->setSentListener([this](const base::NodeAddress& node) { harmProposer(node); });
   }
@@ -196,7 +196,7 @@
   }
 }
 
-void ConfigurationScenario::look() {
+void ConfigurationScenario::poll() {
   for (const auto& front : fleet_.fronts) {
     if (const std::optional<std::uint64_t> version = front->dispatchVersion()) {
       checkVersionAtFront(front->address(), *version);
@@ -210,8 +210,8 @@
     if (fleet_.world.now() >= end) {
       return false;
     }
-    fleet_.world.runFor(LookInterval);
-    look();
+    fleet_.world.runFor(PollInterval);
+    poll();
     if (fleet_.world.now() >= next_streams_) {
       next_streams_ = fleet_.world.now() + StreamInterval;
       openStreams();
@@ -238,10 +238,10 @@
     one->start();
   }
   if (options_.disk_faults) {
-    disk_troubles_ = std::make_unique<DiskTroubles>(
+    disk_faults_ = std::make_unique<DiskFaults>(
         fleet_, [this](auto delay, auto action) { later(delay, std::move(action)); });
   }
-  runUnderTrouble();
+  runUnderFaults();
   recover();
   checkChanges();
   checkFinalDocument();
@@ -249,7 +249,7 @@
   return result_;
 }
 
-void ConfigurationScenario::runUnderTrouble() {
+void ConfigurationScenario::runUnderFaults() {
   const base::TimePoint begin = fleet_.world.now();
   const base::TimePoint end = begin + options_.trouble;
   base::TimePoint next_fault = begin;
@@ -269,9 +269,9 @@
 
 void ConfigurationScenario::healAll() {
   calm_ = true;
-  if (disk_troubles_) {
-    result_.disk_faults = disk_troubles_->injected();
-    disk_troubles_->end();
+  if (disk_faults_) {
+    result_.disk_faults = disk_faults_->injected();
+    disk_faults_->end();
   }
   fleet_.network.healAll();
   fleet_.network.conditions.loss = 0;
--- a/libraries/scenarios/source/disk_troubles.cc
+++ b/libraries/scenarios/source/disk_faults.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/scenarios/disk_troubles.h"
+#include "switchsaddle/scenarios/disk_faults.h"
 
 #include <array>
 #include <string>
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-DiskTroubles::DiskTroubles(Fleet& fleet, Later later) : fleet_(fleet), later_(std::move(later)) {
+DiskFaults::DiskFaults(Fleet& fleet, Later later) : fleet_(fleet), later_(std::move(later)) {
   addFailures();
   addPowerLosses();
   addImpairments();
@@ -36,7 +36,7 @@
   next_ = fleet_.world.random().below(entries_.size());
 }
 
-void DiskTroubles::addFailures() {
+void DiskFaults::addFailures() {
   for (const DiskOperation kind : FailingOperations) {
     for (std::uint64_t nth = 1; nth <= FailuresOfEachKind; ++nth) {
       entries_.push_back({[kind, nth](SimulatedCore& core) { core.disk().failOnce(kind, nth); }});
@@ -44,7 +44,7 @@
   }
 }
 
-void DiskTroubles::addPowerLosses() {
+void DiskFaults::addPowerLosses() {
   for (std::uint64_t nth = 1; nth <= PowerLosses; ++nth) {
     entries_.push_back({[this, nth](SimulatedCore& core) { powerLossAt(core, nth); }});
     if (nth % PowerLossesBetweenThoseOfAll == 0) {
@@ -53,7 +53,7 @@
   }
 }
 
-void DiskTroubles::powerLossOfAll() {
+void DiskFaults::powerLossOfAll() {
   for (const auto& core : fleet_.cores) {
     core->stallDisk(SlowTime);
   }
@@ -67,7 +67,7 @@
   });
 }
 
-void DiskTroubles::addImpairments() {
+void DiskFaults::addImpairments() {
   const Step stall = [this](SimulatedCore& core) {
     impaired_until_[&core] = fleet_.world.now() + StallTime;
     core.stallDisk(StallTime);
@@ -82,7 +82,7 @@
   }
 }
 
-void DiskTroubles::addLossesOfState() {
+void DiskFaults::addLossesOfState() {
   const Step tear = [this](SimulatedCore& core) {
     core.disk().tearWrite(1);
     later_(PowerLossWait, [this, &core] { loseState(core, [](SimulatedCore&) {}); });
@@ -101,7 +101,7 @@
   }
 }
 
-void DiskTroubles::powerLossAt(SimulatedCore& core, std::uint64_t nth) {
+void DiskFaults::powerLossAt(SimulatedCore& core, std::uint64_t nth) {
   core.disk().interruptAt(nth);
   later_(PowerLossWait, [this, &core] {
     if (core.running()) {
@@ -111,7 +111,7 @@
   });
 }
 
-void DiskTroubles::restartSoon(SimulatedCore& core) {
+void DiskFaults::restartSoon(SimulatedCore& core) {
   later_(milliseconds(100 + fleet_.world.random().below(900)), [&core] {
     if (!core.running()) {
       core.start();
@@ -119,8 +119,7 @@
   });
 }
 
-void DiskTroubles::loseState(SimulatedCore& core,
-                             const std::function<void(SimulatedCore&)>& damage) {
+void DiskFaults::loseState(SimulatedCore& core, const std::function<void(SimulatedCore&)>& damage) {
   if (!core.running()) {
     return;
   }
@@ -129,7 +128,7 @@
   restartSoon(core);
 }
 
-void DiskTroubles::damageFile(SimulatedCore& core, bool truncate) {
+void DiskFaults::damageFile(SimulatedCore& core, bool truncate) {
   const std::vector<std::string> names = core.disk().list("records");
   if (names.empty()) {
     return;
@@ -147,17 +146,17 @@
   }
 }
 
-bool DiskTroubles::lostState(SimulatedCore& core) const {
+bool DiskFaults::lostState(SimulatedCore& core) const {
   return !core.running() || !core.node().acceptor().mayVote();
 }
 
-bool DiskTroubles::impaired(SimulatedCore& core) const {
+bool DiskFaults::impaired(SimulatedCore& core) const {
   const auto until = impaired_until_.find(&core);
   const bool slow_or_full = until != impaired_until_.end() && fleet_.world.now() < until->second;
   return slow_or_full || lostState(core);
 }
 
-SimulatedCore* DiskTroubles::chooseCore(bool impairs, bool loses_state) {
+SimulatedCore* DiskFaults::chooseCore(bool impairs, bool loses_state) {
   std::vector<SimulatedCore*> fit;
   std::size_t impaired_cores = 0;
   bool any_lost = false;
@@ -176,7 +175,7 @@
   return fit[fleet_.world.random().below(fit.size())];
 }
 
-void DiskTroubles::injectNext() {
+void DiskFaults::injectNext() {
   const Entry& entry = entries_[next_];
   next_ = (next_ + 1) % entries_.size();
   if (SimulatedCore* core = chooseCore(entry.impairs, entry.loses_state)) {
@@ -185,7 +184,7 @@
   }
 }
 
-void DiskTroubles::end() {
+void DiskFaults::end() {
   for (const auto& core : fleet_.cores) {
     core->disk().clearFaults();
     core->disk().setFull(false);
--- a/libraries/scenarios/source/limits_scenario.cc
+++ b/libraries/scenarios/source/limits_scenario.cc
@@ -53,14 +53,14 @@
          configuration::sha256Hex("loud") + R"(", "tenant": "loud"}})";
 }
 
-laboratory::BranchLimits limitsOf(double retry_share) {
+testbed::BranchLimits limitsOf(double retry_share) {
   std::vector<configuration::Fault> faults;
   const configuration::Document document =
       configuration::parseConfigurationFile(limitsDocument(retry_share), faults);
   if (!faults.empty()) {
     throw std::runtime_error(faults.front().path + ": " + faults.front().message);
   }
-  return laboratory::BranchLimits::fromView(configuration::buildView(document));
+  return testbed::BranchLimits::fromView(configuration::buildView(document));
 }
 
 /** The number after "code": in an error's body; 0 where there is none. */
@@ -80,7 +80,7 @@
 /** Records the answer to one call. */
 class LimitsScenario::Writer : public http::ResponseWriter {
  public:
-  Writer(LimitsScenario& scenario, laboratory::CallEvent sent)
+  Writer(LimitsScenario& scenario, testbed::CallEvent sent)
       : scenario_(scenario), event_(std::move(sent)) {
     event_.event = "answer";
   }
@@ -88,7 +88,7 @@
   void respond(http::Response response) override {
     event_.status = response.status;
     event_.code = codeIn(response.body);
-    event_.end = event_.code == 0 ? laboratory::call_end::Done : laboratory::call_end::Refused;
+    event_.end = event_.code == 0 ? testbed::call_end::Done : testbed::call_end::Refused;
     event_.outcome = event_.code == 0 ? "ran" : "";
     scenario_.record(event_);
   }
@@ -96,22 +96,22 @@
   void writeChunk(std::string chunk, std::function<void(bool)> written) override {
     const int code = codeIn(chunk);
     event_.code = code == 0 ? event_.code : code;
-    laboratory::CallEvent piece = event_;
-    piece.event = "piece";
-    piece.index = next_index_++;
-    scenario_.record(piece);
+    testbed::CallEvent chunk_event = event_;
+    chunk_event.event = "piece";
+    chunk_event.index = next_index_++;
+    scenario_.record(chunk_event);
     written(true);
   }
   void endStream() override {
-    event_.end = event_.code == 0 ? laboratory::call_end::Done : laboratory::call_end::Error;
+    event_.end = event_.code == 0 ? testbed::call_end::Done : testbed::call_end::Error;
     scenario_.record(event_);
   }
   void abort() override {}
-  void onClientGone(std::function<void()> /*callback*/) override {}
+  void onClientDisconnected(std::function<void()> /*callback*/) override {}
 
  private:
   LimitsScenario& scenario_;
-  laboratory::CallEvent event_;
+  testbed::CallEvent event_;
   std::int64_t next_index_ = 0;
 };
 
@@ -179,7 +179,7 @@
     }
     return true;
   };
-  laboratory::CallEvent unrecorded;
+  testbed::CallEvent unrecorded;
   unrecorded.kind = "change";
   for (int attempt = 0; attempt < 10 && !in_force(); ++attempt) {
     fronts_[0]->node().service().enqueue(
@@ -196,7 +196,7 @@
   fleet_.world.runFor(std::chrono::seconds(1));
 }
 
-void LimitsScenario::record(laboratory::CallEvent event) {
+void LimitsScenario::record(testbed::CallEvent event) {
   if (over_ || event.kind == "change") {
     return;
   }
@@ -211,7 +211,7 @@
   if (over_) {
     return;
   }
-  laboratory::WorkerEvent line;
+  testbed::WorkerEvent line;
   line.at_ms = base::toMilliseconds(fleet_.world.now().time_since_epoch());
   line.event = event;
   line.kind = request.idempotency_key.empty() ? "stream" : "one-shot";
@@ -243,7 +243,7 @@
   if (!front.running()) {
     return;
   }
-  laboratory::CallEvent sent;
+  testbed::CallEvent sent;
   sent.event = "sent";
   sent.call = ++calls_;
   sent.kind = stream ? "stream" : "one-shot";
@@ -296,11 +296,11 @@
   fleet_.world.runFor(Tail);
   over_ = true;
   result_.evidence.journals = {journal_};
-  laboratory::BranchTolerances tolerances;
+  testbed::BranchTolerances tolerances;
   tolerances.excess_ms = 0;
   tolerances.occupancy_ms = OccupancyMs;
-  result_.judgement = laboratory::judgeBranches(result_.evidence, limitsOf(options_.retry_share),
-                                                tolerances, laboratory::CrowdTime{});
+  result_.report = testbed::checkBranchLimits(result_.evidence, limitsOf(options_.retry_share),
+                                              tolerances, testbed::CrowdTime{});
   return std::move(result_);
 }
 
--- a/libraries/scenarios/source/operator_stand_in.cc
+++ b/libraries/scenarios/source/operator_stand_in.cc
@@ -134,10 +134,10 @@
   const auto version = static_cast<std::uint64_t>(body->integerOf("version"));
   newest_version_ = std::max(newest_version_, version);
   if (reply.status == base::describe(ResultCode::Ok).http_status) {
-    takeCommitted(version);
+    adoptCommitted(version);
     settle(ChangeFate::Acknowledged, version);
   } else if (reply.status == base::describe(ResultCode::CommittedNotYetInForce).http_status) {
-    takeCommitted(version);
+    adoptCommitted(version);
   } else if (hasCode(*body, ResultCode::ConfigurationConflict)) {
     settle(ChangeFate::Conflict, version);
   } else if (hasCode(*body, ResultCode::ConfigurationInvalid)) {
@@ -160,7 +160,7 @@
   present_.reset();
 }
 
-void OperatorStandIn::takeCommitted(std::uint64_t version) {
+void OperatorStandIn::adoptCommitted(std::uint64_t version) {
   OperatorChange& change = changes_[*present_];
   if (change.fate != ChangeFate::Pending && change.fate != ChangeFate::Acknowledged) {
     change.contradictions.push_back("called committed after it was refused");
--- a/libraries/scenarios/source/simulated_callers.cc
+++ b/libraries/scenarios/source/simulated_callers.cc
@@ -18,7 +18,7 @@
   bool cancelled = false;
 };
 
-class NoHold : public admission::SlotHold {};
+class NoHold : public admission::SlotPermit {};
 
 }  // namespace
 
--- a/libraries/scenarios/source/simulated_callers.h
+++ b/libraries/scenarios/source/simulated_callers.h
@@ -54,7 +54,7 @@
   }
   void endStream() override {}
   void abort() override {}
-  void onClientGone(std::function<void()> /*callback*/) override {}
+  void onClientDisconnected(std::function<void()> /*callback*/) override {}
 
  private:
   std::function<void(http::Response)> answered_;
--- a/libraries/scenarios/source/simulated_core.cc
+++ b/libraries/scenarios/source/simulated_core.cc
@@ -21,23 +21,23 @@
 
 void SimulatedCore::start() {
   process_.start();
-  life_ = std::make_unique<Life>();
-  life_->transport = network_.attach(settings_.peer_address, process_);
-  life_->calls = std::make_unique<transport::PeerCalls>(process_, *life_->transport);
-  life_->random = std::make_unique<base::RandomSource>(world_.random().next());
-  life_->journal = std::make_unique<journal::Journal>(process_);
-  life_->executor = std::make_unique<simulation::SimulatedStorageExecutor>(world_, process_);
-  life_->store =
-      std::make_unique<storage::FileRecordStore>(process_, disk_, *life_->executor, *life_->random);
-  life_->node = std::make_unique<core::CoreNode>(
-      core::CoreEnvironment{process_, *life_->calls, *life_->store, *life_->random, *life_->journal,
-                            platform_, settings_, faults_});
-  life_->node->start();
+  incarnation_ = std::make_unique<Incarnation>();
+  incarnation_->transport = network_.attach(settings_.peer_address, process_);
+  incarnation_->calls = std::make_unique<transport::PeerCalls>(process_, *incarnation_->transport);
+  incarnation_->random = std::make_unique<base::RandomSource>(world_.random().next());
+  incarnation_->journal = std::make_unique<journal::Journal>(process_);
+  incarnation_->executor = std::make_unique<simulation::SimulatedStorageExecutor>(world_, process_);
+  incarnation_->store = std::make_unique<storage::FileRecordStore>(
+      process_, disk_, *incarnation_->executor, *incarnation_->random);
+  incarnation_->node = std::make_unique<core::CoreNode>(core::CoreEnvironment{
+      process_, *incarnation_->calls, *incarnation_->store, *incarnation_->random,
+      *incarnation_->journal, platform_, settings_, faults_});
+  incarnation_->node->start();
 }
 
 void SimulatedCore::kill(Death death) {
   process_.kill();
-  life_.reset();
+  incarnation_.reset();
   switch (death) {
     case Death::Kill:
       disk_.resume();
--- a/libraries/scenarios/source/simulated_front.cc
+++ b/libraries/scenarios/source/simulated_front.cc
@@ -14,21 +14,21 @@
 
 void SimulatedFront::start() {
   process_.start();
-  life_ = std::make_unique<Life>();
-  life_->transport = network_.attach(settings_.peer_address, process_);
-  life_->calls = std::make_unique<transport::PeerCalls>(process_, *life_->transport);
-  life_->random = std::make_unique<base::RandomSource>(world_.random().next());
-  life_->journal = std::make_unique<journal::Journal>(process_);
-  life_->workers = workers_.connect(process_);
-  life_->node = std::make_unique<front::FrontNode>(
-      front::FrontEnvironment{process_, *life_->calls, *life_->random, *life_->journal, settings_,
-                              *life_->workers, world_.random().next()});
-  life_->node->start();
+  incarnation_ = std::make_unique<Incarnation>();
+  incarnation_->transport = network_.attach(settings_.peer_address, process_);
+  incarnation_->calls = std::make_unique<transport::PeerCalls>(process_, *incarnation_->transport);
+  incarnation_->random = std::make_unique<base::RandomSource>(world_.random().next());
+  incarnation_->journal = std::make_unique<journal::Journal>(process_);
+  incarnation_->workers = workers_.connect(process_);
+  incarnation_->node = std::make_unique<front::FrontNode>(front::FrontEnvironment{
+      process_, *incarnation_->calls, *incarnation_->random, *incarnation_->journal, settings_,
+      *incarnation_->workers, world_.random().next()});
+  incarnation_->node->start();
 }
 
 void SimulatedFront::kill() {
   process_.kill();
-  life_.reset();
+  incarnation_.reset();
 }
 
 }  // namespace switchsaddle::scenarios
