--- a/libraries/scenarios/source/watched_front.cc
+++ b/libraries/scenarios/source/watched_front.cc
@@ -20,7 +20,7 @@
 }  // namespace
 
 /** All that dies with the process. */
-struct WatchedFront::Life {
+struct WatchedFront::Incarnation {
   std::unique_ptr<transport::Transport> transport;
   std::unique_ptr<transport::PeerCalls> calls;
   std::unique_ptr<base::RandomSource> random;
@@ -42,55 +42,56 @@
 
 void WatchedFront::start() {
   process_.start();
-  life_ = std::make_unique<Life>();
-  Life& life = *life_;
-  life.transport = network_.attach(settings_.peer_address, process_);
-  life.calls = std::make_unique<transport::PeerCalls>(process_, *life.transport);
-  life.random = std::make_unique<base::RandomSource>(world_.random().next());
-  life.journal = std::make_unique<journal::Journal>(process_);
-  life.slots = std::make_unique<UnhurriedSlots>(process_, *life.random);
-  life.workers =
-      std::make_unique<PromptWorkers>(process_, [this](const front::WorkerRequest& request) {
-        if (on_dispatch_) {
-          on_dispatch_({address(), life_->node->replica().version(), keyNamedIn(request.body)});
-        }
-      });
-  front::FrontEnvironment environment{process_,      *life.calls, *life.random,
-                                      *life.journal, settings_,   *life.workers};
-  environment.instance = life.random->next();
-  environment.slots = life.slots.get();
+  incarnation_ = std::make_unique<Incarnation>();
+  Incarnation& incarnation = *incarnation_;
+  incarnation.transport = network_.attach(settings_.peer_address, process_);
+  incarnation.calls = std::make_unique<transport::PeerCalls>(process_, *incarnation.transport);
+  incarnation.random = std::make_unique<base::RandomSource>(world_.random().next());
+  incarnation.journal = std::make_unique<journal::Journal>(process_);
+  incarnation.slots = std::make_unique<UnhurriedSlots>(process_, *incarnation.random);
+  incarnation.workers = std::make_unique<PromptWorkers>(process_, [this](const front::WorkerRequest&
+                                                                             request) {
+    if (on_dispatch_) {
+      on_dispatch_({address(), incarnation_->node->replica().version(), keyNamedIn(request.body)});
+    }
+  });
+  front::FrontEnvironment environment{
+      process_,  *incarnation.calls,  *incarnation.random, *incarnation.journal,
+      settings_, *incarnation.workers};
+  environment.instance = incarnation.random->next();
+  environment.slots = incarnation.slots.get();
   environment.session_faults = faults_;
-  life.node = std::make_unique<front::FrontNode>(environment);
+  incarnation.node = std::make_unique<front::FrontNode>(environment);
   handleControlRequests();
-  life.node->start();
+  incarnation.node->start();
 }
 
 void WatchedFront::handleControlRequests() {
-  life_->calls->handle<wire::ControlRequest>([this](const base::NodeAddress& /*from*/,
-                                                    const wire::ControlRequest& request,
-                                                    const transport::ReplyFunction& reply) {
+  incarnation_->calls->handle<wire::ControlRequest>([this](const base::NodeAddress& /*from*/,
+                                                           const wire::ControlRequest& request,
+                                                           const transport::ReplyFunction& reply) {
     auto writer = std::make_shared<CallbackWriter>([reply](http::Response response) {
       reply(wire::ControlReply{response.status, std::move(response.body)});
     });
-    life_->node->service().enqueue(requestOf(request), std::move(writer));
+    incarnation_->node->service().enqueue(requestOf(request), std::move(writer));
   });
 }
 
 void WatchedFront::kill() {
   process_.kill();
-  life_.reset();
+  incarnation_.reset();
 }
 
 front::FrontNode& WatchedFront::node() {
-  return *life_->node;
+  return *incarnation_->node;
 }
 
 const journal::Journal& WatchedFront::journal() const {
-  return *life_->journal;
+  return *incarnation_->journal;
 }
 
 void WatchedFront::openStream(const std::string& key) {
-  if (!life_) {
+  if (!incarnation_) {
     return;
   }
   auto writer = std::make_shared<CallbackWriter>([this, key](const http::Response& response) {
@@ -98,23 +99,23 @@
       on_answer_({key, static_cast<std::uint16_t>(response.status)});
     }
   });
-  life_->node->service().enqueue(streamRequest(key), std::move(writer));
+  incarnation_->node->service().enqueue(streamRequest(key), std::move(writer));
 }
 
 std::optional<std::uint64_t> WatchedFront::dispatchVersion() const {
-  if (!life_ || process_.frozen()) {
+  if (!incarnation_ || process_.frozen()) {
     return std::nullopt;
   }
-  const bool dispatches = life_->node->session().mayDispatch();
-  return dispatches ? std::optional(life_->node->replica().version()) : std::nullopt;
+  const bool dispatches = incarnation_->node->session().mayDispatch();
+  return dispatches ? std::optional(incarnation_->node->replica().version()) : std::nullopt;
 }
 
-void WatchedFront::hearOfDraining(const std::string& worker) {
+void WatchedFront::onDraining(const std::string& worker) {
   node().beliefs().observeDraining(workers()->workers.at(worker));
 }
 
 workers::WorkerSnapshotPtr WatchedFront::workers() const {
-  return life_ ? life_->node->directory().snapshot() : nullptr;
+  return incarnation_ ? incarnation_->node->directory().snapshot() : nullptr;
 }
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/test/core_replacement_test.cc
+++ b/libraries/scenarios/test/core_replacement_test.cc
@@ -199,7 +199,7 @@
     return workers.contains("leaving") ? workers.at("leaving").entry.instance : 0;
   };
   ASSERT_TRUE(fleet.world.runUntil([&] { return instance() != 0; }, seconds(12)));
-  fleet.fronts.front()->hearOfDraining("leaving");
+  fleet.fronts.front()->onDraining("leaving");
   fleet.world.runFor(seconds(3));
   for (const auto& core : fleet.cores) {
     core->kill(Death::PowerLoss);
--- a/libraries/scenarios/test/dissemination_scenario_test.cc
+++ b/libraries/scenarios/test/dissemination_scenario_test.cc
@@ -65,7 +65,7 @@
                                     seconds(20)));
   }
 
-  std::size_t wholeSize() const {
+  std::size_t fullSize() const {
     wire::Envelope envelope;
     envelope.message = fleet_.fronts[1]->node().replica().document().deltaSince(0);
     return wire::encode(envelope).size();
@@ -86,8 +86,8 @@
     bytes += traffic.bytes;
   }
   std::cout << GetParam() << " fronts: " << bytes << " bytes of deltas to fronts for one change, "
-            << wholeSize() << " bytes the whole configuration\n";
-  EXPECT_LT(bytes, GetParam() * wholeSize() / 4);
+            << fullSize() << " bytes the whole configuration\n";
+  EXPECT_LT(bytes, GetParam() * fullSize() / 4);
 }
 
 TEST_P(DisseminationScenarioTest, AFrontCutOffForAMinuteCatchesUpByDeltas) {
@@ -112,10 +112,10 @@
   fleet_.world.runFor(seconds(5));
   const DeltaTraffic& traffic = traffic_[front.address()];
   std::cout << GetParam() << " fronts: " << traffic.messages << " deltas of " << traffic.bytes
-            << " bytes to the front that was cut off, " << wholeSize()
+            << " bytes to the front that was cut off, " << fullSize()
             << " bytes the whole configuration\n";
   EXPECT_EQ(traffic.whole, 0U);
-  EXPECT_LT(traffic.bytes, wholeSize());
+  EXPECT_LT(traffic.bytes, fullSize());
   // The removals came as tombstones.
   EXPECT_TRUE(front.node().replica().view()->keys.empty());
   EXPECT_EQ(front.node().replica().digest(), fleet_.fronts[1]->node().replica().digest());
--- a/libraries/scenarios/test/full_disk_test.cc
+++ b/libraries/scenarios/test/full_disk_test.cc
@@ -26,7 +26,7 @@
   fleet.network.cut(fleet.cores[full]->address(), fleet.cores[(full + 1) % size.cores]->address());
   fleet.operators.front()->start();
   int lapses = 0;
-  for (int look = 0; look < 400; ++look) {
+  for (int poll = 0; poll < 400; ++poll) {
     fleet.world.runFor(milliseconds(10));
     for (const auto& front : fleet.fronts) {
       lapses += front->dispatchVersion() ? 0 : 1;
--- a/libraries/scenarios/test/limits_scenario_test.cc
+++ b/libraries/scenarios/test/limits_scenario_test.cc
@@ -10,8 +10,8 @@
 constexpr std::uint64_t RedSeeds = 5;
 
 void expectKept(const LimitsScenarioResult& result, std::uint64_t seed) {
-  for (const laboratory::Violation& violation : result.judgement.violations) {
-    ADD_FAILURE() << "seed " << seed << ": " << laboratory::ruleName(violation.rule) << " "
+  for (const testbed::Violation& violation : result.report.violations) {
+    ADD_FAILURE() << "seed " << seed << ": " << testbed::ruleName(violation.rule) << " "
                   << violation.subject << ": " << violation.detail;
   }
 }
@@ -38,8 +38,8 @@
   options.worker_refusal = 1;
   const LimitsScenarioResult result = LimitsScenario(options).run();
   expectKept(result, GetParam());
-  EXPECT_GT(result.judgement.retries.at("stream").first_tries, 500U);
-  EXPECT_GT(result.judgement.retries.at("stream").retries, 0U);
+  EXPECT_GT(result.report.retries.at("stream").first_attempts, 500U);
+  EXPECT_GT(result.report.retries.at("stream").retries, 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, RetryStormTest, testing::Range<std::uint64_t>(1, 21));
@@ -52,8 +52,8 @@
     options.worker_refusal = 1;
     options.retry_share = 0.5;
     const LimitsScenarioResult result = LimitsScenario(options).run();
-    ASSERT_FALSE(result.judgement.violations.empty()) << "seed " << seed;
-    EXPECT_EQ(result.judgement.violations.front().rule, laboratory::Rule::TooManyRetries);
+    ASSERT_FALSE(result.report.violations.empty()) << "seed " << seed;
+    EXPECT_EQ(result.report.violations.front().rule, testbed::Rule::TooManyRetries);
   }
 }
 
--- a/libraries/scenarios/test/maintenance_scenario_test.cc
+++ b/libraries/scenarios/test/maintenance_scenario_test.cc
@@ -36,7 +36,7 @@
   static std::string nameOf(std::size_t index) { return "w" + std::to_string(index); }
 
   /** Starts the core that is down, or else takes one down. */
-  void troubleAnotherCore() {
+  void injectFaultOnAnotherCore() {
     if (!down) {
       SimulatedCore& core = *fleet.cores[random.below(fleet.cores.size())];
       if (core.running()) {
@@ -67,7 +67,7 @@
           });
       fleet.world.runFor(milliseconds(random.below(300)));
       if (random.chance(0.4)) {
-        troubleAnotherCore();
+        injectFaultOnAnotherCore();
       }
       fleet.world.runUntil([&ended] { return ended; }, seconds(6));
       if (acknowledged) {
--- a/libraries/scenarios/test/beliefs_test.cc
+++ b/libraries/scenarios/test/state_report_test.cc
@@ -4,58 +4,58 @@
 #include <chrono>
 #include <set>
 
-#include "switchsaddle/configuration/beliefs.h"
+#include "switchsaddle/configuration/state_report.h"
 #include "switchsaddle/scenarios/fleet.h"
 
 namespace switchsaddle::scenarios {
 namespace {
 
-using configuration::BeliefDifference;
-using configuration::BeliefDifferenceKind;
-using configuration::BeliefReport;
+using configuration::StateDifference;
+using configuration::StateDifferenceKind;
+using configuration::StateReport;
 using std::chrono::seconds;
 
 constexpr const char* Evacuated = "evacuations/zone-north";
 
 /** What two whole nodes tell of their beliefs, as an operator reads and compares it. */
-class BeliefsTest : public testing::Test {
+class StateReportTest : public testing::Test {
  protected:
-  BeliefsTest() {
+  StateReportTest() {
     fleet_.addModelWorker();
     EXPECT_TRUE(fleet_.runUntilAllServe(0, seconds(12)));
     EXPECT_TRUE(fleet_.commitChange(firstChange(), seconds(12)));
     fleet_.world.runFor(seconds(5));
   }
 
-  BeliefReport beliefsOf(const base::NodeAddress& node) {
-    std::optional<BeliefReport> report;
+  StateReport stateOf(const base::NodeAddress& node) {
+    std::optional<StateReport> report;
     fleet_.operators.front()->request(
         node, "GET", "/v1/beliefs", {}, [&](const std::optional<wire::ControlReply>& reply) {
           std::vector<configuration::Fault> faults;
-          report = configuration::parseBeliefs(reply ? reply->body : std::string(), faults);
+          report = configuration::parseStateReport(reply ? reply->body : std::string(), faults);
         });
     fleet_.world.runUntil([&] { return report.has_value(); }, seconds(6));
     EXPECT_TRUE(report.has_value());
-    return report.value_or(BeliefReport{});
+    return report.value_or(StateReport{});
   }
 
-  std::vector<BeliefDifference> compare(const base::NodeAddress& first,
-                                        const base::NodeAddress& second) {
-    return configuration::compareBeliefs(beliefsOf(first), beliefsOf(second));
+  std::vector<StateDifference> compare(const base::NodeAddress& first,
+                                       const base::NodeAddress& second) {
+    return configuration::compareStates(stateOf(first), stateOf(second));
   }
 
-  static const BeliefDifference* find(const std::vector<BeliefDifference>& differences,
-                                      const std::string& subject, const std::string& key) {
+  static const StateDifference* find(const std::vector<StateDifference>& differences,
+                                     const std::string& subject, const std::string& key) {
     const auto found = std::find_if(differences.begin(), differences.end(), [&](const auto& each) {
       return each.subject == subject && each.key == key;
     });
     return found == differences.end() ? nullptr : &*found;
   }
 
-  static std::set<std::string> subjectsOf(const BeliefReport& report) {
+  static std::set<std::string> subjectsOf(const StateReport& report) {
     std::set<std::string> subjects;
-    for (const configuration::Belief& belief : report.beliefs) {
-      subjects.insert(belief.subject);
+    for (const configuration::StateEntry& entry : report.entries) {
+      subjects.insert(entry.subject);
     }
     return subjects;
   }
@@ -81,15 +81,15 @@
   Fleet fleet_{1, FleetSize{}};
 };
 
-TEST_F(BeliefsTest, AFrontTellsItsConfigurationWorkersSessionAndTerms) {
-  const BeliefReport report = beliefsOf(front(0));
+TEST_F(StateReportTest, AFrontTellsItsConfigurationWorkersSessionAndTerms) {
+  const StateReport report = stateOf(front(0));
   EXPECT_EQ(subjectsOf(report),
             (std::set<std::string>{"configuration", "lease", "session", "workers"}));
 }
 
-TEST_F(BeliefsTest, NodesInAgreementDifferInNothingTheyShare) {
+TEST_F(StateReportTest, NodesInAgreementDifferInNothingTheyShare) {
   for (const base::NodeAddress& other : {front(1), core(0)}) {
-    for (const BeliefDifference& difference : compare(front(0), other)) {
+    for (const StateDifference& difference : compare(front(0), other)) {
       EXPECT_NE(difference.subject, "configuration") << difference.key;
       const bool by_watcher = difference.key.starts_with("platform");
       EXPECT_TRUE(difference.subject != "workers" || by_watcher) << difference.key;
@@ -97,28 +97,28 @@
       EXPECT_TRUE(!own_session || other != core(0)) << "core and front differ on the session";
     }
   }
-  for (const BeliefDifference& difference : compare(core(0), core(1))) {
+  for (const StateDifference& difference : compare(core(0), core(1))) {
     EXPECT_NE(difference.subject, "session") << difference.key;
     EXPECT_NE(difference.subject, "configuration") << difference.key;
   }
 }
 
-TEST_F(BeliefsTest, AFrontCutOffIsSeenBehindEntryByEntry) {
+TEST_F(StateReportTest, AFrontCutOffIsSeenBehindEntryByEntry) {
   cutOff(front(0));
   fleet_.world.runFor(seconds(3));
   evacuate();
   fleet_.world.runFor(seconds(10));
-  const std::vector<BeliefDifference> differences = compare(front(0), core(0));
-  const BeliefDifference* entry = find(differences, "configuration", Evacuated);
+  const std::vector<StateDifference> differences = compare(front(0), core(0));
+  const StateDifference* entry = find(differences, "configuration", Evacuated);
   ASSERT_NE(entry, nullptr);
-  EXPECT_EQ(entry->kind, BeliefDifferenceKind::OnlySecond);
+  EXPECT_EQ(entry->kind, StateDifferenceKind::OnlySecond);
   EXPECT_GE(entry->second->since_ms, 10'000);
   EXPECT_LT(entry->second->since_ms, 13'000);
-  const BeliefDifference* version = find(differences, "configuration", "version");
+  const StateDifference* version = find(differences, "configuration", "version");
   ASSERT_NE(version, nullptr);
   EXPECT_EQ(version->first->version, 1U);
   EXPECT_EQ(version->second->version, 2U);
-  const BeliefDifference* state = find(differences, "session", "state");
+  const StateDifference* state = find(differences, "session", "state");
   ASSERT_NE(state, nullptr);
   EXPECT_EQ(state->first->value, "lapsed");
   EXPECT_GE(state->first->since_ms, 10'000);
@@ -126,7 +126,7 @@
   EXPECT_EQ(find(differences, "session", front(0).toString()), nullptr);
 }
 
-TEST_F(BeliefsTest, AFrontWokenFromAFreezeComesToAgree) {
+TEST_F(StateReportTest, AFrontWokenFromAFreezeComesToAgree) {
   fleet_.fronts[0]->process().freeze();
   fleet_.world.runFor(seconds(2));
   evacuate();
@@ -134,28 +134,28 @@
   EXPECT_EQ(find(compare(core(0), front(1)), "configuration", Evacuated), nullptr);
   fleet_.fronts[0]->process().wake();
   fleet_.world.runFor(seconds(3));
-  const std::vector<BeliefDifference> differences = compare(front(0), front(1));
+  const std::vector<StateDifference> differences = compare(front(0), front(1));
   EXPECT_EQ(find(differences, "configuration", Evacuated), nullptr);
   // It has held the entry for less long than the other, which a comparison doesn't count.
-  const BeliefReport woken = beliefsOf(front(0));
-  const auto entry = std::find_if(woken.beliefs.begin(), woken.beliefs.end(),
+  const StateReport woken = stateOf(front(0));
+  const auto entry = std::find_if(woken.entries.begin(), woken.entries.end(),
                                   [](const auto& each) { return each.key == Evacuated; });
-  ASSERT_NE(entry, woken.beliefs.end());
+  ASSERT_NE(entry, woken.entries.end());
   EXPECT_LE(entry->since_ms, 3'500);
 }
 
-TEST_F(BeliefsTest, ACoreCutOffIsSeenBehind) {
+TEST_F(StateReportTest, ACoreCutOffIsSeenBehind) {
   cutOff(core(4));
   fleet_.world.runFor(seconds(3));
   evacuate();
   fleet_.world.runFor(seconds(5));
-  const std::vector<BeliefDifference> differences = compare(core(4), core(0));
-  const BeliefDifference* entry = find(differences, "configuration", Evacuated);
+  const std::vector<StateDifference> differences = compare(core(4), core(0));
+  const StateDifference* entry = find(differences, "configuration", Evacuated);
   ASSERT_NE(entry, nullptr);
-  EXPECT_EQ(entry->kind, BeliefDifferenceKind::OnlySecond);
-  const BeliefDifference* session = find(differences, "session", front(1).toString());
+  EXPECT_EQ(entry->kind, StateDifferenceKind::OnlySecond);
+  const StateDifference* session = find(differences, "session", front(1).toString());
   ASSERT_NE(session, nullptr);
-  EXPECT_EQ(session->kind, BeliefDifferenceKind::OnlySecond);
+  EXPECT_EQ(session->kind, StateDifferenceKind::OnlySecond);
 }
 
 }  // namespace
--- a/libraries/scenarios/test/uncommitted_value_test.cc
+++ b/libraries/scenarios/test/uncommitted_value_test.cc
@@ -64,7 +64,7 @@
   cutOffFirstCore();
   accept(*fleet_.cores[0], 1'000'000, nextValue());
   fleet_.world.runFor(milliseconds(100));
-  for (int look = 0; look < 500; ++look) {
+  for (int poll = 0; poll < 500; ++poll) {
     fleet_.world.runFor(milliseconds(10));
     EXPECT_EQ(fleet_.cores[0]->node().replica().version(), 0U);
     for (const auto& front : fleet_.fronts) {
--- a/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
+++ b/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
@@ -79,21 +79,21 @@
  private:
   void tick();
   /** Whether renewals fail and some core refuses, so that every core is asked at each tick. */
-  bool troubled() const;
+  bool degraded() const;
   void ask();
-  void askAll();
+  void renewAtAllCores();
   /** Renews at the present core, unless it still owes an answer: cores that are late are not to get
    * the more to do. */
   void renew();
-  void askCore(const base::NodeAddress& core);
+  void sendRenewal(const base::NodeAddress& core);
   /** A core has not answered within the silence bound; its answer still counts if it comes. */
-  void onSilence(const base::NodeAddress& core);
-  void onReply(const base::NodeAddress& core, base::TimePoint asked_at,
+  void onTimeout(const base::NodeAddress& core);
+  void onReply(const base::NodeAddress& core, base::TimePoint requested_at,
                const transport::CallResult& result);
-  void onGranted(const base::NodeAddress& core, base::TimePoint asked_at,
+  void onGranted(const base::NodeAddress& core, base::TimePoint requested_at,
                  const wire::SessionOpenReply& reply);
   void learn(const wire::SessionOpenReply& reply);
-  void onRefused(const base::NodeAddress& core, base::TimePoint asked_at);
+  void onRefused(const base::NodeAddress& core, base::TimePoint requested_at);
   void updateGrace();
   void endGrace();
   /** Turns to the next core; false where this was not the present one. */
@@ -122,7 +122,7 @@
   /** An ask that has had no answer yet, and the timer of its silence bound. */
   struct Ask {
     base::NodeAddress core;
-    base::TimerPtr silence_timer;
+    base::TimerPtr response_timer;
   };
   std::map<std::uint64_t, Ask> unanswered_;
   std::uint64_t applied_version_ = 0;
--- a/libraries/sessions/include/switchsaddle/sessions/session_directory.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_directory.h
@@ -24,12 +24,12 @@
   virtual void readLive(LiveSessionsCallback callback) = 0;
   /** The same for the sessions of fronts that have an older version than this in force. One that a
    * core still knows with an older version is told even where another knows better. */
-  virtual void readBehind(std::uint64_t version, LiveSessionsCallback callback) = 0;
+  virtual void readLagging(std::uint64_t version, LiveSessionsCallback callback) = 0;
   /** Sessions recorded at this node alone, with all that their fronts tell. */
   virtual std::vector<wire::SessionTableEntry> localSessions() const = 0;
   /** Those of fronts that have an older version than this in force, without what fronts tell
    * besides. */
-  virtual std::vector<wire::SessionTableEntry> localBehind(std::uint64_t version) const = 0;
+  virtual std::vector<wire::SessionTableEntry> localLagging(std::uint64_t version) const = 0;
 };
 
 }  // namespace switchsaddle::sessions
--- a/libraries/sessions/include/switchsaddle/sessions/session_table.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_table.h
@@ -50,9 +50,9 @@
                SessionTimes times, CoreView& view, SessionTableFaults faults = {});
 
   void readLive(LiveSessionsCallback callback) override;
-  void readBehind(std::uint64_t version, LiveSessionsCallback callback) override;
+  void readLagging(std::uint64_t version, LiveSessionsCallback callback) override;
   std::vector<wire::SessionTableEntry> localSessions() const override;
-  std::vector<wire::SessionTableEntry> localBehind(std::uint64_t version) const override;
+  std::vector<wire::SessionTableEntry> localLagging(std::uint64_t version) const override;
   /** Shows each live session recorded here, without a copy of it. */
   void visitLocal(const std::function<void(const wire::SessionRecord&)>& visitor) const;
   /** Adds to the grant of a session what else the front is to hear. */
@@ -108,7 +108,7 @@
   /** Sends what waits once the interval has passed since the last batch and a majority has recorded
    * that, or earlier where that is due already. */
   void scheduleFlush(base::Duration interval);
-  bool tellsNewVersion(const wire::SessionRecord& record) const;
+  bool carriesNewVersion(const wire::SessionRecord& record) const;
   void flush();
   void onBatchReply(const base::NodeAddress& peer, Batch& batch,
                     const transport::CallResult& result);
--- a/libraries/sessions/include/switchsaddle/sessions/session_times.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_times.h
@@ -14,7 +14,7 @@
   base::Duration core_limit = std::chrono::milliseconds(1'500);
   base::Duration renewal = std::chrono::milliseconds(250);
   /** A core silent for this long is passed over for the next. */
-  base::Duration core_silence = std::chrono::milliseconds(300);
+  base::Duration core_timeout = std::chrono::milliseconds(300);
   /** How long a read of the live sessions may take in all. */
   base::Duration read_deadline = std::chrono::milliseconds(2'000);
   /** How long a front serves on while a majority of cores refuse connections; zero: not at all. */
--- a/libraries/sessions/source/quorum_session_client.cc
+++ b/libraries/sessions/source/quorum_session_client.cc
@@ -61,8 +61,8 @@
     return;
   }
   refused_in_a_row_ = 0;
-  if (troubled()) {
-    askAll();
+  if (degraded()) {
+    renewAtAllCores();
   } else {
     renew();
   }
@@ -80,56 +80,56 @@
   }
 }
 
-bool QuorumSessionClient::troubled() const {
+bool QuorumSessionClient::degraded() const {
   const base::TimePoint now = dispatcher_.now();
   const bool fresh = granted_until_ && now < *granted_until_ - times_.front_limit / 2;
   return !fresh && !refusals_.empty();
 }
 
-void QuorumSessionClient::askAll() {
+void QuorumSessionClient::renewAtAllCores() {
   const std::vector<base::NodeAddress> cores = cores_;
   for (const base::NodeAddress& core : cores) {
-    askCore(core);
+    sendRenewal(core);
   }
 }
 
 void QuorumSessionClient::ask() {
   if (!cores_.empty()) {
-    askCore(cores_[core_index_ % cores_.size()]);
+    sendRenewal(cores_[core_index_ % cores_.size()]);
   }
 }
 
-void QuorumSessionClient::askCore(const base::NodeAddress& core) {
-  const base::TimePoint asked_at = dispatcher_.now();
+void QuorumSessionClient::sendRenewal(const base::NodeAddress& core) {
+  const base::TimePoint requested_at = dispatcher_.now();
   wire::SessionRecord record{identity_.address, identity_.instance, ++sequence_, applied_version_,
                              applied_digest_,   identity_.zone,     closing_};
   if (record_source_) {
     record_source_(record);
   }
-  base::TimerPtr silence_timer = dispatcher_.createTimer([this, core] { onSilence(core); });
-  silence_timer->enable(times_.core_silence);
-  unanswered_[sequence_] = {core, std::move(silence_timer)};
+  base::TimerPtr response_timer = dispatcher_.createTimer([this, core] { onTimeout(core); });
+  response_timer->enable(times_.core_timeout);
+  unanswered_[sequence_] = {core, std::move(response_timer)};
   calls_.call(core, wire::SessionOpenRequest{record, members_digest_}, times_.front_limit,
-              [this, alive = std::weak_ptr(alive_), core, asked_at,
+              [this, alive = std::weak_ptr(alive_), core, requested_at,
                sequence = sequence_](const auto& result) {
                 if (!alive.expired()) {
                   unanswered_.erase(sequence);
-                  onReply(core, asked_at, result);
+                  onReply(core, requested_at, result);
                 }
               });
 }
 
-void QuorumSessionClient::onSilence(const base::NodeAddress& core) {
+void QuorumSessionClient::onTimeout(const base::NodeAddress& core) {
   const bool was_current = passOver(core);
-  if (was_current && !troubled() && tick_timer_->enabled()) {
+  if (was_current && !degraded() && tick_timer_->enabled()) {
     ask();
   }
 }
 
-void QuorumSessionClient::onReply(const base::NodeAddress& core, base::TimePoint asked_at,
+void QuorumSessionClient::onReply(const base::NodeAddress& core, base::TimePoint requested_at,
                                   const transport::CallResult& result) {
   if (result.code == base::ResultCode::PeerUnreachable) {
-    onRefused(core, asked_at);
+    onRefused(core, requested_at);
     return;
   }
   const auto* reply = result.as<wire::SessionOpenReply>();
@@ -139,7 +139,7 @@
   refusals_.erase(core);
   endGrace();
   if (reply->granted) {
-    onGranted(core, asked_at, *reply);
+    onGranted(core, requested_at, *reply);
   }
 }
 
@@ -157,10 +157,11 @@
   }
 }
 
-void QuorumSessionClient::onGranted(const base::NodeAddress& core, base::TimePoint asked_at,
+void QuorumSessionClient::onGranted(const base::NodeAddress& core, base::TimePoint requested_at,
                                     const wire::SessionOpenReply& reply) {
   const base::TimePoint now = dispatcher_.now();
-  const base::TimePoint until = (faults_.count_from_receipt ? now : asked_at) + times_.front_limit;
+  const base::TimePoint until =
+      (faults_.count_from_receipt ? now : requested_at) + times_.front_limit;
   if (closing_) {
     if (reply.sequence >= closing_sequence_) {
       finishClose();
@@ -180,7 +181,7 @@
     granted_until_ = until;
   } else {
     granted_until_ = std::max(*granted_until_, until);
-    if (!required_version_ && asked_at >= chain_granted_at_) {
+    if (!required_version_ && requested_at >= chain_granted_at_) {
       required_version_ = reply.committed_version;
     }
   }
@@ -211,14 +212,14 @@
   core_index_ = found == cores_.end() ? 0 : static_cast<std::size_t>(found - cores_.begin());
 }
 
-void QuorumSessionClient::onRefused(const base::NodeAddress& core, base::TimePoint asked_at) {
+void QuorumSessionClient::onRefused(const base::NodeAddress& core, base::TimePoint requested_at) {
   // An answer that waited for this process says nothing about the present.
-  if (dispatcher_.now() < asked_at + times_.core_silence) {
-    refusals_[core] = asked_at;
+  if (dispatcher_.now() < requested_at + times_.core_timeout) {
+    refusals_[core] = requested_at;
     updateGrace();
   }
   const bool was_current = passOver(core);
-  if (was_current && !troubled() && ++refused_in_a_row_ < cores_.size()) {
+  if (was_current && !degraded() && ++refused_in_a_row_ < cores_.size()) {
     ask();
   }
 }
--- a/libraries/sessions/source/session_table.cc
+++ b/libraries/sessions/source/session_table.cc
@@ -54,7 +54,7 @@
                                                          const transport::ReplyFunction& reply) {
     if (!alive.expired()) {
       const bool unusable = recovering() || !sameEpoch(request.set_epoch);
-      reply(wire::SessionTableReply{unusable, localBehind(request.below_version)});
+      reply(wire::SessionTableReply{unusable, localLagging(request.below_version)});
     }
   });
 }
@@ -98,7 +98,7 @@
   }
 }
 
-std::vector<wire::SessionTableEntry> SessionTable::localBehind(std::uint64_t version) const {
+std::vector<wire::SessionTableEntry> SessionTable::localLagging(std::uint64_t version) const {
   std::vector<wire::SessionTableEntry> sessions;
   const base::TimePoint now = dispatcher_.now();
   for (const auto& [key, entry] : entries_) {
@@ -125,12 +125,12 @@
 void SessionTable::onOpen(const wire::SessionOpenRequest& request, transport::ReplyFunction reply) {
   PendingGrant pending{request.record, request.members_digest, std::move(reply),
                        dispatcher_.now() + times_.front_limit};
-  const bool urgent = tellsNewVersion(pending.record);
+  const bool urgent = carriesNewVersion(pending.record);
   unsent_.push_back(std::move(pending));
   scheduleFlush(urgent ? times_.applied_batch_interval : times_.batch_interval);
 }
 
-bool SessionTable::tellsNewVersion(const wire::SessionRecord& record) const {
+bool SessionTable::carriesNewVersion(const wire::SessionRecord& record) const {
   const auto known = entries_.find(SessionKey{record.front, record.instance});
   return known != entries_.end() && record.applied_version > known->second.record.applied_version;
 }
@@ -284,10 +284,10 @@
 }
 
 void SessionTable::readLive(LiveSessionsCallback callback) {
-  readBehind(UINT64_MAX, std::move(callback));
+  readLagging(UINT64_MAX, std::move(callback));
 }
 
-void SessionTable::readBehind(std::uint64_t version, LiveSessionsCallback callback) {
+void SessionTable::readLagging(std::uint64_t version, LiveSessionsCallback callback) {
   auto read = std::make_shared<Read>();
   read->below_version = version;
   read->callback = std::move(callback);
--- a/libraries/sessions/test/session_fleet.cc
+++ b/libraries/sessions/test/session_fleet.cc
@@ -101,7 +101,7 @@
 void SessionFleet::commit() {
   const std::uint64_t version = next_version_++;
   std::size_t reached = 0;
-  for (std::size_t tries = 0; tries < 20 && reached <= CoreCount / 2; ++tries) {
+  for (std::size_t attempts = 0; attempts < 20 && reached <= CoreCount / 2; ++attempts) {
     SessionNode& node = core(random.below(CoreCount));
     if (node.process.running() && !node.process.frozen()) {
       ++reached;
--- a/libraries/sessions/test/session_table_test.cc
+++ b/libraries/sessions/test/session_table_test.cc
@@ -124,11 +124,11 @@
   }
   fleet_.run(milliseconds(50));
   std::size_t behind = 0;
-  fleet_.core(3).table->readBehind(
+  fleet_.core(3).table->readLagging(
       4, [&](base::ResultCode, const auto& sessions) { behind = sessions.size(); });
   fleet_.run(milliseconds(50));
   EXPECT_EQ(behind, 4U);
-  EXPECT_EQ(fleet_.core(3).table->localBehind(4).size(), 4U);
+  EXPECT_EQ(fleet_.core(3).table->localLagging(4).size(), 4U);
 }
 
 TEST_F(SessionTableTest, CoresThatAnswerLateGetFewerBatches) {
--- a/libraries/simulation/include/switchsaddle/simulation/network.h
+++ b/libraries/simulation/include/switchsaddle/simulation/network.h
@@ -59,7 +59,7 @@
   struct Parcel {
     base::NodeAddress from;
     base::NodeAddress to;
-    std::uint64_t sender_life;
+    std::uint64_t sender_incarnation;
     transport::RefusedEnvelope envelope;
     std::string bytes;
   };
@@ -71,7 +71,7 @@
   /** Tells the sender, where it still lives, that nobody listens. */
   void refuse(const Parcel& parcel);
   /** The receiver of one life at an address; nullptr where it has ended. */
-  transport::Receiver* receiverOf(const base::NodeAddress& address, std::uint64_t life);
+  transport::Receiver* receiverOf(const base::NodeAddress& address, std::uint64_t incarnation);
   bool isCut(const base::NodeAddress& first, const base::NodeAddress& second) const;
   base::Duration randomDelay();
   base::Duration workOf(std::size_t bytes) const;
@@ -79,7 +79,7 @@
   World& world_;
   std::map<base::NodeAddress, Endpoint*> endpoints_;
   std::set<std::pair<base::NodeAddress, base::NodeAddress>> cuts_;
-  std::uint64_t next_life_ = 1;
+  std::uint64_t next_incarnation_ = 1;
   std::uint64_t envelopes_sent_ = 0;
   std::uint64_t bytes_sent_ = 0;
 };
--- a/libraries/simulation/source/network.cc
+++ b/libraries/simulation/source/network.cc
@@ -7,8 +7,11 @@
 /** The transport of one life of a process at one address. */
 class Network::Endpoint : public transport::Transport {
  public:
-  Endpoint(Network& network, base::NodeAddress address, Process& process, std::uint64_t life)
-      : network_(network), address_(std::move(address)), process_(process), life_(life) {}
+  Endpoint(Network& network, base::NodeAddress address, Process& process, std::uint64_t incarnation)
+      : network_(network),
+        address_(std::move(address)),
+        process_(process),
+        incarnation_(incarnation) {}
   ~Endpoint() override { network_.detach(address_); }
 
   const base::NodeAddress& localAddress() const override { return address_; }
@@ -18,14 +21,14 @@
   }
 
   Process& process() { return process_; }
-  std::uint64_t life() const { return life_; }
+  std::uint64_t incarnation() const { return incarnation_; }
   transport::Receiver* receiver() { return receiver_; }
 
  private:
   Network& network_;
   base::NodeAddress address_;
   Process& process_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   transport::Receiver* receiver_ = nullptr;
 };
 
@@ -33,7 +36,7 @@
 
 std::unique_ptr<transport::Transport> Network::attach(const base::NodeAddress& address,
                                                       Process& process) {
-  auto endpoint = std::make_unique<Endpoint>(*this, address, process, next_life_++);
+  auto endpoint = std::make_unique<Endpoint>(*this, address, process, next_incarnation_++);
   endpoints_[address] = endpoint.get();
   return endpoint;
 }
@@ -79,7 +82,7 @@
     return;
   }
   const Parcel parcel{
-      from.localAddress(), to, from.life(), {envelope.kind, envelope.request_id}, bytes};
+      from.localAddress(), to, from.incarnation(), {envelope.kind, envelope.request_id}, bytes};
   scheduleDelivery(parcel);
   if (world_.random().chance(conditions.duplication)) {
     scheduleDelivery(parcel);
@@ -99,10 +102,10 @@
     refuse(parcel);
     return;
   }
-  const std::uint64_t target_life = target->second->life();
+  const std::uint64_t target_incarnation = target->second->incarnation();
   Process& process = target->second->process();
-  process.post([this, &process, to = parcel.to, target_life, bytes = parcel.bytes] {
-    if (transport::Receiver* receiver = receiverOf(to, target_life)) {
+  process.post([this, &process, to = parcel.to, target_incarnation, bytes = parcel.bytes] {
+    if (transport::Receiver* receiver = receiverOf(to, target_incarnation)) {
       process.spend(workOf(bytes.size()));
       receiver->onEnvelope(wire::decode(bytes));
     }
@@ -112,22 +115,24 @@
 void Network::refuse(const Parcel& parcel) {
   const auto sender = endpoints_.find(parcel.from);
   const bool sender_lives =
-      sender != endpoints_.end() && sender->second->life() == parcel.sender_life;
+      sender != endpoints_.end() && sender->second->incarnation() == parcel.sender_incarnation;
   if (!sender_lives) {
     return;
   }
   sender->second->process().postAfter(
-      conditions.minimum_delay, [this, from = parcel.from, to = parcel.to,
-                                 life = parcel.sender_life, envelope = parcel.envelope] {
-        if (transport::Receiver* receiver = receiverOf(from, life)) {
+      conditions.minimum_delay,
+      [this, from = parcel.from, to = parcel.to, incarnation = parcel.sender_incarnation,
+       envelope = parcel.envelope] {
+        if (transport::Receiver* receiver = receiverOf(from, incarnation)) {
           receiver->onRefused(to, envelope);
         }
       });
 }
 
-transport::Receiver* Network::receiverOf(const base::NodeAddress& address, std::uint64_t life) {
+transport::Receiver* Network::receiverOf(const base::NodeAddress& address,
+                                         std::uint64_t incarnation) {
   const auto found = endpoints_.find(address);
-  const bool lives = found != endpoints_.end() && found->second->life() == life;
+  const bool lives = found != endpoints_.end() && found->second->incarnation() == incarnation;
   return lives ? found->second->receiver() : nullptr;
 }
 
--- a/libraries/storage/source/record_directory.cc
+++ b/libraries/storage/source/record_directory.cc
@@ -31,7 +31,7 @@
 }
 
 /** The records of a map of each key's newest record, in order of key. */
-std::vector<Record> takeRecords(std::map<std::string, Record>& newest) {
+std::vector<Record> applyRecords(std::map<std::string, Record>& newest) {
   std::vector<Record> records;
   records.reserve(newest.size());
   for (auto& [key, record] : newest) {
@@ -146,7 +146,7 @@
     newest.insert_or_assign(std::move(key), std::move(record));
   }
   const std::uint64_t commit = next_commit_;
-  const std::string bytes = encodeRecordFile(RecordFile{commit, commit, takeRecords(newest)});
+  const std::string bytes = encodeRecordFile(RecordFile{commit, commit, applyRecords(newest)});
   const Segment segment{commit, commit, bytes.size(), false};
   publish(RecordsFolder, nameOf(segment), bytes);
   segments_.push_back(segment);
--- a/libraries/storage/source/record_directory.h
+++ b/libraries/storage/source/record_directory.h
@@ -60,7 +60,7 @@
   struct Merge {
     std::uint64_t last = 0;
     /** The parts are the whole state: no file is read. */
-    bool whole_state = false;
+    bool full_state = false;
     std::size_t next_bucket = 0;
     /** Records of all the runs for each bucket, in order of their commits. */
     std::vector<std::vector<Record>> parts;
--- a/libraries/storage/source/record_directory_compaction.cc
+++ b/libraries/storage/source/record_directory_compaction.cc
@@ -105,7 +105,7 @@
   }
   Merge merge;
   merge.last = next_commit_ - 1;
-  merge.whole_state = true;
+  merge.full_state = true;
   merge.parts.resize(bucket_last_.size());
   for (Record& record : state) {
     merge.parts[bucketOf(record.key)].push_back(std::move(record));
@@ -120,9 +120,9 @@
     return;
   }
   const std::uint64_t former = bucket_last_[bucket];
-  if (former < merge_->last || merge_->whole_state) {
+  if (former < merge_->last || merge_->full_state) {
     std::map<std::string, Record> newest;
-    if (former != 0 && !merge_->whole_state) {
+    if (former != 0 && !merge_->full_state) {
       keepNewest(newest, readIntact(bucketName(bucket, former)).records);
     }
     keepNewest(newest, merge_->parts[bucket]);
--- a/libraries/storage/test/file_record_store_property_test.cc
+++ b/libraries/storage/test/file_record_store_property_test.cc
@@ -114,9 +114,9 @@
   std::uint64_t acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    RandomLife life(seed);
-    life.run();
-    acknowledged += life.acknowledged();
+    RandomLife incarnation(seed);
+    incarnation.run();
+    acknowledged += incarnation.acknowledged();
     ASSERT_FALSE(testing::Test::HasFailure());
   }
   EXPECT_GT(acknowledged, Seeds * 20);
--- a/libraries/streams/include/switchsaddle/streams/event_stream_parser.h
+++ b/libraries/streams/include/switchsaddle/streams/event_stream_parser.h
@@ -35,10 +35,10 @@
   base::ResultCode feed(std::string_view bytes, std::vector<WorkerEvent>& events);
 
  private:
-  bool takeLine(std::string_view line, std::vector<WorkerEvent>& events);
-  bool takeField(std::string_view name, std::string_view value);
+  bool parseLine(std::string_view line, std::vector<WorkerEvent>& events);
+  bool parseField(std::string_view name, std::string_view value);
   bool endEvent(std::vector<WorkerEvent>& events);
-  bool readPiece(WorkerEvent& event);
+  bool readChunk(WorkerEvent& event);
 
   std::size_t maximum_event_bytes_;
   std::string run_;
--- a/libraries/streams/include/switchsaddle/streams/relay_machine.h
+++ b/libraries/streams/include/switchsaddle/streams/relay_machine.h
@@ -14,7 +14,7 @@
 /** Where the relay of one caller's stream stands. */
 enum class RelayState : std::uint8_t {
   /** No piece has been handed out: another worker may still be tried. */
-  BeforeFirstPiece,
+  BeforeFirstChunk,
   Relaying,
   /** The worker's own end has been handed out. */
   Finished,
@@ -67,12 +67,12 @@
   void onWritten();
 
   bool mayRead() const { return outstanding_ < maximum_outstanding_; }
-  bool mayRetryElsewhere() const { return state_ == RelayState::BeforeFirstPiece; }
+  bool mayRetryElsewhere() const { return state_ == RelayState::BeforeFirstChunk; }
   bool ended() const { return state_ == RelayState::Finished || state_ == RelayState::Broken; }
   RelayState state() const { return state_; }
   std::size_t outstanding() const { return outstanding_; }
   /** Pieces handed out. */
-  std::uint64_t pieces() const { return pieces_; }
+  std::uint64_t chunks() const { return chunks_; }
   /** Output tokens handed out. */
   std::uint64_t tokens() const { return tokens_; }
   const std::string& run() const { return checker_.run(); }
@@ -82,12 +82,12 @@
 
   std::size_t maximum_outstanding_;
   bool check_sequence_;
-  RelayState state_ = RelayState::BeforeFirstPiece;
+  RelayState state_ = RelayState::BeforeFirstChunk;
   EventStreamParser parser_;
   SequenceChecker checker_;
   base::ResultCode fault_ = base::ResultCode::Ok;
   std::size_t outstanding_ = 0;
-  std::uint64_t pieces_ = 0;
+  std::uint64_t chunks_ = 0;
   std::uint64_t tokens_ = 0;
 };
 
--- a/libraries/streams/source/event_stream_parser.cc
+++ b/libraries/streams/source/event_stream_parser.cc
@@ -51,12 +51,12 @@
     }
     bytes.remove_prefix(end + 1);
     const std::string line = std::exchange(line_, {});
-    broken_ = !takeLine(line, events);
+    broken_ = !parseLine(line, events);
   }
   return broken_ ? base::ResultCode::StreamBroken : base::ResultCode::Ok;
 }
 
-bool EventStreamParser::takeLine(std::string_view line, std::vector<WorkerEvent>& events) {
+bool EventStreamParser::parseLine(std::string_view line, std::vector<WorkerEvent>& events) {
   if (line.ends_with('\r')) {
     line.remove_suffix(1);
   }
@@ -75,10 +75,10 @@
   if (value.starts_with(' ')) {
     value.remove_prefix(1);
   }
-  return takeField(name, value);
+  return parseField(name, value);
 }
 
-bool EventStreamParser::takeField(std::string_view name, std::string_view value) {
+bool EventStreamParser::parseField(std::string_view name, std::string_view value) {
   if (name == "id") {
     id_ = parseNumber(value);
     return id_.has_value();
@@ -112,21 +112,21 @@
   event.index = *id;
   event.run = run_;
   event.done = event.data == DoneMarker;
-  if (!event.done && !readPiece(event)) {
+  if (!event.done && !readChunk(event)) {
     return false;
   }
   events.push_back(std::move(event));
   return true;
 }
 
-bool EventStreamParser::readPiece(WorkerEvent& event) {
+bool EventStreamParser::readChunk(WorkerEvent& event) {
   boost::system::error_code fault;
   const boost::json::value value = boost::json::parse(event.data, fault);
   if (fault || !value.is_object()) {
     return false;
   }
-  const boost::json::object& piece = value.get_object();
-  if (const boost::json::value* run = piece.if_contains("run")) {
+  const boost::json::object& chunk = value.get_object();
+  if (const boost::json::value* run = chunk.if_contains("run")) {
     if (!run->is_string()) {
       return false;
     }
@@ -136,8 +136,8 @@
     }
   }
   bool valid = !event.run.empty();
-  const std::optional<std::uint64_t> index = readNumber(piece, "index", valid);
-  event.tokens = static_cast<std::uint32_t>(readNumber(piece, "tokens", valid).value_or(1));
+  const std::optional<std::uint64_t> index = readNumber(chunk, "index", valid);
+  event.tokens = static_cast<std::uint32_t>(readNumber(chunk, "tokens", valid).value_or(1));
   return valid && index.value_or(event.index) == event.index;
 }
 
--- a/libraries/streams/source/relay_machine.cc
+++ b/libraries/streams/source/relay_machine.cc
@@ -12,19 +12,19 @@
 
 /** The piece's JSON with the run named in it. */
 std::string dataWithRun(const WorkerEvent& event) {
-  boost::json::object piece = boost::json::parse(event.data).as_object();
-  if (piece.contains("run")) {
-    return boost::json::serialize(piece);
+  boost::json::object chunk = boost::json::parse(event.data).as_object();
+  if (chunk.contains("run")) {
+    return boost::json::serialize(chunk);
   }
-  piece["run"] = event.run;
-  return boost::json::serialize(piece);
+  chunk["run"] = event.run;
+  return boost::json::serialize(chunk);
 }
 
 std::string formatEvent(std::uint64_t id, const std::string& data) {
   return "id: " + std::to_string(id) + "\ndata: " + data + "\n\n";
 }
 
-std::string formatError(ResultCode code, std::uint64_t pieces, const std::string& run) {
+std::string formatError(ResultCode code, std::uint64_t chunks, const std::string& run) {
   const base::ResultCodeInfo& info = base::describe(code);
   boost::json::object error;
   error["code"] = static_cast<std::uint16_t>(code);
@@ -32,13 +32,13 @@
   error["message"] = info.meaning;
   error["outcome"] = "unknown";
   error["run"] = run;
-  if (pieces > 0) {
-    error["last_piece"] = pieces - 1;
+  if (chunks > 0) {
+    error["last_piece"] = chunks - 1;
   } else {
     error["last_piece"] = nullptr;
   }
   error["retry_safe"] = info.retry_is_safe;
-  return "event: error\n" + formatEvent(pieces, boost::json::serialize(error));
+  return "event: error\n" + formatEvent(chunks, boost::json::serialize(error));
 }
 
 }  // namespace
@@ -89,12 +89,12 @@
   ++outstanding_;
   if (event.done) {
     state_ = RelayState::Finished;
-    step.events.push_back(formatEvent(pieces_, event.data));
+    step.events.push_back(formatEvent(chunks_, event.data));
     return;
   }
   state_ = RelayState::Relaying;
-  step.events.push_back(formatEvent(pieces_, dataWithRun(event)));
-  ++pieces_;
+  step.events.push_back(formatEvent(chunks_, dataWithRun(event)));
+  ++chunks_;
   tokens_ += event.tokens;
 }
 
@@ -110,7 +110,7 @@
   }
   state_ = RelayState::Broken;
   ++outstanding_;
-  step.events.push_back(formatError(code, pieces_, checker_.run()));
+  step.events.push_back(formatError(code, chunks_, checker_.run()));
   return step;
 }
 
--- a/libraries/streams/test/event_splitter_test.cc
+++ b/libraries/streams/test/event_splitter_test.cc
@@ -8,13 +8,13 @@
 TEST(EventSplitterTest, HandsOutWholeEventsUnchanged) {
   const std::string body =
       "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\nversions: 3\nid: 4\ndata: c\n\n";
-  for (std::size_t piece = 1; piece <= body.size(); ++piece) {
+  for (std::size_t chunk = 1; chunk <= body.size(); ++chunk) {
     EventSplitter splitter;
     std::vector<RawEvent> events;
-    for (std::size_t start = 0; start < body.size(); start += piece) {
-      EXPECT_TRUE(splitter.feed(std::string_view(body).substr(start, piece), events));
+    for (std::size_t start = 0; start < body.size(); start += chunk) {
+      EXPECT_TRUE(splitter.feed(std::string_view(body).substr(start, chunk), events));
     }
-    ASSERT_EQ(events.size(), 3U) << piece;
+    ASSERT_EQ(events.size(), 3U) << chunk;
     EXPECT_EQ(events[0].bytes + events[1].bytes + events[2].bytes, body);
     EXPECT_EQ(events[0].id, 1U);
     EXPECT_EQ(events[1].id, 2U);
--- a/libraries/streams/test/relay_machine_test.cc
+++ b/libraries/streams/test/relay_machine_test.cc
@@ -9,7 +9,7 @@
 
 using base::ResultCode;
 
-std::string piece(std::uint64_t index, const std::string& run = "r1") {
+std::string chunk(std::uint64_t index, const std::string& run = "r1") {
   const std::string number = std::to_string(index);
   return "id: " + number + "\ndata: {\"run\":\"" + run + "\",\"index\":" + number +
          ",\"text\":\"t" + number + "\",\"tokens\":1}\n\n";
@@ -23,12 +23,12 @@
   RelayMachine machine;
   machine.onHead("r1");
   std::vector<std::string> events;
-  for (const char byte : piece(0) + ": comment\r\n\r\n" + piece(1) + done(2)) {
+  for (const char byte : chunk(0) + ": comment\r\n\r\n" + chunk(1) + done(2)) {
     const RelayStep step = machine.onBytes(std::string_view(&byte, 1));
     EXPECT_EQ(step.code, ResultCode::Ok);
     events.insert(events.end(), step.events.begin(), step.events.end());
   }
-  EXPECT_EQ(events, (std::vector<std::string>{piece(0), piece(1), done(2)}));
+  EXPECT_EQ(events, (std::vector<std::string>{chunk(0), chunk(1), done(2)}));
   EXPECT_EQ(machine.state(), RelayState::Finished);
   EXPECT_EQ(machine.onWorkerEnd(), ResultCode::Ok);
   EXPECT_EQ(machine.tokens(), 2U);
@@ -38,7 +38,7 @@
   std::string name;
   std::string body;
   ResultCode code;
-  std::uint64_t pieces;
+  std::uint64_t chunks;
 };
 
 class RelayFault : public testing::TestWithParam<FaultCase> {};
@@ -49,18 +49,18 @@
   const RelayStep step = machine.onBytes(GetParam().body);
   const ResultCode code = step.code != ResultCode::Ok ? step.code : machine.onWorkerEnd();
   EXPECT_EQ(code, GetParam().code);
-  ASSERT_EQ(step.events.size(), GetParam().pieces);
+  ASSERT_EQ(step.events.size(), GetParam().chunks);
   for (const std::string& event : step.events) {
     EXPECT_EQ(event.find("[DONE]"), std::string::npos);
   }
-  EXPECT_EQ(machine.mayRetryElsewhere(), GetParam().pieces == 0);
+  EXPECT_EQ(machine.mayRetryElsewhere(), GetParam().chunks == 0);
   const RelayStep end = machine.endWithError(code);
   ASSERT_EQ(end.events.size(), 1U);
   EXPECT_TRUE(end.events[0].starts_with("event: error\n"));
-  const std::string last = GetParam().pieces == 0 ? "null" : std::to_string(GetParam().pieces - 1);
+  const std::string last = GetParam().chunks == 0 ? "null" : std::to_string(GetParam().chunks - 1);
   EXPECT_NE(end.events[0].find("\"last_piece\":" + last), std::string::npos);
   EXPECT_NE(end.events[0].find("\"retry_safe\":true"), std::string::npos);
-  EXPECT_TRUE(machine.onBytes(done(GetParam().pieces)).events.empty());
+  EXPECT_TRUE(machine.onBytes(done(GetParam().chunks)).events.empty());
   EXPECT_TRUE(machine.endWithError(code).events.empty());
 }
 
@@ -68,20 +68,20 @@
     Faults, RelayFault,
     testing::Values(
         FaultCase{"SilentCloseBefore", "", ResultCode::StreamBroken, 0},
-        FaultCase{"SilentCloseAfter", piece(0) + piece(1), ResultCode::StreamBroken, 2},
-        FaultCase{"CutPiece", piece(0) + "id: 1\ndata: {\"run\":\"r1\"}\n",
+        FaultCase{"SilentCloseAfter", chunk(0) + chunk(1), ResultCode::StreamBroken, 2},
+        FaultCase{"CutPiece", chunk(0) + "id: 1\ndata: {\"run\":\"r1\"}\n",
                   ResultCode::StreamBroken, 1},
-        FaultCase{"CutDone", piece(0) + "id: 1\ndata: [DONE]\n", ResultCode::StreamBroken, 1},
-        FaultCase{"GapAtStart", piece(1), ResultCode::StreamGap, 0},
-        FaultCase{"Gap", piece(0) + piece(2) + done(3), ResultCode::StreamGap, 1},
-        FaultCase{"Repeat", piece(0) + piece(0), ResultCode::StreamRepeat, 1},
-        FaultCase{"RunChanged", piece(0) + piece(1, "r2"), ResultCode::StreamRunChanged, 1},
-        FaultCase{"OtherRunThanHeader", piece(0, "r2"), ResultCode::StreamRunChanged, 0},
-        FaultCase{"DoneTooEarly", piece(0) + done(3), ResultCode::StreamGap, 1},
-        FaultCase{"DoneTooLate", piece(0) + piece(1) + done(1), ResultCode::StreamRepeat, 2},
-        FaultCase{"NoNumber", piece(0) + "data: [DONE]\n\n", ResultCode::StreamBroken, 1},
+        FaultCase{"CutDone", chunk(0) + "id: 1\ndata: [DONE]\n", ResultCode::StreamBroken, 1},
+        FaultCase{"GapAtStart", chunk(1), ResultCode::StreamGap, 0},
+        FaultCase{"Gap", chunk(0) + chunk(2) + done(3), ResultCode::StreamGap, 1},
+        FaultCase{"Repeat", chunk(0) + chunk(0), ResultCode::StreamRepeat, 1},
+        FaultCase{"RunChanged", chunk(0) + chunk(1, "r2"), ResultCode::StreamRunChanged, 1},
+        FaultCase{"OtherRunThanHeader", chunk(0, "r2"), ResultCode::StreamRunChanged, 0},
+        FaultCase{"DoneTooEarly", chunk(0) + done(3), ResultCode::StreamGap, 1},
+        FaultCase{"DoneTooLate", chunk(0) + chunk(1) + done(1), ResultCode::StreamRepeat, 2},
+        FaultCase{"NoNumber", chunk(0) + "data: [DONE]\n\n", ResultCode::StreamBroken, 1},
         FaultCase{"NotJson", "id: 0\ndata: {]\n\n", ResultCode::StreamBroken, 0},
-        FaultCase{"OwnError", piece(0) + "event: error\nid: 1\ndata: {}\n\n",
+        FaultCase{"OwnError", chunk(0) + "event: error\nid: 1\ndata: {}\n\n",
                   ResultCode::StreamBroken, 1},
         FaultCase{"IndexContradictsNumber", "id: 0\ndata: {\"run\":\"r1\",\"index\":1}\n\n",
                   ResultCode::StreamBroken, 0}),
@@ -90,19 +90,19 @@
 TEST(RelayMachine, AnotherWorkerMayBeTriedOnlyBeforeTheFirstPiece) {
   RelayMachine machine;
   machine.onHead("r1");
-  EXPECT_EQ(machine.onBytes(piece(3)).code, ResultCode::StreamGap);
+  EXPECT_EQ(machine.onBytes(chunk(3)).code, ResultCode::StreamGap);
   machine.beginAttempt();
   machine.onHead("r2");
-  EXPECT_EQ(machine.onBytes(piece(0, "r2")).events.size(), 1U);
+  EXPECT_EQ(machine.onBytes(chunk(0, "r2")).events.size(), 1U);
   EXPECT_THROW(machine.beginAttempt(), base::Error);
 }
 
 TEST(RelayMachine, ReadsOnOnlyWhileTheCallerTakesEvents) {
   RelayMachine machine(2);
   machine.onHead("r1");
-  machine.onBytes(piece(0));
+  machine.onBytes(chunk(0));
   EXPECT_TRUE(machine.mayRead());
-  machine.onBytes(piece(1));
+  machine.onBytes(chunk(1));
   EXPECT_FALSE(machine.mayRead());
   machine.onWritten();
   EXPECT_TRUE(machine.mayRead());
@@ -120,7 +120,7 @@
   EventStreamParser parser(64);
   std::vector<WorkerEvent> events;
   EXPECT_EQ(parser.feed("id: 0\ndata: " + std::string(100, 'x'), events), ResultCode::StreamBroken);
-  EXPECT_EQ(parser.feed("\n\n" + piece(0), events), ResultCode::StreamBroken);
+  EXPECT_EQ(parser.feed("\n\n" + chunk(0), events), ResultCode::StreamBroken);
   EXPECT_TRUE(events.empty());
 }
 
--- a/libraries/laboratory/include/switchsaddle/laboratory/branch_judge.h
+++ b/libraries/testbed/include/switchsaddle/testbed/branch_limit_checker.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/laboratory/judge.h"
+#include "switchsaddle/testbed/history_checker.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** Which branch each tenant's kind of work counts against, and the slots of each branch. */
 struct BranchLimits {
@@ -65,7 +65,7 @@
 };
 
 /** The judgement on limits, retries and crowds. */
-struct BranchJudgement {
+struct BranchLimitReport {
   std::vector<Violation> violations;
   std::map<std::string, BranchFindings> branches;
   /** By kind of work. */
@@ -82,10 +82,10 @@
   std::int64_t to_s = INT64_MAX / 1'000;
 };
 
-BranchJudgement judgeBranches(const Evidence& evidence, const BranchLimits& limits,
-                              const BranchTolerances& tolerances, const CrowdTime& crowd);
+BranchLimitReport checkBranchLimits(const Evidence& evidence, const BranchLimits& limits,
+                                    const BranchTolerances& tolerances, const CrowdTime& crowd);
 
 /** The judgement as text for people, ending in a line that counts the violations. */
-std::string formatBranchJudgement(const BranchJudgement& judgement);
+std::string formatBranchLimitReport(const BranchLimitReport& report);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/call_event.h
+++ b/libraries/testbed/include/switchsaddle/testbed/call_event.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** How a call ended, as its caller saw it. */
 namespace call_end {
@@ -60,4 +60,4 @@
 /** All events of a record file; a torn last line is left out. */
 std::vector<CallEvent> readCallEvents(const std::string& path);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/call_exchange.h
+++ b/libraries/testbed/include/switchsaddle/testbed/call_exchange.h
@@ -6,11 +6,11 @@
 
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/laboratory/call_event.h"
-#include "switchsaddle/laboratory/event_stream_reader.h"
-#include "switchsaddle/laboratory/line_file.h"
+#include "switchsaddle/testbed/call_event.h"
+#include "switchsaddle/testbed/event_stream_reader.h"
+#include "switchsaddle/testbed/line_file.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** Where calls are recorded. */
 class CallSink {
@@ -55,8 +55,8 @@
   void onFailure(http::ExchangeFailure failure, bool refused) override;
 
  private:
-  void takeEvent(const StreamEvent& event);
-  void takePiece(const StreamEvent& event);
+  void onEvent(const StreamEvent& event);
+  void onChunk(const StreamEvent& event);
   void readOutcome(const std::string& text);
   void answer(const std::string& end);
 
@@ -71,4 +71,4 @@
   bool answered_ = false;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/event_stream_reader.h
+++ b/libraries/testbed/include/switchsaddle/testbed/event_stream_reader.h
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <vector>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** One event of a text/event-stream. */
 struct StreamEvent {
@@ -23,11 +23,11 @@
   bool partial() const { return !line_.empty() || started_; }
 
  private:
-  void takeLine(std::vector<StreamEvent>& events);
+  void parseLine(std::vector<StreamEvent>& events);
 
   std::string line_;
   StreamEvent event_;
   bool started_ = false;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/fleet_layout.h
+++ b/libraries/testbed/include/switchsaddle/testbed/fleet_layout.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/laboratory/platform_list.h"
+#include "switchsaddle/testbed/platform_list.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** A core or front of a layout. */
 struct LayoutNode {
@@ -83,7 +83,7 @@
 
 /** The programs that a fleet's processes run. */
 struct FleetPrograms {
-  std::string lab;
+  std::string testbed_commands;
   std::string switchsaddle;
 };
 
@@ -101,4 +101,4 @@
  */
 FleetProcess& replaceCore(FleetState& state, const std::string& name);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/judge.h
+++ b/libraries/testbed/include/switchsaddle/testbed/history_checker.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/laboratory/call_event.h"
-#include "switchsaddle/laboratory/order_event.h"
-#include "switchsaddle/laboratory/worker_event.h"
+#include "switchsaddle/testbed/call_event.h"
+#include "switchsaddle/testbed/order_event.h"
+#include "switchsaddle/testbed/worker_event.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** What must never be seen. */
 enum class Rule : std::uint8_t {
@@ -22,7 +22,7 @@
   /** A one-shot was answered as ran, and no worker ran its key. */
   AnsweredWithoutRun,
   /** Pieces of a stream lack an index, repeat one, or start above 0. */
-  PieceOrder,
+  ChunkOrder,
   /** Pieces of a stream come from two runs. */
   RunChanged,
   /** A stream ended with [DONE] before its run's last piece or without the worker's own end. */
@@ -93,16 +93,16 @@
 
 /** Attempts at the workers of one kind, beyond the first for each caller's request. */
 struct RetryFindings {
-  std::uint64_t first_tries = 0;
+  std::uint64_t first_attempts = 0;
   std::uint64_t retries = 0;
   /** Greatest share of retries in first tries over a window, and its counts. */
   double worst_share = 0;
   std::uint64_t worst_retries = 0;
-  std::uint64_t worst_first_tries = 0;
+  std::uint64_t worst_first_attempts = 0;
 };
 
 /** The judgement on a record. */
-struct Judgement {
+struct HistoryReport {
   std::vector<Violation> violations;
   /** Calls by kind, end, code and outcome. */
   std::map<std::string, std::size_t> answers;
@@ -117,9 +117,9 @@
   std::map<std::string, RetryFindings> retries;
 };
 
-Judgement judge(const Evidence& evidence);
+HistoryReport checkHistory(const Evidence& evidence);
 
 /** The judgement as text for people, ending in a line that counts the violations. */
-std::string formatJudgement(const Judgement& judgement);
+std::string formatHistoryReport(const HistoryReport& report);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/json_fields.h
+++ b/libraries/testbed/include/switchsaddle/testbed/json_fields.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** Parses a JSON object, in which comments are passed over. Throws base::Error with MalformedJson.
  */
@@ -33,4 +33,4 @@
 /** The complete lines of a file; a torn last line is left out. */
 std::vector<std::string> readCompleteLines(const std::string& path);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/kv_cache.h
+++ b/libraries/testbed/include/switchsaddle/testbed/kv_cache.h
@@ -6,10 +6,10 @@
 #include <unordered_map>
 #include <vector>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** One shared part of a prompt's prefix. */
-struct PrefixPart {
+struct PrefixSegment {
   std::string id;
   std::uint32_t tokens = 0;
 };
@@ -23,9 +23,9 @@
  public:
   explicit KvCache(std::uint64_t capacity_tokens) : capacity_tokens_(capacity_tokens) {}
   /** Tokens of the longest leading run of parts which is cached. Changes nothing. */
-  std::uint64_t cachedTokens(const std::vector<PrefixPart>& parts) const;
+  std::uint64_t cachedTokens(const std::vector<PrefixSegment>& parts) const;
   /** Caches all parts of the prompt and marks them as used last. */
-  void insert(const std::vector<PrefixPart>& parts);
+  void insert(const std::vector<PrefixSegment>& parts);
   std::uint64_t usedTokens() const { return used_tokens_; }
 
  private:
@@ -33,7 +33,7 @@
     std::uint64_t chain = 0;
     std::uint32_t tokens = 0;
   };
-  static std::vector<std::uint64_t> chainsOf(const std::vector<PrefixPart>& parts);
+  static std::vector<std::uint64_t> chainsOf(const std::vector<PrefixSegment>& parts);
   void touch(std::uint64_t chain, std::uint32_t tokens);
   void evict();
 
@@ -44,4 +44,4 @@
   std::unordered_map<std::uint64_t, std::list<Entry>::iterator> by_chain_;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/line_file.h
+++ b/libraries/testbed/include/switchsaddle/testbed/line_file.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** A file to which lines are appended by one write(2) each, so that a killed process loses none. */
 class LineFile {
@@ -19,4 +19,4 @@
   int file_ = -1;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/load_plan.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load_plan.h
@@ -6,9 +6,9 @@
 
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/laboratory/kv_cache.h"
+#include "switchsaddle/testbed/kv_cache.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** One tenant's part of the load. */
 struct LoadTenant {
@@ -38,8 +38,8 @@
   /** Families of prompts which share a chain of prefix parts; popularity follows Zipf's law. */
   std::uint32_t prefix_families = 20;
   double prefix_zipf = 1.0;
-  std::uint32_t prefix_parts = 3;
-  std::uint32_t part_tokens = 400;
+  std::uint32_t prefix_segments = 3;
+  std::uint32_t segment_tokens = 400;
   std::uint32_t prompt_tokens = 100;
   std::uint32_t output_tokens = 60;
   /** Share of one-shots which are sent again under the same key without waiting for the answer. */
@@ -71,7 +71,7 @@
   /** Index into LoadPlan::tenants. */
   std::size_t tenant = 0;
   std::string model;
-  std::vector<PrefixPart> parts;
+  std::vector<PrefixSegment> parts;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t max_tokens = 1;
   std::string service;
@@ -114,4 +114,4 @@
   std::uint64_t arrivals_ = 0;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/load_runner.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load_runner.h
@@ -8,11 +8,11 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/laboratory/call_exchange.h"
-#include "switchsaddle/laboratory/load_plan.h"
-#include "switchsaddle/laboratory/platform_list.h"
+#include "switchsaddle/testbed/call_exchange.h"
+#include "switchsaddle/testbed/load_plan.h"
+#include "switchsaddle/testbed/platform_list.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** Where the load goes: through the fronts or, for comparison, straight to workers. */
 struct LoadTargets {
@@ -40,7 +40,7 @@
   void onEnded(const Arrival& arrival, int attempt, const base::NodeAddress& target,
                const CallEvent& answer);
   /** Whether the caller of this one-shot sends its key again. */
-  bool asksAgain(const CallEvent& answer);
+  bool isRetried(const CallEvent& answer);
   void resendLater(const Arrival& arrival, int attempt, const base::NodeAddress& avoided);
   void finishIfIdle();
   std::vector<base::NodeAddress> candidates(const Arrival& arrival) const;
@@ -66,4 +66,4 @@
   bool arrivals_over_ = false;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/order_event.h
+++ b/libraries/testbed/include/switchsaddle/testbed/order_event.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** What an order event tells of. */
 namespace order_event {
@@ -45,4 +45,4 @@
 /** All events of a record of orders; a torn last line is left out. */
 std::vector<OrderEvent> readOrderEvents(const std::string& path);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/plan_sizes.h
+++ b/libraries/testbed/include/switchsaddle/testbed/plan_sizes.h
@@ -4,7 +4,7 @@
 
 #include "switchsaddle/configuration/document.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** Models, regions and zones of the plan in docs/CAPACITY.md. */
 inline constexpr std::size_t PlanModels = 9;
@@ -17,4 +17,4 @@
 /** A worker view of this many workers, spread over the plan's zones and models. */
 wire::WorkerView planWorkers(std::size_t count);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/platform_list.h
+++ b/libraries/testbed/include/switchsaddle/testbed/platform_list.h
@@ -8,7 +8,7 @@
 #include "switchsaddle/base/node_address.h"
 #include "switchsaddle/base/time.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** One worker as the platform knows it from its file. */
 struct ListedWorker {
@@ -75,4 +75,4 @@
   PlatformFault fault_ = PlatformFault::None;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/process_control.h
+++ b/libraries/testbed/include/switchsaddle/testbed/process_control.h
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/base/time.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** Which process is meant: a pid alone may have been given to another one since. */
 struct ProcessIdentity {
@@ -38,4 +38,4 @@
 bool waitForCondition(const ProcessIdentity& process, ProcessCondition condition,
                       base::Duration limit);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/slot_queue.h
+++ b/libraries/testbed/include/switchsaddle/testbed/slot_queue.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <list>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /**
  * A fixed number of slots with a bounded first-in first-out queue before them. A waiter's callback
@@ -41,4 +41,4 @@
   std::list<Waiter> waiting_;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/stand_in_worker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/stand_in_worker.h
@@ -9,10 +9,10 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
-#include "switchsaddle/laboratory/worker_event.h"
-#include "switchsaddle/laboratory/worker_speed.h"
+#include "switchsaddle/testbed/worker_event.h"
+#include "switchsaddle/testbed/worker_speed.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** What a stand-in worker is. */
 struct WorkerOptions {
@@ -66,4 +66,4 @@
   std::unique_ptr<WorkerState> state_;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/worker_event.h
+++ b/libraries/testbed/include/switchsaddle/testbed/worker_event.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/laboratory/line_file.h"
+#include "switchsaddle/testbed/line_file.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** What a worker's event tells of. */
 namespace worker_event {
@@ -42,7 +42,7 @@
   /** The caller's own id: of the Caller-Request-Id header, or request_id where there was none. */
   std::string caller_request_id;
   /** Pieces sent so far; set on "end" and "cancelled" of a stream. */
-  std::uint64_t pieces = 0;
+  std::uint64_t chunks = 0;
 };
 
 /** The event as one line of JSON without the line end. */
@@ -71,4 +71,4 @@
 /** All events of a journal file; a torn last line is left out. */
 std::vector<WorkerEvent> readWorkerEvents(const std::string& path);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/worker_fault.h
+++ b/libraries/testbed/include/switchsaddle/testbed/worker_fault.h
@@ -5,7 +5,7 @@
 
 #include "switchsaddle/base/time.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** Ways in which a stand-in worker misbehaves on request. */
 enum class FaultMode : std::uint8_t {
@@ -27,9 +27,9 @@
 struct FaultOrder {
   FaultMode mode = FaultMode::None;
   /** Streams are struck once they have sent this many pieces. */
-  std::uint64_t after_pieces = 0;
-  /** Whether the body named after_pieces; without it a crash is immediate. */
-  bool waits_for_piece = false;
+  std::uint64_t after_chunks = 0;
+  /** Whether the body named after_chunks; without it a crash is immediate. */
+  bool waits_for_chunk = false;
   /** Runs still to be struck; without a number in the body, all until the next order. */
   std::uint64_t count = UINT64_MAX;
   base::Duration delay = base::Duration::zero();
@@ -42,4 +42,4 @@
 /** Throws base::Error with MalformedJson or InvalidValue. */
 FaultOrder parseFaultOrder(const std::string& body);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/include/switchsaddle/laboratory/worker_speed.h
+++ b/libraries/testbed/include/switchsaddle/testbed/worker_speed.h
@@ -4,7 +4,7 @@
 
 #include "switchsaddle/base/time.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** How fast a stand-in worker computes. Pure arithmetic, so that it can be tested by itself. */
 struct WorkerSpeed {
@@ -13,9 +13,9 @@
   /** Share by which each further running request slows the decoding of every one. */
   double slowdown_per_running = 0.02;
   /** How long after its start the process is cold. */
-  base::Duration cold_period = std::chrono::seconds(5);
+  base::Duration warm_up_period = std::chrono::seconds(5);
   /** Prefill takes this many times as long while cold. */
-  double cold_factor = 4.0;
+  double warm_up_factor = 4.0;
 
   /** Time to prefill tokens that aren't cached, `age` after the process started. */
   base::Duration prefillTime(std::uint64_t uncached_tokens, base::Duration age) const;
@@ -23,4 +23,4 @@
   base::Duration tokenTime(std::uint32_t running) const;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/branch_judge.cc
+++ b/libraries/testbed/source/branch_limit_checker.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/branch_judge.h"
+#include "switchsaddle/testbed/branch_limit_checker.h"
 
 #include <algorithm>
 #include <optional>
@@ -8,7 +8,7 @@
 #include "retry_rules.h"
 #include "switchsaddle/base/result_code.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* OneShot = "one-shot";
@@ -57,10 +57,10 @@
   std::map<std::int64_t, std::int64_t> steps_;
 };
 
-class BranchJudge {
+class BranchLimitChecker {
  public:
-  BranchJudge(const Evidence& evidence, const BranchLimits& limits,
-              const BranchTolerances& tolerances)
+  BranchLimitChecker(const Evidence& evidence, const BranchLimits& limits,
+                     const BranchTolerances& tolerances)
       : evidence_(evidence),
         limits_(limits),
         tolerances_(tolerances),
@@ -77,13 +77,13 @@
     }
   }
 
-  BranchJudgement result(const CrowdTime& crowd) {
-    judgeExcesses();
-    judgeRefusals();
-    judgement_.retries = judgeRetries(evidence_, tolerances_.retry_window_ms,
-                                      tolerances_.retry_share, judgement_.violations);
+  BranchLimitReport result(const CrowdTime& crowd) {
+    checkExcesses();
+    checkRefusals();
+    report_.retries = checkRetries(evidence_, tolerances_.retry_window_ms, tolerances_.retry_share,
+                                   report_.violations);
     measureService(crowd);
-    return std::move(judgement_);
+    return std::move(report_);
   }
 
  private:
@@ -118,9 +118,9 @@
     return result;
   }
 
-  void judgeExcesses() {
+  void checkExcesses() {
     for (const auto& [branch, occupancy] : occupancies(0)) {
-      BranchFindings& findings = judgement_.branches[branch];
+      BranchFindings& findings = report_.branches[branch];
       findings.slots = limits_.slots.at(branch);
       std::optional<std::int64_t> over_since;
       for (const auto& [at_ms, running] : occupancy.steps()) {
@@ -135,19 +135,19 @@
         }
       }
       if (findings.longest_excess_ms > tolerances_.excess_ms) {
-        judgement_.violations.push_back({Rule::OverLimit, branch,
-                                         std::to_string(findings.peak) + " at once, slots " +
-                                             std::to_string(findings.slots) + ", for " +
-                                             std::to_string(findings.longest_excess_ms) + " ms"});
+        report_.violations.push_back({Rule::OverLimit, branch,
+                                      std::to_string(findings.peak) + " at once, slots " +
+                                          std::to_string(findings.slots) + ", for " +
+                                          std::to_string(findings.longest_excess_ms) + " ms"});
       }
     }
   }
 
-  void judgeRefusals() {
+  void checkRefusals() {
     const std::map<std::string, Occupancy> occupied = occupancies(tolerances_.occupancy_ms);
     std::map<int, std::vector<std::int64_t>> times;
     for (const auto& [number, call] : calls_) {
-      if (!call.answered || call.answer.code == 0 || !call.pieces.empty()) {
+      if (!call.answered || call.answer.code == 0 || !call.chunks.empty()) {
         continue;
       }
       times[call.answer.code].push_back(call.answer.at_ms - call.sent.at_ms);
@@ -155,26 +155,26 @@
       const bool over = call.answer.code == static_cast<int>(base::ResultCode::OverBranchLimit);
       if (over && branch != nullptr) {
         const auto found = occupied.find(*branch);
-        judgeRefusal(call, *branch, found == occupied.end() ? Occupancy{} : found->second);
+        checkRefusal(call, *branch, found == occupied.end() ? Occupancy{} : found->second);
       }
     }
     for (auto& [code, of_code] : times) {
-      judgement_.refusals[code] = quantiles(std::move(of_code));
+      report_.refusals[code] = quantiles(std::move(of_code));
     }
   }
 
-  void judgeRefusal(const CallHistory& call, const std::string& branch,
+  void checkRefusal(const CallHistory& call, const std::string& branch,
                     const Occupancy& occupancy) {
-    BranchFindings& findings = judgement_.branches[branch];
+    BranchFindings& findings = report_.branches[branch];
     findings.slots = limits_.slots.at(branch);
     ++findings.refused;
     const std::int64_t highest = occupancy.highestWithin(call.sent.at_ms, call.answer.at_ms);
     if (highest < static_cast<std::int64_t>(findings.slots)) {
       ++findings.refused_inside;
-      judgement_.violations.push_back({Rule::RefusedInside, branch,
-                                       "call " + std::to_string(call.sent.call) + ": at most " +
-                                           std::to_string(highest) + " of " +
-                                           std::to_string(findings.slots) + " slots were in use"});
+      report_.violations.push_back({Rule::RefusedInside, branch,
+                                    "call " + std::to_string(call.sent.call) + ": at most " +
+                                        std::to_string(highest) + " of " +
+                                        std::to_string(findings.slots) + " slots were in use"});
     }
   }
 
@@ -186,18 +186,18 @@
       const char* part = second < crowd.from_s ? "1 before" : "2 during";
       part = second >= crowd.to_s ? "3 after" : part;
       const std::string name = call.sent.tenant + " " + call.sent.kind;
-      TenantService& service = judgement_.service[part][name];
+      TenantService& service = report_.service[part][name];
       ++service.calls;
       const bool served = call.answered && call.answer.end == call_end::Done &&
                           (call.sent.kind == Stream || call.answer.outcome == "ran");
       service.served += served ? 1 : 0;
-      if (!call.pieces.empty()) {
-        first_tokens[part][name].push_back(call.pieces.front().at_ms - call.sent.at_ms);
+      if (!call.chunks.empty()) {
+        first_tokens[part][name].push_back(call.chunks.front().at_ms - call.sent.at_ms);
       }
     }
     for (auto& [part, by_name] : first_tokens) {
       for (auto& [name, times] : by_name) {
-        judgement_.service[part][name].first_token = quantiles(std::move(times));
+        report_.service[part][name].first_token = quantiles(std::move(times));
       }
     }
   }
@@ -211,7 +211,7 @@
   std::vector<WorkerEvent> refused_;
   /** By the id of the request to the worker. */
   std::map<std::string, std::int64_t> queued_ms_;
-  BranchJudgement judgement_;
+  BranchLimitReport report_;
 };
 
 }  // namespace
@@ -228,9 +228,9 @@
   return limits;
 }
 
-BranchJudgement judgeBranches(const Evidence& evidence, const BranchLimits& limits,
-                              const BranchTolerances& tolerances, const CrowdTime& crowd) {
-  return BranchJudge(evidence, limits, tolerances).result(crowd);
+BranchLimitReport checkBranchLimits(const Evidence& evidence, const BranchLimits& limits,
+                                    const BranchTolerances& tolerances, const CrowdTime& crowd) {
+  return BranchLimitChecker(evidence, limits, tolerances).result(crowd);
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/call_event.cc
+++ b/libraries/testbed/source/call_event.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/laboratory/call_event.h"
+#include "switchsaddle/testbed/call_event.h"
 
 #include <boost/json.hpp>
 
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 void putText(boost::json::object& object, const char* name, const std::string& value) {
@@ -71,4 +71,4 @@
   return events;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/call_exchange.cc
+++ b/libraries/testbed/source/call_exchange.cc
@@ -1,12 +1,12 @@
-#include "switchsaddle/laboratory/call_exchange.h"
+#include "switchsaddle/testbed/call_exchange.h"
 
 #include <charconv>
 #include <utility>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr int Success = 200;
@@ -46,7 +46,7 @@
 void CallExchange::onBodyBytes(std::string bytes, std::function<void()> resume) {
   if (streaming_) {
     for (const StreamEvent& event : reader_.feed(bytes)) {
-      takeEvent(event);
+      onEvent(event);
     }
   } else {
     body_ += bytes;
@@ -54,28 +54,28 @@
   resume();
 }
 
-void CallExchange::takeEvent(const StreamEvent& event) {
+void CallExchange::onEvent(const StreamEvent& event) {
   if (event.event == "error") {
     error_seen_ = true;
     readOutcome(event.data);
   } else if (event.data == StreamEnd) {
     done_seen_ = true;
   } else {
-    takePiece(event);
+    onChunk(event);
   }
 }
 
-void CallExchange::takePiece(const StreamEvent& event) {
-  CallEvent piece;
-  piece.event = "piece";
-  piece.call = answer_.call;
-  piece.index = toNumber(event.id, -1);
+void CallExchange::onChunk(const StreamEvent& event) {
+  CallEvent chunk;
+  chunk.event = "piece";
+  chunk.call = answer_.call;
+  chunk.index = toNumber(event.id, -1);
   try {
-    piece.run = textField(parseObject(event.data), "run", answer_.run);
+    chunk.run = textField(parseObject(event.data), "run", answer_.run);
   } catch (const base::Error&) {
-    piece.run = "unreadable";
+    chunk.run = "unreadable";
   }
-  recorder_.record(piece);
+  recorder_.record(chunk);
 }
 
 void CallExchange::readOutcome(const std::string& text) {
@@ -126,4 +126,4 @@
   ended_(answer_);
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/call_history.cc
+++ b/libraries/testbed/source/call_history.cc
@@ -2,14 +2,14 @@
 
 #include <set>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr int FirstRefusalStatus = 400;
 
 }  // namespace
 
-bool CallHistory::promisedNotRun() const {
+bool CallHistory::answeredNotRun() const {
   if (!answered) {
     return false;
   }
@@ -21,7 +21,7 @@
 }
 
 bool CallHistory::mayHaveRun() const {
-  return !promisedNotRun() && !(answered && answer.end == call_end::NotConnected);
+  return !answeredNotRun() && !(answered && answer.end == call_end::NotConnected);
 }
 
 std::map<std::uint64_t, CallHistory> foldCalls(const std::vector<CallEvent>& events) {
@@ -31,7 +31,7 @@
     if (event.event == "sent") {
       call.sent = event;
     } else if (event.event == "piece") {
-      call.pieces.push_back(SeenPiece{event.index, event.run, event.at_ms});
+      call.chunks.push_back(ReceivedChunk{event.index, event.run, event.at_ms});
     } else if (event.event == "answer") {
       call.answer = event;
       call.answered = true;
@@ -61,7 +61,7 @@
     } else if (event.event != worker_event::Refused && event.event != worker_event::Queued) {
       RunHistory& run = runs[event.run];
       run.end_ms = event.at_ms;
-      run.pieces = event.pieces;
+      run.chunks = event.chunks;
       run.finished = event.event == worker_event::End;
       open.erase(event.run);
     }
@@ -70,4 +70,4 @@
   close_open();
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/call_history.h
+++ b/libraries/testbed/source/call_history.h
@@ -5,14 +5,14 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/laboratory/call_event.h"
-#include "switchsaddle/laboratory/judge.h"
-#include "switchsaddle/laboratory/worker_event.h"
+#include "switchsaddle/testbed/call_event.h"
+#include "switchsaddle/testbed/history_checker.h"
+#include "switchsaddle/testbed/worker_event.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** One piece as a caller saw it. */
-struct SeenPiece {
+struct ReceivedChunk {
   std::int64_t index = -1;
   std::string run;
   std::int64_t at_ms = 0;
@@ -21,14 +21,14 @@
 /** All that was recorded on one call. */
 struct CallHistory {
   CallEvent sent;
-  std::vector<SeenPiece> pieces;
+  std::vector<ReceivedChunk> chunks;
   CallEvent answer;
   bool answered = false;
 
   /** Whether the call's answer leaves open or says that it ran. */
   bool mayHaveRun() const;
   /** Whether the answer promises that the call did not run. */
-  bool promisedNotRun() const;
+  bool answeredNotRun() const;
 };
 
 /** One run of a worker. */
@@ -37,7 +37,7 @@
   std::string worker;
   std::string zone;
   std::int64_t end_ms = 0;
-  std::uint64_t pieces = 0;
+  std::uint64_t chunks = 0;
   /** Whether the worker itself finished it. */
   bool finished = false;
 };
@@ -51,4 +51,4 @@
  */
 void foldRuns(const WorkerJournal& journal, std::map<std::string, RunHistory>& runs);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/decode_relay.cc
+++ b/libraries/testbed/source/decode_relay.cc
@@ -1,6 +1,6 @@
 #include "decode_relay.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* Kind = "prefill";
@@ -18,9 +18,9 @@
 void DecodeRelay::start() {
   const std::weak_ptr<DecodeRelay> weak = weak_from_this();
   worker_.held.insert(shared_from_this());
-  writer_->onClientGone([weak] {
+  writer_->onClientDisconnected([weak] {
     if (const auto self = weak.lock()) {
-      self->onClientGone();
+      self->onClientDisconnected();
     }
   });
   ticket_ = worker_.slots.acquire([weak] {
@@ -39,7 +39,7 @@
   run_ = worker_.nextRun();
   const std::uint64_t cached = worker_.cache.cachedTokens(request_.parts);
   std::uint64_t prompt_tokens = request_.own_tokens;
-  for (const PrefixPart& part : request_.parts) {
+  for (const PrefixSegment& part : request_.parts) {
     prompt_tokens += part.tokens;
   }
   worker_.cache.insert(request_.parts);
@@ -93,7 +93,7 @@
                           return;
                         }
                         if (!taken) {
-                          self->onClientGone();
+                          self->onClientDisconnected();
                           return;
                         }
                         resume();
@@ -120,7 +120,7 @@
   close();
 }
 
-void DecodeRelay::onClientGone() {
+void DecodeRelay::onClientDisconnected() {
   if (closed_) {
     return;
   }
@@ -147,4 +147,4 @@
   worker_.forget(self);
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/decode_relay.h
+++ b/libraries/testbed/source/decode_relay.h
@@ -8,7 +8,7 @@
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** The header by which a prefill worker tells the decode worker that the prefill is done. */
 inline constexpr const char* PrefilledHeader = "Prefilled";
@@ -33,7 +33,7 @@
  private:
   void onSlot();
   void onPrefilled();
-  void onClientGone();
+  void onClientDisconnected();
   void close();
 
   WorkerState& worker_;
@@ -50,4 +50,4 @@
   bool closed_ = false;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/event_stream_reader.cc
+++ b/libraries/testbed/source/event_stream_reader.cc
@@ -1,14 +1,14 @@
-#include "switchsaddle/laboratory/event_stream_reader.h"
+#include "switchsaddle/testbed/event_stream_reader.h"
 
 #include <utility>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 std::vector<StreamEvent> EventStreamReader::feed(std::string_view bytes) {
   std::vector<StreamEvent> events;
   for (const char byte : bytes) {
     if (byte == '\n') {
-      takeLine(events);
+      parseLine(events);
     } else if (byte != '\r') {
       line_ += byte;
     }
@@ -16,7 +16,7 @@
   return events;
 }
 
-void EventStreamReader::takeLine(std::vector<StreamEvent>& events) {
+void EventStreamReader::parseLine(std::vector<StreamEvent>& events) {
   const std::string line = std::exchange(line_, {});
   if (line.empty()) {
     if (started_) {
@@ -43,4 +43,4 @@
   started_ = true;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/fleet_layout.cc
+++ b/libraries/testbed/source/fleet_layout.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/fleet_layout.h"
+#include "switchsaddle/testbed/fleet_layout.h"
 
 #include <algorithm>
 #include <array>
@@ -6,9 +6,9 @@
 #include <string_view>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr std::int64_t LargestCount = 250;
@@ -132,4 +132,4 @@
   return layout;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/fleet_plan.cc
+++ b/libraries/testbed/source/fleet_plan.cc
@@ -2,9 +2,9 @@
 #include <boost/json.hpp>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
+#include "switchsaddle/testbed/fleet_layout.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr std::uint16_t PeerPort = 7'000;
@@ -17,7 +17,7 @@
   process.name = "platform";
   process.role = ProcessRole::Platform;
   process.http_address = base::NodeAddress{layout.network + ".4.1", HttpPort};
-  process.command = {programs.lab,
+  process.command = {programs.testbed_commands,
                      "platform",
                      "--address",
                      process.http_address.toString(),
@@ -38,7 +38,7 @@
   process.role = ProcessRole::Worker;
   process.zone = listed.zone;
   process.http_address = listed.address;
-  process.command = {programs.lab,
+  process.command = {programs.testbed_commands,
                      "worker",
                      "--address",
                      listed.address.toString(),
@@ -176,4 +176,4 @@
   return *old;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/fleet_state.cc
+++ b/libraries/testbed/source/fleet_state.cc
@@ -2,10 +2,10 @@
 #include <boost/json.hpp>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 boost::json::object toJson(const FleetProcess& process) {
@@ -107,4 +107,4 @@
   return state;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/judge.cc
+++ b/libraries/testbed/source/history_checker.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/judge.h"
+#include "switchsaddle/testbed/history_checker.h"
 
 #include <algorithm>
 #include <set>
@@ -8,16 +8,16 @@
 #include "order_rules.h"
 #include "retry_rules.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* OneShot = "one-shot";
 constexpr const char* Stream = "stream";
 
 /** Applies each rule to the folded histories. */
-class Judge {
+class HistoryChecker {
  public:
-  explicit Judge(const Evidence& evidence)
+  explicit HistoryChecker(const Evidence& evidence)
       : evidence_(evidence), limits_(evidence.limits), calls_(foldCalls(evidence.calls)) {
     for (const WorkerJournal& journal : evidence.journals) {
       foldRuns(journal, runs_);
@@ -34,42 +34,42 @@
     }
   }
 
-  Judgement result() {
-    judgeKeys();
-    judgeRefusals();
+  HistoryReport result() {
+    checkKeys();
+    checkRefusals();
     for (const auto& [number, call] : calls_) {
       count(call);
       if (call.sent.kind == Stream) {
-        judgeStream(call);
+        checkStream(call);
       }
     }
-    judgeLimits();
-    judgeOrders(evidence_, judgement_);
-    judgement_.retries = judgeRetries(evidence_, RetryWindowMs, RetryShare, judgement_.violations);
+    checkLimits();
+    checkOrders(evidence_, report_);
+    report_.retries = checkRetries(evidence_, RetryWindowMs, RetryShare, report_.violations);
     measureFirstTokens();
-    return std::move(judgement_);
+    return std::move(report_);
   }
 
  private:
   void violated(Rule rule, const std::string& subject, const std::string& detail) {
-    judgement_.violations.push_back(Violation{rule, subject, detail});
+    report_.violations.push_back(Violation{rule, subject, detail});
   }
 
   static std::string subjectOf(const CallHistory& call) {
     return "call " + std::to_string(call.sent.call) + " request " + call.sent.request_id;
   }
 
-  void judgeKeys() {
+  void checkKeys() {
     for (const auto& [key, runs] : runs_by_key_) {
       if (runs.size() > 1) {
         violated(Rule::RanTwice, key, std::to_string(runs.size()) + " runs");
       }
       for (const RunHistory* run : runs) {
-        judgeRunOfKey(key, *run);
+        checkRunOfKey(key, *run);
       }
     }
     for (const auto& [key, calls] : calls_by_key_) {
-      judgeAnswersOfKey(key, calls);
+      checkAnswersOfKey(key, calls);
     }
   }
 
@@ -78,7 +78,7 @@
     return call.mayHaveRun() && call.sent.at_ms <= run.start.at_ms;
   }
 
-  void judgeRunOfKey(const std::string& key, const RunHistory& run) {
+  void checkRunOfKey(const std::string& key, const RunHistory& run) {
     const auto found = calls_by_key_.find(key);
     if (found == calls_by_key_.end()) {
       return;
@@ -92,7 +92,7 @@
     }
   }
 
-  void judgeAnswersOfKey(const std::string& key, const std::vector<const CallHistory*>& calls) {
+  void checkAnswersOfKey(const std::string& key, const std::vector<const CallHistory*>& calls) {
     if (runs_by_key_.contains(key)) {
       return;
     }
@@ -104,10 +104,10 @@
     }
   }
 
-  void judgeRefusals() {
+  void checkRefusals() {
     std::map<std::string, const CallHistory*> refused;
     for (const auto& [number, call] : calls_) {
-      if (call.promisedNotRun() && !call.sent.request_id.empty()) {
+      if (call.answeredNotRun() && !call.sent.request_id.empty()) {
         refused[call.sent.request_id] = &call;
       }
     }
@@ -119,54 +119,54 @@
     }
   }
 
-  void judgeStream(const CallHistory& call) {
-    judgePieces(call);
+  void checkStream(const CallHistory& call) {
+    checkChunks(call);
     if (!call.answered) {
       return;
     }
     if (call.answer.end == call_end::Silent) {
-      violated(Rule::SilentEnd, subjectOf(call), std::to_string(call.pieces.size()) + " pieces");
+      violated(Rule::SilentEnd, subjectOf(call), std::to_string(call.chunks.size()) + " pieces");
     }
     if (call.answer.end == call_end::Done) {
-      judgeEnd(call);
+      checkEnd(call);
     }
   }
 
-  void judgePieces(const CallHistory& call) {
+  void checkChunks(const CallHistory& call) {
     std::int64_t expected = 0;
-    for (const SeenPiece& piece : call.pieces) {
-      if (piece.index != expected) {
+    for (const ReceivedChunk& chunk : call.chunks) {
+      if (chunk.index != expected) {
         violated(
-            Rule::PieceOrder, subjectOf(call),
-            "piece " + std::to_string(piece.index) + " in place of " + std::to_string(expected));
+            Rule::ChunkOrder, subjectOf(call),
+            "piece " + std::to_string(chunk.index) + " in place of " + std::to_string(expected));
         break;
       }
       ++expected;
     }
-    for (const SeenPiece& piece : call.pieces) {
-      if (piece.run != call.pieces.front().run) {
-        violated(Rule::RunChanged, subjectOf(call), call.pieces.front().run + " then " + piece.run);
+    for (const ReceivedChunk& chunk : call.chunks) {
+      if (chunk.run != call.chunks.front().run) {
+        violated(Rule::RunChanged, subjectOf(call), call.chunks.front().run + " then " + chunk.run);
         break;
       }
     }
   }
 
-  void judgeEnd(const CallHistory& call) {
-    const std::string run_id = call.pieces.empty() ? call.answer.run : call.pieces.front().run;
+  void checkEnd(const CallHistory& call) {
+    const std::string run_id = call.chunks.empty() ? call.answer.run : call.chunks.front().run;
     const auto run = runs_.find(run_id);
     if (run == runs_.end() || !run->second.finished) {
       violated(Rule::EarlyEnd, subjectOf(call), "run " + run_id + " was not ended by its worker");
       return;
     }
-    if (run->second.pieces != call.pieces.size()) {
+    if (run->second.chunks != call.chunks.size()) {
       violated(Rule::EarlyEnd, subjectOf(call),
-               std::to_string(call.pieces.size()) + " of " + std::to_string(run->second.pieces) +
+               std::to_string(call.chunks.size()) + " of " + std::to_string(run->second.chunks) +
                    " pieces");
     }
   }
 
   /** Most runs at once of a tenant; a run that ends as another starts doesn't overlap it. */
-  void judgeLimits() {
+  void checkLimits() {
     std::map<std::string, std::multiset<std::pair<std::int64_t, int>>> changes;
     for (const auto& [id, run] : runs_) {
       if (run.start.kind != "prefill") {
@@ -181,7 +181,7 @@
         running += step;
         peak = std::max(peak, running);
       }
-      judgement_.peak_by_tenant[tenant] = static_cast<std::uint32_t>(peak);
+      report_.peak_by_tenant[tenant] = static_cast<std::uint32_t>(peak);
       const auto limit = limits_.find(tenant);
       if (limit != limits_.end() && peak > limit->second) {
         violated(Rule::OverLimit, tenant,
@@ -192,7 +192,7 @@
 
   void count(const CallHistory& call) {
     if (!call.answered) {
-      ++judgement_.open_calls;
+      ++report_.open_calls;
       return;
     }
     std::string name = call.sent.kind + " " + call.answer.end;
@@ -202,21 +202,21 @@
     if (!call.answer.outcome.empty()) {
       name += " " + call.answer.outcome;
     }
-    ++judgement_.answers[name];
+    ++report_.answers[name];
   }
 
   void measureFirstTokens() {
     std::vector<std::int64_t> times;
     for (const auto& [number, call] : calls_) {
-      if (!call.pieces.empty()) {
-        times.push_back(call.pieces.front().at_ms - call.sent.at_ms);
+      if (!call.chunks.empty()) {
+        times.push_back(call.chunks.front().at_ms - call.sent.at_ms);
       }
     }
     std::sort(times.begin(), times.end());
-    judgement_.first_token.samples = times.size();
+    report_.first_token.samples = times.size();
     if (!times.empty()) {
-      judgement_.first_token.p50_ms = times[(times.size() - 1) * 50 / 100];
-      judgement_.first_token.p95_ms = times[(times.size() - 1) * 95 / 100];
+      report_.first_token.p50_ms = times[(times.size() - 1) * 50 / 100];
+      report_.first_token.p95_ms = times[(times.size() - 1) * 95 / 100];
     }
   }
 
@@ -226,7 +226,7 @@
   std::map<std::string, RunHistory> runs_;
   std::map<std::string, std::vector<const CallHistory*>> calls_by_key_;
   std::map<std::string, std::vector<const RunHistory*>> runs_by_key_;
-  Judgement judgement_;
+  HistoryReport report_;
 };
 
 }  // namespace
@@ -241,7 +241,7 @@
       return "ran-after-refusal";
     case Rule::AnsweredWithoutRun:
       return "answered-without-run";
-    case Rule::PieceOrder:
+    case Rule::ChunkOrder:
       return "piece-order";
     case Rule::RunChanged:
       return "run-changed";
@@ -265,40 +265,40 @@
   return "unknown";
 }
 
-Judgement judge(const Evidence& evidence) {
-  return Judge(evidence).result();
+HistoryReport checkHistory(const Evidence& evidence) {
+  return HistoryChecker(evidence).result();
 }
 
-std::string formatJudgement(const Judgement& judgement) {
+std::string formatHistoryReport(const HistoryReport& report) {
   std::ostringstream text;
-  for (const auto& [name, count] : judgement.answers) {
+  for (const auto& [name, count] : report.answers) {
     text << "answers: " << name << ": " << count << "\n";
   }
-  text << "calls still open: " << judgement.open_calls << "\n";
-  text << "first token: p50 " << judgement.first_token.p50_ms << " ms, p95 "
-       << judgement.first_token.p95_ms << " ms, samples " << judgement.first_token.samples << "\n";
-  for (const auto& [tenant, peak] : judgement.peak_by_tenant) {
+  text << "calls still open: " << report.open_calls << "\n";
+  text << "first token: p50 " << report.first_token.p50_ms << " ms, p95 "
+       << report.first_token.p95_ms << " ms, samples " << report.first_token.samples << "\n";
+  for (const auto& [tenant, peak] : report.peak_by_tenant) {
     text << "peak at once: " << tenant << ": " << peak << "\n";
   }
-  for (const auto& [event, count] : judgement.orders) {
+  for (const auto& [event, count] : report.orders) {
     text << "orders: " << event << ": " << count;
-    const auto latest = judgement.latest_start_ms.find(event);
-    if (latest != judgement.latest_start_ms.end()) {
+    const auto latest = report.latest_start_ms.find(event);
+    if (latest != report.latest_start_ms.end()) {
       text << ", latest start after " << latest->second << " ms";
     }
     text << "\n";
   }
-  for (const auto& [kind, findings] : judgement.retries) {
+  for (const auto& [kind, findings] : report.retries) {
     text << "attempts beyond the first: " << kind << ": " << findings.retries << " of "
-         << findings.first_tries << " first tries; worst window " << findings.worst_retries
-         << " of " << findings.worst_first_tries << "\n";
+         << findings.first_attempts << " first tries; worst window " << findings.worst_retries
+         << " of " << findings.worst_first_attempts << "\n";
   }
-  for (const Violation& violation : judgement.violations) {
+  for (const Violation& violation : report.violations) {
     text << "VIOLATION " << ruleName(violation.rule) << ": " << violation.subject << ": "
          << violation.detail << "\n";
   }
-  text << "violations: " << judgement.violations.size() << "\n";
+  text << "violations: " << report.violations.size() << "\n";
   return text.str();
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/json_fields.cc
+++ b/libraries/testbed/source/json_fields.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
 #include <boost/json.hpp>
 #include <fstream>
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/base/error.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 [[noreturn]] void wrongType(std::string_view name) {
@@ -134,4 +134,4 @@
   return lines;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/kv_cache.cc
+++ b/libraries/testbed/source/kv_cache.cc
@@ -1,20 +1,20 @@
-#include "switchsaddle/laboratory/kv_cache.h"
+#include "switchsaddle/testbed/kv_cache.h"
 
 #include "switchsaddle/base/hash.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
-std::vector<std::uint64_t> KvCache::chainsOf(const std::vector<PrefixPart>& parts) {
+std::vector<std::uint64_t> KvCache::chainsOf(const std::vector<PrefixSegment>& parts) {
   std::vector<std::uint64_t> chains;
   std::uint64_t chain = 0;
-  for (const PrefixPart& part : parts) {
+  for (const PrefixSegment& part : parts) {
     chain = base::combineHashes(chain, base::hashBytes(part.id));
     chains.push_back(chain);
   }
   return chains;
 }
 
-std::uint64_t KvCache::cachedTokens(const std::vector<PrefixPart>& parts) const {
+std::uint64_t KvCache::cachedTokens(const std::vector<PrefixSegment>& parts) const {
   const std::vector<std::uint64_t> chains = chainsOf(parts);
   std::uint64_t tokens = 0;
   for (std::size_t index = 0; index < parts.size(); ++index) {
@@ -26,7 +26,7 @@
   return tokens;
 }
 
-void KvCache::insert(const std::vector<PrefixPart>& parts) {
+void KvCache::insert(const std::vector<PrefixSegment>& parts) {
   const std::vector<std::uint64_t> chains = chainsOf(parts);
   for (std::size_t index = parts.size(); index > 0; --index) {
     touch(chains[index - 1], parts[index - 1].tokens);
@@ -53,4 +53,4 @@
   }
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/line_file.cc
+++ b/libraries/testbed/source/line_file.cc
@@ -1,11 +1,11 @@
-#include "switchsaddle/laboratory/line_file.h"
+#include "switchsaddle/testbed/line_file.h"
 
 #include <fcntl.h>
 #include <unistd.h>
 
 #include "switchsaddle/base/error.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 LineFile::LineFile(const std::string& path)
     : file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644)) {
@@ -26,4 +26,4 @@
   }
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/load_plan.cc
+++ b/libraries/testbed/source/load_plan.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/load_plan.h"
+#include "switchsaddle/testbed/load_plan.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,9 +6,9 @@
 #include <sstream>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 /** Longest output asked for, as a multiple of the mean. */
@@ -100,8 +100,8 @@
   const boost::json::object prefixes = objectField(object, "prefixes");
   plan.prefix_families = positiveField(prefixes, "families", plan.prefix_families);
   plan.prefix_zipf = numberField(prefixes, "zipf", plan.prefix_zipf);
-  plan.prefix_parts = positiveField(prefixes, "parts", plan.prefix_parts);
-  plan.part_tokens = positiveField(prefixes, "part_tokens", plan.part_tokens);
+  plan.prefix_segments = positiveField(prefixes, "parts", plan.prefix_segments);
+  plan.segment_tokens = positiveField(prefixes, "part_tokens", plan.segment_tokens);
   plan.prompt_tokens = positiveField(object, "prompt_tokens", plan.prompt_tokens);
   plan.output_tokens = positiveField(object, "output_tokens", plan.output_tokens);
   plan.resend_share = numberField(object, "resend_share", plan.resend_share);
@@ -187,11 +187,11 @@
   arrival.model = tenant.models[random_.below(tenant.models.size())];
   const std::uint32_t family = drawFamily();
   // The first part is the tenant's own, the others the family's.
-  arrival.parts.push_back(PrefixPart{tenant.name, plan_.part_tokens});
-  for (std::uint32_t part = 1; part < plan_.prefix_parts; ++part) {
+  arrival.parts.push_back(PrefixSegment{tenant.name, plan_.segment_tokens});
+  for (std::uint32_t part = 1; part < plan_.prefix_segments; ++part) {
     arrival.parts.push_back(
-        PrefixPart{tenant.name + "/f" + std::to_string(family) + "/" + std::to_string(part),
-                   plan_.part_tokens});
+        PrefixSegment{tenant.name + "/f" + std::to_string(family) + "/" + std::to_string(part),
+                      plan_.segment_tokens});
   }
   arrival.prompt_tokens = static_cast<std::uint32_t>(1 + exponential(plan_.prompt_tokens));
   const double output =
@@ -205,4 +205,4 @@
   arrival.resent_early = random_.chance(plan_.resend_share);
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/load_runner.cc
+++ b/libraries/testbed/source/load_runner.cc
@@ -1,9 +1,9 @@
-#include "switchsaddle/laboratory/load_runner.h"
+#include "switchsaddle/testbed/load_runner.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr int MaximumResends = 2;
@@ -12,7 +12,7 @@
 
 std::string streamBody(const Arrival& arrival) {
   boost::json::array parts;
-  for (const PrefixPart& part : arrival.parts) {
+  for (const PrefixSegment& part : arrival.parts) {
     parts.push_back({{"id", part.id}, {"tokens", part.tokens}});
   }
   const std::string content(arrival.prompt_tokens * BytesPerToken, 'x');
@@ -153,13 +153,13 @@
                          const CallEvent& answer) {
   --open_;
   const bool may_resend = arrival.kind == CallKind::OneShot && attempt < MaximumResends;
-  if (may_resend && asksAgain(answer)) {
+  if (may_resend && isRetried(answer)) {
     resendLater(arrival, attempt + 1, target);
   }
   finishIfIdle();
 }
 
-bool LoadRunner::asksAgain(const CallEvent& answer) {
+bool LoadRunner::isRetried(const CallEvent& answer) {
   if (answer.outcome == "not-run") {
     return random_.chance(plan_.resend_refused_share);
   }
@@ -183,4 +183,4 @@
   }
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/one_shot_run.cc
+++ b/libraries/testbed/source/one_shot_run.cc
@@ -2,7 +2,7 @@
 
 #include <boost/json.hpp>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* Kind = "one-shot";
@@ -37,7 +37,7 @@
 
 void OneShotRun::onWorked() {
   FaultOrder& fault = worker_.fault;
-  if (fault.waits_for_piece && fault.take(FaultMode::Crash)) {
+  if (fault.waits_for_chunk && fault.take(FaultMode::Crash)) {
     worker_.crash();
     return;
   }
@@ -77,4 +77,4 @@
   worker_.forget(shared_from_this());
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/one_shot_run.h
+++ b/libraries/testbed/source/one_shot_run.h
@@ -6,7 +6,7 @@
 #include "switchsaddle/http/server.h"
 #include "worker_state.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /**
  * One one-shot: its effect takes place at "start", and it goes on when the client has gone, as a
@@ -31,4 +31,4 @@
   std::string run_;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/order_event.cc
+++ b/libraries/testbed/source/order_event.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/laboratory/order_event.h"
+#include "switchsaddle/testbed/order_event.h"
 
 #include <boost/json.hpp>
 
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 std::string toJsonLine(const OrderEvent& event) {
   return boost::json::serialize(boost::json::object{{"at_ms", event.at_ms},
@@ -31,4 +31,4 @@
   return events;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/order_rules.cc
+++ b/libraries/testbed/source/order_rules.cc
@@ -4,7 +4,7 @@
 #include <array>
 #include <limits>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 /** What of a worker's event an order's subject is compared with. */
@@ -63,8 +63,8 @@
          (rule.subject == SubjectKind::Worker && event.event == worker_event::Refused);
 }
 
-void judgeOrder(const Evidence& evidence, const OrderEvent& order, const OrderRule& rule,
-                Judgement& judgement) {
+void checkOrder(const Evidence& evidence, const OrderEvent& order, const OrderRule& rule,
+                HistoryReport& report) {
   const std::int64_t end = endOfOrder(evidence.orders, order, rule);
   for (const WorkerJournal& journal : evidence.journals) {
     for (const WorkerEvent& event : journal.events) {
@@ -74,12 +74,12 @@
         continue;
       }
       const std::int64_t after_ms = event.at_ms - order.at_ms;
-      std::int64_t& latest = judgement.latest_start_ms[order.event];
+      std::int64_t& latest = report.latest_start_ms[order.event];
       latest = std::max(latest, after_ms);
       if (after_ms > rule.limit_ms) {
-        judgement.violations.push_back({rule.rule, order.subject,
-                                        event.event + " " + event.run + " at " + journal.worker +
-                                            ", " + std::to_string(after_ms) + " ms after"});
+        report.violations.push_back({rule.rule, order.subject,
+                                     event.event + " " + event.run + " at " + journal.worker +
+                                         ", " + std::to_string(after_ms) + " ms after"});
       }
     }
   }
@@ -87,15 +87,15 @@
 
 }  // namespace
 
-void judgeOrders(const Evidence& evidence, Judgement& judgement) {
+void checkOrders(const Evidence& evidence, HistoryReport& report) {
   for (const OrderEvent& order : evidence.orders) {
     for (const OrderRule& rule : OrderRules) {
       if (order.event == rule.forbids) {
-        ++judgement.orders[order.event];
-        judgeOrder(evidence, order, rule, judgement);
+        ++report.orders[order.event];
+        checkOrder(evidence, order, rule, report);
       }
     }
   }
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/plan_sizes.cc
+++ b/libraries/testbed/source/plan_sizes.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/laboratory/plan_sizes.h"
+#include "switchsaddle/testbed/plan_sizes.h"
 
 #include <string>
 
 #include "switchsaddle/configuration/view.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 namespace {
 
@@ -81,4 +81,4 @@
   return view;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/platform_list.cc
+++ b/libraries/testbed/source/platform_list.cc
@@ -1,11 +1,11 @@
-#include "switchsaddle/laboratory/platform_list.h"
+#include "switchsaddle/testbed/platform_list.h"
 
 #include <boost/json.hpp>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 boost::json::object toJson(const ListedWorker& worker) {
@@ -141,4 +141,4 @@
       boost::json::object{{"generation", generation_}, {"workers", std::move(list)}});
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/process_control.cc
+++ b/libraries/testbed/source/process_control.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/process_control.h"
+#include "switchsaddle/testbed/process_control.h"
 
 #include <fcntl.h>
 #include <sys/wait.h>
@@ -12,7 +12,7 @@
 
 #include "switchsaddle/base/error.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr int ExecFailed = 127;
@@ -151,4 +151,4 @@
   return true;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/retry_rules.cc
+++ b/libraries/testbed/source/retry_rules.cc
@@ -4,14 +4,14 @@
 #include <set>
 #include <utility>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* OneShot = "one-shot";
 constexpr const char* Stream = "stream";
 
 /** Attempts in order of time, each with whether it is a retry. */
-using Tries = std::multiset<std::pair<std::int64_t, bool>>;
+using AttemptLog = std::multiset<std::pair<std::int64_t, bool>>;
 
 /** The times of the attempts of one kind, by the caller's request. */
 using AttemptTimes = std::map<std::string, std::multiset<std::int64_t>>;
@@ -32,60 +32,60 @@
   return attempts;
 }
 
-Tries triesOf(const AttemptTimes& by_request) {
-  Tries tries;
+AttemptLog attemptsOf(const AttemptTimes& by_request) {
+  AttemptLog attempt_log;
   for (const auto& [request, times] : by_request) {
     bool retry = false;
     for (const std::int64_t at_ms : times) {
-      tries.insert({at_ms, retry});
+      attempt_log.insert({at_ms, retry});
       retry = true;
     }
   }
-  return tries;
+  return attempt_log;
 }
 
-RetryFindings findRetries(const Tries& tries, std::int64_t window_ms) {
+RetryFindings findRetries(const AttemptLog& attempt_log, std::int64_t window_ms) {
   RetryFindings findings;
   std::deque<std::pair<std::int64_t, bool>> window;
   std::uint64_t retries = 0;
-  for (const auto& attempt : tries) {
+  for (const auto& attempt : attempt_log) {
     window.push_back(attempt);
     retries += attempt.second ? 1 : 0;
     while (window.front().first <= attempt.first - window_ms) {
       retries -= window.front().second ? 1 : 0;
       window.pop_front();
     }
-    const std::uint64_t first_tries = window.size() - retries;
-    const double share = first_tries == 0
+    const std::uint64_t first_attempts = window.size() - retries;
+    const double share = first_attempts == 0
                              ? static_cast<double>(retries)
-                             : static_cast<double>(retries) / static_cast<double>(first_tries);
+                             : static_cast<double>(retries) / static_cast<double>(first_attempts);
     if (attempt.second && share > findings.worst_share) {
       findings.worst_share = share;
       findings.worst_retries = retries;
-      findings.worst_first_tries = first_tries;
+      findings.worst_first_attempts = first_attempts;
     }
-    (attempt.second ? findings.retries : findings.first_tries) += 1;
+    (attempt.second ? findings.retries : findings.first_attempts) += 1;
   }
   return findings;
 }
 
 }  // namespace
 
-std::map<std::string, RetryFindings> judgeRetries(const Evidence& evidence, std::int64_t window_ms,
+std::map<std::string, RetryFindings> checkRetries(const Evidence& evidence, std::int64_t window_ms,
                                                   double share,
                                                   std::vector<Violation>& violations) {
   std::map<std::string, RetryFindings> by_kind;
   for (const auto& [kind, by_request] : attemptTimes(evidence)) {
-    const RetryFindings findings = findRetries(triesOf(by_request), window_ms);
+    const RetryFindings findings = findRetries(attemptsOf(by_request), window_ms);
     by_kind[kind] = findings;
     if (findings.worst_share > share) {
       violations.push_back({Rule::TooManyRetries, kind,
                             std::to_string(findings.worst_retries) + " retries of " +
-                                std::to_string(findings.worst_first_tries) +
+                                std::to_string(findings.worst_first_attempts) +
                                 " first tries within the window"});
     }
   }
   return by_kind;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/retry_rules.h
+++ b/libraries/testbed/source/retry_rules.h
@@ -5,16 +5,16 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/laboratory/judge.h"
+#include "switchsaddle/testbed/history_checker.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /**
  * Applies the rule on retries: within each window that ends with a retry, the attempts at the
  * workers beyond the first for a caller's request may be at most this share of the first ones.
  * Attempts without a caller's request id are passed over. Returns what was found, by kind of work.
  */
-std::map<std::string, RetryFindings> judgeRetries(const Evidence& evidence, std::int64_t window_ms,
+std::map<std::string, RetryFindings> checkRetries(const Evidence& evidence, std::int64_t window_ms,
                                                   double share, std::vector<Violation>& violations);
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/slot_queue.cc
+++ b/libraries/testbed/source/slot_queue.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/laboratory/slot_queue.h"
+#include "switchsaddle/testbed/slot_queue.h"
 
 #include <utility>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 SlotQueue::Ticket SlotQueue::acquire(std::function<void()> started) {
   if (running_ < slots_) {
@@ -34,4 +34,4 @@
   return removed > 0;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/stand_in_worker.cc
+++ b/libraries/testbed/source/stand_in_worker.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/stand_in_worker.h"
+#include "switchsaddle/testbed/stand_in_worker.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -8,10 +8,10 @@
 #include "one_shot_run.h"
 #include "stream_run.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 #include "worker_state.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 /** Tokens of a message's text, by the usual rule of thumb. */
@@ -26,12 +26,12 @@
   return static_cast<std::uint32_t>(bytes / BytesPerToken + 1);
 }
 
-std::vector<PrefixPart> prefixParts(const boost::json::object& body) {
-  std::vector<PrefixPart> parts;
+std::vector<PrefixSegment> prefixParts(const boost::json::object& body) {
+  std::vector<PrefixSegment> parts;
   for (const boost::json::object& part : objectListField(body, "prefix_parts")) {
     const auto tokens =
         static_cast<std::uint32_t>(std::max<std::int64_t>(0, integerField(part, "tokens")));
-    parts.push_back(PrefixPart{textField(part, "id"), tokens});
+    parts.push_back(PrefixSegment{textField(part, "id"), tokens});
   }
   return parts;
 }
@@ -109,7 +109,7 @@
 void StandInWorker::handleFaults(const http::Request& request,
                                  const http::ResponseWriterPtr& writer) {
   state_->fault = parseFaultOrder(request.body);
-  if (state_->fault.active(FaultMode::Crash) && !state_->fault.waits_for_piece) {
+  if (state_->fault.active(FaultMode::Crash) && !state_->fault.waits_for_chunk) {
     state_->crash();
     return;
   }
@@ -177,4 +177,4 @@
   std::make_shared<OneShotRun>(*state_, std::move(identity), writer)->start();
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/stream_run.cc
+++ b/libraries/testbed/source/stream_run.cc
@@ -3,12 +3,12 @@
 #include <boost/json.hpp>
 #include <functional>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* Kind = "stream";
 
-std::string pieceEvent(std::uint64_t index, const std::string& run) {
+std::string chunkEvent(std::uint64_t index, const std::string& run) {
   const boost::json::object data{{"run", run},
                                  {"index", index},
                                  {"text", "word" + std::to_string(index) + " "},
@@ -24,9 +24,9 @@
 void StreamRun::start() {
   const std::weak_ptr<StreamRun> weak = weak_from_this();
   worker_.held.insert(shared_from_this());
-  writer_->onClientGone([weak] {
+  writer_->onClientDisconnected([weak] {
     if (const auto self = weak.lock()) {
-      self->onClientGone();
+      self->onClientDisconnected();
     }
   });
   ticket_ = worker_.slots.acquire([weak] {
@@ -49,7 +49,7 @@
   shown_run_ = run_;
   cached_tokens_ = worker_.cache.cachedTokens(request_.parts);
   std::uint64_t prompt_tokens = request_.own_tokens;
-  for (const PrefixPart& part : request_.parts) {
+  for (const PrefixSegment& part : request_.parts) {
     prompt_tokens += part.tokens;
   }
   worker_.cache.insert(request_.parts);
@@ -72,20 +72,20 @@
   head.headers.push_back({"Cached-Tokens", std::to_string(cached_tokens_)});
   head.headers.push_back({"Content-Type", "text/event-stream"});
   writer_->startStream(std::move(head));
-  piece_timer_ = worker_.dispatcher.createTimer([this] { sendPiece(); });
-  piece_timer_->enable(base::Duration::zero());
+  chunk_timer_ = worker_.dispatcher.createTimer([this] { sendNextChunk(); });
+  chunk_timer_->enable(base::Duration::zero());
 }
 
-void StreamRun::sendPiece() {
+void StreamRun::sendNextChunk() {
   if (struck()) {
     return;
   }
-  if (pieces_ == request_.output_tokens) {
+  if (chunks_ == request_.output_tokens) {
     finish();
     return;
   }
-  std::string chunk = pieceEvent(index_, shown_run_);
-  ++pieces_;
+  std::string chunk = chunkEvent(index_, shown_run_);
+  ++chunks_;
   ++index_;
   sendChunk(std::move(chunk));
 }
@@ -103,18 +103,18 @@
     return;
   }
   if (!taken) {
-    onClientGone();
+    onClientDisconnected();
     return;
   }
-  piece_timer_->enable(worker_.options.speed.tokenTime(worker_.slots.running()));
+  chunk_timer_->enable(worker_.options.speed.tokenTime(worker_.slots.running()));
 }
 
 bool StreamRun::struck() {
   FaultOrder& fault = worker_.fault;
-  if (pieces_ < fault.after_pieces) {
+  if (chunks_ < fault.after_chunks) {
     return false;
   }
-  if (fault.waits_for_piece && fault.take(FaultMode::Crash)) {
+  if (fault.waits_for_chunk && fault.take(FaultMode::Crash)) {
     worker_.crash();
     return true;
   }
@@ -148,7 +148,7 @@
   worker_.last_request_id = request_.identity.request_id;
 }
 
-void StreamRun::onClientGone() {
+void StreamRun::onClientDisconnected() {
   if (!closed_) {
     close("cancelled");
   }
@@ -157,13 +157,13 @@
 void StreamRun::close(const std::string& event) {
   const auto self = shared_from_this();
   closed_ = true;
-  for (const base::TimerPtr& timer : {std::cref(prefill_timer_), std::cref(piece_timer_)}) {
+  for (const base::TimerPtr& timer : {std::cref(prefill_timer_), std::cref(chunk_timer_)}) {
     if (timer != nullptr) {
       timer->disable();
     }
   }
   if (running_) {
-    worker_.note(event, Kind, run_, request_.identity, cached_tokens_, pieces_);
+    worker_.note(event, Kind, run_, request_.identity, cached_tokens_, chunks_);
     worker_.slots.release();
   } else {
     worker_.slots.cancel(ticket_);
@@ -171,4 +171,4 @@
   worker_.forget(self);
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/stream_run.h
+++ b/libraries/testbed/source/stream_run.h
@@ -7,12 +7,12 @@
 #include "switchsaddle/http/server.h"
 #include "worker_state.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** A stream as asked for. */
 struct StreamRequest {
   RequestIdentity identity;
-  std::vector<PrefixPart> parts;
+  std::vector<PrefixSegment> parts;
   /** Tokens of the prompt after its shared parts. */
   std::uint32_t own_tokens = 0;
   std::uint32_t output_tokens = 1;
@@ -32,13 +32,13 @@
  private:
   void onSlot();
   void onPrefilled();
-  void sendPiece();
+  void sendNextChunk();
   void sendChunk(std::string chunk);
   void onWritten(bool taken);
   /** Whether a fault ended or stopped the stream. */
   bool struck();
   void finish();
-  void onClientGone();
+  void onClientDisconnected();
   /** Notes the end, frees the slot and lets go of this. */
   void close(const std::string& event);
 
@@ -46,16 +46,16 @@
   StreamRequest request_;
   http::ResponseWriterPtr writer_;
   base::TimerPtr prefill_timer_;
-  base::TimerPtr piece_timer_;
+  base::TimerPtr chunk_timer_;
   SlotQueue::Ticket ticket_ = SlotQueue::Refused;
   std::string run_;
   std::string shown_run_;
   std::uint64_t cached_tokens_ = 0;
-  std::uint64_t pieces_ = 0;
+  std::uint64_t chunks_ = 0;
   /** The index shown on the next piece. */
   std::uint64_t index_ = 0;
   bool running_ = false;
   bool closed_ = false;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/worker_event.cc
+++ b/libraries/testbed/source/worker_event.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/laboratory/worker_event.h"
+#include "switchsaddle/testbed/worker_event.h"
 
 #include <boost/json.hpp>
 
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 std::string toJsonLine(const WorkerEvent& event) {
   return boost::json::serialize(boost::json::object{{"at_ms", event.at_ms},
@@ -17,7 +17,7 @@
                                                     {"cached_tokens", event.cached_tokens},
                                                     {"request_id", event.request_id},
                                                     {"caller_request_id", event.caller_request_id},
-                                                    {"pieces", event.pieces}});
+                                                    {"pieces", event.chunks}});
 }
 
 WorkerEvent parseWorkerEvent(const std::string& line) {
@@ -33,7 +33,7 @@
   event.cached_tokens = static_cast<std::uint64_t>(integerField(object, "cached_tokens"));
   event.request_id = textField(object, "request_id");
   event.caller_request_id = textField(object, "caller_request_id", event.request_id);
-  event.pieces = static_cast<std::uint64_t>(integerField(object, "pieces"));
+  event.chunks = static_cast<std::uint64_t>(integerField(object, "pieces"));
   return event;
 }
 
@@ -45,4 +45,4 @@
   return events;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/worker_fault.cc
+++ b/libraries/testbed/source/worker_fault.cc
@@ -1,12 +1,12 @@
-#include "switchsaddle/laboratory/worker_fault.h"
+#include "switchsaddle/testbed/worker_fault.h"
 
 #include <array>
 #include <string_view>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 struct ModeName {
@@ -55,8 +55,8 @@
   const boost::json::object object = parseObject(body);
   FaultOrder order;
   order.mode = modeNamed(textField(object, "mode"));
-  order.waits_for_piece = object.contains("after_pieces");
-  order.after_pieces = notNegative(integerField(object, "after_pieces"), "after_pieces");
+  order.waits_for_chunk = object.contains("after_pieces");
+  order.after_chunks = notNegative(integerField(object, "after_pieces"), "after_pieces");
   if (object.contains("count")) {
     order.count = notNegative(integerField(object, "count"), "count");
   }
@@ -65,4 +65,4 @@
   return order;
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/worker_speed.cc
+++ b/libraries/testbed/source/worker_speed.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/laboratory/worker_speed.h"
+#include "switchsaddle/testbed/worker_speed.h"
 
 #include <algorithm>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 base::Duration fromSeconds(double seconds) {
@@ -12,7 +12,7 @@
 }  // namespace
 
 base::Duration WorkerSpeed::prefillTime(std::uint64_t uncached_tokens, base::Duration age) const {
-  const double factor = age < cold_period ? cold_factor : 1.0;
+  const double factor = age < warm_up_period ? warm_up_factor : 1.0;
   return fromSeconds(static_cast<double>(uncached_tokens) * factor / prefill_tokens_per_s);
 }
 
@@ -21,4 +21,4 @@
   return fromSeconds((1.0 + slowdown_per_running * others) / decode_tokens_per_s);
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/worker_state.cc
+++ b/libraries/testbed/source/worker_state.cc
@@ -2,7 +2,7 @@
 
 #include <boost/json.hpp>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr std::uint16_t StatusUnavailable = 503;
@@ -61,7 +61,7 @@
 
 void WorkerState::note(const std::string& event, const std::string& kind, const std::string& run,
                        const RequestIdentity& identity, std::uint64_t cached_tokens,
-                       std::uint64_t pieces) {
+                       std::uint64_t chunks) {
   WorkerEvent line;
   line.at_ms = base::toMilliseconds(dispatcher.now().time_since_epoch());
   line.event = event;
@@ -73,7 +73,7 @@
   line.cached_tokens = cached_tokens;
   line.request_id = identity.request_id;
   line.caller_request_id = identity.caller_request_id;
-  line.pieces = pieces;
+  line.chunks = chunks;
   events.append(line);
 }
 
@@ -83,4 +83,4 @@
   }
 }
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/source/worker_state.h
+++ b/libraries/testbed/source/worker_state.h
@@ -9,13 +9,13 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/laboratory/kv_cache.h"
-#include "switchsaddle/laboratory/slot_queue.h"
-#include "switchsaddle/laboratory/stand_in_worker.h"
-#include "switchsaddle/laboratory/worker_event.h"
-#include "switchsaddle/laboratory/worker_fault.h"
+#include "switchsaddle/testbed/kv_cache.h"
+#include "switchsaddle/testbed/slot_queue.h"
+#include "switchsaddle/testbed/stand_in_worker.h"
+#include "switchsaddle/testbed/worker_event.h"
+#include "switchsaddle/testbed/worker_fault.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 
 /** A request that a worker is holding: kept alive by the worker until it has ended. */
 class HeldRequest {
@@ -47,7 +47,7 @@
   http::Response refuseBeforeRun(const std::string& kind, const RequestIdentity& identity,
                                  const std::string& reason);
   void note(const std::string& event, const std::string& kind, const std::string& run,
-            const RequestIdentity& identity, std::uint64_t cached_tokens, std::uint64_t pieces);
+            const RequestIdentity& identity, std::uint64_t cached_tokens, std::uint64_t chunks);
   bool draining() const { return drained || fault.active(FaultMode::Drain); }
   /** Lets go of a held request once the present callback has returned. */
   void forget(const std::shared_ptr<HeldRequest>& request);
@@ -69,4 +69,4 @@
   std::set<std::shared_ptr<HeldRequest>> held;
 };
 
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/branch_judge_test.cc
+++ b/libraries/testbed/test/branch_limit_checker_test.cc
@@ -1,16 +1,16 @@
-#include "switchsaddle/laboratory/branch_judge.h"
+#include "switchsaddle/testbed/branch_limit_checker.h"
 
 #include <gtest/gtest.h>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr int OverBranchLimit = 3001;
 
 /** Fabricated evidence of one tenant whose streams have two slots. */
-class BranchJudgeTest : public testing::Test {
+class BranchLimitCheckerTest : public testing::Test {
  protected:
-  BranchJudgeTest() {
+  BranchLimitCheckerTest() {
     limits_.branches[{"t1", "stream"}] = "root/t1";
     limits_.slots["root/t1"] = 2;
   }
@@ -44,9 +44,9 @@
     event.at_ms = answer_ms;
     evidence_.calls.push_back(event);
   }
-  BranchJudgement result() {
+  BranchLimitReport result() {
     evidence_.journals = {journal_};
-    return judgeBranches(evidence_, limits_, BranchTolerances{}, CrowdTime{});
+    return checkBranchLimits(evidence_, limits_, BranchTolerances{}, CrowdTime{});
   }
   std::vector<Rule> rules() {
     std::vector<Rule> rules;
@@ -62,7 +62,7 @@
   WorkerJournal journal_;
 };
 
-TEST_F(BranchJudgeTest, HoldsLongExcessesAgainstTheBranch) {
+TEST_F(BranchLimitCheckerTest, HoldsLongExcessesAgainstTheBranch) {
   run("a", 0, 1'000);
   run("b", 0, 1'000);
   run("c", 900, 2'000);
@@ -74,7 +74,7 @@
   EXPECT_EQ(rules(), Rules{Rule::OverLimit});
 }
 
-TEST_F(BranchJudgeTest, HoldsRefusalsAgainstAFreeSlotOnly) {
+TEST_F(BranchLimitCheckerTest, HoldsRefusalsAgainstAFreeSlotOnly) {
   run("a", 0, 1'000);
   run("b", 0, 500);
   refused(100, 200);
@@ -85,7 +85,7 @@
   EXPECT_EQ(result().refusals.at(OverBranchLimit).samples, 3U);
 }
 
-TEST_F(BranchJudgeTest, ARunThatAWorkerQueuedHasItsSlotAlready) {
+TEST_F(BranchLimitCheckerTest, ARunThatAWorkerQueuedHasItsSlotAlready) {
   run("a", 0, 1'000);
   note("queued", "b", 100);
   run("b", 500, 1'000);
@@ -93,7 +93,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(BranchJudgeTest, HoldsRetriesAboveATenthAgainstTheFleet) {
+TEST_F(BranchLimitCheckerTest, HoldsRetriesAboveATenthAgainstTheFleet) {
   for (int number = 0; number < 10; ++number) {
     run("r" + std::to_string(number), number * 10, number * 10 + 1);
   }
@@ -103,7 +103,7 @@
   EXPECT_EQ(rules(), Rules{Rule::TooManyRetries});
 }
 
-TEST_F(BranchJudgeTest, RetriesAreCountedAgainstTheFirstTriesOfTheirWindow) {
+TEST_F(BranchLimitCheckerTest, RetriesAreCountedAgainstTheFirstTriesOfTheirWindow) {
   for (int number = 0; number < 10; ++number) {
     run("r" + std::to_string(number), number * 10, number * 10 + 1);
   }
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/event_stream_reader_test.cc
+++ b/libraries/testbed/test/event_stream_reader_test.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/laboratory/event_stream_reader.h"
+#include "switchsaddle/testbed/event_stream_reader.h"
 
 #include <gtest/gtest.h>
 
-#include "switchsaddle/laboratory/call_event.h"
+#include "switchsaddle/testbed/call_event.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr std::string_view Stream =
@@ -47,4 +47,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/examples_test.cc
+++ b/libraries/testbed/test/examples_test.cc
@@ -4,11 +4,11 @@
 
 #include "source_directory.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
-#include "switchsaddle/laboratory/json_fields.h"
-#include "switchsaddle/laboratory/load_plan.h"
+#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/load_plan.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 /** What a deployment's example load sends in all, requests a second. */
@@ -79,4 +79,4 @@
                          [](const auto& test_case) { return caseName(test_case.param); });
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/fleet_layout_test.cc
+++ b/libraries/testbed/test/fleet_layout_test.cc
@@ -1,13 +1,13 @@
-#include "switchsaddle/laboratory/fleet_layout.h"
+#include "switchsaddle/testbed/fleet_layout.h"
 
 #include <gtest/gtest.h>
 
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/settings.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* Layout = R"({
@@ -109,4 +109,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/judge_test.cc
+++ b/libraries/testbed/test/history_checker_test.cc
@@ -1,12 +1,12 @@
-#include "switchsaddle/laboratory/judge.h"
+#include "switchsaddle/testbed/history_checker.h"
 
 #include <gtest/gtest.h>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 /** Builds fabricated evidence; a healthy record by itself breaks no rule. */
-class JudgeTest : public testing::Test {
+class HistoryCheckerTest : public testing::Test {
  protected:
   void sent(std::uint64_t call, const std::string& kind, std::int64_t at_ms,
             const std::string& key = {}) {
@@ -19,7 +19,7 @@
     event.idempotency_key = key;
     evidence_.calls.push_back(event);
   }
-  void piece(std::uint64_t call, std::int64_t index, const std::string& run, std::int64_t at_ms) {
+  void chunk(std::uint64_t call, std::int64_t index, const std::string& run, std::int64_t at_ms) {
     CallEvent event;
     event.event = "piece";
     event.call = call;
@@ -41,7 +41,7 @@
   }
   void worker(const std::string& event, const std::string& kind, const std::string& run,
               std::int64_t at_ms, const std::string& key = {}, const std::string& request_id = {},
-              std::uint64_t pieces = 0) {
+              std::uint64_t chunks = 0) {
     WorkerEvent line;
     line.event = event;
     line.kind = kind;
@@ -50,7 +50,7 @@
     line.idempotency_key = key;
     line.request_id = request_id + "-attempt";
     line.caller_request_id = request_id;
-    line.pieces = pieces;
+    line.chunks = chunks;
     line.tenant = "t1";
     journal_.events.push_back(line);
   }
@@ -59,8 +59,8 @@
     const std::string run = "run" + std::to_string(call);
     sent(call, "stream", 10);
     worker("start", "stream", run, 11, "", "r" + std::to_string(call));
-    piece(call, 0, run, 30);
-    piece(call, 1, run, 40);
+    chunk(call, 0, run, 30);
+    chunk(call, 1, run, 40);
     worker("end", "stream", run, 41, "", "r" + std::to_string(call), 2);
     answered(call, end);
   }
@@ -71,7 +71,7 @@
     Evidence evidence = evidence_;
     evidence.journals.push_back(journal_);
     std::vector<Rule> found;
-    for (const Violation& violation : judge(evidence).violations) {
+    for (const Violation& violation : checkHistory(evidence).violations) {
       found.push_back(violation.rule);
     }
     return found;
@@ -82,7 +82,7 @@
 
 using Rules = std::vector<Rule>;
 
-TEST_F(JudgeTest, AHealthyRecordBreaksNoRule) {
+TEST_F(HistoryCheckerTest, AHealthyRecordBreaksNoRule) {
   stream(1);
   sent(2, "one-shot", 10, "k");
   worker("start", "one-shot", "o1", 12, "k", "r2");
@@ -93,7 +93,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(JudgeTest, FindsAKeyThatRanTwice) {
+TEST_F(HistoryCheckerTest, FindsAKeyThatRanTwice) {
   sent(1, "one-shot", 10, "k");
   answered(1, call_end::Lost);
   worker("start", "one-shot", "o1", 12, "k");
@@ -101,14 +101,14 @@
   EXPECT_EQ(rules(), Rules{Rule::RanTwice});
 }
 
-TEST_F(JudgeTest, FindsAKeyThatRanThoughAnsweredNotRun) {
+TEST_F(HistoryCheckerTest, FindsAKeyThatRanThoughAnsweredNotRun) {
   sent(1, "one-shot", 10, "k");
   answered(1, call_end::Refused, "not-run", 503);
   worker("start", "one-shot", "o1", 2'000, "k");
   EXPECT_EQ(rules(), Rules{Rule::RanAfterNotRun});
 }
 
-TEST_F(JudgeTest, ARunForAnotherRequestOfTheKeyIsAllowed) {
+TEST_F(HistoryCheckerTest, ARunForAnotherRequestOfTheKeyIsAllowed) {
   sent(1, "one-shot", 10, "k");
   answered(1, call_end::Refused, "not-run", 503);
   sent(2, "one-shot", 1'500, "k");
@@ -117,7 +117,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(JudgeTest, AResendAfterTheRunDoesNotExcuseIt) {
+TEST_F(HistoryCheckerTest, AResendAfterTheRunDoesNotExcuseIt) {
   sent(1, "one-shot", 10, "k");
   answered(1, call_end::Refused, "not-run", 503);
   worker("start", "one-shot", "o1", 2'000, "k");
@@ -126,59 +126,59 @@
   EXPECT_EQ(rules(), Rules{Rule::RanAfterNotRun});
 }
 
-TEST_F(JudgeTest, FindsARefusedRequestThatRan) {
+TEST_F(HistoryCheckerTest, FindsARefusedRequestThatRan) {
   sent(1, "stream", 10);
   answered(1, call_end::Refused, "not-run", 429);
   worker("start", "stream", "s1", 2'000, "", "r1");
   EXPECT_EQ(rules(), Rules{Rule::RanAfterRefusal});
 }
 
-TEST_F(JudgeTest, FindsAnAnswerWithoutARun) {
+TEST_F(HistoryCheckerTest, FindsAnAnswerWithoutARun) {
   sent(1, "one-shot", 10, "k");
   answered(1, call_end::Done, "ran");
   EXPECT_EQ(rules(), Rules{Rule::AnsweredWithoutRun});
 }
 
-TEST_F(JudgeTest, FindsGapsRepeatsAndLateStarts) {
+TEST_F(HistoryCheckerTest, FindsGapsRepeatsAndLateStarts) {
   for (const std::vector<std::int64_t>& indices :
        {std::vector<std::int64_t>{0, 2}, {0, 0}, {1, 2}, {0, -1}}) {
     evidence_.calls.clear();
     sent(1, "stream", 10);
     for (const std::int64_t index : indices) {
-      piece(1, index, "s1", 20);
+      chunk(1, index, "s1", 20);
     }
     answered(1, call_end::Cut);
-    EXPECT_EQ(rules(), Rules{Rule::PieceOrder});
+    EXPECT_EQ(rules(), Rules{Rule::ChunkOrder});
   }
 }
 
-TEST_F(JudgeTest, FindsTwoRunsInOneStream) {
+TEST_F(HistoryCheckerTest, FindsTwoRunsInOneStream) {
   sent(1, "stream", 10);
-  piece(1, 0, "s1", 20);
-  piece(1, 1, "s2", 30);
+  chunk(1, 0, "s1", 20);
+  chunk(1, 1, "s2", 30);
   answered(1, call_end::Error);
   EXPECT_EQ(rules(), Rules{Rule::RunChanged});
 }
 
-TEST_F(JudgeTest, FindsAnEndThatTheWorkerNeverMade) {
+TEST_F(HistoryCheckerTest, FindsAnEndThatTheWorkerNeverMade) {
   sent(1, "stream", 10);
   worker("start", "stream", "s1", 11);
-  piece(1, 0, "s1", 20);
+  chunk(1, 0, "s1", 20);
   worker("cancelled", "stream", "s1", 30, "", "", 1);
   answered(1, call_end::Done);
   EXPECT_EQ(rules(), Rules{Rule::EarlyEnd});
 }
 
-TEST_F(JudgeTest, FindsAnEndThatLacksTheLastPiece) {
+TEST_F(HistoryCheckerTest, FindsAnEndThatLacksTheLastPiece) {
   sent(1, "stream", 10);
   worker("start", "stream", "s1", 11);
-  piece(1, 0, "s1", 20);
+  chunk(1, 0, "s1", 20);
   worker("end", "stream", "s1", 30, "", "", 2);
   answered(1, call_end::Done);
   EXPECT_EQ(rules(), Rules{Rule::EarlyEnd});
 }
 
-TEST_F(JudgeTest, FindsASilentEndButNotAVisibleOne) {
+TEST_F(HistoryCheckerTest, FindsASilentEndButNotAVisibleOne) {
   stream(1, call_end::Error);
   stream(2, call_end::Cut);
   EXPECT_EQ(rules(), Rules{});
@@ -186,7 +186,7 @@
   EXPECT_EQ(rules(), Rules{Rule::SilentEnd});
 }
 
-TEST_F(JudgeTest, FindsATenantOverItsLimit) {
+TEST_F(HistoryCheckerTest, FindsATenantOverItsLimit) {
   worker("start", "stream", "s1", 10);
   worker("start", "stream", "s2", 20);
   worker("end", "stream", "s1", 30);
@@ -198,7 +198,7 @@
   EXPECT_EQ(rules(), Rules{Rule::OverLimit});
 }
 
-TEST_F(JudgeTest, ACrashedWorkersRunsEndWithItsLastLine) {
+TEST_F(HistoryCheckerTest, ACrashedWorkersRunsEndWithItsLastLine) {
   worker("start", "stream", "s1", 10);
   worker("up", "process", "", 1'000);
   worker("start", "stream", "s2", 1'010);
@@ -206,7 +206,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(JudgeTest, FindsALateStartInAnEvacuatedZone) {
+TEST_F(HistoryCheckerTest, FindsALateStartInAnEvacuatedZone) {
   journal_.zone = "a";
   ordered(order_event::Evacuated, "a", 1'000);
   ordered(order_event::Evacuated, "b", 1'000);
@@ -219,7 +219,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(JudgeTest, FindsALateStartForARevokedKey) {
+TEST_F(HistoryCheckerTest, FindsALateStartForARevokedKey) {
   ordered(order_event::Revoked, "t1", 1'000);
   ordered(order_event::Revoked, "t2", 1'000);
   worker("start", "stream", "s1", 3'000);
@@ -230,7 +230,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(JudgeTest, FindsWorkForALeavingWorkerAlsoWhereItRefusesIt) {
+TEST_F(HistoryCheckerTest, FindsWorkForALeavingWorkerAlsoWhereItRefusesIt) {
   journal_.worker = "w1";
   for (const char* event : {order_event::Draining, order_event::Vanished}) {
     for (const char* attempt : {"start", "refused"}) {
@@ -248,7 +248,7 @@
   }
 }
 
-TEST_F(JudgeTest, FindsMoreRetriesThanTheShareOfAWindow) {
+TEST_F(HistoryCheckerTest, FindsMoreRetriesThanTheShareOfAWindow) {
   for (std::uint64_t call = 1; call <= 20; ++call) {
     sent(call, "stream", 1'000);
     worker("refused", "stream", "", 1'000, "", "r" + std::to_string(call));
@@ -260,7 +260,7 @@
   EXPECT_EQ(rules(), Rules{Rule::TooManyRetries});
 }
 
-TEST_F(JudgeTest, RetriesOfAnEarlierWindowDoNotCount) {
+TEST_F(HistoryCheckerTest, RetriesOfAnEarlierWindowDoNotCount) {
   for (std::uint64_t call = 1; call <= 20; ++call) {
     const std::int64_t at_ms = call <= 10 ? 1'000 : 12'000;
     sent(call, "stream", at_ms);
@@ -271,18 +271,18 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(JudgeTest, CountsAnswersAndFirstTokens) {
+TEST_F(HistoryCheckerTest, CountsAnswersAndFirstTokens) {
   stream(1);
   stream(2);
   sent(3, "stream", 10);
   evidence_.journals.push_back(journal_);
-  const Judgement judgement = judge(evidence_);
-  EXPECT_EQ(judgement.answers.at("stream done"), 2U);
-  EXPECT_EQ(judgement.open_calls, 1U);
-  EXPECT_EQ(judgement.first_token.samples, 2U);
-  EXPECT_EQ(judgement.first_token.p50_ms, 20);
-  EXPECT_EQ(judgement.first_token.p95_ms, 20);
+  const HistoryReport report = checkHistory(evidence_);
+  EXPECT_EQ(report.answers.at("stream done"), 2U);
+  EXPECT_EQ(report.open_calls, 1U);
+  EXPECT_EQ(report.first_token.samples, 2U);
+  EXPECT_EQ(report.first_token.p50_ms, 20);
+  EXPECT_EQ(report.first_token.p95_ms, 20);
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/kv_cache_test.cc
+++ b/libraries/testbed/test/kv_cache_test.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/laboratory/kv_cache.h"
+#include "switchsaddle/testbed/kv_cache.h"
 
 #include <gtest/gtest.h>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 TEST(KvCacheTest, CountsOnlyTheLeadingRun) {
@@ -37,4 +37,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/load_plan_test.cc
+++ b/libraries/testbed/test/load_plan_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/load_plan.h"
+#include "switchsaddle/testbed/load_plan.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 #include "switchsaddle/base/error.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr const char* Plan = R"({
@@ -101,4 +101,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/load_runner_test.cc
+++ b/libraries/testbed/test/load_runner_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/load_runner.h"
+#include "switchsaddle/testbed/load_runner.h"
 
 #include <gtest/gtest.h>
 
@@ -9,7 +9,7 @@
 #include "switchsaddle/simulation/process.h"
 #include "switchsaddle/simulation/world.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 using std::chrono::seconds;
@@ -177,10 +177,10 @@
   bytes("id: 0\ndata: {\"run\":\"w1\"}\n\nid: 1\nda");
   bytes("ta: {\"run\":\"w2\"}\n\nid: 2\ndata: [DONE]\n\n");
   exchange_->onComplete();
-  const auto pieces = sink_.named("piece");
-  ASSERT_EQ(pieces.size(), 2U);
-  EXPECT_EQ(pieces[1].index, 1);
-  EXPECT_EQ(pieces[1].run, "w2");
+  const auto chunks = sink_.named("piece");
+  ASSERT_EQ(chunks.size(), 2U);
+  EXPECT_EQ(chunks[1].index, 1);
+  EXPECT_EQ(chunks[1].run, "w2");
   EXPECT_EQ(answer().end, call_end::Done);
 }
 
@@ -217,4 +217,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/platform_list_test.cc
+++ b/libraries/testbed/test/platform_list_test.cc
@@ -1,11 +1,11 @@
-#include "switchsaddle/laboratory/platform_list.h"
+#include "switchsaddle/testbed/platform_list.h"
 
 #include <gtest/gtest.h>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 using std::chrono::seconds;
@@ -77,4 +77,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/process_control_test.cc
+++ b/libraries/testbed/test/process_control_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/process_control.h"
+#include "switchsaddle/testbed/process_control.h"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/base/error.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 constexpr base::Duration Patience = std::chrono::minutes(1);
@@ -54,4 +54,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/slot_queue_test.cc
+++ b/libraries/testbed/test/slot_queue_test.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/laboratory/slot_queue.h"
+#include "switchsaddle/testbed/slot_queue.h"
 
 #include <gtest/gtest.h>
 
 #include <vector>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 class SlotQueueTest : public testing::Test {
@@ -41,4 +41,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/stand_in_worker_test.cc
+++ b/libraries/testbed/test/stand_in_worker_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/laboratory/stand_in_worker.h"
+#include "switchsaddle/testbed/stand_in_worker.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include "switchsaddle/simulation/process.h"
 #include "switchsaddle/simulation/world.h"
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 using std::chrono::seconds;
@@ -25,13 +25,15 @@
   }
   void endStream() override { ended = true; }
   void abort() override { aborted = true; }
-  void onClientGone(std::function<void()> callback) override { client_gone = std::move(callback); }
+  void onClientDisconnected(std::function<void()> callback) override {
+    client_disconnected = std::move(callback);
+  }
 
   http::Response head;
   std::string body;
   bool ended = false;
   bool aborted = false;
-  std::function<void()> client_gone;
+  std::function<void()> client_disconnected;
 };
 
 /** Refuses every exchange. */
@@ -108,7 +110,7 @@
   EXPECT_NE(writer->body.find("id: 2\n"), std::string::npos);
   EXPECT_NE(writer->body.find("id: 3\ndata: [DONE]\n\n"), std::string::npos);
   ASSERT_EQ(sink_.count("end"), 1U);
-  EXPECT_EQ(sink_.events.back().pieces, 3U);
+  EXPECT_EQ(sink_.events.back().chunks, 3U);
   EXPECT_TRUE(worker_.idle());
 }
 
@@ -138,7 +140,7 @@
 TEST_F(StandInWorkerTest, ACallerWhoLeavesFreesTheSlot) {
   const auto first = stream("r1");
   const auto second = stream("r2");
-  first->client_gone();
+  first->client_disconnected();
   world_.runFor(seconds(5));
   EXPECT_EQ(sink_.count("cancelled"), 1U);
   EXPECT_TRUE(second->ended);
@@ -258,4 +260,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/laboratory/test/worker_speed_test.cc
+++ b/libraries/testbed/test/worker_speed_test.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/laboratory/worker_speed.h"
+#include "switchsaddle/testbed/worker_speed.h"
 
 #include <gtest/gtest.h>
 
-namespace switchsaddle::laboratory {
+namespace switchsaddle::testbed {
 namespace {
 
 using std::chrono::milliseconds;
@@ -11,8 +11,8 @@
 TEST(WorkerSpeedTest, PrefillIsSlowerWhileCold) {
   WorkerSpeed speed;
   speed.prefill_tokens_per_s = 1'000;
-  speed.cold_period = seconds(5);
-  speed.cold_factor = 4;
+  speed.warm_up_period = seconds(5);
+  speed.warm_up_factor = 4;
   EXPECT_EQ(speed.prefillTime(500, seconds(4)), seconds(2));
   EXPECT_EQ(speed.prefillTime(500, seconds(5)), milliseconds(500));
   EXPECT_EQ(speed.prefillTime(0, seconds(0)), seconds(0));
@@ -27,4 +27,4 @@
 }
 
 }  // namespace
-}  // namespace switchsaddle::laboratory
+}  // namespace switchsaddle::testbed
--- a/libraries/wire/include/switchsaddle/wire/admission_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/admission_messages.h
@@ -64,7 +64,7 @@
 };
 
 /** What a front holds of one branch. */
-struct SlotHolding {
+struct SlotAllocation {
   std::string branch;
   std::uint64_t sequence = 0;
   std::uint32_t held = 0;
@@ -81,11 +81,11 @@
   std::uint64_t front_instance = 0;
   /** False where the recall's term was older than one this front has heard of. */
   bool term_accepted = false;
-  std::vector<SlotHolding> holdings;
+  std::vector<SlotAllocation> allocations;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(front_instance, term_accepted, holdings);
+    archive(front_instance, term_accepted, allocations);
   }
 };
 
--- a/libraries/wire/include/switchsaddle/wire/bounded_archive.h
+++ b/libraries/wire/include/switchsaddle/wire/bounded_archive.h
@@ -25,16 +25,16 @@
 }
 
 inline void load(PortableBinaryInputArchive& archive, std::string& text) {
-  constexpr size_type PieceBytes = 64U << 10U;
+  constexpr size_type ChunkBytes = 64U << 10U;
   size_type remaining = 0;
   archive(make_size_tag(remaining));
   text.clear();
   while (remaining > 0) {
-    const size_type piece = std::min(remaining, PieceBytes);
+    const size_type chunk = std::min(remaining, ChunkBytes);
     const std::size_t filled = text.size();
-    text.resize(filled + piece);
-    archive(binary_data(text.data() + filled, piece));
-    remaining -= piece;
+    text.resize(filled + chunk);
+    archive(binary_data(text.data() + filled, chunk));
+    remaining -= chunk;
   }
 }
 
--- a/libraries/wire/include/switchsaddle/wire/health_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/health_messages.h
@@ -66,7 +66,7 @@
 };
 
 /** What one front tells. Empty where it has nothing new to tell. */
-struct HealthStatement {
+struct HealthReport {
   std::vector<PoolHealth> pools;
   /** Seconds over which the front's long counts were taken, decayed as they are. */
   float observed_s = 0;
--- a/libraries/wire/include/switchsaddle/wire/load_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/load_messages.h
@@ -27,7 +27,7 @@
 };
 
 /** Prompts of one kind of work, such as one route's, counted with a half life. */
-struct KindWork {
+struct WorkKindCounts {
   std::uint64_t kind = 0;
   float prompts = 0;
   float prompt_tokens = 0;
@@ -43,7 +43,7 @@
 /** What one front has under way, and what work it got of late. */
 struct FrontLoad {
   std::vector<WorkerLoad> workers;
-  std::vector<KindWork> kinds;
+  std::vector<WorkKindCounts> kinds;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -58,7 +58,7 @@
   /** The workers with the most under way, a bounded number. */
   std::vector<WorkerLoad> others;
   /** Of all fronts, that one included. */
-  std::vector<KindWork> kinds;
+  std::vector<WorkKindCounts> kinds;
   /** The mean of the workers that have something under way and are not told by themselves. */
   float rest_requests = 0;
   float rest_prefill_ms = 0;
--- a/libraries/wire/include/switchsaddle/wire/message.h
+++ b/libraries/wire/include/switchsaddle/wire/message.h
@@ -34,7 +34,7 @@
                  ConfigurationDelta, ConfigurationFetch, WorkerView, GossipDigest, GossipDelta,
                  SlotRequest, SlotReply, SlotRecall, SlotReport, ClaimBegin, ClaimFinish,
                  ClaimReply, ControlRequest, ControlReply, CoreAnnounce, CoreAnnounceReply,
-                 WorkerViewChange, QuotaAsk, QuotaAnswer>;
+                 WorkerViewChange, QuotaRequest, QuotaReply>;
 
 inline constexpr std::uint16_t ProtocolVersion = 2;
 
--- a/libraries/wire/include/switchsaddle/wire/quota_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/quota_messages.h
@@ -14,7 +14,7 @@
 namespace switchsaddle::wire {
 
 /** Front to ledger: may this request be let in? */
-struct QuotaAsk {
+struct QuotaRequest {
   std::string tenant;
   float units = 0;
   /** Of the request's route; 0 is the most urgent. */
@@ -32,7 +32,7 @@
 };
 
 /** The ledger's answer. */
-struct QuotaAnswer {
+struct QuotaReply {
   /** False where the asked node does not hold the lease of the tenant's ledger. */
   bool is_ledger = false;
   /** False where the ledger can't tell, since it does not know what all fronts let in. */
--- a/libraries/wire/include/switchsaddle/wire/session_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/session_messages.h
@@ -32,7 +32,7 @@
 };
 
 /** What the fleet does for a tenant, and one front's part of it. */
-struct TenantAllotment {
+struct TenantAllocation {
   std::string tenant;
   /** The front's part of what is left of the quota; 0 to 1. */
   float share = 0;
@@ -48,7 +48,7 @@
 };
 
 /** How far back a front's knowledge of the fleet goes: for cores that have lost theirs. */
-struct FrontWitness {
+struct FleetKnowledge {
   /** Milliseconds since the front's process started. */
   std::uint32_t age_ms = 0;
   /** sessions::digestOfFronts() of all fronts that it has known of late, itself included. */
@@ -76,16 +76,16 @@
   /** Tenants with a quota that asked the front for something lately. */
   std::vector<TenantDemand> demand = {};
   /** What the front has seen of workers. */
-  HealthStatement health = {};
+  HealthReport health = {};
   FrontLoad load = {};
-  FrontWitness witness = {};
+  FleetKnowledge fleet_knowledge = {};
   /** Asks of the quota ledger up to this number are settled: granted ones stand in `demand`. */
-  std::uint64_t settled_asks = 0;
+  std::uint64_t settled_requests = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(front, instance, sequence, applied_version, applied_digest, zone, closed, demand,
-            health, load, witness, settled_asks);
+            health, load, fleet_knowledge, settled_requests);
   }
 };
 
@@ -116,14 +116,14 @@
   /** Whether the core knows what all fronts let in. */
   bool quotas_known = false;
   /** Of tenants that have used much of their quota; where quotas_known, no other has. */
-  std::vector<TenantAllotment> allotments = {};
+  std::vector<TenantAllocation> allocations = {};
   HealthAdvice health = {};
   FleetLoad load = {};
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(granted, sequence, committed_version, core_addresses, front_addresses, members_digest,
-            quotas_known, allotments, health, load);
+            quotas_known, allocations, health, load);
   }
 };
 
--- a/libraries/wire/include/switchsaddle/wire/stored_record.h
+++ b/libraries/wire/include/switchsaddle/wire/stored_record.h
@@ -9,7 +9,7 @@
 namespace switchsaddle::wire {
 
 /** The first byte of a record: the order of bytes in its numbers, which is always the same. */
-inline constexpr char LittleEndianMark = 1;
+inline constexpr char LittleEndianTag = 1;
 
 /** The fields one after the other, in the portable form that stores and registers keep. */
 template <class... Fields>
@@ -30,7 +30,7 @@
  */
 template <class... Fields>
 void readRecord(const std::string& bytes, Fields&... fields) {
-  if (bytes.empty() || bytes.front() != LittleEndianMark) {
+  if (bytes.empty() || bytes.front() != LittleEndianTag) {
     throw base::Error(base::ResultCode::RecordCorrupt, "the record has no order of bytes");
   }
   std::istringstream stream(bytes);
--- a/libraries/wire/test/codec_test.cc
+++ b/libraries/wire/test/codec_test.cc
@@ -2,7 +2,7 @@
 
 #include <type_traits>
 
-#include "switchsaddle/allocation_probe/allocation_probe.h"
+#include "switchsaddle/allocation_tracker/allocation_tracker.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/base/hash.h"
 #include "switchsaddle/base/random.h"
@@ -166,9 +166,9 @@
       std::string bytes = whole;
       bytes.replace(place, forged.size(), forged);
       repairChecksum(bytes);
-      allocation_probe::resetLargestAllocation();
+      allocation_tracker::resetLargestAllocation();
       decodes(bytes);
-      ASSERT_LT(allocation_probe::largestAllocation(), AllocationLimit)
+      ASSERT_LT(allocation_tracker::largestAllocation(), AllocationLimit)
           << "kind " << index << " at " << place;
     }
   }
--- a/libraries/wire/test/stored_record_test.cc
+++ b/libraries/wire/test/stored_record_test.cc
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "switchsaddle/allocation_probe/allocation_probe.h"
+#include "switchsaddle/allocation_tracker/allocation_tracker.h"
 
 namespace switchsaddle::wire {
 namespace {
@@ -29,7 +29,7 @@
 
 TEST(StoredRecordTest, RefusesAnotherOrderOfBytes) {
   std::string bytes = writeRecord(Names{});
-  ASSERT_EQ(bytes.front(), LittleEndianMark);
+  ASSERT_EQ(bytes.front(), LittleEndianTag);
   bytes.front() = 0;
   Names read;
   EXPECT_THROW(readRecord(bytes, read), base::Error);
@@ -40,10 +40,10 @@
   constexpr std::size_t SmallBlock = 1U << 20U;
   Names names;
   std::string text;
-  allocation_probe::resetLargestAllocation();
+  allocation_tracker::resetLargestAllocation();
   EXPECT_THROW(readRecord(writeRecord(Forged), names), base::Error);
   EXPECT_THROW(readRecord(writeRecord(Forged), text), base::Error);
-  EXPECT_LT(allocation_probe::largestAllocation(), SmallBlock);
+  EXPECT_LT(allocation_tracker::largestAllocation(), SmallBlock);
 }
 
 }  // namespace
--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
@@ -45,9 +45,9 @@
 
   explicit EvidenceLedger(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
 
-  void hear(const FrontKey& front, const std::string& zone, const wire::HealthStatement& statement);
+  void update(const FrontKey& front, const std::string& zone, const wire::HealthReport& statement);
   /** Forgets fronts that have been silent for long. */
-  void forgetSilent();
+  void forgetUnresponsive();
   std::size_t fronts() const { return fronts_.size(); }
 
   /** Of one worker, as the fronts of all zones see it, or of one. */
@@ -62,11 +62,11 @@
  private:
   struct Row {
     wire::WorkerHealth health;
-    base::TimePoint heard_at;
+    base::TimePoint last_seen;
   };
   struct Front {
     std::string zone;
-    base::TimePoint heard_at;
+    base::TimePoint last_seen;
     double observed_s = 0;
     std::map<std::uint64_t, wire::PoolHealth> pools;
     std::map<std::uint64_t, Row> workers;
--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
@@ -32,7 +32,7 @@
   /** Bounds of one statement. */
   static constexpr std::size_t MaximumAccused = 6;
   static constexpr std::size_t MaximumWatched = 16;
-  static constexpr std::size_t ToldInTurn = 1;
+  static constexpr std::size_t ReportedInTurn = 1;
   static constexpr base::Duration StatementInterval = std::chrono::milliseconds(450);
   /** A dispatch without a head for so long counts as failed, whatever becomes of it. */
   static constexpr base::Duration Overdue = std::chrono::milliseconds(2'500);
@@ -48,7 +48,7 @@
   void onEnd(std::uint64_t number, const DispatchSample& sample);
   void setWatched(const std::vector<std::uint64_t>& workers);
   /** What is to be told now; empty where the last statement was a moment ago. */
-  wire::HealthStatement statement();
+  wire::HealthReport statement();
   std::uint32_t inFlight(std::uint64_t worker) const;
 
  private:
@@ -71,7 +71,7 @@
   /** How much worse than the pool the worker did here; zero or less where it did not. */
   double excess(const Record& record, base::TimePoint now) const;
   std::vector<std::uint64_t> accused(base::TimePoint now) const;
-  void tell(std::uint64_t worker, base::TimePoint now, wire::HealthStatement& statement) const;
+  void tell(std::uint64_t worker, base::TimePoint now, wire::HealthReport& statement) const;
 
   base::Dispatcher& dispatcher_;
   base::TimePoint started_at_;
@@ -81,7 +81,7 @@
   std::map<std::uint64_t, Record> workers_;
   std::map<std::uint64_t, DecayedCounts> pools_;
   std::set<std::uint64_t> watched_;
-  base::TimePoint told_at_{};
+  base::TimePoint reported_at_{};
   /** The worker last told of in turn. */
   std::uint64_t turn_ = 0;
 };
--- a/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
@@ -19,14 +19,14 @@
   /** It looks worse than its peers, which may yet be chance. */
   Suspect,
   /** It is worse than its peers by more than chance and load explain. */
-  Sick
+  Unhealthy
 };
 
 /** What a sick worker does. */
-enum class Sickness : std::uint8_t { None, Stalls, SlowTransfers, Failures };
+enum class Symptom : std::uint8_t { None, Stalls, SlowTransfers, Failures };
 
 const char* healthStateName(HealthState state);
-const char* sicknessName(Sickness sickness);
+const char* symptomName(Symptom symptom);
 
 /** One worker in the ranking, with what was seen of it. */
 struct WorkerRank {
@@ -35,7 +35,7 @@
   std::string zone;
   HealthState state = HealthState::Unknown;
   /** What decided. */
-  Sickness sickness = Sickness::None;
+  Symptom symptom = Symptom::None;
   /** How much more of its requests it spoils than explained, at least; 0 to 1. */
   double severity = 0;
   Evidence evidence;
--- a/libraries/worker_health/source/evidence_ledger.cc
+++ b/libraries/worker_health/source/evidence_ledger.cc
@@ -14,7 +14,7 @@
 constexpr base::Duration InFlightMemory = std::chrono::seconds(3);
 constexpr base::Duration FrontMemory = std::chrono::seconds(20);
 /** A front is judged by no fewer dispatches of late. */
-constexpr double FewestToJudgeFront = 6;
+constexpr double MinimumToAssessFront = 6;
 /** Part of its dispatches that fails from which a front is not believed, unless the others find so
  * large a part too. */
 constexpr double FailsEverywhere = 0.5;
@@ -26,15 +26,15 @@
 
 }  // namespace
 
-void EvidenceLedger::hear(const FrontKey& key, const std::string& zone,
-                          const wire::HealthStatement& statement) {
+void EvidenceLedger::update(const FrontKey& key, const std::string& zone,
+                            const wire::HealthReport& statement) {
   if (statement.empty()) {
     return;
   }
   const base::TimePoint now = dispatcher_.now();
   Front& front = fronts_[key];
   front.zone = zone;
-  front.heard_at = now;
+  front.last_seen = now;
   front.observed_s = statement.observed_s;
   front.pools.clear();
   for (const wire::PoolHealth& pool : statement.pools) {
@@ -45,10 +45,10 @@
     noteAccused(health);
   }
   std::erase_if(front.workers,
-                [now](const auto& item) { return now - item.second.heard_at > RowMemory; });
+                [now](const auto& item) { return now - item.second.last_seen > RowMemory; });
   while (front.workers.size() > MaximumWorkers) {
     front.workers.erase(std::ranges::min_element(
-        front.workers, {}, [](const auto& item) { return item.second.heard_at; }));
+        front.workers, {}, [](const auto& item) { return item.second.last_seen; }));
   }
 }
 
@@ -58,17 +58,17 @@
   }
 }
 
-void EvidenceLedger::forgetSilent() {
+void EvidenceLedger::forgetUnresponsive() {
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(fronts_,
-                [now](const auto& item) { return now - item.second.heard_at > FrontMemory; });
+                [now](const auto& item) { return now - item.second.last_seen > FrontMemory; });
   std::erase_if(accused_since_,
                 [this](const auto& item) { return ofWorker(item.first).accusing_fronts == 0; });
 }
 
 bool EvidenceLedger::isBelieved(const Front& front) const {
   for (const auto& [key, pool] : front.pools) {
-    if (pool.recent_dispatched < FewestToJudgeFront ||
+    if (pool.recent_dispatched < MinimumToAssessFront ||
         pool.recent_failed < FailsEverywhere * pool.recent_dispatched) {
       continue;
     }
@@ -81,7 +81,7 @@
         failed += found->second.recent_failed;
       }
     }
-    if (dispatched >= FewestToJudgeFront && failed < OthersFail * dispatched) {
+    if (dispatched >= MinimumToAssessFront && failed < OthersFail * dispatched) {
       return false;
     }
   }
@@ -90,13 +90,13 @@
 
 void EvidenceLedger::addRow(Evidence& evidence, const Front& front, const Row& row,
                             base::TimePoint now) {
-  const double recent = factorOf(now - row.heard_at, RecentHalfLife);
+  const double recent = factorOf(now - row.last_seen, RecentHalfLife);
   evidence.recent_dispatched += row.health.recent_dispatched * recent;
   evidence.recent_failed += row.health.recent_failed * recent;
-  addCounts(evidence.counts, row.health.counts, factorOf(now - row.heard_at, LongHalfLife));
+  addCounts(evidence.counts, row.health.counts, factorOf(now - row.last_seen, LongHalfLife));
   evidence.accusing_fronts += row.health.recent_failed * recent >= AccusedFrom ? 1 : 0;
   evidence.telling_fronts += 1;
-  evidence.in_flight += now - row.heard_at <= InFlightMemory ? row.health.in_flight : 0;
+  evidence.in_flight += now - row.last_seen <= InFlightMemory ? row.health.in_flight : 0;
   evidence.observed_s = std::max(evidence.observed_s, front.observed_s);
 }
 
@@ -137,10 +137,10 @@
     if (found == front.pools.end() || !isBelieved(front)) {
       continue;
     }
-    const double recent = factorOf(now - front.heard_at, RecentHalfLife);
+    const double recent = factorOf(now - front.last_seen, RecentHalfLife);
     evidence.recent_dispatched += found->second.recent_dispatched * recent;
     evidence.recent_failed += found->second.recent_failed * recent;
-    addCounts(evidence.counts, found->second.counts, factorOf(now - front.heard_at, LongHalfLife));
+    addCounts(evidence.counts, found->second.counts, factorOf(now - front.last_seen, LongHalfLife));
     evidence.telling_fronts += 1;
     evidence.observed_s = std::max(evidence.observed_s, front.observed_s);
   }
--- a/libraries/worker_health/source/evidence_recorder.cc
+++ b/libraries/worker_health/source/evidence_recorder.cc
@@ -135,7 +135,7 @@
 }
 
 void EvidenceRecorder::tell(std::uint64_t worker, base::TimePoint now,
-                            wire::HealthStatement& statement) const {
+                            wire::HealthReport& statement) const {
   const auto told = [worker](const wire::WorkerHealth& one) { return one.worker == worker; };
   const auto found = workers_.find(worker);
   if (found == workers_.end() || std::ranges::any_of(statement.workers, told)) {
@@ -151,13 +151,13 @@
   statement.workers.push_back(health);
 }
 
-wire::HealthStatement EvidenceRecorder::statement() {
+wire::HealthReport EvidenceRecorder::statement() {
   const base::TimePoint now = dispatcher_.now();
-  wire::HealthStatement statement;
-  if (now - told_at_ < StatementInterval) {
+  wire::HealthReport statement;
+  if (now - reported_at_ < StatementInterval) {
     return statement;
   }
-  told_at_ = now;
+  reported_at_ = now;
   statement.observed_s = static_cast<float>(decayedSeconds(now - started_at_));
   countOverdue();
   forgetIdle();
@@ -179,7 +179,7 @@
     }
     tell(worker, now, statement);
   }
-  for (std::size_t count = 0; count < ToldInTurn && !workers_.empty(); ++count) {
+  for (std::size_t count = 0; count < ReportedInTurn && !workers_.empty(); ++count) {
     auto next = workers_.upper_bound(turn_);
     next = next == workers_.end() ? workers_.begin() : next;
     turn_ = next->first;
--- a/libraries/worker_health/source/health_ranking.cc
+++ b/libraries/worker_health/source/health_ranking.cc
@@ -60,7 +60,7 @@
 
 /** One kind of evidence against a worker. */
 struct Signal {
-  Sickness sickness = Sickness::None;
+  Symptom symptom = Symptom::None;
   double bad = 0;
   double counted = 0;
   double borne = 0;
@@ -68,34 +68,34 @@
 
   ShareBounds bounds() const { return shareBounds(bad, counted); }
   double severity() const { return std::max(0.0, bounds().low - borne) * weight; }
-  bool isSick() const { return counted > 0 && bounds().low > borne; }
-  bool looksSick() const { return counted > 0 && shareOf(bad, counted) > borne; }
+  bool isUnhealthy() const { return counted > 0 && bounds().low > borne; }
+  bool looksUnhealthy() const { return counted > 0 && shareOf(bad, counted) > borne; }
   bool looksHealthy() const { return counted <= 0 || bounds().high < borne + HealthyMargin; }
 };
 
-void judge(WorkerRank& rank, const Usual& usual) {
+void checkHistory(WorkerRank& rank, const Usual& usual) {
   const wire::HealthCounts& counts = rank.evidence.counts;
   const double met = metLongPrompt(counts, rank.evidence.observed_s, 1);
   rank.explained_stalls = std::min(1.0, std::max(BorneStalls, BorneRatio * usual.stalls) + met);
   rank.explained_slow = std::min(1.0, std::max(BorneSlow, BorneRatio * usual.slow) + met);
   rank.explained_failures = std::max(BorneFailures, BorneRatio * usual.failures);
   const std::array signals{
-      Signal{Sickness::Stalls, counts.stalled, counts.timed, rank.explained_stalls},
-      Signal{Sickness::SlowTransfers, counts.slow, counts.timed, rank.explained_slow},
-      Signal{Sickness::Failures, counts.failed, counts.dispatched, rank.explained_failures,
+      Signal{Symptom::Stalls, counts.stalled, counts.timed, rank.explained_stalls},
+      Signal{Symptom::SlowTransfers, counts.slow, counts.timed, rank.explained_slow},
+      Signal{Symptom::Failures, counts.failed, counts.dispatched, rank.explained_failures,
              FailureWeight}};
   rank.severity = 0;
-  rank.sickness = Sickness::None;
+  rank.symptom = Symptom::None;
   rank.state = HealthState::Unknown;
   if (counts.dispatched < FewestToRank) {
     return;
   }
   const Signal& worst = *std::ranges::max_element(signals, {}, &Signal::severity);
-  if (worst.isSick()) {
+  if (worst.isUnhealthy()) {
     rank.severity = worst.severity();
-    rank.sickness = worst.sickness;
-    rank.state = HealthState::Sick;
-  } else if (std::ranges::any_of(signals, &Signal::looksSick)) {
+    rank.symptom = worst.symptom;
+    rank.state = HealthState::Unhealthy;
+  } else if (std::ranges::any_of(signals, &Signal::looksUnhealthy)) {
     rank.state = HealthState::Suspect;
   } else if (std::ranges::all_of(signals, &Signal::looksHealthy)) {
     rank.state = HealthState::Healthy;
@@ -112,28 +112,28 @@
       return "healthy";
     case HealthState::Suspect:
       return "suspect";
-    case HealthState::Sick:
+    case HealthState::Unhealthy:
       return "sick";
   }
   return "unknown";
 }
 
-const char* sicknessName(Sickness sickness) {
-  switch (sickness) {
-    case Sickness::None:
+const char* symptomName(Symptom symptom) {
+  switch (symptom) {
+    case Symptom::None:
       return "";
-    case Sickness::Stalls:
+    case Symptom::Stalls:
       return "stalls";
-    case Sickness::SlowTransfers:
+    case Symptom::SlowTransfers:
       return "slow-transfers";
-    case Sickness::Failures:
+    case Symptom::Failures:
       return "failures";
   }
   return "";
 }
 
 bool HealthRanking::refresh() {
-  ledger_.forgetSilent();
+  ledger_.forgetUnresponsive();
   const std::map<std::uint64_t, Evidence> evidence = ledger_.ofAllWorkers();
   std::map<std::string, std::vector<WorkerRank>> pools;
   for (const auto& [id, worker] : snapshot_->workers) {
@@ -165,32 +165,32 @@
 
 void HealthRanking::rankPool(const std::string& pool, std::vector<WorkerRank>& ranks) {
   const Evidence all = ledger_.ofPool(poolKey(pool));
-  std::set<std::string> sick;
+  std::set<std::string> unhealthy;
   for (int round = 0; round < Rounds; ++round) {
     wire::HealthCounts well = all.counts;
     for (const WorkerRank& rank : ranks) {
-      if (sick.contains(rank.worker)) {
+      if (unhealthy.contains(rank.worker)) {
         addCounts(well, rank.evidence.counts, -1);
       }
     }
     for (WorkerRank& rank : ranks) {
       wire::HealthCounts others = well;
-      if (!sick.contains(rank.worker)) {
+      if (!unhealthy.contains(rank.worker)) {
         addCounts(others, rank.evidence.counts, -1);
       }
       const auto workers = static_cast<double>(std::max<std::size_t>(1, ranks.size()));
-      judge(rank, usualOf(others, all.observed_s, workers));
+      checkHistory(rank, usualOf(others, all.observed_s, workers));
     }
     std::set<std::string> found;
     for (const WorkerRank& rank : ranks) {
-      if (rank.state == HealthState::Sick) {
+      if (rank.state == HealthState::Unhealthy) {
         found.insert(rank.worker);
       }
     }
-    if (found == sick) {
+    if (found == unhealthy) {
       return;
     }
-    sick = std::move(found);
+    unhealthy = std::move(found);
   }
 }
 
@@ -204,7 +204,8 @@
     const Known now_known{rank.state, same ? before->second.since : now};
     rank.since = now - now_known.since;
     known.emplace(rank.worker, now_known);
-    const bool in_question = rank.state == HealthState::Sick || rank.state == HealthState::Suspect;
+    const bool in_question =
+        rank.state == HealthState::Unhealthy || rank.state == HealthState::Suspect;
     if (in_question && questioned_.size() < MaximumQuestioned) {
       questioned_.push_back(workerKey(snapshot_->workers.at(rank.worker).entry));
     }
@@ -213,8 +214,8 @@
 }
 
 bool HealthRanking::noteTop() {
-  const bool sick = !ranks_.empty() && ranks_.front().state == HealthState::Sick;
-  const std::string top = sick ? ranks_.front().worker : std::string();
+  const bool unhealthy = !ranks_.empty() && ranks_.front().state == HealthState::Unhealthy;
+  const std::string top = unhealthy ? ranks_.front().worker : std::string();
   if (top == top_) {
     return false;
   }
--- a/libraries/worker_health/source/suspicion.cc
+++ b/libraries/worker_health/source/suspicion.cc
@@ -13,7 +13,7 @@
 
 constexpr base::Duration RefreshInterval = std::chrono::milliseconds(100);
 /** Part of a pool that may be kept away from. */
-constexpr double AvoidedPart = 0.34;
+constexpr double AvoidedShare = 0.34;
 /** A part of failures that is borne, and how many times that of the rest of the pool is. */
 constexpr double BorneShare = 0.12;
 constexpr double BorneRatio = 3;
@@ -23,7 +23,7 @@
 /** What a zone's fronts saw decides alone from so many dispatches on. */
 constexpr double FewestOfZone = 3;
 /** Time for all fronts to tell of a worker that one accuses. */
-constexpr base::Duration TimeToTell = std::chrono::milliseconds(600);
+constexpr base::Duration ReportingTime = std::chrono::milliseconds(600);
 constexpr base::Duration FirstHold = std::chrono::seconds(3);
 constexpr base::Duration LongestHold = std::chrono::seconds(24);
 /** A worker that did well for so long begins with the first hold again. */
@@ -67,7 +67,7 @@
     return;
   }
   refreshed_at_[zone] = now;
-  ledger_.forgetSilent();
+  ledger_.forgetUnresponsive();
   release(zone);
   if (ledger_.accusedSince().empty()) {
     return;
@@ -101,7 +101,7 @@
 
 bool Suspicion::isEnough(std::uint64_t worker, const Evidence& evidence) const {
   const base::TimePoint accused = ledger_.accusedSince().at(worker);
-  const bool all_told = dispatcher_.now() - accused >= TimeToTell;
+  const bool all_told = dispatcher_.now() - accused >= ReportingTime;
   const bool several = evidence.accusing_fronts >= std::min<std::size_t>(2, ledger_.fronts());
   return several && evidence.recent_failed >= (all_told ? FewestFailures : ManyFailures);
 }
@@ -189,7 +189,7 @@
   const auto usable = std::ranges::count_if(snapshot_->workers, [&pool](const auto& item) {
     return item.second.entry.service == pool && item.second.usable();
   });
-  return static_cast<std::size_t>(static_cast<double>(usable) * AvoidedPart);
+  return static_cast<std::size_t>(static_cast<double>(usable) * AvoidedShare);
 }
 
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/test/evidence_recorder_test.cc
+++ b/libraries/worker_health/test/evidence_recorder_test.cc
@@ -36,12 +36,11 @@
     sample.transfer = milliseconds(19 * 40) + longest_pause;
     recorder.onEnd(number, sample);
   }
-  wire::HealthStatement statement() {
+  wire::HealthReport statement() {
     world.runFor(EvidenceRecorder::StatementInterval);
     return recorder.statement();
   }
-  static const wire::WorkerHealth* of(const wire::HealthStatement& statement,
-                                      std::uint64_t worker) {
+  static const wire::WorkerHealth* of(const wire::HealthReport& statement, std::uint64_t worker) {
     const auto found = std::ranges::find(statement.workers, worker, &wire::WorkerHealth::worker);
     return found == statement.workers.end() ? nullptr : &*found;
   }
@@ -55,9 +54,9 @@
   for (std::uint64_t worker = 1; worker <= 50; ++worker) {
     run(worker, DispatchEnd::Answered);
   }
-  const wire::HealthStatement told = statement();
+  const wire::HealthReport told = statement();
   EXPECT_EQ(told.pools.size(), 1U);
-  EXPECT_EQ(told.workers.size(), EvidenceRecorder::ToldInTurn);
+  EXPECT_EQ(told.workers.size(), EvidenceRecorder::ReportedInTurn);
 }
 
 TEST_F(EvidenceRecorderTest, TellsOfAllWorkersInTurn) {
@@ -77,7 +76,7 @@
   for (std::uint64_t worker = 1; worker <= 50; ++worker) {
     run(worker, worker == 30 ? DispatchEnd::Failed : DispatchEnd::Answered);
   }
-  const wire::HealthStatement told = statement();
+  const wire::HealthReport told = statement();
   ASSERT_NE(of(told, 30), nullptr);
   EXPECT_GT(of(told, 30)->recent_failed, 0.8);
   EXPECT_GT(of(told, 30)->counts.failed, 0.9);
@@ -88,7 +87,7 @@
     run(worker, DispatchEnd::Answered);
   }
   recorder.setWatched({7, 8, 900});
-  const wire::HealthStatement told = statement();
+  const wire::HealthReport told = statement();
   EXPECT_NE(of(told, 7), nullptr);
   EXPECT_NE(of(told, 8), nullptr);
   EXPECT_EQ(of(told, 900), nullptr);
@@ -98,7 +97,7 @@
   run(1, DispatchEnd::Unreachable);
   run(1, DispatchEnd::Abandoned);
   run(1, DispatchEnd::Refused);
-  const wire::HealthStatement told = statement();
+  const wire::HealthReport told = statement();
   ASSERT_NE(of(told, 1), nullptr);
   EXPECT_NEAR(of(told, 1)->counts.dispatched, 1, 0.1);
   EXPECT_EQ(of(told, 1)->counts.failed, 0);
@@ -109,7 +108,7 @@
   const std::uint64_t answering = dispatch(2);
   recorder.onHead(answering);
   world.runFor(EvidenceRecorder::Overdue);
-  const wire::HealthStatement told = statement();
+  const wire::HealthReport told = statement();
   ASSERT_NE(of(told, 1), nullptr);
   EXPECT_GT(of(told, 1)->recent_failed, 0.8);
   EXPECT_EQ(of(told, 1)->in_flight, 1U);
@@ -118,7 +117,7 @@
   sample.end = DispatchEnd::Failed;
   recorder.onEnd(silent, sample);
   recorder.onEnd(answering, {});
-  const wire::HealthStatement later = statement();
+  const wire::HealthReport later = statement();
   EXPECT_NEAR(of(later, 1)->counts.failed, 1, 0.1);
 }
 
@@ -128,7 +127,7 @@
       stream(worker, worker == 4 ? milliseconds(900) : milliseconds(60));
     }
   }
-  const wire::HealthStatement told = statement();
+  const wire::HealthReport told = statement();
   ASSERT_NE(of(told, 4), nullptr);
   EXPECT_GT(of(told, 4)->counts.stalled, 3);
 }
--- a/libraries/worker_health/test/health_ranking_test.cc
+++ b/libraries/worker_health/test/health_ranking_test.cc
@@ -9,34 +9,34 @@
 namespace switchsaddle::worker_health {
 namespace {
 
-FleetPlan planWith(std::size_t worker, const PlantedSickness& sickness) {
+FleetPlan planWith(std::size_t worker, const InjectedSymptom& symptom) {
   FleetPlan plan;
-  plan.sick[worker] = sickness;
+  plan.unhealthy[worker] = symptom;
   return plan;
 }
 
-std::size_t sickCount(const SimulatedFleet& fleet) {
+std::size_t unhealthyCount(const SimulatedFleet& fleet) {
   return static_cast<std::size_t>(
-      std::ranges::count(fleet.ranking().ranks(), HealthState::Sick, &WorkerRank::state));
+      std::ranges::count(fleet.ranking().ranks(), HealthState::Unhealthy, &WorkerRank::state));
 }
 
 TEST(HealthRankingTest, FindsStallsSlowTransfersAndFailures) {
   FleetPlan plan;
-  plan.sick[2] = {.stalls = 0.5};
-  plan.sick[5] = {.slowness = 3};
-  plan.sick[9] = {.failures = 0.4};
+  plan.unhealthy[2] = {.stalls = 0.5};
+  plan.unhealthy[5] = {.slowness = 3};
+  plan.unhealthy[9] = {.failures = 0.4};
   SimulatedFleet fleet(plan, 1);
   fleet.run();
-  EXPECT_EQ(fleet.rankOf(2).sickness, Sickness::Stalls);
-  EXPECT_EQ(fleet.rankOf(5).sickness, Sickness::SlowTransfers);
-  EXPECT_EQ(fleet.rankOf(9).sickness, Sickness::Failures);
-  EXPECT_EQ(sickCount(fleet), 3U);
+  EXPECT_EQ(fleet.rankOf(2).symptom, Symptom::Stalls);
+  EXPECT_EQ(fleet.rankOf(5).symptom, Symptom::SlowTransfers);
+  EXPECT_EQ(fleet.rankOf(9).symptom, Symptom::Failures);
+  EXPECT_EQ(unhealthyCount(fleet), 3U);
 }
 
 TEST(HealthRankingTest, TheSickestStandsFirst) {
   FleetPlan plan;
-  plan.sick[2] = {.stalls = 0.3};
-  plan.sick[5] = {.stalls = 0.9};
+  plan.unhealthy[2] = {.stalls = 0.3};
+  plan.unhealthy[5] = {.stalls = 0.9};
   SimulatedFleet fleet(plan, 1);
   fleet.run();
   EXPECT_EQ(fleet.ranking().ranks()[0].worker, SimulatedFleet::nameOf(5));
@@ -46,7 +46,7 @@
 TEST(HealthRankingTest, NobodyIsSickInAHealthyFleet) {
   SimulatedFleet fleet(FleetPlan{}, 3);
   fleet.run();
-  EXPECT_EQ(sickCount(fleet), 0U);
+  EXPECT_EQ(unhealthyCount(fleet), 0U);
 }
 
 TEST(HealthRankingTest, FewSamplesMakeNobodySickOrHealthy) {
@@ -65,15 +65,15 @@
   plan.decoy_worker = 4;
   SimulatedFleet fleet(plan, 5);
   fleet.run();
-  EXPECT_NE(fleet.rankOf(4).state, HealthState::Sick);
+  EXPECT_NE(fleet.rankOf(4).state, HealthState::Unhealthy);
 }
 
 TEST(HealthRankingTest, AFrontThatIsSickItselfAccusesNobody) {
   FleetPlan plan;
-  plan.sick_front = 1;
+  plan.unhealthy_front = 1;
   SimulatedFleet fleet(plan, 6);
   fleet.run();
-  EXPECT_EQ(sickCount(fleet), 0U);
+  EXPECT_EQ(unhealthyCount(fleet), 0U);
 }
 
 TEST(HealthRankingTest, TheHistoryTellsWhoWasAtTheTop) {
@@ -124,18 +124,18 @@
     base::RandomSource random(seed * 7 + 1);
     FleetPlan plan;
     const std::size_t count = 1 + random.below(3);
-    while (plan.sick.size() < count) {
-      plan.sick[random.below(plan.workers)] = draw(random);
+    while (plan.unhealthy.size() < count) {
+      plan.unhealthy[random.below(plan.workers)] = draw(random);
     }
     do {
       plan.decoy_worker = random.below(plan.workers);
-    } while (plan.sick.contains(*plan.decoy_worker));
+    } while (plan.unhealthy.contains(*plan.decoy_worker));
     if (random.chance(0.5)) {
-      plan.sick_front = random.below(plan.fronts);
+      plan.unhealthy_front = random.below(plan.fronts);
     }
     SimulatedFleet fleet(plan, seed);
     fleet.run();
-    judge(fleet, plan);
+    checkHistory(fleet, plan);
   }
 
   Tally ranking;
@@ -144,20 +144,20 @@
   int kept_as_healthy = 0;
 
  private:
-  PlantedSickness draw(base::RandomSource& random) const {
-    PlantedSickness sickness;
+  InjectedSymptom draw(base::RandomSource& random) const {
+    InjectedSymptom symptom;
     switch (random.below(3)) {
       case 0:
-        sickness.stalls = severity_;
+        symptom.stalls = severity_;
         break;
       case 1:
-        sickness.slowness = 1.5 + 2 * severity_;
+        symptom.slowness = 1.5 + 2 * severity_;
         break;
       default:
-        sickness.failures = severity_;
+        symptom.failures = severity_;
     }
-    sickness.intermittent = random.chance(0.3);
-    return sickness;
+    symptom.intermittent = random.chance(0.3);
+    return symptom;
   }
 
   static void count(Tally& tally, bool planted, bool accused) {
@@ -167,7 +167,7 @@
     tally.accused_rightly += planted && accused ? 1 : 0;
   }
 
-  void judge(const SimulatedFleet& fleet, const FleetPlan& plan) {
+  void checkHistory(const SimulatedFleet& fleet, const FleetPlan& plan) {
     std::vector<double> speeds;
     std::vector<double> tails;
     for (std::size_t worker = 0; worker < plan.workers; ++worker) {
@@ -175,9 +175,9 @@
       tails.push_back(percentile99(fleet.measuresOf(worker).longest_pauses_s));
     }
     for (std::size_t worker = 0; worker < plan.workers; ++worker) {
-      const bool planted = plan.sick.contains(worker);
+      const bool planted = plan.unhealthy.contains(worker);
       const HealthState state = fleet.rankOf(worker).state;
-      count(ranking, planted, state == HealthState::Sick);
+      count(ranking, planted, state == HealthState::Unhealthy);
       count(mean_speed, planted, speeds[worker] < 0.7 * medianOf(speeds));
       count(tail_alone, planted, tails[worker] > 2 * medianOf(tails));
       kept_as_healthy += planted && state == HealthState::Healthy ? 1 : 0;
@@ -187,14 +187,14 @@
   double severity_;
 };
 
-class PlantedSicknessTest : public testing::TestWithParam<double> {};
+class InjectedSymptomTest : public testing::TestWithParam<double> {};
 
 std::string figures(const Tally& tally) {
   return "precision " + std::to_string(tally.precision()) + ", recall " +
          std::to_string(tally.recall());
 }
 
-TEST_P(PlantedSicknessTest, IsFoundWithoutAccusingOthers) {
+TEST_P(InjectedSymptomTest, IsFoundWithoutAccusingOthers) {
   constexpr std::uint64_t Seeds = 334;
   PlantedFleets fleets(GetParam());
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
@@ -216,7 +216,7 @@
   EXPECT_LE(fleets.kept_as_healthy, is_strong ? 0 : fleets.ranking.planted / 20);
 }
 
-INSTANTIATE_TEST_SUITE_P(Severities, PlantedSicknessTest, testing::Values(0.25, 0.5, 0.8));
+INSTANTIATE_TEST_SUITE_P(Severities, InjectedSymptomTest, testing::Values(0.25, 0.5, 0.8));
 
 }  // namespace
 }  // namespace switchsaddle::worker_health
