--- a/libraries/worker_health/test/simulated_fleet.cc
+++ b/libraries/worker_health/test/simulated_fleet.cc
@@ -11,12 +11,12 @@
 constexpr double EventS = 0.04;
 constexpr double Noise = 0.15;
 /** Part of the streams that come with a long prompt, and how long it is read. */
-constexpr double LongPromptPart = 0.02;
+constexpr double LongPromptShare = 0.02;
 constexpr auto LongReading = std::chrono::milliseconds(400);
 /** Part of all streams that the decoy tenant sends. */
-constexpr double DecoyPart = 0.06;
-constexpr double SickFrontPart = 0.4;
-constexpr auto TellInterval = std::chrono::milliseconds(500);
+constexpr double DecoyShare = 0.06;
+constexpr double UnhealthyFrontShare = 0.4;
+constexpr auto ReportInterval = std::chrono::milliseconds(500);
 
 base::Duration fromSeconds(double seconds) {
   return std::chrono::duration_cast<base::Duration>(std::chrono::duration<double>(seconds));
@@ -59,10 +59,10 @@
   return *std::ranges::find(ranking_.ranks(), nameOf(worker), &WorkerRank::worker);
 }
 
-bool SimulatedFleet::isSickNow(const PlantedSickness& sickness) const {
+bool SimulatedFleet::isUnhealthyNow(const InjectedSymptom& symptom) const {
   const auto now_s = static_cast<std::uint64_t>(
       std::chrono::duration<double>(process_.now().time_since_epoch()).count());
-  return !sickness.intermittent || (now_s / 10) % 2 == 0;
+  return !symptom.intermittent || (now_s / 10) % 2 == 0;
 }
 
 base::Duration SimulatedFleet::longestReadingBeside(std::size_t worker,
@@ -79,20 +79,20 @@
 }
 
 void SimulatedFleet::start() {
-  const bool is_decoy = plan_.decoy_worker && random_.chance(DecoyPart);
+  const bool is_decoy = plan_.decoy_worker && random_.chance(DecoyShare);
   const std::size_t worker = is_decoy ? *plan_.decoy_worker : random_.below(plan_.workers);
   const std::size_t front = random_.below(plan_.fronts);
-  const bool long_prompt = is_decoy || random_.chance(LongPromptPart);
+  const bool long_prompt = is_decoy || random_.chance(LongPromptShare);
   const base::Duration reading =
       long_prompt ? base::Duration(LongReading) : base::Duration(std::chrono::milliseconds(10));
-  const auto planted = plan_.sick.find(worker);
-  const PlantedSickness sickness = planted != plan_.sick.end() && isSickNow(planted->second)
-                                       ? planted->second
-                                       : PlantedSickness{};
+  const auto planted = plan_.unhealthy.find(worker);
+  const InjectedSymptom symptom =
+      planted != plan_.unhealthy.end() && isUnhealthyNow(planted->second) ? planted->second
+                                                                          : InjectedSymptom{};
   DispatchSample sample;
   sample.events = 20 + static_cast<std::uint32_t>(random_.below(20));
   const double noise = std::exp(Noise * (random_.uniform() + random_.uniform() - 1) * 2);
-  const double event_s = EventS * noise * sickness.slowness;
+  const double event_s = EventS * noise * symptom.slowness;
   sample.longest_pause = fromSeconds(event_s * (1.2 + random_.uniform() * 0.5));
   base::Duration transfer = fromSeconds(event_s * (sample.events - 1));
   const auto pause = [&](base::Duration length) {
@@ -100,14 +100,14 @@
     transfer += length;
   };
   pause(longestReadingBeside(worker, transfer));
-  if (random_.chance(sickness.stalls)) {
+  if (random_.chance(symptom.stalls)) {
     pause(fromSeconds(0.6 + random_.uniform() * 2));
   }
-  if (plan_.sick_front == front && random_.chance(SickFrontPart)) {
+  if (plan_.unhealthy_front == front && random_.chance(UnhealthyFrontShare)) {
     pause(fromSeconds(0.6 + random_.uniform()));
   }
   sample.transfer = transfer;
-  sample.end = random_.chance(sickness.failures) ? DispatchEnd::Failed : DispatchEnd::Answered;
+  sample.end = random_.chance(symptom.failures) ? DispatchEnd::Failed : DispatchEnd::Answered;
   if (long_prompt) {
     readings_[worker].push_back({process_.now(), reading});
   }
@@ -134,10 +134,10 @@
   world_.runFor(time - process_.now());
 }
 
-void SimulatedFleet::tellCores() {
+void SimulatedFleet::reportToCores() {
   for (std::size_t front = 0; front < fronts_.size(); ++front) {
     const FrontKey key{{"10.0.0.1", static_cast<std::uint16_t>(front + 1)}, 1};
-    ledger_.hear(key, front % 2 == 0 ? "north" : "south", fronts_[front]->statement());
+    ledger_.update(key, front % 2 == 0 ? "north" : "south", fronts_[front]->statement());
     fronts_[front]->setWatched(ranking_.questioned());
   }
   ranking_.refresh();
@@ -151,14 +151,14 @@
 
 void SimulatedFleet::run() {
   const base::TimePoint end = process_.now() + plan_.time;
-  base::TimePoint tell_at = process_.now() + TellInterval;
+  base::TimePoint tell_at = process_.now() + ReportInterval;
   while (process_.now() < end) {
     const double gap_s = -std::log(1 - random_.uniform()) / plan_.requests_per_s;
     const base::TimePoint next = process_.now() + fromSeconds(gap_s);
     while (tell_at <= next) {
       finishUntil(tell_at);
-      tellCores();
-      tell_at += TellInterval;
+      reportToCores();
+      tell_at += ReportInterval;
     }
     finishUntil(next);
     start();
--- a/libraries/worker_health/test/simulated_fleet.h
+++ b/libraries/worker_health/test/simulated_fleet.h
@@ -14,7 +14,7 @@
 namespace switchsaddle::worker_health {
 
 /** What is wrong with a simulated worker. Parts of streams are 0 to 1. */
-struct PlantedSickness {
+struct InjectedSymptom {
   double stalls = 0;
   double failures = 0;
   /** Times for an event are so many times as long. */
@@ -31,11 +31,11 @@
   double requests_per_s = 60;
   base::Duration time = std::chrono::seconds(90);
   /** By number of the worker. */
-  std::map<std::size_t, PlantedSickness> sick;
+  std::map<std::size_t, InjectedSymptom> unhealthy;
   /** A tenant's long prompts all go to this worker, and its streams meet them there. */
   std::optional<std::size_t> decoy_worker;
   /** This front holds up a part of its streams itself. */
-  std::optional<std::size_t> sick_front;
+  std::optional<std::size_t> unhealthy_front;
 };
 
 /** What else could be measured of a worker, for the baselines. */
@@ -73,8 +73,8 @@
 
   void start();
   void finishUntil(base::TimePoint time);
-  void tellCores();
-  bool isSickNow(const PlantedSickness& sickness) const;
+  void reportToCores();
+  bool isUnhealthyNow(const InjectedSymptom& symptom) const;
   base::Duration longestReadingBeside(std::size_t worker, base::Duration stream_time) const;
 
   FleetPlan plan_;
--- a/libraries/worker_health/test/suspicion_test.cc
+++ b/libraries/worker_health/test/suspicion_test.cc
@@ -38,7 +38,7 @@
 
   /** A front tells that of `dispatched` requests to each worker so many failed at some. */
   void tell(std::size_t index, const std::map<std::size_t, float>& failed, float dispatched = 4) {
-    wire::HealthStatement statement;
+    wire::HealthReport statement;
     wire::PoolHealth pool;
     pool.pool = poolKey(Pool);
     pool.recent_dispatched = dispatched * Workers;
@@ -51,9 +51,9 @@
       statement.workers.push_back(health);
     }
     statement.pools.push_back(pool);
-    ledger.hear(front(index), zoneOf(index), statement);
+    ledger.update(front(index), zoneOf(index), statement);
   }
-  void tellAll(const std::map<std::size_t, float>& failed) {
+  void reportAll(const std::map<std::size_t, float>& failed) {
     for (std::size_t index = 0; index < Fronts; ++index) {
       tell(index, failed);
     }
@@ -64,7 +64,7 @@
   /** The fronts tell the same again and again. */
   void runTelling(milliseconds time, const std::map<std::size_t, float>& failed) {
     for (milliseconds passed{0}; passed < time; passed += milliseconds(500)) {
-      tellAll(failed);
+      reportAll(failed);
       avoided("north");
       avoided("south");
       world.runFor(milliseconds(500));
@@ -141,7 +141,7 @@
   }
   std::size_t most = 0;
   for (int round = 0; round < 30; ++round) {
-    tellAll(failed);
+    reportAll(failed);
     most = std::max(most, avoided().size());
     world.runFor(milliseconds(300));
   }
--- a/libraries/workers/include/switchsaddle/workers/platform_watcher.h
+++ b/libraries/workers/include/switchsaddle/workers/platform_watcher.h
@@ -82,8 +82,8 @@
     std::uint32_t steady_readings = 0;
     bool held_back = false;
     std::uint32_t reinstated = 0;
-    bool gone_noticed = false;
-    base::TimePoint gone_since;
+    bool unreachable_noticed = false;
+    base::TimePoint unreachable_since;
   };
 
   void poll();
--- a/libraries/workers/source/platform_watcher.cc
+++ b/libraries/workers/source/platform_watcher.cc
@@ -221,21 +221,21 @@
                          !known->second.draining &&
                          known->second.entry.instance == track.published.instance;
   if (!seen_gone) {
-    track.gone_noticed = false;
+    track.unreachable_noticed = false;
     return false;
   }
   const base::TimePoint now = dispatcher_.now();
-  if (!track.gone_noticed) {
-    track.gone_noticed = true;
-    track.gone_since = now;
+  if (!track.unreachable_noticed) {
+    track.unreachable_noticed = true;
+    track.unreachable_since = now;
     return false;
   }
   const std::uint32_t doublings = std::min(track.reinstated, options_.maximum_doublings);
-  if (now - track.gone_since < options_.reinstate_after * (1U << doublings)) {
+  if (now - track.unreachable_since < options_.reinstate_after * (1U << doublings)) {
     return false;
   }
   ++track.reinstated;
-  track.gone_noticed = false;
+  track.unreachable_noticed = false;
   return true;
 }
 
--- a/programs/benchmarks/routing_benchmark.cc
+++ b/programs/benchmarks/routing_benchmark.cc
@@ -92,9 +92,9 @@
       const std::size_t prefix = random_.below(Prefixes / 2);
       Prompt prompt;
       prompt.model = modelName(prefix % Models);
-      prompt.prefix_parts = {{"tenant-" + std::to_string(prefix % 5), 600},
-                             {"family-" + std::to_string(prefix / 2), 3'000},
-                             {"variant-" + std::to_string(prefix), 800}};
+      prompt.prefix_segments = {{"tenant-" + std::to_string(prefix % 5), 600},
+                                {"family-" + std::to_string(prefix / 2), 3'000},
+                                {"variant-" + std::to_string(prefix), 800}};
       prompt.prompt_tokens = 4'600;
       prompt.maximum_tokens = 100;
       prompts_.push_back(std::move(prompt));
--- a/programs/switchsaddle/core_command.cc
+++ b/programs/switchsaddle/core_command.cc
@@ -1,7 +1,7 @@
 #include <CLI/CLI.hpp>
 
 #include "daemon_process.h"
-#include "dialect.h"
+#include "platform_adapter.h"
 #include "role_commands.h"
 #include "settings_options.h"
 #include "switchsaddle/base/log.h"
@@ -23,7 +23,7 @@
   CoreDaemon(const configuration::Settings& settings, SettingsOptions options)
       : settings_(settings),
         options_(std::move(options)),
-        dialect_(createDialect(settings_)),
+        dialect_(createPlatformAdapter(settings_)),
         process_(settings_),
         file_system_(settings_.data_folder),
         executor_(process_.dispatcher()),
@@ -76,7 +76,7 @@
 
   configuration::Settings settings_;
   SettingsOptions options_;
-  std::unique_ptr<Dialect> dialect_;
+  std::unique_ptr<PlatformAdapter> dialect_;
   DaemonProcess process_;
   storage::PosixFileSystem file_system_;
   storage::ThreadStorageExecutor executor_;
--- a/programs/switchsaddle/daemon_process.cc
+++ b/programs/switchsaddle/daemon_process.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /** How often the settings file is looked at for a change that no signal told of. */
-constexpr base::Duration SettingsLookInterval = std::chrono::seconds(2);
+constexpr base::Duration SettingsPollInterval = std::chrono::seconds(2);
 
 /** The folder of the log ring's dumps; none where there is no data folder. */
 std::filesystem::path logFolder(const configuration::Settings& settings) {
@@ -65,11 +65,11 @@
   std::error_code ignored;
   settings_written_ = std::filesystem::last_write_time(settings_file_, ignored);
   settings_timer_ = dispatcher_.createTimer([this] { watchSettingsFile(); });
-  dispatcher_.post([this] { settings_timer_->enable(SettingsLookInterval); });
+  dispatcher_.post([this] { settings_timer_->enable(SettingsPollInterval); });
 }
 
 void DaemonProcess::watchSettingsFile() {
-  settings_timer_->enable(SettingsLookInterval);
+  settings_timer_->enable(SettingsPollInterval);
   std::error_code failure;
   const auto written = std::filesystem::last_write_time(settings_file_, failure);
   if (!failure && written != settings_written_) {
--- a/programs/switchsaddle/front_command.cc
+++ b/programs/switchsaddle/front_command.cc
@@ -1,7 +1,7 @@
 #include <CLI/CLI.hpp>
 
 #include "daemon_process.h"
-#include "dialect.h"
+#include "platform_adapter.h"
 #include "role_commands.h"
 #include "settings_options.h"
 #include "switchsaddle/base/log.h"
@@ -21,7 +21,7 @@
   FrontDaemon(const configuration::Settings& settings, SettingsOptions options)
       : settings_(settings),
         options_(std::move(options)),
-        dialect_(createDialect(settings_)),
+        dialect_(createPlatformAdapter(settings_)),
         process_(settings_),
         instance_(process_.random().next()),
         client_(http::createClient(process_.context())),
@@ -75,7 +75,7 @@
 
   configuration::Settings settings_;
   SettingsOptions options_;
-  std::unique_ptr<Dialect> dialect_;
+  std::unique_ptr<PlatformAdapter> dialect_;
   DaemonProcess process_;
   std::uint64_t instance_;
   std::unique_ptr<http::Client> client_;
--- a/programs/switchsaddle/dialect.cc
+++ b/programs/switchsaddle/platform_adapter.cc
@@ -1,4 +1,4 @@
-#include "dialect.h"
+#include "platform_adapter.h"
 
 #include "forward_headers.h"
 #include "http_platform_source.h"
@@ -12,7 +12,7 @@
 
 constexpr std::string_view PlatformDialectName = "platform";
 
-class OwnDialect : public Dialect {
+class OwnDialect : public PlatformAdapter {
  public:
   front::ForwardHeaders forwardHeaders() const override { return {}; }
   std::unique_ptr<workers::PlatformSource> createPlatformSource(
@@ -26,7 +26,7 @@
   }
 };
 
-class PlatformDialect : public Dialect {
+class PlatformDialect : public PlatformAdapter {
  public:
   front::ForwardHeaders forwardHeaders() const override { return platform::forwardHeaders(); }
   std::unique_ptr<workers::PlatformSource> createPlatformSource(
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-std::unique_ptr<Dialect> createDialect(const configuration::Settings& settings) {
+std::unique_ptr<PlatformAdapter> createPlatformAdapter(const configuration::Settings& settings) {
   if (settings.dialect.empty()) {
     return std::make_unique<OwnDialect>();
   }
--- a/programs/switchsaddle/dialect.h
+++ b/programs/switchsaddle/platform_adapter.h
@@ -16,9 +16,9 @@
  * How a process speaks to what is outside the fleet: the product's own way, or that of the platform
  * whose name the settings give. Control strand.
  */
-class Dialect {
+class PlatformAdapter {
  public:
-  virtual ~Dialect() = default;
+  virtual ~PlatformAdapter() = default;
   virtual front::ForwardHeaders forwardHeaders() const = 0;
   virtual std::unique_ptr<workers::PlatformSource> createPlatformSource(
       base::Dispatcher& dispatcher, http::Client& client, const base::NodeAddress& platform) = 0;
@@ -28,6 +28,6 @@
 };
 
 /** Throws base::Error with SettingsInvalid for a name that is not known. */
-std::unique_ptr<Dialect> createDialect(const configuration::Settings& settings);
+std::unique_ptr<PlatformAdapter> createPlatformAdapter(const configuration::Settings& settings);
 
 }  // namespace switchsaddle
--- a/programs/lab/changes_command.cc
+++ b/programs/testbed/changes_command.cc
@@ -10,16 +10,16 @@
 #include "commands.h"
 #include "http_probe.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/json_fields.h"
 #include "switchsaddle/transport/system_boot_clock.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 constexpr base::Duration AnswerLimit = std::chrono::seconds(10);
 
-/** The command line of `lab changes`. */
+/** The command line of `switchsaddle-testbed changes`. */
 struct ChangesArguments {
   std::string fleet;
   std::string record;
@@ -44,18 +44,18 @@
 
 std::uint64_t versionOf(const http::Response& response) {
   try {
-    const boost::json::object body = laboratory::parseObject(response.body);
-    return static_cast<std::uint64_t>(laboratory::integerField(body, "version", 0));
+    const boost::json::object body = testbed::parseObject(response.body);
+    return static_cast<std::uint64_t>(testbed::integerField(body, "version", 0));
   } catch (const base::Error&) {
     return 0;
   }
 }
 
 void makeChanges(const ChangesArguments& arguments) {
-  auto state = laboratory::parseFleetState(laboratory::readTextFile(arguments.fleet));
+  auto state = testbed::parseFleetState(testbed::readTextFile(arguments.fleet));
   std::vector<base::NodeAddress> cores;
-  for (const laboratory::FleetProcess& process : state.processes) {
-    if (process.role == laboratory::ProcessRole::Core) {
+  for (const testbed::FleetProcess& process : state.processes) {
+    if (process.role == testbed::ProcessRole::Core) {
       cores.push_back(process.http_address);
     }
   }
@@ -86,4 +86,4 @@
   command->callback([arguments] { makeChanges(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/judge_command.cc
+++ b/programs/testbed/check_history_command.cc
@@ -9,27 +9,27 @@
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/document.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/laboratory/branch_judge.h"
-#include "switchsaddle/laboratory/json_fields.h"
-#include "switchsaddle/laboratory/judge.h"
-#include "switchsaddle/laboratory/load_plan.h"
+#include "switchsaddle/testbed/branch_limit_checker.h"
+#include "switchsaddle/testbed/history_checker.h"
+#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/load_plan.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 constexpr int ViolationsFound = 1;
 
-/** The command line of `lab judge`. */
-struct JudgeArguments {
+/** The command line of `switchsaddle-testbed judge`. */
+struct CheckHistoryArguments {
   EvidenceFiles files;
   std::vector<std::string> limits;
   std::string configuration;
   std::string crowd;
-  laboratory::BranchTolerances tolerances;
+  testbed::BranchTolerances tolerances;
 };
 
 /** Reads "tenant=N". */
-void addLimit(const std::string& text, laboratory::Evidence& evidence) {
+void addLimit(const std::string& text, testbed::Evidence& evidence) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos) {
     throw base::Error(base::ResultCode::InvalidValue, "not TENANT=N: " + text);
@@ -38,49 +38,49 @@
       static_cast<std::uint32_t>(std::stoul(text.substr(equals + 1)));
 }
 
-laboratory::BranchLimits readBranchLimits(const std::string& path) {
+testbed::BranchLimits readBranchLimits(const std::string& path) {
   std::vector<configuration::Fault> faults;
   const configuration::Document document =
-      configuration::parseConfigurationFile(laboratory::readTextFile(path), faults);
+      configuration::parseConfigurationFile(testbed::readTextFile(path), faults);
   if (!faults.empty()) {
     throw base::Error(faults.front().code, faults.front().message, faults.front().path);
   }
-  return laboratory::BranchLimits::fromView(configuration::buildView(document));
+  return testbed::BranchLimits::fromView(configuration::buildView(document));
 }
 
 /** Prints the judgement on the branches and returns whether they were kept. */
-bool judgeLimits(const JudgeArguments& arguments, const laboratory::Evidence& evidence) {
-  laboratory::CrowdTime crowd;
+bool checkLimits(const CheckHistoryArguments& arguments, const testbed::Evidence& evidence) {
+  testbed::CrowdTime crowd;
   if (!arguments.crowd.empty()) {
-    const laboratory::Crowd parsed = laboratory::parseCrowd(arguments.crowd);
+    const testbed::Crowd parsed = testbed::parseCrowd(arguments.crowd);
     crowd.from_s = static_cast<std::int64_t>(parsed.from_s);
     crowd.to_s = static_cast<std::int64_t>(parsed.to_s);
   }
-  const laboratory::BranchJudgement judgement = laboratory::judgeBranches(
+  const testbed::BranchLimitReport report = testbed::checkBranchLimits(
       evidence, readBranchLimits(arguments.configuration), arguments.tolerances, crowd);
-  std::cout << laboratory::formatBranchJudgement(judgement);
-  return judgement.violations.empty();
+  std::cout << testbed::formatBranchLimitReport(report);
+  return report.violations.empty();
 }
 
-void runJudge(const JudgeArguments& arguments) {
-  laboratory::Evidence evidence = readEvidence(arguments.files);
+void runCheckHistory(const CheckHistoryArguments& arguments) {
+  testbed::Evidence evidence = readEvidence(arguments.files);
   for (const std::string& limit : arguments.limits) {
     addLimit(limit, evidence);
   }
-  const laboratory::Judgement judgement = laboratory::judge(evidence);
-  std::cout << laboratory::formatJudgement(judgement);
-  const bool limits_kept = arguments.configuration.empty() || judgeLimits(arguments, evidence);
-  if (!judgement.violations.empty() || !limits_kept) {
+  const testbed::HistoryReport report = testbed::checkHistory(evidence);
+  std::cout << testbed::formatHistoryReport(report);
+  const bool limits_kept = arguments.configuration.empty() || checkLimits(arguments, evidence);
+  if (!report.violations.empty() || !limits_kept) {
     throw CLI::RuntimeError(ViolationsFound);
   }
 }
 
 }  // namespace
 
-void addJudgeCommand(CLI::App& app) {
-  auto arguments = std::make_shared<JudgeArguments>();
+void addCheckHistoryCommand(CLI::App& app) {
+  auto arguments = std::make_shared<CheckHistoryArguments>();
   CLI::App* command =
-      app.add_subcommand("judge", "Check load records against the workers' journals");
+      app.add_subcommand("check-history", "Check load records against the workers' journals");
   command->add_option("--record", arguments->files.records, "Record of a load; may be repeated")
       ->required();
   command->add_option("--journals", arguments->files.journals, "Folder of the workers' journals")
@@ -98,7 +98,7 @@
                       "Longest time for which more runs than slots may be seen");
   command->add_option("--occupancy-ms", arguments->tolerances.occupancy_ms,
                       "A run takes its slot this much earlier and later than its worker noted");
-  command->callback([arguments] { runJudge(*arguments); });
+  command->callback([arguments] { runCheckHistory(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/claims_command.cc
+++ b/programs/testbed/claims_command.cc
@@ -11,10 +11,10 @@
 #include "switchsaddle/transport/asio_dispatcher.h"
 #include "switchsaddle/transport/tcp_transport.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
-/** The command line of `lab claims`. */
+/** The command line of `switchsaddle-testbed claims`. */
 struct ClaimsArguments {
   std::vector<std::string> cores;
   std::string address;
@@ -153,4 +153,4 @@
   command->callback([arguments] { ClaimLoad(*arguments).run(); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/commands.h
+++ b/programs/testbed/commands.h
@@ -4,7 +4,7 @@
 class App;
 }
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** Each adds one subcommand with its options; the subcommand runs as its callback and throws
  * CLI::RuntimeError with the exit code where that isn't 0. */
@@ -12,14 +12,14 @@
 void addPlatformCommand(CLI::App& app);
 void addFleetCommand(CLI::App& app);
 void addLoadCommand(CLI::App& app);
-void addJudgeCommand(CLI::App& app);
+void addCheckHistoryCommand(CLI::App& app);
 void addControlCommand(CLI::App& app);
 void addExperimentCommand(CLI::App& app);
-void addHollowCommand(CLI::App& app);
+void addLightweightFrontsCommand(CLI::App& app);
 void addChangesCommand(CLI::App& app);
 void addClaimsCommand(CLI::App& app);
 void addSlopesCommand(CLI::App& app);
 void addFuzzCommand(CLI::App& app);
 void addFailuresCommand(CLI::App& app);
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/control_command.cc
+++ b/programs/testbed/control_command.cc
@@ -7,14 +7,14 @@
 #include "commands.h"
 #include "switchsaddle/scenarios/control_sweep.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 namespace {
 
 /** Violations printed of one seed. */
 constexpr std::size_t ViolationsShown = 5;
 
-/** The command line of `switchsaddle-lab control`. */
+/** The command line of `switchsaddle-testbed control`. */
 struct ControlArguments {
   std::uint64_t seeds = 100;
   std::uint64_t first_seed = 1;
@@ -96,7 +96,7 @@
 void addControlCommand(CLI::App& app) {
   CLI::App* command = app.add_subcommand(
       "control", "Run the simulated control plane under faults over many seeds; CSV on stdout");
-  command->footer("Example: switchsaddle-lab control --seeds 1000");
+  command->footer("Example: switchsaddle-testbed control --seeds 1000");
   const auto arguments = std::make_shared<ControlArguments>();
   command->add_option("--seeds", arguments->seeds, "Number of seeds");
   command->add_option("--first-seed", arguments->first_seed, "First seed");
@@ -108,4 +108,4 @@
   command->callback([arguments] { run(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/evidence_files.cc
+++ b/programs/testbed/evidence_files.cc
@@ -5,19 +5,19 @@
 #include <map>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 /** Numbers the calls of each further record after those of the ones before. */
-void addRecord(const std::string& path, laboratory::Evidence& evidence) {
+void addRecord(const std::string& path, testbed::Evidence& evidence) {
   std::uint64_t base_number = 0;
-  for (const laboratory::CallEvent& event : evidence.calls) {
+  for (const testbed::CallEvent& event : evidence.calls) {
     base_number = std::max(base_number, event.call);
   }
-  for (laboratory::CallEvent& event : laboratory::readCallEvents(path)) {
+  for (testbed::CallEvent& event : testbed::readCallEvents(path)) {
     event.call += base_number;
     evidence.calls.push_back(std::move(event));
   }
@@ -28,8 +28,8 @@
   if (fleet_path.empty()) {
     return zones;
   }
-  const auto state = laboratory::parseFleetState(laboratory::readTextFile(fleet_path));
-  for (const laboratory::FleetProcess& process : state.processes) {
+  const auto state = testbed::parseFleetState(testbed::readTextFile(fleet_path));
+  for (const testbed::FleetProcess& process : state.processes) {
     zones[process.name] = process.zone;
   }
   return zones;
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-laboratory::Evidence readEvidence(const EvidenceFiles& files) {
-  laboratory::Evidence evidence;
+testbed::Evidence readEvidence(const EvidenceFiles& files) {
+  testbed::Evidence evidence;
   for (const std::string& path : files.records) {
     addRecord(path, evidence);
   }
@@ -47,11 +47,11 @@
     if (file.path().extension() == ".jsonl") {
       const std::string worker = file.path().stem().string();
       evidence.journals.push_back(
-          {worker, zones[worker], laboratory::readWorkerEvents(file.path().string())});
+          {worker, zones[worker], testbed::readWorkerEvents(file.path().string())});
     }
   }
   if (!files.orders.empty()) {
-    evidence.orders = laboratory::readOrderEvents(files.orders);
+    evidence.orders = testbed::readOrderEvents(files.orders);
   }
   if (evidence.calls.empty() || evidence.journals.empty()) {
     throw base::Error(base::ResultCode::InvalidValue, "nothing to judge: no calls or no journals");
@@ -59,4 +59,4 @@
   return evidence;
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/evidence_files.h
+++ b/programs/testbed/evidence_files.h
@@ -3,9 +3,9 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/laboratory/judge.h"
+#include "switchsaddle/testbed/history_checker.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** Where the evidence for a judgement stands. */
 struct EvidenceFiles {
@@ -19,6 +19,6 @@
 };
 
 /** Reads all of it. Throws base::Error, also where there are no calls or no journals. */
-laboratory::Evidence readEvidence(const EvidenceFiles& files);
+testbed::Evidence readEvidence(const EvidenceFiles& files);
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/experiment_command.cc
+++ b/programs/testbed/experiment_command.cc
@@ -11,10 +11,10 @@
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/experiments/sweep.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
-/** The command line of `lab experiment`. */
+/** The command line of `switchsaddle-testbed experiment`. */
 struct ExperimentArguments {
   std::string name;
   std::vector<std::string> parameters;
@@ -113,4 +113,4 @@
   command->callback([arguments] { runExperiment(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/failure_run.cc
+++ b/programs/testbed/failure_run.cc
@@ -9,16 +9,16 @@
 #include "http_probe.h"
 #include "operator_orders.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/order_event.h"
+#include "switchsaddle/testbed/order_event.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
-namespace order_event = laboratory::order_event;
-using laboratory::FleetProcess;
-using laboratory::ProcessCondition;
-using laboratory::ProcessRole;
+namespace order_event = testbed::order_event;
 using std::chrono::milliseconds;
+using testbed::FleetProcess;
+using testbed::ProcessCondition;
+using testbed::ProcessRole;
 
 constexpr base::Duration Tick = milliseconds(20);
 constexpr base::Duration SignalLimit = std::chrono::seconds(10);
@@ -133,7 +133,7 @@
   }
 }
 
-bool FailureRun::mayTake(const FleetProcess& process) const {
+bool FailureRun::mayDisturb(const FleetProcess& process) const {
   if (disturbed_.contains(process.name)) {
     return false;
   }
@@ -153,7 +153,7 @@
 
 FleetProcess* FailureRun::pick(ProcessRole role) {
   std::vector<FleetProcess*> candidates = fleet_.ofRole(role);
-  std::erase_if(candidates, [this](const FleetProcess* process) { return !mayTake(*process); });
+  std::erase_if(candidates, [this](const FleetProcess* process) { return !mayDisturb(*process); });
   return candidates.empty() ? nullptr : candidates[random_.below(candidates.size())];
 }
 
@@ -165,7 +165,7 @@
 
 bool FailureRun::startAgain(const std::string& name) {
   FleetProcess* process = fleet_.state().find(name);
-  if (laboratory::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Gone) {
+  if (testbed::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Gone) {
     return false;
   }
   noteLeaving(*process, order_event::Returned);
@@ -186,7 +186,7 @@
 void FailureRun::stop(FleetProcess& process, base::Duration down) {
   record_.note("stop", process.name, std::to_string(base::toMilliseconds(down)) + " ms");
   disturbed_.insert(process.name);
-  laboratory::sendSignal(Fleet::identityOf(process), SIGTERM);
+  testbed::sendSignal(Fleet::identityOf(process), SIGTERM);
   noteLeaving(process, order_event::Draining);
   later(down, [this, name = process.name] { return startAgain(name); });
 }
@@ -333,4 +333,4 @@
   return name_ + "-" + std::to_string(++orders_);
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/failure_run.h
+++ b/programs/testbed/failure_run.h
@@ -13,7 +13,7 @@
 #include "order_record.h"
 #include "switchsaddle/base/random.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** The names of all disturbances. */
 std::vector<std::string> failureKinds();
@@ -48,22 +48,22 @@
   base::Duration between(int least_ms, int most_ms);
 
   /** A process of the role that may be taken away now; null where there is none. */
-  laboratory::FleetProcess* pick(laboratory::ProcessRole role);
-  bool mayTake(const laboratory::FleetProcess& process) const;
-  void kill(laboratory::FleetProcess& process, base::Duration down);
-  void freeze(laboratory::FleetProcess& process, base::Duration frozen);
-  void stop(laboratory::FleetProcess& process, base::Duration down);
+  testbed::FleetProcess* pick(testbed::ProcessRole role);
+  bool mayDisturb(const testbed::FleetProcess& process) const;
+  void kill(testbed::FleetProcess& process, base::Duration down);
+  void freeze(testbed::FleetProcess& process, base::Duration frozen);
+  void stop(testbed::FleetProcess& process, base::Duration down);
   void killAllCores();
   void orderFault();
   void drainWorker();
   void evacuateZone();
   void revokeKey();
-  bool sendFault(const laboratory::FleetProcess& worker, const std::string& body);
+  bool sendFault(const testbed::FleetProcess& worker, const std::string& body);
   /** Where operators send their orders: every core and front. */
   std::vector<base::NodeAddress> nodes();
   std::string nextOperator();
   bool startAgain(const std::string& name);
-  void noteLeaving(const laboratory::FleetProcess& process, const char* event);
+  void noteLeaving(const testbed::FleetProcess& process, const char* event);
 
   Fleet& fleet_;
   OrderRecord& record_;
@@ -78,4 +78,4 @@
   int orders_ = 0;
 };
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/failures_command.cc
+++ b/programs/testbed/failures_command.cc
@@ -12,18 +12,18 @@
 #include "fleet_up.h"
 #include "load_run.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
-#include "switchsaddle/laboratory/load_plan.h"
+#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/load_plan.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
-using laboratory::ProcessCondition;
+using testbed::ProcessCondition;
 
 constexpr int ViolationsFound = 1;
 constexpr base::Duration DownLimit = std::chrono::seconds(10);
 
-/** The command line of `lab failures`. */
+/** The command line of `switchsaddle-testbed failures`. */
 struct FailuresArguments {
   FleetUp up;
   std::string load;
@@ -34,9 +34,9 @@
 };
 
 std::vector<std::string> tenantsOf(const std::string& load_file) {
-  const auto plan = laboratory::parseLoadPlan(laboratory::readTextFile(load_file));
+  const auto plan = testbed::parseLoadPlan(testbed::readTextFile(load_file));
   std::vector<std::string> tenants;
-  for (const laboratory::LoadTenant& tenant : plan.tenants) {
+  for (const testbed::LoadTenant& tenant : plan.tenants) {
     tenants.push_back(tenant.name);
   }
   return tenants;
@@ -82,10 +82,10 @@
     run.heal();
   }
   loading.get();
-  const auto judgement = laboratory::judge(readEvidence(
+  const auto report = testbed::checkHistory(readEvidence(
       {{load.record}, directory + "/journals", directory + "/orders.jsonl", fleet_file}));
-  std::cout << "seed " << seed << "\n" << laboratory::formatJudgement(judgement) << std::flush;
-  return judgement.violations.size();
+  std::cout << "seed " << seed << "\n" << testbed::formatHistoryReport(report) << std::flush;
+  return report.violations.size();
 }
 
 void runFailures(const FailuresArguments& arguments) {
@@ -124,4 +124,4 @@
   command->callback([arguments] { runFailures(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/fleet.cc
+++ b/programs/testbed/fleet.cc
@@ -14,15 +14,15 @@
 #include "http_probe.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 namespace files = std::filesystem;
-using laboratory::FleetProcess;
-using laboratory::ProcessCondition;
-using laboratory::ProcessRole;
+using testbed::FleetProcess;
+using testbed::ProcessCondition;
+using testbed::ProcessRole;
 
 constexpr auto ProbeInterval = std::chrono::milliseconds(50);
 constexpr auto ChangeTimeout = std::chrono::seconds(5);
@@ -50,7 +50,7 @@
 }
 
 bool inGroup(const FleetProcess& process, const std::string& group) {
-  return group == "all" || group == laboratory::roleName(process.role) + "s";
+  return group == "all" || group == testbed::roleName(process.role) + "s";
 }
 
 std::string conditionName(ProcessCondition condition) {
@@ -78,16 +78,16 @@
   ::close(file_);
 }
 
-laboratory::ProcessIdentity Fleet::identityOf(const FleetProcess& process) {
+testbed::ProcessIdentity Fleet::identityOf(const FleetProcess& process) {
   return {process.pid, process.start_ticks};
 }
 
 Fleet Fleet::load(const std::string& directory) {
-  return Fleet(laboratory::parseFleetState(laboratory::readTextFile(directory + "/fleet.json")));
+  return Fleet(testbed::parseFleetState(testbed::readTextFile(directory + "/fleet.json")));
 }
 
 void Fleet::save() const {
-  writeFile(state_.directory + "/fleet.json", laboratory::formatFleetState(state_));
+  writeFile(state_.directory + "/fleet.json", testbed::formatFleetState(state_));
 }
 
 std::vector<FleetProcess*> Fleet::named(const std::vector<std::string>& names) {
@@ -132,15 +132,15 @@
   files::create_directories(process.data_folder);
   const std::string hash = configuration::sha256Hex(state_.operator_key);
   writeFile(state_.directory + "/settings/" + process.name + ".json",
-            laboratory::settingsText(state_, process, hash));
+            testbed::settingsText(state_, process, hash));
 }
 
 void Fleet::start(FleetProcess& process) {
-  if (laboratory::conditionOf(identityOf(process)) != ProcessCondition::Gone) {
+  if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Gone) {
     fail(process.name + " is running already");
   }
   const auto identity =
-      laboratory::launchDetached(process.command, state_.directory + "/" + process.name + ".log");
+      testbed::launchDetached(process.command, state_.directory + "/" + process.name + ".log");
   process.pid = identity.pid;
   process.start_ticks = identity.start_ticks;
   save();
@@ -149,17 +149,17 @@
 void Fleet::signalAll(const std::vector<FleetProcess*>& processes, int signal_number,
                       ProcessCondition condition, base::Duration limit) {
   for (const FleetProcess* process : processes) {
-    laboratory::sendSignal(identityOf(*process), signal_number);
+    testbed::sendSignal(identityOf(*process), signal_number);
   }
   for (const FleetProcess* process : processes) {
-    if (!laboratory::waitForCondition(identityOf(*process), condition, limit)) {
+    if (!testbed::waitForCondition(identityOf(*process), condition, limit)) {
       fail(process->name + " is not " + conditionName(condition) + " in time");
     }
   }
 }
 
 void Fleet::wipe(const FleetProcess& process) const {
-  if (laboratory::conditionOf(identityOf(process)) != ProcessCondition::Gone) {
+  if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Gone) {
     fail(process.name + " is running; its data folder stays");
   }
   if (process.data_folder.rfind(state_.directory + "/data/", 0) != 0) {
@@ -173,7 +173,7 @@
   const auto deadline = std::chrono::steady_clock::now() + limit;
   for (const FleetProcess* process : processes) {
     while (!answersOk(process->http_address, readinessPath(process->role))) {
-      if (laboratory::conditionOf(identityOf(*process)) == ProcessCondition::Gone) {
+      if (testbed::conditionOf(identityOf(*process)) == ProcessCondition::Gone) {
         fail(process->name + " has ended; see " + process->name + ".log");
       }
       if (std::chrono::steady_clock::now() >= deadline) {
@@ -186,7 +186,7 @@
 
 void Fleet::applyConfiguration(const std::string& document, base::Duration limit) {
   // The interface takes plain JSON; a file may hold comments.
-  const std::string plain = boost::json::serialize(laboratory::parseObject(document));
+  const std::string plain = boost::json::serialize(testbed::parseObject(document));
   http::Request request;
   request.method = "POST";
   request.target = "/v1/configuration/changes";
@@ -217,14 +217,14 @@
 std::string Fleet::status() const {
   std::ostringstream lines;
   for (const FleetProcess& process : state_.processes) {
-    const ProcessCondition condition = laboratory::conditionOf(identityOf(process));
+    const ProcessCondition condition = testbed::conditionOf(identityOf(process));
     const bool ready = condition == ProcessCondition::Running &&
                        answersOk(process.http_address, readinessPath(process.role));
-    lines << process.name << "\t" << laboratory::roleName(process.role) << "\t" << process.zone
-          << "\t" << process.http_address.toString() << "\t" << process.pid << "\t"
+    lines << process.name << "\t" << testbed::roleName(process.role) << "\t" << process.zone << "\t"
+          << process.http_address.toString() << "\t" << process.pid << "\t"
           << conditionName(condition) << (ready ? "\tready" : "\tnot ready") << "\n";
   }
   return lines.str();
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/fleet.h
+++ b/programs/testbed/fleet.h
@@ -4,10 +4,10 @@
 #include <vector>
 
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
-#include "switchsaddle/laboratory/process_control.h"
+#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/process_control.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** Held while a command changes a fleet's state, so that two commands don't undo each other. */
 class FleetLock {
@@ -28,37 +28,37 @@
  */
 class Fleet {
  public:
-  explicit Fleet(laboratory::FleetState state) : state_(std::move(state)) {}
+  explicit Fleet(testbed::FleetState state) : state_(std::move(state)) {}
   /** Reads DIRECTORY/fleet.json. Throws base::Error. */
   static Fleet load(const std::string& directory);
   void save() const;
 
-  laboratory::FleetState& state() { return state_; }
+  testbed::FleetState& state() { return state_; }
   /** The processes named; "cores", "fronts", "workers" and "all" stand for groups. */
-  std::vector<laboratory::FleetProcess*> named(const std::vector<std::string>& names);
+  std::vector<testbed::FleetProcess*> named(const std::vector<std::string>& names);
   /** All processes of a role. */
-  std::vector<laboratory::FleetProcess*> ofRole(laboratory::ProcessRole role);
+  std::vector<testbed::FleetProcess*> ofRole(testbed::ProcessRole role);
 
   /** Folders and settings files of all processes. */
   void prepare();
-  void writeSettings(const laboratory::FleetProcess& process) const;
-  void start(laboratory::FleetProcess& process);
+  void writeSettings(const testbed::FleetProcess& process) const;
+  void start(testbed::FleetProcess& process);
   /** Sends the signal to all, then waits until each is in the condition. */
-  void signalAll(const std::vector<laboratory::FleetProcess*>& processes, int signal_number,
-                 laboratory::ProcessCondition condition, base::Duration limit);
+  void signalAll(const std::vector<testbed::FleetProcess*>& processes, int signal_number,
+                 testbed::ProcessCondition condition, base::Duration limit);
   /** Empties the data folder of a process that is down. */
-  void wipe(const laboratory::FleetProcess& process) const;
+  void wipe(const testbed::FleetProcess& process) const;
   /** Waits until each answers 200 on its readiness path. Throws where one dies or time is up. */
-  void waitReady(const std::vector<laboratory::FleetProcess*>& processes, base::Duration limit);
+  void waitReady(const std::vector<testbed::FleetProcess*>& processes, base::Duration limit);
   /** Applies a whole configuration as the operator, repeating until it is committed. */
   void applyConfiguration(const std::string& document, base::Duration limit);
   /** One line on each process. */
   std::string status() const;
 
-  static laboratory::ProcessIdentity identityOf(const laboratory::FleetProcess& process);
+  static testbed::ProcessIdentity identityOf(const testbed::FleetProcess& process);
 
  private:
-  laboratory::FleetState state_;
+  testbed::FleetState state_;
 };
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/fleet_command.cc
+++ b/programs/testbed/fleet_command.cc
@@ -10,18 +10,18 @@
 #include "fleet.h"
 #include "fleet_up.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
-using laboratory::FleetProcess;
-using laboratory::ProcessCondition;
-using laboratory::ProcessRole;
+using testbed::FleetProcess;
+using testbed::ProcessCondition;
+using testbed::ProcessRole;
 
 constexpr base::Duration KillLimit = std::chrono::seconds(10);
 /** Longer than the daemons' own bound for open streams. */
 constexpr base::Duration StopLimit = std::chrono::seconds(60);
 
-/** The command lines of `lab fleet ...`. */
+/** The command lines of `switchsaddle-testbed fleet ...`. */
 struct FleetArguments {
   std::string directory;
   std::string layout;
@@ -88,7 +88,7 @@
   Fleet fleet = Fleet::load(arguments.directory);
   fleet.signalAll(fleet.named(arguments.names), SIGKILL, ProcessCondition::Gone, KillLimit);
   for (const std::string& name : arguments.names) {
-    FleetProcess& fresh = laboratory::replaceCore(fleet.state(), name);
+    FleetProcess& fresh = testbed::replaceCore(fleet.state(), name);
     fleet.writeSettings(fresh);
     fleet.start(fresh);
     std::cout << fresh.name << "\t" << fresh.peer_address.toString() << "\n";
@@ -164,4 +164,4 @@
       [](const FleetArguments& given) { std::cout << Fleet::load(given.directory).status(); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/fleet_up.cc
+++ b/programs/testbed/fleet_up.cc
@@ -6,24 +6,24 @@
 #include <fstream>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/laboratory/json_fields.h"
+#include "switchsaddle/testbed/json_fields.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 namespace files = std::filesystem;
-using laboratory::FleetProcess;
-using laboratory::ProcessCondition;
-using laboratory::ProcessRole;
+using testbed::FleetProcess;
+using testbed::ProcessCondition;
+using testbed::ProcessRole;
 
 constexpr base::Duration KillLimit = std::chrono::seconds(10);
 
-void writeWorkersFile(const laboratory::FleetLayout& layout, const std::string& directory) {
-  std::vector<laboratory::ListedWorker> listed;
-  for (const laboratory::LayoutWorker& worker : layout.workers) {
+void writeWorkersFile(const testbed::FleetLayout& layout, const std::string& directory) {
+  std::vector<testbed::ListedWorker> listed;
+  for (const testbed::LayoutWorker& worker : layout.workers) {
     listed.push_back(worker.listed);
   }
-  std::ofstream(directory + "/workers.json") << laboratory::formatWorkersFile(listed) << "\n";
+  std::ofstream(directory + "/workers.json") << testbed::formatWorkersFile(listed) << "\n";
 }
 
 void refuseRunningFleet(const std::string& directory) {
@@ -32,7 +32,7 @@
   }
   Fleet earlier = Fleet::load(directory);
   for (const FleetProcess* process : earlier.named({"all"})) {
-    if (laboratory::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Gone) {
+    if (testbed::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Gone) {
       throw base::Error(base::ResultCode::InvalidValue,
                         process->name + " of an earlier fleet is running; use fleet down first");
     }
@@ -46,14 +46,14 @@
 }
 
 /** The layout, with its addresses in the order's network. */
-laboratory::FleetLayout readLayout(const FleetUp& order) {
-  const std::string text = laboratory::readTextFile(order.layout);
+testbed::FleetLayout readLayout(const FleetUp& order) {
+  const std::string text = testbed::readTextFile(order.layout);
   if (order.network.empty()) {
-    return laboratory::parseFleetLayout(text);
+    return testbed::parseFleetLayout(text);
   }
-  boost::json::object layout = laboratory::parseObject(text);
+  boost::json::object layout = testbed::parseObject(text);
   layout["network"] = order.network;
-  return laboratory::parseFleetLayout(boost::json::serialize(layout));
+  return testbed::parseFleetLayout(boost::json::serialize(layout));
 }
 
 /** Starts the processes, each group once the one before it is ready. */
@@ -65,7 +65,7 @@
     fleet.waitReady(fleet.ofRole(role), order.ready_limit);
   }
   if (!order.configuration.empty()) {
-    fleet.applyConfiguration(laboratory::readTextFile(order.configuration), order.ready_limit);
+    fleet.applyConfiguration(testbed::readTextFile(order.configuration), order.ready_limit);
   }
   startAll(fleet, ProcessRole::Front);
   fleet.waitReady(fleet.ofRole(ProcessRole::Front), order.ready_limit);
@@ -74,16 +74,18 @@
 }  // namespace
 
 Fleet bringUp(const FleetUp& order) {
-  const std::string lab = files::read_symlink("/proc/self/exe").string();
-  const std::string beside = (files::path(lab).parent_path() / "switchsaddle").string();
+  const std::string testbed_commands = files::read_symlink("/proc/self/exe").string();
+  const std::string beside =
+      (files::path(testbed_commands).parent_path() / "switchsaddle").string();
   const std::string daemon = order.switchsaddle.empty() ? beside : order.switchsaddle;
   const std::string directory = files::absolute(order.directory).lexically_normal().string();
   files::create_directories(directory);
   const FleetLock lock(directory);
   refuseRunningFleet(directory);
-  const laboratory::FleetLayout layout = readLayout(order);
+  const testbed::FleetLayout layout = readLayout(order);
   writeWorkersFile(layout, directory);
-  Fleet fleet(laboratory::planFleet(layout, directory, {lab, files::absolute(daemon).string()}));
+  Fleet fleet(
+      testbed::planFleet(layout, directory, {testbed_commands, files::absolute(daemon).string()}));
   fleet.prepare();
   fleet.save();
   try {
@@ -96,4 +98,4 @@
   return fleet;
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/fleet_up.h
+++ b/programs/testbed/fleet_up.h
@@ -5,7 +5,7 @@
 #include "fleet.h"
 #include "switchsaddle/base/time.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** What a fleet is brought up from. */
 struct FleetUp {
@@ -25,4 +25,4 @@
 /** Starts a fleet and waits until it is ready. Throws base::Error. */
 Fleet bringUp(const FleetUp& order);
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/fuzz_command.cc
+++ b/programs/testbed/fuzz_command.cc
@@ -7,7 +7,7 @@
 #include "commands.h"
 #include "switchsaddle/fuzz/target.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 namespace {
 
@@ -72,4 +72,4 @@
   });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/http_probe.cc
+++ b/programs/testbed/http_probe.cc
@@ -5,7 +5,7 @@
 
 #include "switchsaddle/http/client.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 std::optional<http::Response> fetchOnce(const base::NodeAddress& address, http::Request request,
                                         base::Duration limit) {
@@ -38,4 +38,4 @@
   return response.has_value() && response->status == 200;
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/http_probe.h
+++ b/programs/testbed/http_probe.h
@@ -6,7 +6,7 @@
 #include "switchsaddle/base/time.h"
 #include "switchsaddle/http/message.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** One small exchange, waited for. Nothing where no whole response came within the limit. */
 std::optional<http::Response> fetchOnce(const base::NodeAddress& address, http::Request request,
@@ -15,4 +15,4 @@
 /** Whether GET target answers 200. */
 bool answersOk(const base::NodeAddress& address, const char* target);
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/hollow_shard.cc
+++ b/programs/testbed/lightweight_front_shard.cc
@@ -1,9 +1,9 @@
-#include "hollow_shard.h"
+#include "lightweight_front_shard.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 namespace {
 
@@ -11,31 +11,31 @@
 
 }  // namespace
 
-HollowShard::HollowShard(const ShardOptions& options)
+LightweightFrontShard::LightweightFrontShard(const ShardOptions& options)
     : options_(options),
       dispatcher_(context_),
       timer_(dispatcher_.createTimer([this] { onSecond(); })) {}
 
-HollowShard::~HollowShard() {
+LightweightFrontShard::~LightweightFrontShard() {
   stop();
 }
 
-void HollowShard::addFront(const configuration::Settings& settings, std::uint64_t seed) {
+void LightweightFrontShard::addFront(const configuration::Settings& settings, std::uint64_t seed) {
   Member member;
   member.tcp =
       std::make_unique<transport::TcpTransport>(context_, dispatcher_, settings.peer_address);
-  member.counting =
-      std::make_unique<hollow::CountingTransport>(*member.tcp, sent_, received_, options_.weigh);
-  member.front = std::make_unique<hollow::HollowFront>(
+  member.counting = std::make_unique<lightweight_fronts::CountingTransport>(
+      *member.tcp, sent_, received_, options_.weigh);
+  member.front = std::make_unique<lightweight_fronts::LightweightFront>(
       dispatcher_, *member.counting, seed, settings,
       [this](std::uint64_t before, std::uint64_t after) {
         tally_.applied(before, after, dispatcher_.now());
       },
-      hollow::HollowOptions{options_.take_slots});
+      lightweight_fronts::LightweightFrontOptions{options_.acquire_slots});
   members_.push_back(std::move(member));
 }
 
-void HollowShard::start() {
+void LightweightFrontShard::start() {
   dispatcher_.post([this] {
     timer_->enable(SampleInterval);
     for (Member& member : members_) {
@@ -45,19 +45,19 @@
   thread_ = std::thread([this] { context_.run(); });
 }
 
-void HollowShard::stop() {
+void LightweightFrontShard::stop() {
   if (thread_.joinable()) {
     context_.stop();
     thread_.join();
   }
 }
 
-ShardSample HollowShard::sample() const {
+ShardSample LightweightFrontShard::sample() const {
   const std::lock_guard lock(mutex_);
   return sample_;
 }
 
-void HollowShard::onSecond() {
+void LightweightFrontShard::onSecond() {
   timer_->enable(SampleInterval);
   ShardSample sample;
   sample.lowest_version = std::numeric_limits<std::uint64_t>::max();
@@ -82,4 +82,4 @@
   sample_ = sample;
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/hollow_shard.h
+++ b/programs/testbed/lightweight_front_shard.h
@@ -8,13 +8,13 @@
 #include <thread>
 #include <vector>
 
-#include "switchsaddle/hollow/counting_transport.h"
-#include "switchsaddle/hollow/hollow_front.h"
-#include "switchsaddle/hollow/version_tally.h"
+#include "switchsaddle/lightweight_fronts/counting_transport.h"
+#include "switchsaddle/lightweight_fronts/lightweight_front.h"
+#include "switchsaddle/lightweight_fronts/version_tally.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 #include "switchsaddle/transport/tcp_transport.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** What the fronts of one shard have done up to now. */
 struct ShardSample {
@@ -30,22 +30,22 @@
   std::uint64_t slots_refused = 0;
 };
 
-/** How the hollow fronts of a process behave. */
+/** How the lightweight fronts of a process behave. */
 struct ShardOptions {
   /** Made-up completions a second on each front. */
   std::size_t prompts_per_second = 0;
   bool weigh = false;
   /** Takes a slot from the limit ledgers for each completion. */
-  bool take_slots = false;
+  bool acquire_slots = false;
 };
 
-/** Some of the process's hollow fronts, on one thread with one strand. */
-class HollowShard {
+/** Some of the process's lightweight fronts, on one thread with one strand. */
+class LightweightFrontShard {
  public:
-  explicit HollowShard(const ShardOptions& options);
-  ~HollowShard();
-  HollowShard(const HollowShard&) = delete;
-  HollowShard& operator=(const HollowShard&) = delete;
+  explicit LightweightFrontShard(const ShardOptions& options);
+  ~LightweightFrontShard();
+  LightweightFrontShard(const LightweightFrontShard&) = delete;
+  LightweightFrontShard& operator=(const LightweightFrontShard&) = delete;
 
   /** Before start() only. */
   void addFront(const configuration::Settings& settings, std::uint64_t seed);
@@ -55,15 +55,15 @@
   /** The sample of the last full second. Callable from any thread. */
   ShardSample sample() const;
 
-  const hollow::VersionTally& tally() const { return tally_; }
-  const hollow::KindCounts& sent() const { return sent_; }
-  const hollow::KindCounts& received() const { return received_; }
+  const lightweight_fronts::VersionTally& tally() const { return tally_; }
+  const lightweight_fronts::KindCounts& sent() const { return sent_; }
+  const lightweight_fronts::KindCounts& received() const { return received_; }
 
  private:
   struct Member {
     std::unique_ptr<transport::TcpTransport> tcp;
-    std::unique_ptr<hollow::CountingTransport> counting;
-    std::unique_ptr<hollow::HollowFront> front;
+    std::unique_ptr<lightweight_fronts::CountingTransport> counting;
+    std::unique_ptr<lightweight_fronts::LightweightFront> front;
   };
 
   void onSecond();
@@ -71,9 +71,9 @@
   ShardOptions options_;
   boost::asio::io_context context_{1};
   transport::AsioDispatcher dispatcher_;
-  hollow::KindCounts sent_{};
-  hollow::KindCounts received_{};
-  hollow::VersionTally tally_;
+  lightweight_fronts::KindCounts sent_{};
+  lightweight_fronts::KindCounts received_{};
+  lightweight_fronts::VersionTally tally_;
   std::vector<Member> members_;
   base::TimerPtr timer_;
   mutable std::mutex mutex_;
@@ -81,4 +81,4 @@
   std::thread thread_;
 };
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/hollow_command.cc
+++ b/programs/testbed/lightweight_fronts_command.cc
@@ -16,21 +16,21 @@
 #include <vector>
 
 #include "commands.h"
-#include "hollow_shard.h"
+#include "lightweight_front_shard.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 constexpr std::uint16_t PeerPort = 7'100;
-/** Hollow fronts listen on NETWORK.10.1 and on. */
+/** Lightweight fronts listen on NETWORK.10.1 and on. */
 constexpr std::size_t FirstBlock = 10;
 constexpr std::size_t AddressesInBlock = 250;
 
 /** Set by SIGTERM: the run ends with the present second. */
 volatile std::sig_atomic_t end_of_run = 0;
 
-/** The command line of `lab hollow`. */
-struct HollowArguments {
+/** The command line of `switchsaddle-testbed lightweight-fronts`. */
+struct LightweightFrontsArguments {
   std::vector<std::string> seeds;
   std::size_t count = 25;
   std::size_t threads = 1;
@@ -43,9 +43,9 @@
   ShardOptions shard;
 };
 
-using Shards = std::vector<std::unique_ptr<HollowShard>>;
+using Shards = std::vector<std::unique_ptr<LightweightFrontShard>>;
 
-configuration::Settings settingsOf(const HollowArguments& arguments, std::size_t index) {
+configuration::Settings settingsOf(const LightweightFrontsArguments& arguments, std::size_t index) {
   configuration::Settings settings;
   settings.peer_address.ip = arguments.network + "." +
                              std::to_string(FirstBlock + index / AddressesInBlock) + "." +
@@ -58,10 +58,10 @@
   return settings;
 }
 
-Shards makeShards(const HollowArguments& arguments) {
+Shards makeShards(const LightweightFrontsArguments& arguments) {
   Shards shards;
   for (std::size_t index = 0; index < arguments.threads; ++index) {
-    shards.push_back(std::make_unique<HollowShard>(arguments.shard));
+    shards.push_back(std::make_unique<LightweightFrontShard>(arguments.shard));
   }
   for (std::size_t index = 0; index < arguments.count; ++index) {
     shards[index % shards.size()]->addFront(settingsOf(arguments, index), arguments.seed + index);
@@ -107,7 +107,7 @@
             << std::flush;
 }
 
-void printLine(int second, const HollowArguments& arguments, const ShardSample& sample) {
+void printLine(int second, const LightweightFrontsArguments& arguments, const ShardSample& sample) {
   rusage usage{};
   ::getrusage(RUSAGE_SELF, &usage);
   double load = 0;
@@ -127,11 +127,12 @@
 }
 
 void writeVersions(const std::string& path, const Shards& shards) {
-  std::map<std::uint64_t, hollow::VersionTimes> all;
+  std::map<std::uint64_t, lightweight_fronts::VersionTimes> all;
   for (const auto& shard : shards) {
     for (const auto& [version, times] : shard->tally().versions()) {
-      hollow::VersionTimes& merged =
-          all.try_emplace(version, hollow::VersionTimes{times.first, times.last, 0}).first->second;
+      lightweight_fronts::VersionTimes& merged =
+          all.try_emplace(version, lightweight_fronts::VersionTimes{times.first, times.last, 0})
+              .first->second;
       merged.first = std::min(merged.first, times.first);
       merged.last = std::max(merged.last, times.last);
       merged.fronts += times.fronts;
@@ -146,8 +147,8 @@
 }
 
 void writeKinds(const std::string& path, const Shards& shards) {
-  hollow::KindCounts sent{};
-  hollow::KindCounts received{};
+  lightweight_fronts::KindCounts sent{};
+  lightweight_fronts::KindCounts received{};
   for (const auto& shard : shards) {
     for (std::size_t kind = 0; kind < sent.size(); ++kind) {
       sent[kind].frames += shard->sent()[kind].frames;
@@ -160,13 +161,14 @@
   file << "kind,frames_sent,bytes_sent,frames_received,bytes_received\n";
   for (std::size_t kind = 0; kind < sent.size(); ++kind) {
     if (sent[kind].frames + received[kind].frames > 0) {
-      file << hollow::kindName(kind) << ',' << sent[kind].frames << ',' << sent[kind].bytes << ','
-           << received[kind].frames << ',' << received[kind].bytes << '\n';
+      file << lightweight_fronts::kindName(kind) << ',' << sent[kind].frames << ','
+           << sent[kind].bytes << ',' << received[kind].frames << ',' << received[kind].bytes
+           << '\n';
     }
   }
 }
 
-void runHollow(const HollowArguments& arguments) {
+void runLightweightFronts(const LightweightFrontsArguments& arguments) {
   Shards shards = makeShards(arguments);
   for (const auto& shard : shards) {
     shard->start();
@@ -190,14 +192,15 @@
 
 }  // namespace
 
-void addHollowCommand(CLI::App& app) {
-  auto arguments = std::make_shared<HollowArguments>();
+void addLightweightFrontsCommand(CLI::App& app) {
+  auto arguments = std::make_shared<LightweightFrontsArguments>();
   CLI::App* command =
-      app.add_subcommand("hollow", "Run many fronts without callers in this process");
+      app.add_subcommand("lightweight-fronts", "Run many fronts without callers in this process");
   command->add_option("--seeds-cores", arguments->seeds, "IP:PORT of cores")
       ->delimiter(',')
       ->required();
-  command->add_option("--count", arguments->count, "Hollow fronts")->check(CLI::Range(1, 2'000));
+  command->add_option("--count", arguments->count, "Lightweight fronts")
+      ->check(CLI::Range(1, 2'000));
   command->add_option("--threads", arguments->threads, "Threads that share them")
       ->check(CLI::Range(1, 8));
   command->add_option("--network", arguments->network, "First two octets of their addresses");
@@ -209,10 +212,10 @@
   command->add_option("--versions", arguments->versions_file,
                       "CSV of when each version came into force");
   command->add_option("--kinds", arguments->kinds_file, "CSV of messages by kind");
-  command->add_flag("--slots", arguments->shard.take_slots,
+  command->add_flag("--slots", arguments->shard.acquire_slots,
                     "Take a slot from the limit ledgers for each of them");
   command->add_flag("--weigh", arguments->shard.weigh, "Weigh messages by kind; costs time");
-  command->callback([arguments] { runHollow(*arguments); });
+  command->callback([arguments] { runLightweightFronts(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/load_command.cc
+++ b/programs/testbed/load_command.cc
@@ -5,20 +5,20 @@
 
 #include "commands.h"
 #include "load_run.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
-#include "switchsaddle/laboratory/json_fields.h"
-#include "switchsaddle/laboratory/process_control.h"
+#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/process_control.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 /** Processor time that all running fronts have used so far. */
 base::Duration frontCpuTime(const std::string& fleet_file) {
   base::Duration used = base::Duration::zero();
-  for (const laboratory::FleetProcess& process :
-       laboratory::parseFleetState(laboratory::readTextFile(fleet_file)).processes) {
-    if (process.role == laboratory::ProcessRole::Front) {
-      used += laboratory::cpuTimeOf({process.pid, process.start_ticks});
+  for (const testbed::FleetProcess& process :
+       testbed::parseFleetState(testbed::readTextFile(fleet_file)).processes) {
+    if (process.role == testbed::ProcessRole::Front) {
+      used += testbed::cpuTimeOf({process.pid, process.start_ticks});
     }
   }
   return used;
@@ -48,4 +48,4 @@
   command->callback([arguments] { runLoadCommand(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/load_run.cc
+++ b/programs/testbed/load_run.cc
@@ -5,28 +5,28 @@
 
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/laboratory/fleet_layout.h"
-#include "switchsaddle/laboratory/json_fields.h"
-#include "switchsaddle/laboratory/load_runner.h"
+#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/load_runner.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 /** Calls still open this long after the last arrival are left unanswered in the record. */
 constexpr base::Duration LongestTail = std::chrono::seconds(90);
 
-laboratory::LoadTargets readTargets(const LoadOrder& order) {
-  const auto state = laboratory::parseFleetState(laboratory::readTextFile(order.fleet));
-  laboratory::LoadTargets targets;
-  for (const laboratory::FleetProcess& process : state.processes) {
-    if (process.role == laboratory::ProcessRole::Front) {
+testbed::LoadTargets readTargets(const LoadOrder& order) {
+  const auto state = testbed::parseFleetState(testbed::readTextFile(order.fleet));
+  testbed::LoadTargets targets;
+  for (const testbed::FleetProcess& process : state.processes) {
+    if (process.role == testbed::ProcessRole::Front) {
       targets.fronts.push_back(process.http_address);
     }
   }
   if (order.direct) {
     targets.workers =
-        laboratory::parseWorkersFile(laboratory::readTextFile(state.directory + "/workers.json"));
+        testbed::parseWorkersFile(testbed::readTextFile(state.directory + "/workers.json"));
   }
   if (targets.fronts.empty() && targets.workers.empty()) {
     throw base::Error(base::ResultCode::InvalidValue, "the fleet has no target for the load");
@@ -37,9 +37,9 @@
 }  // namespace
 
 std::uint64_t runLoad(const LoadOrder& order) {
-  auto plan = laboratory::parseLoadPlan(laboratory::readTextFile(order.load));
+  auto plan = testbed::parseLoadPlan(testbed::readTextFile(order.load));
   for (const std::string& crowd : order.crowds) {
-    plan.crowds.push_back(laboratory::parseCrowd(crowd));
+    plan.crowds.push_back(testbed::parseCrowd(crowd));
   }
   if (std::filesystem::exists(order.record)) {
     throw base::Error(base::ResultCode::InvalidValue, order.record + " exists already");
@@ -47,11 +47,11 @@
   boost::asio::io_context context{1};
   transport::AsioDispatcher dispatcher(context);
   const auto client = http::createClient(context);
-  laboratory::FileCallSink sink(order.record);
+  testbed::FileCallSink sink(order.record);
   const base::Duration duration = std::chrono::seconds(order.seconds);
-  laboratory::LoadRunner runner(std::move(plan), readTargets(order), order.seed, duration,
-                                laboratory::CallRecorder{dispatcher, sink}, *client,
-                                [&context] { context.stop(); });
+  testbed::LoadRunner runner(std::move(plan), readTargets(order), order.seed, duration,
+                             testbed::CallRecorder{dispatcher, sink}, *client,
+                             [&context] { context.stop(); });
   const auto limit = dispatcher.createTimer([&context] { context.stop(); });
   dispatcher.post([&] {
     limit->enable(duration + LongestTail);
@@ -61,4 +61,4 @@
   return runner.callsSent();
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/load_run.h
+++ b/programs/testbed/load_run.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** One load on a fleet. */
 struct LoadOrder {
@@ -24,4 +24,4 @@
 /** Sends the load, waits for its answers and returns the number of calls. Throws base::Error. */
 std::uint64_t runLoad(const LoadOrder& order);
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/operator_orders.cc
+++ b/programs/testbed/operator_orders.cc
@@ -5,12 +5,12 @@
 
 #include "http_probe.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/laboratory/order_event.h"
+#include "switchsaddle/testbed/order_event.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
-namespace order_event = laboratory::order_event;
+namespace order_event = testbed::order_event;
 
 /** A little longer than a node waits for an acknowledgement. */
 constexpr base::Duration AnswerLimit = std::chrono::seconds(3);
@@ -95,4 +95,4 @@
   return name_ + "-" + std::to_string(++orders_);
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/operator_orders.h
+++ b/programs/testbed/operator_orders.h
@@ -6,7 +6,7 @@
 #include "order_record.h"
 #include "switchsaddle/base/node_address.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /**
  * One operator: sends an order to the nodes in turn, again under its change_id, until it is
@@ -39,4 +39,4 @@
   int orders_ = 0;
 };
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/order_record.h
+++ b/programs/testbed/order_record.h
@@ -2,9 +2,9 @@
 
 #include <string>
 
-#include "switchsaddle/laboratory/line_file.h"
+#include "switchsaddle/testbed/line_file.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 
 /** Notes orders and disturbances in a file with the machine's boot clock. Any thread may note. */
 class OrderRecord {
@@ -14,7 +14,7 @@
   void note(const std::string& event, const std::string& subject, const std::string& detail = {});
 
  private:
-  laboratory::LineFile file_;
+  testbed::LineFile file_;
 };
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/platform_command.cc
+++ b/programs/testbed/platform_command.cc
@@ -9,22 +9,22 @@
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
-#include "switchsaddle/laboratory/json_fields.h"
-#include "switchsaddle/laboratory/platform_list.h"
+#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/platform_list.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 constexpr base::Duration PollInterval = std::chrono::milliseconds(250);
 
-/** The command line of `lab platform`. */
+/** The command line of `switchsaddle-testbed platform`. */
 struct PlatformArguments {
   std::string address;
   std::string workers_file;
   int lag_ms = 1'000;
   int crashed_listed_ms = 8'000;
-  bool hollow = false;
+  bool synthetic_workers = false;
   int churn_ms = 0;
 };
 
@@ -34,7 +34,7 @@
   explicit PlatformProcess(const PlatformArguments& arguments)
       : dispatcher_(context_),
         client_(http::createClient(context_)),
-        list_(laboratory::parseWorkersFile(laboratory::readTextFile(arguments.workers_file)),
+        list_(testbed::parseWorkersFile(testbed::readTextFile(arguments.workers_file)),
               std::chrono::milliseconds(arguments.lag_ms),
               std::chrono::milliseconds(arguments.crashed_listed_ms)),
         server_(http::startServer(context_, base::NodeAddress::parse(arguments.address), {},
@@ -45,7 +45,7 @@
         timer_(dispatcher_.createTimer([this] { poll(); })),
         churn_timer_(dispatcher_.createTimer([this] { churn(); })),
         churn_pause_(std::chrono::milliseconds(arguments.churn_ms)),
-        hollow_(arguments.hollow) {}
+        synthetic_workers_(arguments.synthetic_workers) {}
 
   void run() {
     signals_.async_wait([this](const boost::system::error_code& failure, int) {
@@ -53,7 +53,7 @@
         context_.stop();
       }
     });
-    if (hollow_) {
+    if (synthetic_workers_) {
       listAll();
     } else {
       poll();
@@ -104,7 +104,7 @@
       return;
     }
     try {
-      const auto state = laboratory::textField(laboratory::parseObject(response->body), "state");
+      const auto state = testbed::textField(testbed::parseObject(response->body), "state");
       list_.heard(index, state, dispatcher_.now());
     } catch (const base::Error&) {
       list_.missed(index, dispatcher_.now());
@@ -129,7 +129,7 @@
 
   std::string orderFault(const std::string& body, std::uint16_t& status) {
     try {
-      list_.setFault(laboratory::parsePlatformFault(body));
+      list_.setFault(testbed::parsePlatformFault(body));
     } catch (const base::Error&) {
       status = 400;
     }
@@ -139,14 +139,14 @@
   boost::asio::io_context context_{1};
   transport::AsioDispatcher dispatcher_;
   std::unique_ptr<http::Client> client_;
-  laboratory::PlatformList list_;
+  testbed::PlatformList list_;
   std::unique_ptr<http::Server> server_;
   boost::asio::signal_set signals_;
   base::TimerPtr timer_;
   base::TimerPtr churn_timer_;
   base::Duration churn_pause_;
   std::size_t churned_ = 0;
-  bool hollow_;
+  bool synthetic_workers_;
 };
 
 }  // namespace
@@ -160,10 +160,11 @@
   command->add_option("--lag-ms", arguments->lag_ms, "How late the list is");
   command->add_option("--crashed-listed-ms", arguments->crashed_listed_ms,
                       "How long a worker that vanished stays listed");
-  command->add_flag("--hollow", arguments->hollow, "List all workers as ready without asking them");
+  command->add_flag("--synthetic-workers", arguments->synthetic_workers,
+                    "List all workers as ready without asking them");
   command->add_option("--churn-ms", arguments->churn_ms,
-                      "With --hollow: how often one more worker begins to drain");
+                      "With --synthetic-workers: how often one more worker begins to drain");
   command->callback([arguments] { PlatformProcess(*arguments).run(); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/slopes_command.cc
+++ b/programs/testbed/slopes_command.cc
@@ -10,15 +10,15 @@
 #include "commands.h"
 #include "switchsaddle/configuration/register_value.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/laboratory/plan_sizes.h"
+#include "switchsaddle/testbed/plan_sizes.h"
 #include "switchsaddle/wire/message.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 using configuration::RegisterValue;
 
-/** The command line of `lab slopes`. */
+/** The command line of `switchsaddle-testbed slopes`. */
 struct SlopesArguments {
   std::vector<std::size_t> tenants{1'000, 2'000, 4'000, 8'500};
   std::vector<std::size_t> workers{300, 1'000, 2'100};
@@ -51,7 +51,7 @@
 
 RegisterValue valueOf(std::size_t tenants, std::size_t recorded) {
   RegisterValue value;
-  value.document = laboratory::planDocument(tenants);
+  value.document = testbed::planDocument(tenants);
   for (std::size_t index = 0; index < recorded; ++index) {
     value.recorded.push_back({"deploy-2026-" + std::to_string(index), index, {}, index});
   }
@@ -89,7 +89,7 @@
 }
 
 void measureWorkers(std::size_t count) {
-  const wire::WorkerView view = laboratory::planWorkers(count);
+  const wire::WorkerView view = testbed::planWorkers(count);
   wire::GossipDelta scores;
   for (const wire::WorkerEntry& worker : view.workers) {
     scores.scores.push_back({worker.models.front(), worker.id, 1, 60, 0.0001, 0.02, 5, 500});
@@ -100,7 +100,7 @@
 void measure(const SlopesArguments& arguments) {
   if (!arguments.configuration_file.empty()) {
     std::ofstream(arguments.configuration_file)
-        << laboratory::planDocument(arguments.tenants.front()).toJson() << "\n";
+        << testbed::planDocument(arguments.tenants.front()).toJson() << "\n";
     return;
   }
   std::cout << "tenants,entries,register_bytes,whole_delta_bytes,change_delta_bytes,encode_ms,"
@@ -128,4 +128,4 @@
   command->callback([arguments] { measure(*arguments); });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/programs/lab/worker_command.cc
+++ b/programs/testbed/worker_command.cc
@@ -10,10 +10,10 @@
 #include "commands.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
-#include "switchsaddle/laboratory/stand_in_worker.h"
+#include "switchsaddle/testbed/stand_in_worker.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 
-namespace switchsaddle::lab {
+namespace switchsaddle::testbed_commands {
 namespace {
 
 constexpr int CrashExitCode = 70;
@@ -22,13 +22,13 @@
 constexpr base::Duration LongestDrain = std::chrono::seconds(30);
 constexpr base::Duration IdleCheck = std::chrono::milliseconds(50);
 
-/** The command line of `lab worker`. */
+/** The command line of `switchsaddle-testbed worker`. */
 struct WorkerArguments {
   std::string address;
   std::string journal;
   int one_shot_ms = 20;
-  int cold_ms = 5'000;
-  laboratory::WorkerOptions options;
+  int slow_start_ms = 5'000;
+  testbed::WorkerOptions options;
 };
 
 /** Runs one worker until it is told to stop and its requests have ended. One thread. */
@@ -74,8 +74,8 @@
   boost::asio::io_context context_{1};
   transport::AsioDispatcher dispatcher_;
   std::unique_ptr<http::Client> client_;
-  laboratory::FileEventSink events_;
-  laboratory::StandInWorker worker_;
+  testbed::FileEventSink events_;
+  testbed::StandInWorker worker_;
   std::unique_ptr<http::Server> server_;
   boost::asio::signal_set signals_;
   base::TimePoint drain_started_{};
@@ -86,7 +86,7 @@
 
 void addWorkerCommand(CLI::App& app) {
   auto arguments = std::make_shared<WorkerArguments>();
-  laboratory::WorkerOptions& options = arguments->options;
+  testbed::WorkerOptions& options = arguments->options;
   CLI::App* command = app.add_subcommand("worker", "Run one stand-in worker");
   command->add_option("--address", arguments->address, "IP:PORT to listen on")->required();
   command->add_option("--journal", arguments->journal, "File its runs are appended to")->required();
@@ -102,16 +102,16 @@
   command->add_option("--decode-speed", options.speed.decode_tokens_per_s, "Tokens a second");
   command->add_option("--slowdown", options.speed.slowdown_per_running,
                       "Share by which each further request slows decoding");
-  command->add_option("--cold-factor", options.speed.cold_factor, "Slowdown of a cold prefill");
-  command->add_option("--cold-ms", arguments->cold_ms, "How long the process is cold");
+  command->add_option("--cold-factor", options.speed.warm_up_factor, "Slowdown of a cold prefill");
+  command->add_option("--cold-ms", arguments->slow_start_ms, "How long the process is cold");
   command->add_option("--one-shot-ms", arguments->one_shot_ms, "Time of work of a one-shot");
   command->add_option("--weights-version", options.weights_version, "Version of the weights");
   command->add_option("--seed", options.seed, "Seed of output lengths");
   command->callback([arguments] {
-    arguments->options.speed.cold_period = std::chrono::milliseconds(arguments->cold_ms);
+    arguments->options.speed.warm_up_period = std::chrono::milliseconds(arguments->slow_start_ms);
     arguments->options.one_shot_time = std::chrono::milliseconds(arguments->one_shot_ms);
     WorkerProcess(*arguments).run();
   });
 }
 
-}  // namespace switchsaddle::lab
+}  // namespace switchsaddle::testbed_commands
--- a/scripts/control-run.py
+++ b/scripts/control-run.py
@@ -50,12 +50,12 @@
 
 
 class Fleet:
-    """One fleet, driven by switchsaddle-lab."""
+    """One fleet, driven by switchsaddle-testbed."""
 
     operator_key = ""
 
     def __init__(self, arguments, run):
-        self.lab = os.path.join(arguments.programs, "switchsaddle-lab")
+        self.testbed = os.path.join(arguments.programs, "switchsaddle-testbed")
         self.directory = os.path.join(arguments.directory, f"{arguments.command}-{os.getpid()}-{run}")
         with open(arguments.layout, encoding="utf-8") as file:
             Fleet.operator_key = json.load(file)["operator_key"]
@@ -68,7 +68,7 @@
             raise
 
     def command(self, action, *rest):
-        subprocess.run([self.lab, "fleet", action, "--directory", self.directory, *rest],
+        subprocess.run([self.testbed, "fleet", action, "--directory", self.directory, *rest],
                        check=True, stdout=subprocess.DEVNULL)
 
     def processes(self, role):
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -6,12 +6,12 @@
 cd "$(dirname "$0")/.."
 [ "$(id -u)" = 0 ] && ./scripts/install-packages.sh
 build=${BUILD:-build}
-BUILD=$build ./scripts/build.sh switchsaddle switchsaddle-lab
+BUILD=$build ./scripts/build.sh switchsaddle switchsaddle-testbed
 daemon=$build/programs/switchsaddle
-lab=$build/programs/switchsaddle-lab
+testbed=$build/programs/switchsaddle-testbed
 fleet=$(mktemp -d)
 finish() {
-  "$lab" fleet down --directory "$fleet" >/dev/null 2>&1 || true
+  "$testbed" fleet down --directory "$fleet" >/dev/null 2>&1 || true
   rm -rf "$fleet"
 }
 trap finish EXIT
@@ -26,9 +26,9 @@
 }
 
 say "A fleet of five cores, three fronts in three zones, four model workers, two one-shot workers, a platform"
-"$lab" fleet up --layout examples/demo/layout.json --directory "$fleet" --switchsaddle "$daemon" \
+"$testbed" fleet up --layout examples/demo/layout.json --directory "$fleet" --switchsaddle "$daemon" \
   --configuration examples/demo/configuration.json
-front_address() { "$lab" fleet status --directory "$fleet" | awk -v name="front-$1" '$1 == name {print $4}'; }
+front_address() { "$testbed" fleet status --directory "$fleet" | awk -v name="front-$1" '$1 == name {print $4}'; }
 front_one=$(front_address 1)
 front_two=$(front_address 2)
 tenant=$(python3 -c 'import json;print(json.load(open("examples/demo/load.json"))["tenants"][0]["key"])' 2>/dev/null ||
@@ -66,17 +66,17 @@
 [ "$(grep -c 'true *$' <<<"$in_force")" = 3 ] || { echo "FAILED: not in force on all three fronts"; exit 1; }
 
 say "A worker is killed while callers go on"
-"$lab" load --fleet "$fleet/fleet.json" --load examples/demo/load.json --record "$fleet/record.jsonl" \
+"$testbed" load --fleet "$fleet/fleet.json" --load examples/demo/load.json --record "$fleet/record.jsonl" \
   --seconds 12 --seed "$(date +%s)" &
 load=$!
 sleep 4
-"$lab" fleet kill --directory "$fleet" model-1 >/dev/null
+"$testbed" fleet kill --directory "$fleet" model-1 >/dev/null
 sleep 3
-"$lab" fleet start --directory "$fleet" model-1 >/dev/null
+"$testbed" fleet start --directory "$fleet" model-1 >/dev/null
 wait "$load"
 
 say "The checker reads the callers' record and the workers' journals"
-"$lab" judge --record "$fleet/record.jsonl" --journals "$fleet/journals"
+"$testbed" check-history --record "$fleet/record.jsonl" --journals "$fleet/journals"
 
 say "Each front's routing table"
 ctl routing
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -7,25 +7,25 @@
 directory=$2
 seconds=${3:-30}
 network=${4:-127.45}
-lab=$programs/switchsaddle-lab
+testbed=$programs/switchsaddle-testbed
 for deployment in tavola-comune red-comunitaria; do
   example=examples/$deployment
   for way in fleet direct; do
     # Each way gets workers of its own: a run warms their caches.
     run=$directory/$deployment-$way
     mkdir -p "$run"
-    "$lab" fleet up --layout "$example/layout.json" --configuration "$example/configuration.json" \
+    "$testbed" fleet up --layout "$example/layout.json" --configuration "$example/configuration.json" \
       --directory "$run" --network "$network" >"$run/up.log"
     flag=
     if [ "$way" = direct ]; then
       flag=--direct
     fi
     echo "== $deployment, $way, ${seconds} s, load average $(cut -d' ' -f1-3 /proc/loadavg)"
-    "$lab" load --fleet "$run/fleet.json" --load "$example/load.json" --record "$run/record.jsonl" \
+    "$testbed" load --fleet "$run/fleet.json" --load "$example/load.json" --record "$run/record.jsonl" \
       --seconds "$seconds" --seed 1 $flag
     # Without the fleet resent keys run twice, and the judge says so.
-    "$lab" judge --record "$run/record.jsonl" --journals "$run/journals" --fleet "$run/fleet.json" ||
+    "$testbed" check-history --record "$run/record.jsonl" --journals "$run/journals" --fleet "$run/fleet.json" ||
       true
-    "$lab" fleet down --directory "$run"
+    "$testbed" fleet down --directory "$run"
   done
 done
--- a/scripts/measure_acknowledgement.py
+++ b/scripts/measure_acknowledgement.py
@@ -2,7 +2,7 @@
 """Measures how long changes take until they are acknowledged, on a fleet of real processes.
 
 Sends small changes one after the other to random cores while fronts and cores are killed and
-started, or frozen and woken, by switchsaddle-lab. Prints the distribution of the time from sending
+started, or frozen and woken, by switchsaddle-testbed. Prints the distribution of the time from sending
 to the acknowledgement, the share of changes first answered "committed, not yet in force", and for
 each of these which fronts were behind.
 """
@@ -19,7 +19,7 @@
 
 def parse_arguments():
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--lab", required=True, help="path of switchsaddle-lab")
+    parser.add_argument("--testbed", required=True, help="path of switchsaddle-testbed")
     parser.add_argument("--directory", required=True, help="directory of the fleet")
     parser.add_argument("--key", required=True, help="the operator's key")
     parser.add_argument("--changes", type=int, default=200)
@@ -62,7 +62,7 @@
         self.faults = 0
 
     def fleet(self, command, name):
-        subprocess.run([self.arguments.lab, "fleet", command, "--directory",
+        subprocess.run([self.arguments.testbed, "fleet", command, "--directory",
                         self.arguments.directory, name],
                        check=False, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
 
--- a/scripts/scale_run.py
+++ b/scripts/scale_run.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""Runs five real cores with hollow fronts at several sizes and writes one CSV row for each.
+"""Runs five real cores with lightweight fronts at several sizes and writes one CSV row for each.
 
     scripts/scale-run.sh --build BUILD --directory DIR --out FILE.csv --fronts 25,100,200
 
-Each size starts from empty data folders. After all hollow fronts serve, one period without changes
+Each size starts from empty data folders. After all lightweight fronts serve, one period without changes
 and one with changes are measured: processor time from /proc, bytes from the fronts' transports,
 delays from the sending of a change to its application on the last front. Loopback only.
 """
@@ -48,14 +48,14 @@
     """Five cores and a platform, of real processes, in one directory."""
 
     def __init__(self, arguments, directory):
-        self.lab = f"{arguments.build}/programs/switchsaddle-lab"
+        self.testbed = f"{arguments.build}/programs/switchsaddle-testbed"
         self.daemon = f"{arguments.build}/programs/switchsaddle"
         self.arguments = arguments
         self.directory = directory
         self.platform = None
 
     def run(self, *command):
-        return subprocess.run([self.lab, *command], check=True, capture_output=True, text=True)
+        return subprocess.run([self.testbed, *command], check=True, capture_output=True, text=True)
 
     def up(self):
         network = self.arguments.network
@@ -82,8 +82,8 @@
         path = self.directory / "hollow-workers.json"
         path.write_text(json.dumps({"workers": workers}))
         self.platform = subprocess.Popen(
-            [self.lab, "platform", "--address", f"{self.arguments.network}.4.1:8100", "--workers",
-             str(path), "--hollow", "--churn-ms", str(self.arguments.churn_ms)])
+            [self.testbed, "platform", "--address", f"{self.arguments.network}.4.1:8100", "--workers",
+             str(path), "--synthetic-workers", "--churn-ms", str(self.arguments.churn_ms)])
 
     def cores(self):
         state = json.loads((self.directory / "fleet.json").read_text())
@@ -97,7 +97,7 @@
 
 
 class Mark:
-    """Counters of cores and hollow fronts at one moment."""
+    """Counters of cores and lightweight fronts at one moment."""
 
     def __init__(self, cores, hollow, lines):
         self.time = time.monotonic()
@@ -116,7 +116,7 @@
         if rows and int(rows[-1]["serving"]) == count and int(rows[-1]["lowest_version"]) > 0:
             return
         time.sleep(0.5)
-    raise SystemExit(f"{count} hollow fronts do not serve within {limit} s")
+    raise SystemExit(f"{count} lightweight fronts do not serve within {limit} s")
 
 
 def measure(arguments, count):
@@ -136,7 +136,7 @@
     cores = fleet.cores()
     lines = directory / "hollow.csv"
     whole = arguments.settle + 2 * arguments.seconds + 45
-    command = [fleet.lab, "hollow", "--seeds-cores",
+    command = [fleet.testbed, "lightweight-fronts", "--seeds-cores",
                ",".join(core["peer_address"] for core in cores[:3]), "--count", str(count),
                "--threads", str(arguments.threads), "--network", arguments.network, "--zones",
                "a,b,c", "--seconds", str(whole), "--prompts", str(arguments.prompts), "--versions",
