--- /dev/null
+++ b/libraries/core/include/switchsaddle/core/configuration_stack.h
@@ -0,0 +1,33 @@
+#pragma once
+
+#include "switchsaddle/core/configuration_follower.h"
+#include "switchsaddle/core/core_environment.h"
+#include "switchsaddle/core/in_force_tracker.h"
+#include "switchsaddle/core/register_change_coordinator.h"
+#include "switchsaddle/core/register_stack.h"
+#include "switchsaddle/dissemination/configuration_replica.h"
+#include "switchsaddle/dissemination/gossip_agent.h"
+#include "switchsaddle/sessions/session_table.h"
+#include "switchsaddle/workers/worker_directory.h"
+
+namespace switchsaddle::core {
+
+/**
+ * The configuration on one core node: the replica, its dissemination, the tracking of versions in
+ * force, and the commit of changes. Only wires the state machines together; a delta committed here
+ * is sent to the peer cores. Runs on the control strand.
+ */
+struct ConfigurationStack {
+  ConfigurationStack(const CoreEnvironment& environment, RegisterStack& registers,
+                     sessions::SessionTable& sessions, workers::WorkerDirectory& workers);
+  ConfigurationStack(const ConfigurationStack&) = delete;
+  ConfigurationStack& operator=(const ConfigurationStack&) = delete;
+
+  dissemination::ConfigurationReplica replica;
+  dissemination::GossipAgent gossip;
+  InForceTracker tracker;
+  ConfigurationFollower follower;
+  RegisterChangeCoordinator coordinator;
+};
+
+}  // namespace switchsaddle::core
--- a/libraries/core/include/switchsaddle/core/core_membership.h
+++ b/libraries/core/include/switchsaddle/core/core_membership.h
@@ -12,27 +12,29 @@
 namespace switchsaddle::core {
 
 /**
- * The acceptor set of the local acceptor as sessions and leases count their majorities in. While a
- * change of the set is under way a quorum needs majorities of both lists. Runs on the control
- * strand.
+ * The local acceptor's set of acceptors, in which sessions and leases count their majorities. While
+ * a change of the set is in progress, a quorum needs a majority of the previous and of the next
+ * set. Runs on the control strand.
  */
 class CoreMembership : public sessions::CoreView, public lease::GranterSet {
  public:
   explicit CoreMembership(const registers::Acceptor& acceptor) : acceptor_(acceptor) {}
 
   std::vector<base::NodeAddress> coreAddresses() const override;
-  bool quorum(const std::set<base::NodeAddress>& answered) const override;
+  /** @return coreAddresses() without the node's own address. */
+  std::vector<base::NodeAddress> peerAddresses(const base::NodeAddress& self) const;
+  bool quorum(const std::set<base::NodeAddress>& replied) const override;
   bool mayCampaign() const override { return acceptor_.mayVote(); }
   std::uint64_t acceptedVersion() const override { return accepted_version_; }
   bool mayVote() const override { return acceptor_.mayVote(); }
   std::uint64_t setEpoch() const override { return acceptor_.acceptorSet().epoch; }
   bool joining() const override;
-  /** Whether the own instance is in the present set. */
+  /** @return whether this node's instance is in the present set. */
   bool isMember() const;
   /**
-   * The acceptor holds this version, synced. It may be below the one noted before: a value that a
-   * higher ballot has overwritten with an older version was never committed, and a session that was
-   * told to wait for it would wait for ever.
+   * Records the version that the acceptor has accepted and synced. It may be lower than the one
+   * before: a value that a higher ballot replaced by an older version was never committed, and a
+   * session required to wait for it would never be granted.
    */
   void noteAcceptedVersion(std::uint64_t version);
 
--- a/libraries/core/include/switchsaddle/core/register_change_coordinator.h
+++ b/libraries/core/include/switchsaddle/core/register_change_coordinator.h
@@ -9,6 +9,7 @@
 #include "switchsaddle/base/incident.h"
 #include "switchsaddle/configuration/register_value.h"
 #include "switchsaddle/core/change_coordinator.h"
+#include "switchsaddle/core/core_faults.h"
 #include "switchsaddle/core/in_force_tracker.h"
 #include "switchsaddle/dissemination/configuration_replica.h"
 #include "switchsaddle/registers/proposer.h"
@@ -16,19 +17,6 @@
 
 namespace switchsaddle::core {
 
-/** Test-only deviations that show that a rule is needed; never set in a daemon. */
-struct CoreFaults {
-  /** Acknowledges a change as soon as it is committed. */
-  bool acknowledge_without_waiting = false;
-  /** Records no change_ids, so that a change sent again is decided anew. */
-  bool forget_change_ids = false;
-  sessions::SessionTableFaults sessions;
-  /** Acceptors answer before what they answer is synced. */
-  bool answer_before_sync = false;
-  /** Reads of the configuration are answered by what this node has, without a quorum. */
-  bool read_unconfirmed = false;
-};
-
 /**
  * Commits changes in the configuration register, takes the result into this node's replica, and
  * waits until it is in force on every front with a live session. The decision is taken inside the
--- a/libraries/core/source/core_membership.cc
+++ b/libraries/core/source/core_membership.cc
@@ -7,10 +7,10 @@
 namespace {
 
 bool isMajority(const std::vector<wire::AcceptorMember>& members,
-                const std::set<base::NodeAddress>& answered) {
+                const std::set<base::NodeAddress>& replied) {
   const auto count = std::count_if(
       members.begin(), members.end(),
-      [&](const wire::AcceptorMember& member) { return answered.contains(member.address); });
+      [&](const wire::AcceptorMember& member) { return replied.contains(member.address); });
   return static_cast<std::size_t>(count) * 2 > members.size();
 }
 
@@ -28,10 +28,16 @@
   return {addresses.begin(), addresses.end()};
 }
 
-bool CoreMembership::quorum(const std::set<base::NodeAddress>& answered) const {
+std::vector<base::NodeAddress> CoreMembership::peerAddresses(const base::NodeAddress& self) const {
+  std::vector<base::NodeAddress> peers = coreAddresses();
+  std::erase(peers, self);
+  return peers;
+}
+
+bool CoreMembership::quorum(const std::set<base::NodeAddress>& replied) const {
   const wire::AcceptorSet& set = acceptor_.acceptorSet();
-  const bool previous_agrees = set.previous.empty() || isMajority(set.previous, answered);
-  return previous_agrees && isMajority(set.members, answered);
+  const bool previous_agrees = set.previous.empty() || isMajority(set.previous, replied);
+  return previous_agrees && isMajority(set.members, replied);
 }
 
 bool CoreMembership::isMember() const {
--- a/libraries/core/source/core_options.cc
+++ b/libraries/core/source/core_options.cc
@@ -26,6 +26,12 @@
   return result;
 }
 
+registers::AcceptorOptions acceptorOptionsOf(const CoreFaults& faults) {
+  registers::AcceptorOptions options;
+  options.test_answer_before_sync = faults.answer_before_sync;
+  return options;
+}
+
 registers::ProposerOptions proposerOptionsOf(const configuration::TimeSettings& times) {
   registers::ProposerOptions result;
   result.operation_deadline = times.register_deadline;
--- /dev/null
+++ b/libraries/core/source/membership_role.cc
@@ -0,0 +1,49 @@
+#include "switchsaddle/core/membership_role.h"
+
+#include "core_options.h"
+#include "lease_events.h"
+
+namespace switchsaddle::core {
+
+MembershipRole::MembershipRole(const CoreEnvironment& environment, RegisterStack& registers,
+                               std::uint64_t incarnation)
+    : incidents_(environment.incidentSink()),
+      acceptor_(registers.acceptor),
+      lease_(environment.dispatcher, environment.calls, environment.random,
+             leaseTimesOf(environment.settings.times), CoreMembershipLease, registers.membership,
+             incarnation),
+      reconciler_(
+          environment.dispatcher, environment.calls, environment.journal, registers.acceptor,
+          registers.set_change, [this] { return lease_.held(); },
+          membershipOptionsOf(environment.settings)) {
+  reconciler_.setShortfallListener(
+      [this](const std::string& lacking) { reportShortfall(lacking); });
+  registers.bootstrap.setCandidateListener(
+      [this](const wire::CoreAnnounce& candidate) { reconciler_.onCandidate(candidate); });
+  lease_.setListener([this](bool gained) { onLease(gained); });
+}
+
+void MembershipRole::onLease(bool gained) {
+  reportLease(incidents_, lease_, CoreMembershipLease, gained);
+  if (gained) {
+    reconciler_.start();
+  } else {
+    reconciler_.stop();
+  }
+}
+
+void MembershipRole::reportShortfall(const std::string& lacking) {
+  base::Incident incident;
+  incident.event = "tolerance-not-met";
+  incident.severity = lacking.empty() ? base::Severity::Info : base::Severity::Warning;
+  incident.code = lacking.empty() ? base::ResultCode::Ok : base::ResultCode::ToleranceNotMet;
+  incident.fields = {{"lacking", lacking},
+                     {"members", std::to_string(acceptor_.acceptorSet().members.size())}};
+  incidents_.report(incident);
+}
+
+LeaseStatus MembershipRole::status() const {
+  return {CoreMembershipLease, lease_.held(), lease_.term()};
+}
+
+}  // namespace switchsaddle::core
