--- a/libraries/core/include/switchsaddle/core/core_node.h
+++ b/libraries/core/include/switchsaddle/core/core_node.h
@@ -58,7 +58,7 @@
   const RegisterCounters& registerCounters() const { return registers_.proposer.counters(); }
   std::size_t sessionCount() const { return sessions_.localSessions().size(); }
   NodeStatus status() const override;
-  const journal::StateView& beliefs() const override { return state_view_; }
+  const journal::StateView& stateView() const override { return state_view_; }
   const worker_health::HealthRanking& health() const override { return telemetry_.ranking(); }
   workers::WorkerSnapshotPtr fleet() const override { return workers_.snapshot(); }
   std::uint32_t requestsOn(const std::string& worker) const override {
--- a/libraries/core/include/switchsaddle/core/node_information.h
+++ b/libraries/core/include/switchsaddle/core/node_information.h
@@ -12,40 +12,41 @@
 
 namespace switchsaddle::core {
 
-/** One singleton role as a node sees it. */
+/** The lease of one singleton role as this node knows it. */
 struct LeaseStatus {
   std::string name;
   bool held = false;
-  /** The term held; zero where it is not held. */
+  /** Term of the lease; zero where this node does not hold it. */
   std::uint64_t term = 0;
 };
 
-/** What GET /v1/status tells of the answering node. */
+/** The state of the responding node that GET /v1/status reports. */
 struct NodeStatus {
   base::NodeAddress address;
   std::string zone;
-  /** The instance of the data folder; zero until the store is open. */
+  /** Instance of the data folder; zero until the store is open. */
   std::uint64_t instance = 0;
-  /** Whether this node's acceptor may vote now. */
+  /** Whether this node's acceptor may vote at present. */
   bool may_vote = false;
   std::size_t register_count = 0;
-  /** Why the store is new, or could not be opened; empty where it is sound. */
+  /** Why the store is new, or could not be opened; empty where it is intact. */
   std::string storage_fault;
   wire::AcceptorSet acceptor_set;
   std::vector<LeaseStatus> leases;
 };
 
-/** Gives the control API what the node knows of itself. Runs on the control strand. */
+/** The node's own state, for the control API. Runs on the control strand. */
 class NodeInformation {
  public:
   virtual ~NodeInformation() = default;
   virtual NodeStatus status() const = 0;
-  virtual const journal::StateView& beliefs() const = 0;
-  /** The workers' health as this node ranks it. */
+  /** The latest journal entry of each subject and key. */
+  virtual const journal::StateView& stateView() const = 0;
+  /** The health of workers as this node ranks it. */
   virtual const worker_health::HealthRanking& health() const = 0;
-  /** The workers known here; never null. */
+  /** The workers that this node knows; never null. */
   virtual workers::WorkerSnapshotPtr fleet() const = 0;
-  /** Requests that fronts have on a worker, as they told of late. */
+  /** @return the requests in flight on a worker, as reported by the fronts. */
   virtual std::uint32_t requestsOn(const std::string& worker) const = 0;
 };
 
--- /dev/null
+++ b/libraries/core/source/configuration_handlers.h
@@ -0,0 +1,45 @@
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "configuration_reader.h"
+#include "switchsaddle/core/control_dependencies.h"
+#include "switchsaddle/core/control_service.h"
+
+namespace switchsaddle::core {
+
+/**
+ * Handlers of the control API for the configuration: reads, changes, evacuations of zones, and
+ * keys. Runs on the control strand.
+ */
+class ConfigurationHandlers {
+ public:
+  using Respond = ControlService::Respond;
+
+  /** Both arguments outlive the handlers. */
+  ConfigurationHandlers(const ControlDependencies& dependencies, const ConfigurationReader& reader)
+      : dependencies_(dependencies), reader_(reader) {}
+
+  void getConfiguration(Respond respond) const;
+  void getHistory(Respond respond) const;
+  /** Responds with the version that each front with a live session has applied. */
+  void getInForce(Respond respond) const;
+  void postChange(const http::Request& request, Respond respond) const;
+  void postEvacuation(const http::Request& request, const std::string& zone, Respond respond) const;
+  void deleteEvacuation(const http::Request& request, const std::string& zone,
+                        Respond respond) const;
+  void postKey(const http::Request& request, Respond respond) const;
+  void deleteKey(const http::Request& request, const std::string& key, Respond respond) const;
+
+ private:
+  void submit(const configuration::Change& change, bool dry_run, Respond respond) const;
+  /** Submits the change of an order, or responds with the faults of its body. */
+  void submitOrder(const configuration::Change& change,
+                   const std::vector<configuration::Fault>& faults, Respond respond) const;
+
+  const ControlDependencies& dependencies_;
+  const ConfigurationReader& reader_;
+};
+
+}  // namespace switchsaddle::core
--- a/libraries/core/source/control_requests.cc
+++ b/libraries/core/source/control_requests.cc
@@ -59,11 +59,11 @@
   std::string_view query = target.substr(start + 1);
   while (!query.empty()) {
     const std::size_t end = std::min(query.find('&'), query.size());
-    const std::string_view part = query.substr(0, end);
+    const std::string_view parameter = query.substr(0, end);
     query.remove_prefix(std::min(end + 1, query.size()));
-    const std::size_t equals = std::min(part.find('='), part.size());
-    if (part.substr(0, equals) == name) {
-      return part.substr(equals) != "=false";
+    const std::size_t equals = std::min(parameter.find('='), parameter.size());
+    if (parameter.substr(0, equals) == name) {
+      return parameter.substr(equals) != "=false";
     }
   }
   return false;
--- a/libraries/core/source/control_requests.h
+++ b/libraries/core/source/control_requests.h
@@ -1,5 +1,6 @@
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -10,8 +11,8 @@
 
 /**
  * @file
- * What the control API reads from requests beside the bodies of changes. Faults are appended; a
- * result has a meaning only where none was.
+ * Parsing of control requests other than the bodies of changes, and the common responses. Parsers
+ * append the faults they find; their result is valid only where none was appended.
  */
 
 namespace switchsaddle::core {
@@ -22,24 +23,33 @@
   base::NodeAddress new_member;
 };
 
+/** HTTP status of a successful request. */
+inline constexpr std::uint16_t StatusOk = 200;
+
 http::Response jsonResponse(std::uint16_t status, std::string body);
-/** The numbered error of a refused request. */
+/** The JSON error of a rejected request, with its result code and the faults found. */
 http::Response controlError(base::ResultCode code,
                             const std::vector<configuration::Fault>& faults = {});
 
-/** The code under which a faulty body is refused: that of its form, or of its content. */
+/**
+ * @param faults not empty.
+ * @return MalformedJson or ConfigurationInvalid, the code to reject a body with these faults by.
+ */
 base::ResultCode codeOf(const std::vector<configuration::Fault>& faults);
 
-/** Whether the query has the flag, alone or with a value other than "false". */
+/** @return whether the query has the flag, alone or with a value other than "false". */
 bool queryFlag(std::string_view target, std::string_view name);
 
-/** The key the request carries; empty where it carries none. */
+/** @return the request's bearer key; empty where it has none. */
 std::string bearerOf(const http::Request& request);
 
-/** The change_id of an order which names nothing else: from the body or, without one, the query. */
+/**
+ * @return the change identifier of an order with no other field, from the body or, where the body
+ * is empty, from the query.
+ */
 std::string changeIdOf(const http::Request& request, std::vector<configuration::Fault>& faults);
 
-/** The body of POST /v1/core/replacements: `{old, new}`, each "IP:PORT". */
+/** Parses the body of POST /v1/core/replacements: `{old, new}`, each "IP:PORT". */
 ReplacementOrder parseReplacement(const std::string& body,
                                   std::vector<configuration::Fault>& faults);
 
--- a/libraries/core/source/control_health.cc
+++ b/libraries/core/source/maintenance_handlers.cc
@@ -1,15 +1,12 @@
+#include "maintenance_handlers.h"
+
 #include <algorithm>
 #include <utility>
 
 #include "control_requests.h"
 #include "health_json.h"
-#include "switchsaddle/base/error.h"
-#include "switchsaddle/configuration/change_json.h"
-#include "switchsaddle/core/control_service.h"
 #include "switchsaddle/worker_health/dispatch_sample.h"
 
-// The control API's part about workers' health and maintenance.
-
 namespace switchsaddle::core {
 
 namespace {
@@ -18,8 +15,6 @@
 using configuration::Fault;
 using configuration::RegisterValue;
 
-constexpr std::uint16_t StatusOk = 200;
-
 std::vector<configuration::FleetWorker> fleetOf(const workers::WorkerSnapshot& snapshot) {
   std::vector<configuration::FleetWorker> fleet;
   for (const auto& [id, worker] : snapshot.workers) {
@@ -30,7 +25,8 @@
   return fleet;
 }
 
-std::vector<std::string> sickest(const worker_health::HealthRanking& ranking) {
+/** @return the unhealthy workers, the most unhealthy first. */
+std::vector<std::string> unhealthyWorkers(const worker_health::HealthRanking& ranking) {
   std::vector<std::string> workers;
   for (const worker_health::WorkerRank& rank : ranking.ranks()) {
     if (rank.state == worker_health::HealthState::Unhealthy) {
@@ -42,64 +38,48 @@
 
 }  // namespace
 
-void ControlService::getHealth(const http::Request& /*request*/, const std::string& /*name*/,
-                               Respond respond) {
-  const std::set<std::string>& out = dependencies_.replica.view()->workers_in_maintenance;
-  respond(jsonResponse(
-      StatusOk, renderRanking(dependencies_.node.health(), out, dependencies_.dispatcher.now())));
-}
-
-void ControlService::getWorkerHealth(const http::Request& /*request*/, const std::string& name,
-                                     Respond respond) {
-  const bool is_out = dependencies_.replica.view()->workers_in_maintenance.contains(name);
-  const auto body = renderWorkerHealth(dependencies_.node.health(), name, is_out);
-  respond(body ? jsonResponse(StatusOk, *body) : controlError(ResultCode::UnknownWorker));
-}
-
-void ControlService::getMaintenance(const http::Request& /*request*/, const std::string& /*name*/,
-                                    Respond respond) {
+void MaintenanceHandlers::getMaintenance(Respond respond) const {
   const NodeInformation& node = dependencies_.node;
-  readRegister(
-      [&node](const RegisterValue& value, const Respond& answer) {
+  reader_.read(
+      [&node](const RegisterValue& value, const Respond& then) {
         std::vector<MaintainedWorker> workers;
         const std::vector<configuration::FleetWorker> fleet = fleetOf(*node.fleet());
         for (const std::string& name : configuration::workersInMaintenance(value.document)) {
-          MaintainedWorker one;
-          one.worker.worker = name;
+          MaintainedWorker maintained;
+          maintained.worker.worker = name;
           const auto listed = std::ranges::find(fleet, name, &configuration::FleetWorker::worker);
           if (listed != fleet.end()) {
-            one.worker = *listed;
-            one.listed = true;
-            one.in_flight = node.requestsOn(name);
+            maintained.worker = *listed;
+            maintained.listed = true;
+            maintained.in_flight = node.requestsOn(name);
           }
-          workers.push_back(std::move(one));
+          workers.push_back(std::move(maintained));
         }
-        answer(jsonResponse(StatusOk, renderMaintenance(workers)));
+        then(jsonResponse(StatusOk, renderMaintenance(workers)));
       },
       std::move(respond));
 }
 
-void ControlService::postNextMaintenance(const http::Request& request, const std::string& /*name*/,
-                                         Respond respond) {
+void MaintenanceHandlers::postNext(const http::Request& request, Respond respond) const {
   std::vector<Fault> faults;
   configuration::MaintenanceOrder order;
   order.change_id = changeIdOf(request, faults);
-  order.wanted = sickest(dependencies_.node.health());
-  submitMaintenance(std::move(order), faults, std::move(respond));
+  order.wanted = unhealthyWorkers(dependencies_.node.health());
+  submit(std::move(order), faults, std::move(respond));
 }
 
-void ControlService::postMaintenance(const http::Request& request, const std::string& name,
-                                     Respond respond) {
+void MaintenanceHandlers::postWorker(const http::Request& request, const std::string& worker,
+                                     Respond respond) const {
   std::vector<Fault> faults;
   configuration::MaintenanceOrder order;
   order.change_id = changeIdOf(request, faults);
-  order.wanted = {name};
+  order.wanted = {worker};
   order.is_chosen = true;
-  submitMaintenance(std::move(order), faults, std::move(respond));
+  submit(std::move(order), faults, std::move(respond));
 }
 
-void ControlService::submitMaintenance(configuration::MaintenanceOrder order,
-                                       const std::vector<Fault>& faults, Respond respond) {
+void MaintenanceHandlers::submit(configuration::MaintenanceOrder order,
+                                 const std::vector<Fault>& faults, Respond respond) const {
   if (!faults.empty()) {
     respond(controlError(codeOf(faults), faults));
     return;
@@ -112,12 +92,12 @@
       },
       change_id,
       [this, change_id, respond = std::move(respond)](const ChangeAnswer& answer) {
-        answerMaintenance(answer, change_id, respond);
+        respondSubmitted(answer, change_id, respond);
       });
 }
 
-void ControlService::answerMaintenance(const ChangeAnswer& answer, const std::string& change_id,
-                                       const Respond& respond) {
+void MaintenanceHandlers::respondSubmitted(const ChangeAnswer& answer, const std::string& change_id,
+                                           const Respond& respond) const {
   const bool is_committed =
       answer.code == ResultCode::Ok || answer.code == ResultCode::CommittedNotYetInForce;
   const std::uint16_t status = base::describe(answer.code).http_status;
@@ -125,8 +105,8 @@
     respond(jsonResponse(status, renderMaintenanceResult(answer, {})));
     return;
   }
-  // Which worker it was stands in the register, also where an earlier sending decided.
-  readRegister(
+  // The register records the worker, also where an earlier attempt of the change decided.
+  reader_.read(
       [answer, change_id, status](const RegisterValue& value, const Respond& then) {
         const auto worker = configuration::workerTakenOut(value, change_id);
         then(jsonResponse(status, renderMaintenanceResult(answer, worker.value_or(""))));
@@ -134,8 +114,8 @@
       respond);
 }
 
-void ControlService::deleteMaintenance(const http::Request& request, const std::string& name,
-                                       Respond respond) {
+void MaintenanceHandlers::deleteWorker(const http::Request& request, const std::string& worker,
+                                       Respond respond) const {
   std::vector<Fault> faults;
   const std::string change_id = changeIdOf(request, faults);
   if (!faults.empty()) {
@@ -143,13 +123,13 @@
     return;
   }
   dependencies_.coordinator.submitOrder(
-      [change_id, name](const RegisterValue& present) {
-        return configuration::decideMaintenanceEnd(present, change_id, name);
+      [change_id, worker](const RegisterValue& present) {
+        return configuration::decideMaintenanceEnd(present, change_id, worker);
       },
       change_id,
-      [name, respond = std::move(respond)](const ChangeAnswer& answer) {
+      [worker, respond = std::move(respond)](const ChangeAnswer& answer) {
         respond(jsonResponse(base::describe(answer.code).http_status,
-                             renderMaintenanceResult(answer, name)));
+                             renderMaintenanceResult(answer, worker)));
       });
 }
 
--- a/libraries/core/test/fakes.h
+++ b/libraries/core/test/fakes.h
@@ -93,14 +93,14 @@
 class FakeNode : public NodeInformation {
  public:
   FakeNode(base::Dispatcher& dispatcher, journal::Journal& journal)
-      : ledger(dispatcher), ranking(dispatcher, ledger), beliefs_(journal) {}
+      : ledger(dispatcher), ranking(dispatcher, ledger), state_view_(journal) {}
   NodeStatus status() const override {
     NodeStatus status;
     status.address = {"127.0.0.1", 7000};
     status.leases.push_back({"platform-watcher", true, 4});
     return status;
   }
-  const journal::StateView& beliefs() const override { return beliefs_; }
+  const journal::StateView& stateView() const override { return state_view_; }
   const worker_health::HealthRanking& health() const override { return ranking; }
   workers::WorkerSnapshotPtr fleet() const override { return snapshot; }
   std::uint32_t requestsOn(const std::string& /*worker*/) const override { return 2; }
@@ -110,7 +110,7 @@
   std::shared_ptr<workers::WorkerSnapshot> snapshot = std::make_shared<workers::WorkerSnapshot>();
 
  private:
-  journal::StateView beliefs_;
+  journal::StateView state_view_;
 };
 
 }  // namespace switchsaddle::core
