--- a/libraries/core/include/switchsaddle/core/in_force_tracker.h
+++ b/libraries/core/include/switchsaddle/core/in_force_tracker.h
@@ -3,45 +3,48 @@
 #include <cstdint>
 #include <functional>
 #include <map>
-#include <memory>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
+#include "switchsaddle/core/configuration_pusher.h"
 #include "switchsaddle/dissemination/configuration_replica.h"
 #include "switchsaddle/sessions/session_directory.h"
 #include "switchsaddle/transport/peer_calls.h"
 
 namespace switchsaddle::core {
 
-/** Times of the wait until a version is in force. */
+/** Intervals of the tracker's readings. */
 struct InForceOptions {
-  /** Pause between two looks at the session tables. */
-  base::Duration reading_pause = std::chrono::milliseconds(10);
-  /** The same where readings take long: twice as long as the last one took, up to this. Also the
-   * longest time for which the own table alone is looked at while it shows fronts behind. */
-  base::Duration longest_pause = std::chrono::milliseconds(200);
-  /** Pause before a delta is pushed to one front again; doubled with each further push. */
-  base::Duration push_pause = std::chrono::milliseconds(100);
-  base::Duration longest_push_pause = std::chrono::milliseconds(800);
+  /** Least interval between two polls of the session tables. */
+  base::Duration reading_interval = std::chrono::milliseconds(10);
+  /**
+   * Bound of the interval where readings are slow: it is twice the duration of the last one. Also
+   * the longest time for which the local table alone is polled while it shows lagging fronts.
+   */
+  base::Duration maximum_reading_interval = std::chrono::milliseconds(200);
+  PushOptions push;
 };
 
-/** How a wait ended, and what the readings that counted for it had shown. */
+/** The result of waiting for a version, by the last reading that counted for it. */
 struct InForceOutcome {
   bool in_force = false;
-  /** Readings that a majority answered. */
+  /** Readings to which a majority replied. */
   std::size_t readings = 0;
-  /** Live sessions with an older version at the last of them. */
+  /** Live sessions with an older version. */
   std::size_t lagging = 0;
   /** One of these fronts; empty where there is none. */
   base::NodeAddress first_lagging;
 };
 
 /**
- * Pushes the committed configuration to the fronts with live sessions, and tells when each of them
- * has confirmed a version or its session has lapsed. Only readings of a majority's tables begun
- * after the wait count, so that every front which could still work by an older version is among
- * those read. One reading serves all waits. While this node's own table shows fronts behind, the
- * others' are seldom asked. Runs on the control strand.
+ * Pushes the committed configuration to the fronts with live sessions, and determines when a
+ * version is in force: each front has confirmed it, or its session has lapsed.
+ *
+ * Invariant: for a pending version only those readings of a majority's session tables count that
+ * began after the wait, so that every front that may still serve by an older version is among the
+ * sessions read. One reading serves all pending versions. While the local table shows lagging
+ * fronts, the peers' tables are seldom read. Runs on the control strand.
  */
 class InForceTracker {
  public:
@@ -53,59 +56,65 @@
   InForceTracker(const InForceTracker&) = delete;
   InForceTracker& operator=(const InForceTracker&) = delete;
 
-  /** Waits until `version` is in force everywhere, at most until `deadline`. */
+  /**
+   * Waits until `version` is in force.
+   *
+   * @param callback called once, at the latest at `deadline`.
+   */
   void wait(std::uint64_t version, base::TimePoint deadline, Callback callback);
-  /** Pushes the configuration held here to the fronts this node knows, where they lack it. */
+  /** Pushes the replica's version to the fronts in the local session table that lack it. */
   void pushToLocalSessions();
-  /** Pushes what was just committed, before it is in force at this node: working that out takes
-   * time that the fronts need not wait for. */
+  /**
+   * Pushes a committed delta before it is applied to the local replica, so that the fronts need not
+   * wait for that.
+   */
   void pushCommitted(const wire::ConfigurationDelta& delta);
 
  private:
-  struct Wait {
+  /** A version that some caller waits for. */
+  struct PendingVersion {
     std::uint64_t version = 0;
-    /** The first reading that counts. */
+    /** Number of the first reading that counts. */
     std::uint64_t first_reading = 0;
-    InForceOutcome seen;
+    InForceOutcome outcome;
     Callback callback;
-    base::TimerPtr deadline;
+    base::TimerPtr deadline_timer;
   };
 
-  /** Reads the tables of a majority, or waits where this node's own shows fronts behind. */
-  void poll();
-  /** Whether it shows fronts behind the oldest version that is waited for; pushes to those that
-   * lack the newest. */
-  bool localTableShowsLagging();
-  std::uint64_t newestAwaited() const;
-  std::uint64_t oldestAwaited() const;
+  /** Starts a reading, or retries later where the local table shows lagging fronts. */
+  void startReadingIfDue();
+  /**
+   * Pushes to the fronts in the local table that lack the newest pending version.
+   *
+   * @return whether some of them lack the oldest one.
+   */
+  bool pushToLocalLagging();
+  std::uint64_t newestPending() const;
+  std::uint64_t oldestPending() const;
   void startReading();
   void onReading(base::ResultCode code, const std::vector<wire::SessionTableEntry>& sessions);
-  void push(const std::vector<wire::SessionTableEntry>& sessions);
-  /** Tells a wait what a reading shows; true where its version is in force. */
-  static bool see(Wait& wait, const std::vector<wire::SessionTableEntry>& sessions);
-  void finish(std::uint64_t wait);
+  void applyReading(const std::vector<wire::SessionTableEntry>& sessions);
+  /** @return whether the pending version is in force by these sessions. */
+  static bool updateOutcome(PendingVersion& pending,
+                            const std::vector<wire::SessionTableEntry>& sessions);
+  void finish(std::uint64_t id);
 
   base::Dispatcher& dispatcher_;
-  transport::PeerCalls& calls_;
   sessions::SessionDirectory& sessions_;
   const dissemination::ConfigurationReplica& replica_;
   InForceOptions options_;
+  ConfigurationPusher pusher_;
   base::TimerPtr reading_timer_;
+  /** Whether a reading is in progress. */
   bool reading_ = false;
-  base::TimePoint reading_began_;
-  base::TimePoint last_reading_;
+  base::TimePoint reading_began_at_;
+  /** When the last reading began, or the first of the pending versions was added. */
+  base::TimePoint last_reading_at_;
   /** Number of the newest reading begun. */
   std::uint64_t reading_number_ = 0;
-  std::uint64_t next_wait_ = 1;
-  std::map<std::uint64_t, Wait> waits_;
-  /** When and which version was last pushed to a front. */
-  struct Push {
-    std::uint64_t version = 0;
-    base::TimePoint at;
-    base::Duration pause;
-  };
-  std::map<base::NodeAddress, Push> pushes_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  std::uint64_t next_id_ = 1;
+  std::map<std::uint64_t, PendingVersion> pending_;
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::core
--- /dev/null
+++ b/libraries/core/include/switchsaddle/core/member_liveness.h
@@ -0,0 +1,51 @@
+#pragma once
+
+#include <map>
+#include <string>
+#include <vector>
+
+#include "switchsaddle/base/time.h"
+#include "switchsaddle/core/member_spread.h"
+#include "switchsaddle/wire/control_messages.h"
+
+namespace switchsaddle::core {
+
+/**
+ * When the members of the acceptor set were last seen by their heartbeats, and the zones they
+ * reported. Runs on the control strand.
+ */
+class MemberLiveness {
+ public:
+  using Members = std::vector<wire::AcceptorMember>;
+
+  /** @param timeout a member without a heartbeat for this long counts as unresponsive. */
+  explicit MemberLiveness(base::Duration timeout) : timeout_(timeout) {}
+
+  /** Drops what was seen; the time-outs of all members start anew. */
+  void reset() { last_seen_.clear(); }
+  /** Drops members that left the set, and starts the time-out of those that joined. */
+  void setMembers(const Members& members, base::TimePoint now);
+  bool tracks(const wire::AcceptorMember& member) const { return last_seen_.contains(member); }
+  void noteAlive(const wire::AcceptorMember& member, const std::string& zone, base::TimePoint now);
+  /** Lets the member's time-out expire, since its process has ended. */
+  void noteEnded(const wire::AcceptorMember& member, base::TimePoint now);
+
+  const std::map<wire::AcceptorMember, base::TimePoint>& lastSeen() const { return last_seen_; }
+  bool isUnresponsive(base::TimePoint last_seen, base::TimePoint now) const {
+    return now - last_seen >= timeout_;
+  }
+  /**
+   * @param excluded left out; may be null.
+   * @return the members with the zones they reported.
+   */
+  std::vector<PlacedCore> placed(const Members& members,
+                                 const wire::AcceptorMember* excluded = nullptr) const;
+
+ private:
+  base::Duration timeout_;
+  /** When each member was last seen; at first, when it was tracked. */
+  std::map<wire::AcceptorMember, base::TimePoint> last_seen_;
+  std::map<wire::AcceptorMember, std::string> zones_;
+};
+
+}  // namespace switchsaddle::core
--- a/libraries/core/include/switchsaddle/core/membership_role.h
+++ b/libraries/core/include/switchsaddle/core/membership_role.h
@@ -1,7 +1,6 @@
 #pragma once
 
 #include <cstdint>
-#include <string>
 
 #include "switchsaddle/core/core_environment.h"
 #include "switchsaddle/core/membership_reconciler.h"
@@ -39,8 +38,7 @@
 
  private:
   void onLease(bool gained);
-  /** @param lacking "cores" or "zones"; empty where the set tolerates the losses again. */
-  void reportShortfall(const std::string& lacking);
+  void reportShortfall(SpreadShortfall shortfall);
 
   base::IncidentSink& incidents_;
   const registers::Acceptor& acceptor_;
--- a/libraries/core/source/core_options.cc
+++ b/libraries/core/source/core_options.cc
@@ -55,8 +55,8 @@
 MembershipOptions membershipOptionsOf(const configuration::Settings& settings) {
   MembershipOptions result;
   result.unresponsive_timeout = settings.times.core_replacement_timeout;
-  result.tolerated_core_losses = settings.tolerated_core_losses;
-  result.tolerated_zone_losses = settings.tolerated_zone_losses;
+  result.tolerated.cores = settings.tolerated_core_losses;
+  result.tolerated.zones = settings.tolerated_zone_losses;
   return result;
 }
 
--- a/libraries/core/source/in_force_tracker.cc
+++ b/libraries/core/source/in_force_tracker.cc
@@ -1,7 +1,6 @@
 #include "switchsaddle/core/in_force_tracker.h"
 
 #include <algorithm>
-#include <map>
 #include <utility>
 
 namespace switchsaddle::core {
@@ -11,76 +10,71 @@
                                const dissemination::ConfigurationReplica& replica,
                                InForceOptions options)
     : dispatcher_(dispatcher),
-      calls_(calls),
       sessions_(sessions),
       replica_(replica),
       options_(options),
-      reading_timer_(dispatcher.createTimer([this] { poll(); })) {}
+      pusher_(dispatcher, calls, replica, options.push),
+      reading_timer_(dispatcher.createTimer([this] { startReadingIfDue(); })) {}
 
 void InForceTracker::wait(std::uint64_t version, base::TimePoint deadline, Callback callback) {
-  const std::uint64_t number = next_wait_++;
-  Wait& wait = waits_[number];
-  wait.version = version;
-  wait.first_reading = reading_number_ + 1;
-  wait.callback = std::move(callback);
-  wait.deadline = dispatcher_.createTimer([this, number] { finish(number); });
-  wait.deadline->enable(std::max(base::Duration::zero(), deadline - dispatcher_.now()));
-  if (waits_.size() == 1) {
-    last_reading_ = dispatcher_.now();
+  const std::uint64_t id = next_id_++;
+  PendingVersion& pending = pending_[id];
+  pending.version = version;
+  pending.first_reading = reading_number_ + 1;
+  pending.callback = std::move(callback);
+  pending.deadline_timer = dispatcher_.createTimer([this, id] { finish(id); });
+  pending.deadline_timer->enable(std::max(base::Duration::zero(), deadline - dispatcher_.now()));
+  if (pending_.size() == 1) {
+    last_reading_at_ = dispatcher_.now();
   }
   pushToLocalSessions();
   if (!reading_) {
-    poll();
+    startReadingIfDue();
   }
 }
 
 void InForceTracker::pushToLocalSessions() {
-  push(sessions_.localLagging(replica_.version()));
+  pusher_.push(sessions_.localLagging(replica_.version()));
 }
 
 void InForceTracker::pushCommitted(const wire::ConfigurationDelta& delta) {
-  const base::TimePoint now = dispatcher_.now();
-  std::vector<base::NodeAddress> fronts;
-  for (const wire::SessionTableEntry& session : sessions_.localLagging(delta.to_version)) {
-    pushes_[session.record.front] = {delta.to_version, now, options_.push_pause};
-    fronts.push_back(session.record.front);
-  }
-  calls_.notifyAll(std::move(fronts), delta);
+  pusher_.pushDelta(delta, sessions_.localLagging(delta.to_version));
 }
 
-std::uint64_t InForceTracker::newestAwaited() const {
+std::uint64_t InForceTracker::newestPending() const {
   std::uint64_t newest = 0;
-  for (const auto& [number, wait] : waits_) {
-    newest = std::max(newest, wait.version);
+  for (const auto& [id, pending] : pending_) {
+    newest = std::max(newest, pending.version);
   }
   return newest;
 }
 
-std::uint64_t InForceTracker::oldestAwaited() const {
+std::uint64_t InForceTracker::oldestPending() const {
   std::uint64_t oldest = UINT64_MAX;
-  for (const auto& [number, wait] : waits_) {
-    oldest = std::min(oldest, wait.version);
+  for (const auto& [id, pending] : pending_) {
+    oldest = std::min(oldest, pending.version);
   }
   return oldest;
 }
 
-bool InForceTracker::localTableShowsLagging() {
-  const std::vector<wire::SessionTableEntry> lagging = sessions_.localLagging(newestAwaited());
-  push(lagging);
-  const std::uint64_t oldest = oldestAwaited();
+bool InForceTracker::pushToLocalLagging() {
+  const std::vector<wire::SessionTableEntry> lagging = sessions_.localLagging(newestPending());
+  pusher_.push(lagging);
+  const std::uint64_t oldest = oldestPending();
   return std::ranges::any_of(lagging, [oldest](const wire::SessionTableEntry& session) {
     return session.record.applied_version < oldest;
   });
 }
 
-void InForceTracker::poll() {
+void InForceTracker::startReadingIfDue() {
   reading_timer_->disable();
-  if (reading_ || waits_.empty()) {
+  if (reading_ || pending_.empty()) {
     return;
   }
-  const bool read_lately = dispatcher_.now() - last_reading_ < options_.longest_pause;
-  if (read_lately && localTableShowsLagging()) {
-    reading_timer_->enable(options_.reading_pause);
+  const bool read_recently =
+      dispatcher_.now() - last_reading_at_ < options_.maximum_reading_interval;
+  if (read_recently && pushToLocalLagging()) {
+    reading_timer_->enable(options_.reading_interval);
   } else {
     startReading();
   }
@@ -88,91 +82,67 @@
 
 void InForceTracker::startReading() {
   reading_ = true;
-  reading_began_ = dispatcher_.now();
-  last_reading_ = reading_began_;
+  reading_began_at_ = dispatcher_.now();
+  last_reading_at_ = reading_began_at_;
   ++reading_number_;
-  sessions_.readLagging(newestAwaited(), [this, alive = std::weak_ptr(alive_)](
-                                             base::ResultCode code, const auto& sessions) {
-    if (!alive.expired()) {
-      onReading(code, sessions);
-    }
-  });
+  sessions_.readLagging(newestPending(),
+                        callbacks_.guard([this](base::ResultCode code, const auto& sessions) {
+                          onReading(code, sessions);
+                        }));
 }
 
 void InForceTracker::onReading(base::ResultCode code,
                                const std::vector<wire::SessionTableEntry>& sessions) {
   reading_ = false;
   if (code == base::ResultCode::Ok) {
-    push(sessions);
-    std::vector<std::uint64_t> done;
-    for (auto& [number, wait] : waits_) {
-      if (wait.first_reading <= reading_number_ && see(wait, sessions)) {
-        done.push_back(number);
-      }
-    }
-    for (const std::uint64_t number : done) {
-      finish(number);
-    }
+    applyReading(sessions);
   }
-  if (!waits_.empty() && !reading_) {
-    // A reading that takes long shows that the cores are busy: they are asked less often.
-    const base::Duration took = dispatcher_.now() - reading_began_;
-    reading_timer_->enable(
-        std::clamp<base::Duration>(2 * took, options_.reading_pause, options_.longest_pause));
+  if (!pending_.empty() && !reading_) {
+    // A slow reading shows that the cores are busy, so the next one starts later.
+    const base::Duration duration = dispatcher_.now() - reading_began_at_;
+    reading_timer_->enable(std::clamp<base::Duration>(2 * duration, options_.reading_interval,
+                                                      options_.maximum_reading_interval));
   }
 }
 
-void InForceTracker::push(const std::vector<wire::SessionTableEntry>& sessions) {
-  const base::TimePoint now = dispatcher_.now();
-  // Most fronts lack the same versions, and a delta costs a pass over the whole document.
-  std::map<std::uint64_t, std::vector<base::NodeAddress>> fronts_by_version;
-  std::erase_if(pushes_,
-                [&](const auto& item) { return now - item.second.at > std::chrono::seconds(10); });
-  for (const wire::SessionTableEntry& session : sessions) {
-    const bool lacks =
-        !session.record.closed && session.record.applied_version < replica_.version();
-    if (!lacks) {
-      continue;
-    }
-    const auto pushed = pushes_.find(session.record.front);
-    const bool again = pushed != pushes_.end() && pushed->second.version == replica_.version();
-    if (again && now - pushed->second.at < pushed->second.pause) {
-      continue;
+void InForceTracker::applyReading(const std::vector<wire::SessionTableEntry>& sessions) {
+  pusher_.push(sessions);
+  std::vector<std::uint64_t> in_force;
+  for (auto& [id, pending] : pending_) {
+    if (pending.first_reading <= reading_number_ && updateOutcome(pending, sessions)) {
+      in_force.push_back(id);
     }
-    const base::Duration pause =
-        again ? std::min(2 * pushed->second.pause, options_.longest_push_pause)
-              : options_.push_pause;
-    pushes_[session.record.front] = {replica_.version(), now, pause};
-    fronts_by_version[session.record.applied_version].push_back(session.record.front);
   }
-  for (auto& [version, fronts] : fronts_by_version) {
-    calls_.notifyAll(std::move(fronts), replica_.document().deltaSince(version));
+  for (const std::uint64_t id : in_force) {
+    finish(id);
   }
 }
 
-bool InForceTracker::see(Wait& wait, const std::vector<wire::SessionTableEntry>& sessions) {
-  InForceOutcome& seen = wait.seen;
-  ++seen.readings;
-  seen.lagging = 0;
-  seen.first_lagging = {};
+bool InForceTracker::updateOutcome(PendingVersion& pending,
+                                   const std::vector<wire::SessionTableEntry>& sessions) {
+  InForceOutcome& outcome = pending.outcome;
+  ++outcome.readings;
+  outcome.lagging = 0;
+  outcome.first_lagging = {};
   for (const wire::SessionTableEntry& session : sessions) {
-    const bool lagging = !session.record.closed && session.record.applied_version < wait.version;
-    if (lagging && seen.lagging++ == 0) {
-      seen.first_lagging = session.record.front;
+    const bool is_lagging =
+        !session.record.closed && session.record.applied_version < pending.version;
+    if (is_lagging && outcome.lagging++ == 0) {
+      outcome.first_lagging = session.record.front;
     }
   }
-  seen.in_force = seen.lagging == 0;
-  return seen.in_force;
+  outcome.in_force = outcome.lagging == 0;
+  return outcome.in_force;
 }
 
-void InForceTracker::finish(std::uint64_t wait) {
-  const auto found = waits_.find(wait);
-  if (found == waits_.end()) {
+void InForceTracker::finish(std::uint64_t id) {
+  const auto found = pending_.find(id);
+  if (found == pending_.end()) {
     return;
   }
-  const Wait finished = std::move(found->second);
-  waits_.erase(found);
-  finished.callback(finished.seen);
+  const PendingVersion finished = std::move(found->second);
+  pending_.erase(found);
+  finished.callback(finished.outcome);
 }
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/member_spread.cc
+++ b/libraries/core/source/member_spread.cc
@@ -1,4 +1,4 @@
-#include "member_spread.h"
+#include "switchsaddle/core/member_spread.h"
 
 #include <algorithm>
 #include <functional>
@@ -22,8 +22,8 @@
   return std::ranges::none_of(members, [](const PlacedCore& core) { return core.zone.empty(); });
 }
 
-/** Whether a majority is left without the `zones` zones that hold the most members. */
-bool bearsZoneLosses(const std::vector<PlacedCore>& members, std::uint32_t zones) {
+/** Whether a majority survives the loss of the `zones` zones with the most members. */
+bool toleratesZoneLosses(const std::vector<PlacedCore>& members, std::uint32_t zones) {
   std::vector<std::size_t> sizes;
   for (const auto& [zone, count] : countZones(members)) {
     sizes.push_back(count);
@@ -36,7 +36,7 @@
   return left > members.size() / 2;
 }
 
-/** The candidate whose zone has the fewest members. */
+/** @return the candidate whose zone has the fewest members; null without candidates. */
 const PlacedCore* fewestInZone(const ZoneCounts& counts,
                                const std::vector<PlacedCore>& candidates) {
   const auto in_zone = [&counts](const PlacedCore& core) {
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-std::size_t wantedMembers(ToleratedLosses tolerated) {
+std::size_t requiredMembers(ToleratedLosses tolerated) {
   const std::size_t losses = std::max(tolerated.cores, tolerated.zones);
   return losses == 0 ? 0 : 2 * losses + 1;
 }
@@ -63,7 +63,7 @@
 std::optional<MemberExchange> exchangeForSpread(const std::vector<PlacedCore>& members,
                                                 const std::vector<PlacedCore>& candidates,
                                                 ToleratedLosses tolerated) {
-  if (!allZonesKnown(members) || bearsZoneLosses(members, tolerated.zones)) {
+  if (!allZonesKnown(members) || toleratesZoneLosses(members, tolerated.zones)) {
     return std::nullopt;
   }
   const ZoneCounts counts = countZones(members);
@@ -82,11 +82,11 @@
 }
 
 SpreadShortfall shortfallOf(const std::vector<PlacedCore>& members, ToleratedLosses tolerated) {
-  if (members.size() < wantedMembers(tolerated)) {
+  if (members.size() < requiredMembers(tolerated)) {
     return SpreadShortfall::Cores;
   }
-  const bool bears = !allZonesKnown(members) || bearsZoneLosses(members, tolerated.zones);
-  return bears ? SpreadShortfall::None : SpreadShortfall::Zones;
+  const bool tolerates = !allZonesKnown(members) || toleratesZoneLosses(members, tolerated.zones);
+  return tolerates ? SpreadShortfall::None : SpreadShortfall::Zones;
 }
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/membership_reconciler.cc
+++ b/libraries/core/source/membership_reconciler.cc
@@ -2,37 +2,13 @@
 
 #include <algorithm>
 #include <utility>
-#include <vector>
-
-#include "member_spread.h"
 
 namespace switchsaddle::core {
 
 namespace {
 
-/** Questions to a new core before an operator is told that it does not answer. */
-constexpr std::uint32_t InstanceAttempts = 5;
-
-ToleratedLosses toleratedBy(const MembershipOptions& options) {
-  return {options.tolerated_core_losses, options.tolerated_zone_losses};
-}
-
-const char* nameOf(SpreadShortfall shortfall) {
-  switch (shortfall) {
-    case SpreadShortfall::None:
-      return "";
-    case SpreadShortfall::Cores:
-      return "cores";
-    case SpreadShortfall::Zones:
-      return "zones";
-  }
-  return "";
-}
-
-bool contains(const std::vector<wire::AcceptorMember>& members, std::uint64_t instance) {
-  return std::any_of(members.begin(), members.end(),
-                     [&](const auto& member) { return member.instance == instance; });
-}
+/** Queries to a new core before the operator's order fails. */
+constexpr std::uint32_t InstanceQueryAttempts = 5;
 
 }  // namespace
 
@@ -49,266 +25,195 @@
       change_(change),
       holds_lease_(std::move(holds_lease)),
       options_(options),
-      timer_(dispatcher.createTimer([this] { check(); })) {}
+      timer_(dispatcher.createTimer([this] { check(); })),
+      liveness_(options.unresponsive_timeout),
+      candidates_(options.candidate_lifetime),
+      shortfall_(options.shortfall_report_delay) {}
 
 void MembershipReconciler::start() {
-  last_seen_.clear();
-  short_since_.reset();
-  shortfall_reported_ = false;
+  liveness_.reset();
+  shortfall_.reset();
   timer_->enable(options_.check_interval);
-  // A change which another driver left under way is finished first.
+  // A change that another lease holder left in progress is completed first.
   change_.resume([](base::ResultCode) {});
 }
 
 void MembershipReconciler::stop() {
   timer_->disable();
-  last_seen_.clear();
+  liveness_.reset();
 }
 
 void MembershipReconciler::onCandidate(const wire::CoreAnnounce& announce) {
   const base::TimePoint now = dispatcher_.now();
-  Candidate& candidate = candidates_[announce.member.instance];
-  candidate.announce = announce;
-  candidate.last_seen = now;
-  forgetOldCandidates();
-  const bool just_forwarded =
-      candidate.forwarded_at && now - *candidate.forwarded_at < options_.forward_pause;
-  if (just_forwarded || holds_lease_()) {
+  const std::uint64_t instance = announce.member.instance;
+  candidates_.update(announce, now);
+  candidates_.removeExpired(now);
+  if (candidates_.forwardedWithin(instance, options_.forward_interval, now) || holds_lease_()) {
     return;
   }
-  candidate.forwarded_at = now;
-  for (const wire::AcceptorMember& member : acceptor_.acceptorSet().members) {
+  candidates_.noteForwarded(instance, now);
+  for (const wire::AcceptorMember& member : members()) {
     if (member.address != calls_.localAddress()) {
       calls_.notify(member.address, announce);
     }
   }
 }
 
-void MembershipReconciler::forgetOldCandidates() {
-  const base::TimePoint now = dispatcher_.now();
-  std::erase_if(candidates_, [&](const auto& item) {
-    return now - item.second.last_seen > options_.candidate_lifetime;
-  });
-}
-
 void MembershipReconciler::check() {
   timer_->enable(options_.check_interval);
   if (!holds_lease_()) {
     return;
   }
-  forgetOldCandidates();
+  candidates_.removeExpired(dispatcher_.now());
   sendHeartbeats();
-  noteShortfall();
-  if (!change_.active() && !replaceOneUnresponsive() && !addOneWanted()) {
+  updateShortfall();
+  if (!change_.active() && !replaceUnresponsiveMember() && !addMissingMember()) {
     spreadOverZones();
   }
 }
 
+wire::CoreAnnounce MembershipReconciler::query() const {
+  return {{calls_.localAddress(), acceptor_.instance()}, true, {}};
+}
+
 void MembershipReconciler::sendHeartbeats() {
-  const base::TimePoint now = dispatcher_.now();
-  const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
-  const auto has_left = [&members](const auto& item) {
-    return !contains(members, item.first.instance);
-  };
-  std::erase_if(last_seen_, has_left);
-  std::erase_if(zones_, has_left);
-  const wire::CoreAnnounce question{{calls_.localAddress(), acceptor_.instance()}, true, {}};
-  for (const wire::AcceptorMember& member : members) {
-    last_seen_.try_emplace(member, now);
-    calls_.call(member.address, question, options_.call_timeout,
-                [this, alive = std::weak_ptr(alive_), member](const transport::CallResult& result) {
-                  if (!alive.expired()) {
-                    onSign(member, result);
-                  }
-                });
+  liveness_.setMembers(members(), dispatcher_.now());
+  const wire::CoreAnnounce heartbeat = query();
+  for (const wire::AcceptorMember& member : members()) {
+    calls_.call(member.address, heartbeat, options_.call_timeout,
+                callbacks_.guard([this, member](const transport::CallResult& result) {
+                  onHeartbeatReply(member, result);
+                }));
   }
 }
 
-void MembershipReconciler::onSign(const wire::AcceptorMember& member,
-                                  const transport::CallResult& result) {
+void MembershipReconciler::onHeartbeatReply(const wire::AcceptorMember& member,
+                                            const transport::CallResult& result) {
   const auto* reply = result.as<wire::CoreAnnounceReply>();
-  const auto heard = last_seen_.find(member);
-  if (reply == nullptr || heard == last_seen_.end()) {
+  if (reply == nullptr || !liveness_.tracks(member)) {
     return;
   }
   const base::TimePoint now = dispatcher_.now();
-  if (reply->member.instance == member.instance) {
-    heard->second = now;
-    zones_[member] = reply->zone;
-  } else if (!contains(acceptor_.acceptorSet().members, reply->member.instance)) {
-    // Another instance has the member's address, so that the member is gone for good.
-    candidates_[reply->member.instance] = {
-        {reply->member, reply->holds_state, reply->zone}, now, {}};
-    heard->second = now - options_.unresponsive_timeout;
+  const std::uint64_t instance = reply->member.instance;
+  if (instance == member.instance) {
+    liveness_.noteAlive(member, reply->zone, now);
+    return;
+  }
+  const bool is_member =
+      std::ranges::find(members(), instance, &wire::AcceptorMember::instance) != members().end();
+  if (!is_member) {
+    // Another instance has the member's address, so the member's instance has ended for good.
+    candidates_.insert({reply->member, reply->holds_state, reply->zone}, now);
+    liveness_.noteEnded(member, now);
   }
 }
 
-bool MembershipReconciler::replaceOneUnresponsive() {
+bool MembershipReconciler::replaceUnresponsiveMember() {
   const base::TimePoint now = dispatcher_.now();
-  for (const auto& [member, last_seen] : last_seen_) {
+  for (const auto& [member, last_seen] : liveness_.lastSeen()) {
     const std::optional<wire::AcceptorMember> candidate = candidateFor(member);
     const bool same_address = candidate && candidate->address == member.address;
-    const bool silent = now - last_seen >= options_.unresponsive_timeout;
-    if (!candidate || !(silent || same_address)) {
-      continue;
+    if (candidate && (same_address || liveness_.isUnresponsive(last_seen, now))) {
+      replaceMember(member, *candidate, [](base::ResultCode) {});
+      return true;
     }
-    exchangeMember(member, *candidate);
-    return true;
   }
   return false;
 }
 
-bool MembershipReconciler::addOneWanted() {
-  const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
-  if (members.size() >= wantedMembers(toleratedBy(options_))) {
+bool MembershipReconciler::addMissingMember() {
+  if (members().size() >= requiredMembers(options_.tolerated)) {
     return false;
   }
   const std::optional<wire::AcceptorMember> candidate =
-      memberToAdd(placedMembers(), candidatesElsewhere());
+      memberToAdd(liveness_.placed(members()), candidates_.atOtherAddresses(members()));
   if (!candidate) {
     return false;
   }
-  change_.add(*candidate, [this, alive = std::weak_ptr(alive_), candidate](base::ResultCode code) {
-    if (!alive.expired()) {
-      journal_.append(journal::Subject::AcceptorSet, "addition",
-                      candidate->address.toString() + ": " + std::string(base::describe(code).name),
-                      acceptor_.acceptorSet().epoch);
-    }
-  });
+  change_.add(*candidate, callbacks_.guard([this, candidate](base::ResultCode code) {
+    journal_.append(journal::Subject::AcceptorSet, "addition",
+                    candidate->address.toString() + ": " + std::string(base::describe(code).name),
+                    acceptor_.acceptorSet().epoch);
+  }));
   return true;
 }
 
 void MembershipReconciler::spreadOverZones() {
-  const std::optional<MemberExchange> exchange =
-      exchangeForSpread(placedMembers(), candidatesElsewhere(), toleratedBy(options_));
+  const std::optional<MemberExchange> exchange = exchangeForSpread(
+      liveness_.placed(members()), candidates_.atOtherAddresses(members()), options_.tolerated);
   if (exchange) {
-    exchangeMember(exchange->leaving, exchange->joining);
+    replaceMember(exchange->leaving, exchange->joining, [](base::ResultCode) {});
   }
 }
 
-void MembershipReconciler::exchangeMember(const wire::AcceptorMember& leaving,
-                                          const wire::AcceptorMember& joining) {
+void MembershipReconciler::replaceMember(const wire::AcceptorMember& leaving,
+                                         const wire::AcceptorMember& joining,
+                                         const Callback& callback) {
   change_.replace(leaving, joining,
-                  [this, alive = std::weak_ptr(alive_), leaving, joining](base::ResultCode code) {
-                    if (!alive.expired()) {
-                      journalReplacement(leaving, joining, code);
-                    }
-                  });
-}
-
-void MembershipReconciler::noteShortfall() {
-  const SpreadShortfall shortfall = shortfallOf(placedMembers(), toleratedBy(options_));
-  const base::TimePoint now = dispatcher_.now();
-  if (shortfall == SpreadShortfall::None) {
-    short_since_.reset();
-  } else if (!short_since_) {
-    short_since_ = now;
-  }
-  const bool lasting = short_since_ && now - *short_since_ >= options_.shortfall_patience;
-  const bool is_over = shortfall == SpreadShortfall::None && shortfall_reported_;
-  if ((lasting && !shortfall_reported_) || is_over) {
-    shortfall_reported_ = lasting;
-    if (shortfall_listener_) {
-      shortfall_listener_(nameOf(shortfall));
-    }
-  }
-}
-
-std::vector<PlacedCore> MembershipReconciler::placedMembers(
-    const wire::AcceptorMember* but_for) const {
-  std::vector<PlacedCore> placed;
-  for (const wire::AcceptorMember& member : acceptor_.acceptorSet().members) {
-    if (but_for != nullptr && member == *but_for) {
-      continue;
-    }
-    const auto zone = zones_.find(member);
-    placed.push_back({member, zone == zones_.end() ? std::string{} : zone->second});
-  }
-  return placed;
+                  callbacks_.guard([this, leaving, joining, callback](base::ResultCode code) {
+                    journalReplacement(leaving, joining, code);
+                    callback(code);
+                  }));
 }
 
-std::vector<PlacedCore> MembershipReconciler::candidatesElsewhere() const {
-  const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
-  std::vector<PlacedCore> candidates;
-  for (const auto& [instance, candidate] : candidates_) {
-    const base::NodeAddress& address = candidate.announce.member.address;
-    const bool address_taken =
-        std::any_of(members.begin(), members.end(),
-                    [&address](const auto& member) { return member.address == address; });
-    if (!address_taken) {
-      candidates.push_back({candidate.announce.member, candidate.announce.zone});
-    }
+void MembershipReconciler::updateShortfall() {
+  const SpreadShortfall present = shortfallOf(liveness_.placed(members()), options_.tolerated);
+  const std::optional<SpreadShortfall> report = shortfall_.update(present, dispatcher_.now());
+  if (report && shortfall_listener_) {
+    shortfall_listener_(*report);
   }
-  return candidates;
 }
 
 std::optional<wire::AcceptorMember> MembershipReconciler::candidateFor(
     const wire::AcceptorMember& member) const {
-  const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
-  for (const auto& [instance, candidate] : candidates_) {
-    const wire::AcceptorMember& announced = candidate.announce.member;
-    if (announced.address == member.address && !contains(members, instance)) {
-      return announced;
-    }
-  }
-  return memberToAdd(placedMembers(&member), candidatesElsewhere());
+  const auto successor = candidates_.atAddress(member.address, members());
+  return successor ? successor
+                   : memberToAdd(liveness_.placed(members(), &member),
+                                 candidates_.atOtherAddresses(members()));
 }
 
 void MembershipReconciler::replace(const base::NodeAddress& old_member,
                                    const base::NodeAddress& new_member, Callback callback) {
-  const std::vector<wire::AcceptorMember>& members = acceptor_.acceptorSet().members;
-  const auto found = std::find_if(members.begin(), members.end(),
-                                  [&](const auto& member) { return member.address == old_member; });
-  if (found == members.end()) {
-    const bool done = std::any_of(members.begin(), members.end(),
-                                  [&](const auto& member) { return member.address == new_member; });
-    callback(done ? base::ResultCode::Ok : base::ResultCode::InvalidValue);
+  const auto leaving = std::ranges::find(members(), old_member, &wire::AcceptorMember::address);
+  if (leaving == members().end()) {
+    const bool is_done =
+        std::ranges::find(members(), new_member, &wire::AcceptorMember::address) != members().end();
+    callback(is_done ? base::ResultCode::Ok : base::ResultCode::InvalidValue);
     return;
   }
-  queryInstance(new_member, InstanceAttempts,
-                [this, alive = std::weak_ptr(alive_), leaving = *found,
+  queryInstance(new_member, InstanceQueryAttempts,
+                [this, leaving = *leaving,
                  callback = std::move(callback)](const transport::CallResult& result) {
-                  const auto* reply = result.as<wire::CoreAnnounceReply>();
-                  if (alive.expired() || reply == nullptr) {
+                  if (const auto* reply = result.as<wire::CoreAnnounceReply>()) {
+                    replaceMember(leaving, reply->member, callback);
+                  } else {
                     callback(result.code == base::ResultCode::Ok ? base::ResultCode::InvalidValue
                                                                  : result.code);
-                    return;
                   }
-                  const wire::AcceptorMember joining = reply->member;
-                  change_.replace(leaving, joining,
-                                  [this, alive, leaving, joining, callback](base::ResultCode code) {
-                                    if (!alive.expired()) {
-                                      journalReplacement(leaving, joining, code);
-                                    }
-                                    callback(code);
-                                  });
                 });
 }
 
-void MembershipReconciler::queryInstance(
-    const base::NodeAddress& address, std::uint32_t attempts,
-    std::function<void(const transport::CallResult&)> callback) {
-  const wire::CoreAnnounce question{{calls_.localAddress(), acceptor_.instance()}, true, {}};
-  calls_.call(address, question, options_.call_timeout,
-              [this, alive = std::weak_ptr(alive_), address, attempts,
-               callback = std::move(callback)](const transport::CallResult& result) {
-                const bool silent = result.code == base::ResultCode::PeerTimeout;
-                if (silent && attempts > 1 && !alive.expired()) {
-                  queryInstance(address, attempts - 1, callback);
-                } else {
-                  callback(result);
-                }
-              });
+void MembershipReconciler::queryInstance(const base::NodeAddress& address, std::uint32_t attempts,
+                                         const CallHandler& handler) {
+  calls_.call(
+      address, query(), options_.call_timeout,
+      callbacks_.guard([this, address, attempts, handler](const transport::CallResult& result) {
+        const bool timed_out = result.code == base::ResultCode::PeerTimeout;
+        if (timed_out && attempts > 1) {
+          queryInstance(address, attempts - 1, handler);
+        } else {
+          handler(result);
+        }
+      }));
 }
 
-void MembershipReconciler::journalReplacement(const wire::AcceptorMember& old_member,
-                                              const wire::AcceptorMember& new_member,
+void MembershipReconciler::journalReplacement(const wire::AcceptorMember& leaving,
+                                              const wire::AcceptorMember& joining,
                                               base::ResultCode code) {
   const std::string outcome(base::describe(code).name);
-  journal_.append(
-      journal::Subject::AcceptorSet, "replacement",
-      old_member.address.toString() + " by " + new_member.address.toString() + ": " + outcome,
-      acceptor_.acceptorSet().epoch);
+  journal_.append(journal::Subject::AcceptorSet, "replacement",
+                  leaving.address.toString() + " by " + joining.address.toString() + ": " + outcome,
+                  acceptor_.acceptorSet().epoch);
 }
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/membership_role.cc
+++ b/libraries/core/source/membership_role.cc
@@ -1,10 +1,28 @@
 #include "switchsaddle/core/membership_role.h"
 
+#include <string>
+
 #include "core_options.h"
 #include "lease_events.h"
 
 namespace switchsaddle::core {
 
+namespace {
+
+std::string nameOf(SpreadShortfall shortfall) {
+  switch (shortfall) {
+    case SpreadShortfall::None:
+      return "";
+    case SpreadShortfall::Cores:
+      return "cores";
+    case SpreadShortfall::Zones:
+      return "zones";
+  }
+  return "";
+}
+
+}  // namespace
+
 MembershipRole::MembershipRole(const CoreEnvironment& environment, RegisterStack& registers,
                                std::uint64_t incarnation)
     : incidents_(environment.incidentSink()),
@@ -17,7 +35,7 @@
           registers.set_change, [this] { return lease_.held(); },
           membershipOptionsOf(environment.settings)) {
   reconciler_.setShortfallListener(
-      [this](const std::string& lacking) { reportShortfall(lacking); });
+      [this](SpreadShortfall shortfall) { reportShortfall(shortfall); });
   registers.bootstrap.setCandidateListener(
       [this](const wire::CoreAnnounce& candidate) { reconciler_.onCandidate(candidate); });
   lease_.setListener([this](bool gained) { onLease(gained); });
@@ -32,12 +50,13 @@
   }
 }
 
-void MembershipRole::reportShortfall(const std::string& lacking) {
+void MembershipRole::reportShortfall(SpreadShortfall shortfall) {
+  const bool is_over = shortfall == SpreadShortfall::None;
   base::Incident incident;
   incident.event = "tolerance-not-met";
-  incident.severity = lacking.empty() ? base::Severity::Info : base::Severity::Warning;
-  incident.code = lacking.empty() ? base::ResultCode::Ok : base::ResultCode::ToleranceNotMet;
-  incident.fields = {{"lacking", lacking},
+  incident.severity = is_over ? base::Severity::Info : base::Severity::Warning;
+  incident.code = is_over ? base::ResultCode::Ok : base::ResultCode::ToleranceNotMet;
+  incident.fields = {{"lacking", nameOf(shortfall)},
                      {"members", std::to_string(acceptor_.acceptorSet().members.size())}};
   incidents_.report(incident);
 }
--- a/libraries/core/test/fakes.h
+++ b/libraries/core/test/fakes.h
@@ -11,7 +11,7 @@
 
 namespace switchsaddle::core {
 
-/** One register in memory, shared by proposers; answers at once unless told to be silent. */
+/** One register in memory, shared by proposers; replies immediately. */
 class FakeProposer : public registers::RegisterProposer {
  public:
   void change(const std::string& /*key*/, registers::ChangeFunction function,
@@ -36,17 +36,17 @@
 
   std::string value;
   bool has_quorum = true;
-  /** How often the change function is run, as after refused ballots. */
+  /** How often the change function runs, as after rejected ballots. */
   int runs = 1;
 };
 
-/** A directory whose sessions the test sets. */
+/** A session directory with the sessions that the test sets. */
 class FakeDirectory : public sessions::SessionDirectory {
  public:
   void readLive(sessions::LiveSessionsCallback callback) override {
     ++reads;
-    if (holds) {
-      held.push_back(std::move(callback));
+    if (defers_replies) {
+      pending.push_back(std::move(callback));
       return;
     }
     callback(code, live);
@@ -56,7 +56,7 @@
   }
   std::vector<wire::SessionTableEntry> localSessions() const override { return live; }
   std::vector<wire::SessionTableEntry> localLagging(std::uint64_t version) const override {
-    if (own_table_empty) {
+    if (local_table_empty) {
       return {};
     }
     std::vector<wire::SessionTableEntry> lagging = live;
@@ -83,13 +83,13 @@
   base::ResultCode code = base::ResultCode::Ok;
   int reads = 0;
   /** As at a node that is no member of the acceptor set. */
-  bool own_table_empty = false;
-  /** Keeps the callbacks in `held` for the test to run. */
-  bool holds = false;
-  std::vector<sessions::LiveSessionsCallback> held;
+  bool local_table_empty = false;
+  /** Keeps the callbacks in `pending` for the test to run. */
+  bool defers_replies = false;
+  std::vector<sessions::LiveSessionsCallback> pending;
 };
 
-/** A node that the test makes up. */
+/** A node with made-up state. */
 class FakeNode : public NodeInformation {
  public:
   FakeNode(base::Dispatcher& dispatcher, journal::Journal& journal)
--- a/libraries/core/test/in_force_tracker_test.cc
+++ b/libraries/core/test/in_force_tracker_test.cc
@@ -12,44 +12,43 @@
  protected:
   InForceTrackerTest() : ChangeFixture(1) {}
 
-  /** Readings within two seconds of a wait that does not end, where each takes so long. */
+  /** Counts the readings in two seconds for a version that never is in force, each this long. */
   int readings(base::Duration each) {
     directory_.setSession({"127.0.0.2", 7000}, 0);
-    directory_.own_table_empty = true;
-    directory_.holds = true;
+    directory_.local_table_empty = true;
+    directory_.defers_replies = true;
     tracker_.wait(5, process_.now() + seconds(10), [](const InForceOutcome&) {});
     const base::TimePoint end = process_.now() + seconds(2);
     while (process_.now() < end) {
       world_.runFor(each);
-      for (const auto& answer : std::exchange(directory_.held, {})) {
-        answer(base::ResultCode::Ok, directory_.live);
+      for (const auto& reply : std::exchange(directory_.pending, {})) {
+        reply(base::ResultCode::Ok, directory_.live);
       }
     }
     return directory_.reads;
   }
 };
 
-TEST_F(InForceTrackerTest, ReadsOftenWhereCoresAnswerFast) {
+TEST_F(InForceTrackerTest, ReadsFrequentlyWhereCoresReplyFast) {
   EXPECT_GT(readings(milliseconds(5)), 80);
 }
 
-/** Each waiting core reads the tables of all others: cores that are slow must not be asked the
- * more. */
-TEST_F(InForceTrackerTest, AsksOthersOnceItsOwnTableShowsNobodyBehind) {
+/** Each tracking core reads the tables of all its peers, so slow cores must not be read more. */
+TEST_F(InForceTrackerTest, ReadsPeersOnceTheLocalTableShowsNoLaggingFront) {
   const base::NodeAddress front{"127.0.0.2", 7000};
   directory_.setSession(front, 0);
-  InForceOutcome seen;
+  InForceOutcome outcome;
   tracker_.wait(5, process_.now() + seconds(10),
-                [&](const InForceOutcome& in_force) { seen = in_force; });
+                [&](const InForceOutcome& in_force) { outcome = in_force; });
   world_.runFor(milliseconds(150));
   EXPECT_EQ(directory_.reads, 0);
   directory_.setSession(front, 5);
   world_.runFor(milliseconds(15));
   EXPECT_EQ(directory_.reads, 1);
-  EXPECT_TRUE(seen.in_force);
+  EXPECT_TRUE(outcome.in_force);
 }
 
-TEST_F(InForceTrackerTest, AsksOthersNowAndThenWhileItsOwnTableShowsSomeBehind) {
+TEST_F(InForceTrackerTest, ReadsPeersRarelyWhileTheLocalTableShowsLaggingFronts) {
   directory_.setSession({"127.0.0.2", 7000}, 0);
   tracker_.wait(5, process_.now() + seconds(10), [](const InForceOutcome&) {});
   world_.runFor(seconds(2));
@@ -57,7 +56,7 @@
   EXPECT_LE(directory_.reads, 11);
 }
 
-TEST_F(InForceTrackerTest, AnOlderVersionIsNotHeldUpByANewerOne) {
+TEST_F(InForceTrackerTest, AnOlderVersionDoesNotWaitForANewerOne) {
   directory_.setSession({"127.0.0.2", 7000}, 5);
   bool older_done = false;
   tracker_.wait(6, process_.now() + seconds(10), [](const InForceOutcome&) {});
@@ -67,7 +66,7 @@
   EXPECT_TRUE(older_done);
 }
 
-TEST_F(InForceTrackerTest, PushesLessOftenToAFrontThatDoesNotConfirm) {
+TEST_F(InForceTrackerTest, BacksOffPushesToAFrontThatDoesNotConfirm) {
   const base::NodeAddress front{"127.0.0.2", 7000};
   simulation::Process front_process(world_);
   const auto front_transport = network_.attach(front, front_process);
@@ -85,7 +84,7 @@
   EXPECT_LE(pushes, 6);
 }
 
-TEST_F(InForceTrackerTest, ReadsLessOftenWhereAReadingTakesLong) {
+TEST_F(InForceTrackerTest, ReadsLessFrequentlyWhereReadingsAreSlow) {
   EXPECT_LE(readings(milliseconds(100)), 14);
 }
 
--- a/libraries/core/test/member_spread_test.cc
+++ b/libraries/core/test/member_spread_test.cc
@@ -1,4 +1,4 @@
-#include "member_spread.h"
+#include "switchsaddle/core/member_spread.h"
 
 #include <gtest/gtest.h>
 
@@ -24,9 +24,9 @@
   return cores;
 }
 
-/** The set as the keeper makes it out of founders and the others, one step at a time. */
-std::vector<PlacedCore> settled(std::vector<PlacedCore> members, std::vector<PlacedCore> others,
-                                ToleratedLosses tolerated) {
+/** The set that the reconciler converges to from the initial members, one change at a time. */
+std::vector<PlacedCore> converged(std::vector<PlacedCore> members,
+                                  std::vector<PlacedCore> candidates, ToleratedLosses tolerated) {
   const auto move = [](std::vector<PlacedCore>& from, std::vector<PlacedCore>& to,
                        const wire::AcceptorMember& member) {
     const auto found = std::ranges::find(from, member, &PlacedCore::member);
@@ -34,18 +34,18 @@
     from.erase(found);
   };
   for (int step = 0; step < 100; ++step) {
-    const bool wants_more = members.size() < wantedMembers(tolerated);
-    const auto added = wants_more ? memberToAdd(members, others) : std::nullopt;
+    const bool is_too_small = members.size() < requiredMembers(tolerated);
+    const auto added = is_too_small ? memberToAdd(members, candidates) : std::nullopt;
     if (added) {
-      move(others, members, *added);
+      move(candidates, members, *added);
       continue;
     }
-    const auto exchange = exchangeForSpread(members, others, tolerated);
+    const auto exchange = exchangeForSpread(members, candidates, tolerated);
     if (!exchange) {
       return members;
     }
-    move(members, others, exchange->leaving);
-    move(others, members, exchange->joining);
+    move(members, candidates, exchange->leaving);
+    move(candidates, members, exchange->joining);
   }
   ADD_FAILURE() << "exchanges do not end";
   return members;
@@ -73,14 +73,14 @@
   return lost;
 }
 
-/** Whether some choice of as many cores as wanted leaves a majority without any `zones` zones. */
+/** Whether some choice of as many cores as required leaves a majority without any `zones` zones. */
 bool possible(const Layout& layout, ToleratedLosses tolerated) {
-  const std::size_t wanted = wantedMembers(tolerated);
+  const std::size_t required = requiredMembers(tolerated);
   std::size_t all = 0;
   for (const std::size_t count : layout) {
     all += count;
   }
-  if (all < wanted) {
+  if (all < required) {
     return false;
   }
   if (tolerated.zones == 0) {
@@ -88,11 +88,11 @@
   }
   // Zones filled evenly, as far as they go: no choice has a smaller largest zone.
   Layout chosen(layout.size(), 0);
-  for (std::size_t left = wanted; left > 0; --left) {
+  for (std::size_t left = required; left > 0; --left) {
     std::size_t best = layout.size();
     for (std::size_t zone = 0; zone < layout.size(); ++zone) {
-      const bool room = chosen[zone] < layout[zone];
-      if (room && (best == layout.size() || chosen[zone] < chosen[best])) {
+      const bool has_more = chosen[zone] < layout[zone];
+      if (has_more && (best == layout.size() || chosen[zone] < chosen[best])) {
         best = zone;
       }
     }
@@ -104,17 +104,17 @@
        ++index) {
     lost += chosen[index];
   }
-  return wanted - lost > wanted / 2;
+  return required - lost > required / 2;
 }
 
-TEST(MemberSpreadTest, WantsAMajorityLeftAfterTheLosses) {
-  EXPECT_EQ(wantedMembers({0, 0}), 0);
-  EXPECT_EQ(wantedMembers({1, 1}), 3);
-  EXPECT_EQ(wantedMembers({2, 1}), 5);
-  EXPECT_EQ(wantedMembers({0, 1}), 3);
+TEST(MemberSpreadTest, RequiresAMajorityAfterTheLosses) {
+  EXPECT_EQ(requiredMembers({0, 0}), 0);
+  EXPECT_EQ(requiredMembers({1, 1}), 3);
+  EXPECT_EQ(requiredMembers({2, 1}), 5);
+  EXPECT_EQ(requiredMembers({0, 1}), 3);
 }
 
-TEST(MemberSpreadTest, AddsWhereTheFewestAre) {
+TEST(MemberSpreadTest, AddsInTheZoneWithTheFewestMembers) {
   const std::vector<PlacedCore> cores = coresOf({2, 2, 1});
   const auto added = memberToAdd({cores[0], cores[1], cores[2]}, {cores[3], cores[4]});
   ASSERT_TRUE(added);
@@ -122,7 +122,7 @@
   EXPECT_FALSE(memberToAdd(cores, {}));
 }
 
-TEST(MemberSpreadTest, ExchangesNothingWhileZonesAreNotKnown) {
+TEST(MemberSpreadTest, ExchangesNoMemberWhileAZoneIsUnknown) {
   std::vector<PlacedCore> cores = coresOf({2, 1, 1});
   std::vector<PlacedCore> members = {cores[0], cores[1], cores[2]};
   ASSERT_TRUE(exchangeForSpread(members, {cores[3]}, {1, 1}));
@@ -131,7 +131,7 @@
   EXPECT_EQ(shortfallOf(members, {1, 1}), SpreadShortfall::None);
 }
 
-TEST(MemberSpreadTest, SaysWhatIsLacking) {
+TEST(MemberSpreadTest, ReportsTheShortfall) {
   const std::vector<PlacedCore> three = coresOf({2, 1});
   EXPECT_EQ(shortfallOf(three, {2, 0}), SpreadShortfall::Cores);
   EXPECT_EQ(shortfallOf(three, {1, 1}), SpreadShortfall::Zones);
@@ -139,11 +139,11 @@
   EXPECT_EQ(shortfallOf(three, {0, 0}), SpreadShortfall::None);
 }
 
-/** Every layout of up to four zones with up to three cores each, every tolerance, founders drawn:
- * wherever some set bears the losses, the one that is settled on does. */
-TEST(MemberSpreadTest, BearsWhateverCanBeBorne) {
+/** Every layout of up to four zones with up to three cores each, every tolerance, initial_members
+ * drawn: wherever some set tolerates the losses, the set converged to does. */
+TEST(MemberSpreadTest, ToleratesTheLossesWhereverSomeSetDoes) {
   std::mt19937 random(1);
-  std::size_t borne = 0;
+  std::size_t tolerated_layouts = 0;
   for (std::size_t code = 0; code < 256; ++code) {
     const Layout layout = {code % 4, code / 4 % 4, code / 16 % 4, code / 64 % 4};
     std::vector<PlacedCore> cores = coresOf(layout);
@@ -154,22 +154,22 @@
       for (std::uint32_t zones = 0; zones <= 1; ++zones) {
         const ToleratedLosses tolerated{losses, zones};
         std::shuffle(cores.begin(), cores.end(), random);
-        const std::vector<PlacedCore> founders(cores.begin(), cores.begin() + 3);
-        const std::vector<PlacedCore> others(cores.begin() + 3, cores.end());
-        const std::vector<PlacedCore> members = settled(founders, others, tolerated);
-        const bool enough = members.size() >= wantedMembers(tolerated);
-        const bool bears =
+        const std::vector<PlacedCore> initial_members(cores.begin(), cores.begin() + 3);
+        const std::vector<PlacedCore> candidates(cores.begin() + 3, cores.end());
+        const std::vector<PlacedCore> members = converged(initial_members, candidates, tolerated);
+        const bool enough = members.size() >= requiredMembers(tolerated);
+        const bool tolerates =
             enough && members.size() - worstZoneLoss(members, zones) > members.size() / 2;
         if (losses + zones > 0 && possible(layout, tolerated)) {
-          EXPECT_TRUE(bears) << "layout " << code << " losses " << losses << " zones " << zones;
+          EXPECT_TRUE(tolerates) << "layout " << code << " losses " << losses << " zones " << zones;
           EXPECT_GT(members.size() - losses, members.size() / 2);
-          ++borne;
+          ++tolerated_layouts;
         }
-        EXPECT_EQ(shortfallOf(members, tolerated) == SpreadShortfall::None, bears);
+        EXPECT_EQ(shortfallOf(members, tolerated) == SpreadShortfall::None, tolerates);
       }
     }
   }
-  EXPECT_GT(borne, 500U);
+  EXPECT_GT(tolerated_layouts, 500U);
 }
 
 }  // namespace
--- a/libraries/core/test/register_change_coordinator_test.cc
+++ b/libraries/core/test/register_change_coordinator_test.cc
@@ -183,19 +183,19 @@
 }
 
 TEST_F(RegisterChangeCoordinatorTest, AReadingBegunBeforeTheCommitDoesNotCount) {
-  directory_.holds = true;
+  directory_.defers_replies = true;
   bool first_done = false;
   tracker_.wait(0, world_.now() + seconds(2),
                 [&](const InForceOutcome& seen) { first_done = seen.in_force; });
   std::optional<ChangeAnswer> answer;
   coordinator_.submit(changeOf("1", 0), false,
                       [&](const ChangeAnswer& result) { answer = result; });
-  ASSERT_EQ(directory_.held.size(), 1U);
+  ASSERT_EQ(directory_.pending.size(), 1U);
   // The earlier reading saw no sessions at all.
-  directory_.held.front()(ResultCode::Ok, {});
+  directory_.pending.front()(ResultCode::Ok, {});
   EXPECT_TRUE(first_done);
   EXPECT_FALSE(answer.has_value());
-  directory_.holds = false;
+  directory_.defers_replies = false;
   world_.runFor(milliseconds(100));
   EXPECT_TRUE(answer.has_value());
 }
