--- a/libraries/core/include/switchsaddle/core/change_coordinator.h
+++ b/libraries/core/include/switchsaddle/core/change_coordinator.h
@@ -11,34 +11,42 @@
 
 namespace switchsaddle::core {
 
-/** What an operator is told of a change. */
+/** The outcome of a change, as reported to the operator. */
 struct ChangeAnswer {
-  /** Ok: acknowledged. CommittedNotYetInForce: committed. Else not committed, or NoQuorum: not
-   * known. */
+  /**
+   * Ok: committed and in force. CommittedNotYetInForce: committed. NoQuorum: unknown. Any other
+   * code: not committed.
+   */
   base::ResultCode code = base::ResultCode::NoQuorum;
-  /** The version the change made, or the version in force for a conflict. */
+  /** The version that the change created, or the version in force for a conflict. */
   std::uint64_t version = 0;
   std::vector<configuration::Fault> faults;
-  /** Whether this repeats the recorded answer of an earlier sending. */
+  /** Whether this is the recorded outcome of an earlier attempt. */
   bool repeated = false;
 };
 
-/** Commits changes of the configuration and waits until they are in force. */
+/** Commits changes of the configuration and waits until they are in force. Idempotent by change_id.
+ */
 class ChangeCoordinator {
  public:
   virtual ~ChangeCoordinator() = default;
+  /** @param dry_run only checks the change against the present value. */
   virtual void submit(const configuration::Change& change, bool dry_run,
                       std::function<void(const ChangeAnswer&)> callback) = 0;
+  /** Replaces the source document. */
   virtual void submitSource(const configuration::SourceUpdate& update,
                             std::function<void(const ChangeAnswer&)> callback) = 0;
   using Decide =
       std::function<configuration::ChangeDecision(const configuration::RegisterValue& present)>;
-  /** Commits what the function decides of the present value; it may run more than once.
-   * `change_id` is that under which the decision is recorded. */
+  /**
+   * Commits what a function decides on the present value.
+   *
+   * @param decide may run more than once.
+   * @param change_id identifies the recorded decision.
+   */
   virtual void submitOrder(Decide decide, const std::string& change_id,
                            std::function<void(const ChangeAnswer&)> callback) = 0;
-  /** Empties a zone, or lets it take work again; once more for a zone in that state is no change.
-   */
+  /** Evacuates a zone, or ends its evacuation. Without effect on a zone in that state. */
   virtual void submitEvacuation(const std::string& zone, bool evacuated,
                                 std::function<void(const ChangeAnswer&)> callback) = 0;
 };
--- a/libraries/core/include/switchsaddle/core/configuration_follower.h
+++ b/libraries/core/include/switchsaddle/core/configuration_follower.h
@@ -1,9 +1,8 @@
 #pragma once
 
-#include <functional>
-#include <memory>
 #include <string>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/core/core_membership.h"
 #include "switchsaddle/core/in_force_tracker.h"
@@ -12,24 +11,26 @@
 
 namespace switchsaddle::core {
 
-/** Times of the follower. */
+/** Delays of the follower. */
 struct FollowerOptions {
-  /** Left to the proposer of a new version to finish and to hand it over before this node reads the
-   * register. A reading moves the whole value five times, and readings of several nodes at once
-   * hinder each other, so it is kept for a proposer that failed. */
-  base::Duration first_pause = std::chrono::milliseconds(300);
-  /** Pause after a reading that did not bring the accepted version. */
-  base::Duration retry_pause = std::chrono::milliseconds(200);
-  /** Pause between readings while nothing is known to be newer. */
-  base::Duration idle_pause = std::chrono::seconds(30);
+  /**
+   * Time for the proposer of an accepted version to commit it and to send its delta, before this
+   * node reads the register. A read transfers the whole value five times and competes with reads of
+   * peers, so it is meant for a proposer that failed.
+   */
+  base::Duration first_delay = std::chrono::milliseconds(300);
+  /** Delay after a read that did not return the accepted version. */
+  base::Duration retry_delay = std::chrono::milliseconds(200);
+  /** Interval of reads while no newer version is known. */
+  base::Duration idle_interval = std::chrono::seconds(30);
 };
 
 /**
- * Keeps a core node's replica at the committed configuration. A version which the local acceptor
- * has accepted, but which this node has not seen committed, is read from a quorum, which commits
- * what its proposer left unfinished; otherwise fronts whose sessions ask for that version would
- * wait for it for ever. What is read is pushed to the fronts with sessions. Runs on the control
- * strand.
+ * Keeps a core node's replica at the committed configuration. A version that the local acceptor has
+ * accepted, but that this node does not know to be committed, is read from a quorum, which
+ * completes a proposal that its proposer abandoned; otherwise fronts whose sessions require that
+ * version would wait for ever. The version read is pushed to the fronts with sessions. Runs on the
+ * control strand.
  */
 class ConfigurationFollower {
  public:
@@ -39,10 +40,10 @@
   ConfigurationFollower(const ConfigurationFollower&) = delete;
   ConfigurationFollower& operator=(const ConfigurationFollower&) = delete;
 
-  /** Reads at once, then as needed. */
+  /** Reads the register now, then as needed. */
   void start();
   void stop();
-  /** The local acceptor holds this value of the configuration register, synced. */
+  /** The local acceptor has accepted and synced this value of the configuration register. */
   void onAccepted(const std::string& value);
 
  private:
@@ -57,12 +58,12 @@
   dissemination::ConfigurationReplica& replica_;
   InForceTracker& tracker_;
   FollowerOptions options_;
-  /** When the register is read though nothing is known to be newer. */
+  /** When the register is next read while no newer version is known. */
   base::TimePoint idle_due_;
   base::TimerPtr timer_;
   bool running_ = false;
   bool reading_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::core
--- a/libraries/core/include/switchsaddle/core/core_http_service.h
+++ b/libraries/core/include/switchsaddle/core/core_http_service.h
@@ -1,6 +1,7 @@
 #pragma once
 
 #include <functional>
+#include <string_view>
 
 #include "switchsaddle/core/core_node.h"
 #include "switchsaddle/http/message.h"
@@ -9,22 +10,23 @@
 namespace switchsaddle::core {
 
 /**
- * What a core node answers over HTTP: its health, readiness and metrics, and the control API.
- * Without any HTTP server. Runs on the control strand.
+ * The HTTP interface of a core node, independent of any HTTP server: liveness, readiness, metrics
+ * and the control API. Runs on the control strand.
  */
 class CoreHttpService {
  public:
   using Respond = std::function<void(http::Response)>;
-  /** Adds what only the process knows to the metrics. */
+  /** Adds the metrics of the process to a page. */
   using ProcessMetrics = std::function<void(metrics::Page&)>;
 
   CoreHttpService(CoreNode& node, ProcessMetrics process_metrics);
 
-  /** Answers through the callback, once. */
+  /** Responds through the callback, once. */
   void handle(const http::Request& request, Respond respond);
 
  private:
-  http::Response own(std::string_view path) const;
+  /** @return the response of a path that needs no authentication. */
+  http::Response publicResponse(std::string_view path) const;
   http::Response readiness() const;
   http::Response metricsPage() const;
 
--- a/libraries/core/include/switchsaddle/core/core_metrics.h
+++ b/libraries/core/include/switchsaddle/core/core_metrics.h
@@ -5,7 +5,7 @@
 
 namespace switchsaddle::core {
 
-/** Adds what a core node counts and believes to a page of metrics. Runs on the control strand. */
+/** Adds the counters and gauges of a core node to a page. Runs on the control strand. */
 void appendMetrics(const CoreNode& node, metrics::Page& page);
 
 }  // namespace switchsaddle::core
--- a/libraries/core/include/switchsaddle/core/ledger_host.h
+++ b/libraries/core/include/switchsaddle/core/ledger_host.h
@@ -1,13 +1,13 @@
 #pragma once
 
 #include <cstdint>
-#include <map>
 #include <memory>
 #include <string>
 #include <vector>
 
 #include "switchsaddle/admission/ledger_shard.h"
 #include "switchsaddle/admission/slot_ledger.h"
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/configuration/view.h"
 #include "switchsaddle/core/node_information.h"
 #include "switchsaddle/lease/lease_holder.h"
@@ -15,9 +15,8 @@
 namespace switchsaddle::core {
 
 /**
- * The limit ledgers of a core node: a candidate for each shard's lease with the ledger that works
- * under it, and the handler of SlotRequest, which goes to the ledger of the branch's shard. Runs on
- * the control strand.
+ * The limit ledgers of a core node: for each shard the lease and the ledger that grants slots under
+ * it. Routes SlotRequest to the ledger of the branch's shard. Runs on the control strand.
  */
 class LedgerHost {
  public:
@@ -27,18 +26,19 @@
   LedgerHost(const LedgerHost&) = delete;
   LedgerHost& operator=(const LedgerHost&) = delete;
 
+  /** Campaigns for the leases. */
   void start();
-  /** Gives the leases back. */
+  /** Releases the leases and campaigns no more. */
   void stop();
-  /** The limits of the configuration in force. */
+  /** Sets the limits of the configuration in force. */
   void setConfiguration(const configuration::View& view);
   void appendStatus(std::vector<LeaseStatus>& leases) const;
 
  private:
-  /** One shard's lease as its ledger sees it. */
-  class HeldLease : public admission::LedgerLease {
+  /** Adapts one shard's lease to the interface of its ledger. */
+  class ShardLease : public admission::LedgerLease {
    public:
-    explicit HeldLease(const lease::LeaseHolder& holder) : holder_(holder) {}
+    explicit ShardLease(const lease::LeaseHolder& holder) : holder_(holder) {}
     bool held() const override { return holder_.held(); }
     std::uint64_t term() const override { return holder_.term(); }
 
@@ -48,12 +48,12 @@
   struct Shard {
     std::string name;
     std::unique_ptr<lease::LeaseHolder> holder;
-    std::unique_ptr<HeldLease> lease;
+    std::unique_ptr<ShardLease> lease;
     std::unique_ptr<admission::SlotLedger> ledger;
   };
 
   std::vector<Shard> shards_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::core
--- a/libraries/core/include/switchsaddle/core/load_ledger.h
+++ b/libraries/core/include/switchsaddle/core/load_ledger.h
@@ -3,38 +3,42 @@
 #include <cstdint>
 #include <map>
 #include <optional>
-#include <utility>
 #include <vector>
 
 #include "switchsaddle/base/dispatcher.h"
+#include "switchsaddle/core/fleet_demand.h"
 #include "switchsaddle/wire/session_messages.h"
 
 namespace switchsaddle::core {
 
 /**
- * Adds up what the fronts have under way at each worker, as their session records tell it, and says
- * to each front what all others have there. Every core hears all records, so that each adds up
- * alike, without a message of its own. A front that has ended, or is silent for the bound, counts
- * with nothing. Runs on the control strand.
+ * Sums up the load that the fronts report for each worker in their session records, and gives each
+ * front the load of its peers. Every core receives all records, so that all cores compute the same
+ * sums without messages of their own. A front that has ended or has timed out counts with nothing.
+ * Runs on the control strand.
  */
 class LoadLedger {
  public:
   LoadLedger(base::Dispatcher& dispatcher, base::Duration unresponsive_timeout)
       : dispatcher_(dispatcher), unresponsive_timeout_(unresponsive_timeout) {}
 
+  /** Replaces what the front's process reported before. */
   void update(const wire::SessionRecord& record);
-  /** Most workers told of by themselves: what a front hears stays below the 5 KB a second that
-   * control may take, however many workers there are. */
+  /**
+   * Maximum of workers reported individually to a front, which bounds its control traffic to 5 KB a
+   * second whatever the size of the fleet.
+   */
   static constexpr std::size_t MaximumReportedWorkers = 128;
 
-  /** What the other fronts have under way, at the workers that have the most; the mean of the
-   * others; and the kinds of work of all fronts. */
+  /**
+   * @return the load of the front's peers: the most loaded workers individually, the mean of the
+   * rest, and the kinds of work of all fronts.
+   */
   wire::FleetLoad loadFor(const wire::SessionRecord& record);
-  /** Requests of all fronts on the worker with this workers::loadKey(). */
+  /** @return the requests of all fronts on the worker with this workers::loadKey(). */
   std::uint32_t requestsOn(std::uint32_t worker) const;
 
  private:
-  using FrontKey = std::pair<base::NodeAddress, std::uint64_t>;
   struct Total {
     std::uint32_t requests = 0;
     std::uint32_t prefill_ms = 0;
@@ -48,12 +52,12 @@
 
   void add(const std::vector<wire::WorkerLoad>& loads);
   void subtract(const std::vector<wire::WorkerLoad>& loads);
-  /** Forgets silent fronts, and adds up the kinds of work, now and then. */
+  /** Removes fronts that timed out and sums up the kinds of work, unless that is recent. */
   void refresh();
-  void forgetUnresponsive();
-  void addUpKinds();
+  void removeUnresponsive();
+  void sumKinds();
   std::vector<wire::WorkerLoad> loadsOfPeers(const FrontKey& key) const;
-  /** Leaves the most loaded and puts the mean of those beyond into the rest. */
+  /** Keeps the most loaded workers, and replaces the others by their mean. */
   static void limitReported(wire::FleetLoad& load);
 
   base::Dispatcher& dispatcher_;
--- a/libraries/core/include/switchsaddle/core/observed_proposer.h
+++ b/libraries/core/include/switchsaddle/core/observed_proposer.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <cstdint>
-#include <memory>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/incident.h"
 #include "switchsaddle/metrics/histogram.h"
@@ -10,18 +10,18 @@
 
 namespace switchsaddle::core {
 
-/** What an ObservedProposer has seen since it was made. */
+/** Counters of an ObservedProposer since its construction. */
 struct RegisterCounters {
   std::uint64_t operations = 0;
   /** Operations that ended without a quorum. */
   std::uint64_t without_quorum = 0;
-  /** From the call to its end. */
+  /** Time from the call to its completion. */
   metrics::Histogram latency{metrics::roundTripBounds()};
 };
 
 /**
- * Passes register operations on to another proposer, measures them, and tells the operator of each
- * that ended without a quorum. Runs on the control strand.
+ * Decorates a proposer: counts and times its register operations and reports each that ended
+ * without a quorum to the operators. Runs on the control strand.
  */
 class ObservedProposer : public registers::RegisterProposer {
  public:
@@ -34,6 +34,7 @@
   const RegisterCounters& counters() const { return counters_; }
 
  private:
+  /** @return a callback that records the outcome and then calls `callback`. */
   registers::RegisterCallback observe(const std::string& key, registers::RegisterCallback callback);
   void onOutcome(const std::string& key, base::TimePoint begun_at, base::ResultCode code);
 
@@ -41,7 +42,7 @@
   registers::RegisterProposer& proposer_;
   base::IncidentSink& incidents_;
   RegisterCounters counters_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::core
--- a/libraries/core/include/switchsaddle/core/quota_leases.h
+++ b/libraries/core/include/switchsaddle/core/quota_leases.h
@@ -13,9 +13,9 @@
 namespace switchsaddle::core {
 
 /**
- * A core node's candidacies for the leases under which quota ledgers decide: one for each shard of
- * the tenants, apart from those of the slot ledgers, since a core that does not know what the fleet
- * let in may keep slots and must not keep quotas. Runs on the control strand.
+ * The leases under which quota ledgers decide, one for each shard of the tenants. They are separate
+ * from those of the slot ledgers, since a core that does not know what the fleet admitted may
+ * manage slots but must not decide on quotas. Runs on the control strand.
  */
 class QuotaLeases {
  public:
@@ -24,9 +24,9 @@
   QuotaLeases(const QuotaLeases&) = delete;
   QuotaLeases& operator=(const QuotaLeases&) = delete;
 
-  /** Campaigns, or gives the leases back, where that changes. */
+  /** Campaigns for the leases, or releases them; without effect where that is the state. */
   void setCampaigning(bool campaigning);
-  /** Since when this node holds the lease of the tenant's shard; nothing where it does not. */
+  /** @return when the lease of the tenant's shard was gained; unset while it is not held. */
   std::optional<base::TimePoint> heldSince(const std::string& tenant) const;
   void appendStatus(std::vector<LeaseStatus>& leases) const;
 
@@ -34,7 +34,7 @@
   struct Shard {
     std::string name;
     std::unique_ptr<lease::LeaseHolder> holder;
-    /** When the lease was gained last, or its term rose. */
+    /** When the lease was last gained, or its term raised. */
     base::TimePoint gained_at;
   };
 
--- a/libraries/core/include/switchsaddle/core/register_change_coordinator.h
+++ b/libraries/core/include/switchsaddle/core/register_change_coordinator.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <string>
 #include <utility>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/incident.h"
 #include "switchsaddle/configuration/register_value.h"
@@ -18,13 +18,14 @@
 namespace switchsaddle::core {
 
 /**
- * Commits changes in the configuration register, takes the result into this node's replica, and
- * waits until it is in force on every front with a live session. The decision is taken inside the
- * register's change function, so that of two changes on one base version exactly one wins and a
- * change sent again finds its recorded result. What is answered is the result that the value in
- * force has recorded, not that of the function's last run. Refusals are answered at once; only a
- * committed change waits, at most until the acknowledgement deadline, counted from its arrival.
- * How each change ended, and how long its parts took, is reported as the event `change-ended`.
+ * Commits changes in the configuration register, applies the result to this node's replica, and
+ * waits until it is in force on every front with a live session.
+ *
+ * The decision is made inside the register's change function, so that of two changes on one base
+ * version exactly one is committed, and a retried change finds its recorded outcome. The outcome
+ * reported is the one recorded in the committed value, not that of the function's last run. A
+ * rejected change is reported at once; a committed one waits, at most until the acknowledgement
+ * deadline, counted from its submission. The event `change-ended` reports outcome and durations.
  * Runs on the control strand.
  */
 class RegisterChangeCoordinator : public ChangeCoordinator {
@@ -34,8 +35,10 @@
                             base::IncidentSink& incidents, base::Duration acknowledgement_deadline,
                             CoreFaults faults = {});
 
-  /** Hears what led to each version committed here, before it is in force here: for the other core
-   * nodes, so that they need not read the register. */
+  /**
+   * Receives the delta of each version committed here, before it is applied to the local replica.
+   * Sent to the peer cores, it saves them a read of the register.
+   */
   using CommittedListener = std::function<void(const wire::ConfigurationDelta&)>;
   void setCommittedListener(CommittedListener listener) { listener_ = std::move(listener); }
 
@@ -51,16 +54,16 @@
  private:
   using Callback = std::function<void(const ChangeAnswer&)>;
 
-  /** `change_id` is empty where the decision is not recorded under one known beforehand. */
+  /** @param change_id empty where the decision is not recorded under a known identifier. */
   void commit(Decide decide, const std::string& change_id, Callback callback);
   void check(const configuration::Change& change, Callback callback);
-  void adoptCommitted(const configuration::Document& document);
+  void applyCommitted(const configuration::Document& document);
   void onCommitted(const registers::RegisterOutcome& outcome,
                    const configuration::ChangeDecision& decision, const std::string& change_id,
                    base::TimePoint begun_at, const Callback& callback);
   void awaitInForce(const ChangeAnswer& answer, base::TimePoint begun_at, Callback callback);
-  void report(const ChangeAnswer& answer, base::Duration commit_took, base::Duration wait_took,
-              const InForceOutcome& in_force);
+  void report(const ChangeAnswer& answer, base::Duration commit_duration,
+              base::Duration wait_duration, const InForceOutcome& in_force);
 
   base::Dispatcher& dispatcher_;
   registers::RegisterProposer& proposer_;
@@ -70,7 +73,7 @@
   base::Duration acknowledgement_deadline_;
   CoreFaults faults_;
   CommittedListener listener_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/configuration_follower.cc
+++ b/libraries/core/source/configuration_follower.cc
@@ -37,7 +37,7 @@
     return;
   }
   if (running_ && !reading_ && isLagging()) {
-    timer_->enable(options_.first_pause);
+    timer_->enable(options_.first_delay);
   }
 }
 
@@ -60,33 +60,30 @@
     return;
   }
   if (membership_.coreAddresses().empty()) {
-    timer_->enable(options_.retry_pause);
+    timer_->enable(options_.retry_delay);
     return;
   }
   reading_ = true;
-  proposer_.read(registers::ConfigurationRegister,
-                 [this, alive = std::weak_ptr(alive_)](const registers::RegisterOutcome& outcome) {
-                   if (!alive.expired()) {
-                     onRead(outcome);
-                   }
-                 });
+  proposer_.read(
+      registers::ConfigurationRegister,
+      callbacks_.guard([this](const registers::RegisterOutcome& outcome) { onRead(outcome); }));
 }
 
 void ConfigurationFollower::onRead(const registers::RegisterOutcome& outcome) {
   reading_ = false;
-  idle_due_ = dispatcher_.now() + options_.idle_pause;
+  idle_due_ = dispatcher_.now() + options_.idle_interval;
   if (outcome.code == base::ResultCode::Ok) {
     try {
       const configuration::RegisterValue value = configuration::decodeRegisterValue(outcome.value);
       replica_.apply(value.document.deltaSince(replica_.version()));
     } catch (const base::Error&) {
-      // A corrupt value is found again by the next reading, and by the scrubber.
+      // The next read and the scrubber find a corrupt value again.
     }
     tracker_.pushToLocalSessions();
   }
   const bool retry = outcome.code != base::ResultCode::Ok || isLagging();
   if (running_) {
-    timer_->enable(retry ? options_.retry_pause : options_.idle_pause);
+    timer_->enable(retry ? options_.retry_delay : options_.idle_interval);
   }
 }
 
--- a/libraries/core/source/core_http_service.cc
+++ b/libraries/core/source/core_http_service.cc
@@ -13,10 +13,10 @@
 
 using base::ResultCode;
 
-/** What the node answers of itself, to anybody. */
-constexpr std::array<std::string_view, 3> OwnPaths{"/healthz", "/readyz", "/metrics"};
+/** Paths that need no authentication. */
+constexpr std::array<std::string_view, 3> PublicPaths{"/healthz", "/readyz", "/metrics"};
 
-http::Response statusAnswer(const char* status) {
+http::Response statusResponse(const char* status) {
   http::Response response;
   response.headers.push_back({"Content-Type", "application/json"});
   response.body = std::string("{\"status\":\"") + status + "\"}";
@@ -30,9 +30,10 @@
 
 void CoreHttpService::handle(const http::Request& request, Respond respond) {
   const std::string_view path = http::targetPath(request.target);
-  const bool is_own = std::find(OwnPaths.begin(), OwnPaths.end(), path) != OwnPaths.end();
-  if (is_own) {
-    respond(request.method == "GET" ? own(path)
+  const bool is_public =
+      std::find(PublicPaths.begin(), PublicPaths.end(), path) != PublicPaths.end();
+  if (is_public) {
+    respond(request.method == "GET" ? publicResponse(path)
                                     : http::errorResponse(ResultCode::MethodNotAllowed));
   } else if (ControlService::serves(request.target)) {
     node_.control().handle(request, std::move(respond));
@@ -41,16 +42,16 @@
   }
 }
 
-http::Response CoreHttpService::own(std::string_view path) const {
+http::Response CoreHttpService::publicResponse(std::string_view path) const {
   if (path == "/healthz") {
-    return statusAnswer("ok");
+    return statusResponse("ok");
   }
   return path == "/readyz" ? readiness() : metricsPage();
 }
 
 http::Response CoreHttpService::readiness() const {
   if (node_.status().may_vote) {
-    return statusAnswer("ready");
+    return statusResponse("ready");
   }
   http::Response response =
       http::errorResponse(ResultCode::NotServing, "this node's acceptor may not vote");
--- a/libraries/core/source/health_json.cc
+++ b/libraries/core/source/health_json.cc
@@ -13,18 +13,18 @@
 using configuration::JsonWriter;
 using worker_health::WorkerRank;
 
-/** Shares and severities are shown in thousandths. */
-constexpr double Thousand = 1'000;
+/** Fractions and severities are rendered in thousandths. */
+constexpr double ThousandthsPerUnit = 1'000;
 
-std::uint64_t thousandths(double share) {
-  return static_cast<std::uint64_t>(std::lround(std::max(0.0, share) * Thousand));
+std::uint64_t thousandths(double fraction) {
+  return static_cast<std::uint64_t>(std::lround(std::max(0.0, fraction) * ThousandthsPerUnit));
 }
 
-std::uint64_t shareOf(float bad, float counted) {
-  return counted > 0 ? thousandths(bad / counted) : 0;
+std::uint64_t fractionOf(float affected, float counted) {
+  return counted > 0 ? thousandths(affected / counted) : 0;
 }
 
-void writeRank(JsonWriter& writer, const WorkerRank& rank, bool is_out) {
+void writeRank(JsonWriter& writer, const WorkerRank& rank, bool in_maintenance) {
   const wire::HealthCounts& counts = rank.evidence.counts;
   writer.name("worker").string(rank.worker);
   writer.name("pool").string(rank.pool);
@@ -35,22 +35,22 @@
   writer.name("since_s").unsignedInteger(
       static_cast<std::uint64_t>(base::toMilliseconds(rank.since)) / 1'000);
   writer.name("requests").unsignedInteger(static_cast<std::uint64_t>(counts.dispatched));
-  writer.name("stalled_permille").unsignedInteger(shareOf(counts.stalled, counts.timed));
-  writer.name("slow_permille").unsignedInteger(shareOf(counts.slow, counts.timed));
-  writer.name("failed_permille").unsignedInteger(shareOf(counts.failed, counts.dispatched));
-  writer.name("maintenance").boolean(is_out);
+  writer.name("stalled_permille").unsignedInteger(fractionOf(counts.stalled, counts.timed));
+  writer.name("slow_permille").unsignedInteger(fractionOf(counts.slow, counts.timed));
+  writer.name("failed_permille").unsignedInteger(fractionOf(counts.failed, counts.dispatched));
+  writer.name("maintenance").boolean(in_maintenance);
 }
 
 }  // namespace
 
 std::string renderRanking(const worker_health::HealthRanking& ranking,
-                          const std::set<std::string>& out, base::TimePoint now) {
+                          const std::set<std::string>& in_maintenance, base::TimePoint now) {
   JsonWriter writer;
   writer.beginObject();
   writer.name("workers").beginArray();
   for (const WorkerRank& rank : ranking.ranks()) {
     writer.beginObject();
-    writeRank(writer, rank, out.contains(rank.worker));
+    writeRank(writer, rank, in_maintenance.contains(rank.worker));
     writer.endObject();
   }
   writer.endArray();
@@ -68,14 +68,14 @@
 }
 
 std::optional<std::string> renderWorkerHealth(const worker_health::HealthRanking& ranking,
-                                              const std::string& worker, bool is_out) {
+                                              const std::string& worker, bool in_maintenance) {
   const auto rank = std::ranges::find(ranking.ranks(), worker, &WorkerRank::worker);
   if (rank == ranking.ranks().end()) {
     return std::nullopt;
   }
   JsonWriter writer;
   writer.beginObject();
-  writeRank(writer, *rank, is_out);
+  writeRank(writer, *rank, in_maintenance);
   writer.name("explained").beginObject();
   writer.name("stalled_permille").unsignedInteger(thousandths(rank->explained_stalls));
   writer.name("slow_permille").unsignedInteger(thousandths(rank->explained_slow));
@@ -93,14 +93,14 @@
   JsonWriter writer;
   writer.beginObject();
   writer.name("workers").beginArray();
-  for (const MaintainedWorker& one : workers) {
+  for (const MaintainedWorker& maintained : workers) {
     writer.beginObject();
-    writer.name("worker").string(one.worker.worker);
-    writer.name("pool").string(one.worker.pool);
-    writer.name("zone").string(one.worker.zone);
-    writer.name("listed").boolean(one.listed);
-    writer.name("in_flight").unsignedInteger(one.in_flight);
-    writer.name("state").string(one.in_flight > 0 ? "draining" : "drained");
+    writer.name("worker").string(maintained.worker.worker);
+    writer.name("pool").string(maintained.worker.pool);
+    writer.name("zone").string(maintained.worker.zone);
+    writer.name("listed").boolean(maintained.listed);
+    writer.name("in_flight").unsignedInteger(maintained.in_flight);
+    writer.name("state").string(maintained.in_flight > 0 ? "draining" : "drained");
     writer.endObject();
   }
   writer.endArray().endObject();
--- a/libraries/core/source/health_json.h
+++ b/libraries/core/source/health_json.h
@@ -12,29 +12,29 @@
 
 /**
  * @file
- * The JSON of the control API about workers' health and maintenance.
+ * JSON bodies of the control API about the health and the maintenance of workers.
  */
 
 namespace switchsaddle::core {
 
-/** The ranking, the sickest first, and who was at the top before. */
+/** The ranking, the most unhealthy worker first, and the history of its top. */
 std::string renderRanking(const worker_health::HealthRanking& ranking,
-                          const std::set<std::string>& out, base::TimePoint now);
-/** One worker of the ranking with all evidence; nothing where it has none. */
+                          const std::set<std::string>& in_maintenance, base::TimePoint now);
+/** @return one worker of the ranking with its evidence; unset where it is not ranked. */
 std::optional<std::string> renderWorkerHealth(const worker_health::HealthRanking& ranking,
-                                              const std::string& worker, bool is_out);
+                                              const std::string& worker, bool in_maintenance);
 
 /** A worker in maintenance. */
 struct MaintainedWorker {
   configuration::FleetWorker worker;
-  /** Whether the fleet's list has it. */
+  /** Whether the worker view contains it. */
   bool listed = false;
-  /** Requests on it that fronts told of. */
+  /** Requests on it, as reported by the fronts. */
   std::uint32_t in_flight = 0;
 };
 
 std::string renderMaintenance(const std::vector<MaintainedWorker>& workers);
-/** `worker` is empty where none was taken out. */
+/** @param worker empty where none was taken into maintenance. */
 std::string renderMaintenanceResult(const ChangeAnswer& answer, const std::string& worker);
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/ledger_host.cc
+++ b/libraries/core/source/ledger_host.cc
@@ -1,6 +1,7 @@
 #include "switchsaddle/core/ledger_host.h"
 
 #include <algorithm>
+#include <map>
 #include <utility>
 
 namespace switchsaddle::core {
@@ -14,7 +15,7 @@
     shard.name = admission::ledgerLeaseName(number);
     shard.holder = std::make_unique<lease::LeaseHolder>(dispatcher, calls, random, times,
                                                         shard.name, granters, instance);
-    shard.lease = std::make_unique<HeldLease>(*shard.holder);
+    shard.lease = std::make_unique<ShardLease>(*shard.holder);
     shard.ledger = std::make_unique<admission::SlotLedger>(
         dispatcher, calls, proposer, *shard.lease, number, admission::SlotLedgerOptions{});
     shard.holder->setListener([ledger = shard.ledger.get()](bool gained) {
@@ -27,14 +28,11 @@
     shards_.push_back(std::move(shard));
   }
   calls.handle<wire::SlotRequest>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& /*from*/,
-                                            const wire::SlotRequest& request,
-                                            transport::ReplyFunction reply) {
-        if (!alive.expired()) {
-          const std::uint32_t number = admission::ledgerShardOf(request.branch);
-          shards_[number].ledger->onRequest(request, std::move(reply));
-        }
-      });
+      callbacks_.guard([this](const base::NodeAddress& /*from*/, const wire::SlotRequest& request,
+                              transport::ReplyFunction reply) {
+        const std::uint32_t number = admission::ledgerShardOf(request.branch);
+        shards_[number].ledger->onRequest(request, std::move(reply));
+      }));
 }
 
 void LedgerHost::start() {
--- a/libraries/core/source/load_ledger.cc
+++ b/libraries/core/source/load_ledger.cc
@@ -7,20 +7,19 @@
 
 namespace {
 
-/** Silent fronts are looked for, and kinds of work added up, so often. */
+/** Interval of the time-out check of fronts and of the sums over kinds of work. */
 constexpr base::Duration RefreshInterval = std::chrono::milliseconds(200);
 
-/** A request under way weighs as much as so many milliseconds to be read, in the choice of workers
- * that are told of. */
-constexpr double RequestMs = 25;
+/** Weight of a request in flight, in milliseconds of prefill, in the choice of reported workers. */
+constexpr double RequestWeightMs = 25;
 
 double weightOf(const wire::WorkerLoad& load) {
-  return load.prefill_ms + RequestMs * load.requests;
+  return load.prefill_ms + RequestWeightMs * load.requests;
 }
 
-std::uint16_t clipped(std::uint32_t value) {
-  constexpr std::uint32_t Most = std::numeric_limits<std::uint16_t>::max();
-  return static_cast<std::uint16_t>(std::min(value, Most));
+std::uint16_t saturated(std::uint32_t value) {
+  constexpr std::uint32_t Maximum = std::numeric_limits<std::uint16_t>::max();
+  return static_cast<std::uint16_t>(std::min(value, Maximum));
 }
 
 }  // namespace
@@ -65,12 +64,12 @@
   const base::TimePoint now = dispatcher_.now();
   if (!refreshed_at_ || now - *refreshed_at_ >= RefreshInterval) {
     refreshed_at_ = now;
-    forgetUnresponsive();
-    addUpKinds();
+    removeUnresponsive();
+    sumKinds();
   }
 }
 
-void LoadLedger::addUpKinds() {
+void LoadLedger::sumKinds() {
   std::map<std::uint64_t, wire::WorkKindCounts> sums;
   for (const auto& [key, front] : fronts_) {
     for (const wire::WorkKindCounts& work : front.load.kinds) {
@@ -87,7 +86,7 @@
   }
 }
 
-void LoadLedger::forgetUnresponsive() {
+void LoadLedger::removeUnresponsive() {
   const base::TimePoint now = dispatcher_.now();
   for (auto front = fronts_.begin(); front != fronts_.end();) {
     if (now - front->second.last_seen < unresponsive_timeout_) {
@@ -110,21 +109,21 @@
   if (load.others.size() <= MaximumReportedWorkers) {
     return;
   }
-  const auto end_of_told = load.others.begin() + MaximumReportedWorkers;
-  std::nth_element(load.others.begin(), end_of_told, load.others.end(),
+  const auto end_of_reported = load.others.begin() + MaximumReportedWorkers;
+  std::nth_element(load.others.begin(), end_of_reported, load.others.end(),
                    [](const wire::WorkerLoad& first, const wire::WorkerLoad& second) {
                      return weightOf(first) > weightOf(second);
                    });
   double requests = 0;
   double prefill_ms = 0;
-  for (auto rest = end_of_told; rest != load.others.end(); ++rest) {
+  for (auto rest = end_of_reported; rest != load.others.end(); ++rest) {
     requests += rest->requests;
     prefill_ms += rest->prefill_ms;
   }
-  const auto count = static_cast<double>(load.others.end() - end_of_told);
+  const auto count = static_cast<double>(load.others.end() - end_of_reported);
   load.rest_requests = static_cast<float>(requests / count);
   load.rest_prefill_ms = static_cast<float>(prefill_ms / count);
-  load.others.erase(end_of_told, load.others.end());
+  load.others.erase(end_of_reported, load.others.end());
 }
 
 std::uint32_t LoadLedger::requestsOn(std::uint32_t worker) const {
@@ -140,20 +139,20 @@
       own[load.worker] = &load;
     }
   }
-  std::vector<wire::WorkerLoad> others;
-  others.reserve(totals_.size());
+  std::vector<wire::WorkerLoad> peers;
+  peers.reserve(totals_.size());
   for (const auto& [worker, total] : totals_) {
-    Total left = total;
+    Total remaining = total;
     const auto counted = own.find(worker);
     if (counted != own.end()) {
-      left.requests -= counted->second->requests;
-      left.prefill_ms -= counted->second->prefill_ms;
+      remaining.requests -= counted->second->requests;
+      remaining.prefill_ms -= counted->second->prefill_ms;
     }
-    if (!left.empty()) {
-      others.push_back({worker, clipped(left.requests), clipped(left.prefill_ms)});
+    if (!remaining.empty()) {
+      peers.push_back({worker, saturated(remaining.requests), saturated(remaining.prefill_ms)});
     }
   }
-  return others;
+  return peers;
 }
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/observed_proposer.cc
+++ b/libraries/core/source/observed_proposer.cc
@@ -20,20 +20,21 @@
 
 registers::RegisterCallback ObservedProposer::observe(const std::string& key,
                                                       registers::RegisterCallback callback) {
-  return [this, alive = std::weak_ptr(alive_), key, begun_at = dispatcher_.now(),
-          callback = std::move(callback)](const registers::RegisterOutcome& outcome) {
-    if (!alive.expired()) {
-      onOutcome(key, begun_at, outcome.code);
-    }
+  auto record = callbacks_.guard([this, key, begun_at = dispatcher_.now()](base::ResultCode code) {
+    onOutcome(key, begun_at, code);
+  });
+  return [record = std::move(record),
+          callback = std::move(callback)](const registers::RegisterOutcome& outcome) mutable {
+    record(outcome.code);
     callback(outcome);
   };
 }
 
 void ObservedProposer::onOutcome(const std::string& key, base::TimePoint begun_at,
                                  base::ResultCode code) {
-  const base::Duration taken = dispatcher_.now() - begun_at;
+  const base::Duration duration = dispatcher_.now() - begun_at;
   ++counters_.operations;
-  counters_.latency.observe(taken);
+  counters_.latency.observe(duration);
   if (code != base::ResultCode::NoQuorum) {
     return;
   }
@@ -42,7 +43,8 @@
   incident.event = "no-quorum";
   incident.severity = base::Severity::Warning;
   incident.code = code;
-  incident.fields = {{"register", key}, {"took_ms", std::to_string(base::toMilliseconds(taken))}};
+  incident.fields = {{"register", key},
+                     {"took_ms", std::to_string(base::toMilliseconds(duration))}};
   incident.dumps_ring = true;
   incidents_.report(incident);
 }
--- a/libraries/core/source/register_change_coordinator.cc
+++ b/libraries/core/source/register_change_coordinator.cc
@@ -23,7 +23,7 @@
   return answer;
 }
 
-/** The answer that the value in force holds for a change; `otherwise` where it holds none. */
+/** @return the outcome recorded in the value for a change; `otherwise` where it has none. */
 ChangeAnswer recordedAnswer(const std::optional<RegisterValue>& value, const std::string& change_id,
                             const ChangeAnswer& otherwise, bool changed) {
   const RecordedChange* recorded = value ? value->findRecorded(change_id) : nullptr;
@@ -37,13 +37,13 @@
   return answer;
 }
 
-ChangeAnswer refusal(ResultCode code) {
+ChangeAnswer rejection(ResultCode code) {
   ChangeAnswer answer;
   answer.code = code;
   return answer;
 }
 
-/** Decodes a register's value; nothing where it is corrupt. */
+/** @return the decoded value; unset where it is corrupt. */
 std::optional<RegisterValue> decode(const std::string& bytes) {
   try {
     return configuration::decodeRegisterValue(bytes);
@@ -103,20 +103,20 @@
   proposer_.read(registers::ConfigurationRegister, [change, callback = std::move(callback)](
                                                        const registers::RegisterOutcome& outcome) {
     if (outcome.code != ResultCode::Ok) {
-      callback(refusal(outcome.code));
+      callback(rejection(outcome.code));
       return;
     }
     const std::optional<RegisterValue> present = decode(outcome.value);
     callback(present ? answerOf(configuration::decideChange(*present, change))
-                     : refusal(ResultCode::RecordCorrupt));
+                     : rejection(ResultCode::RecordCorrupt));
   });
 }
 
 void RegisterChangeCoordinator::commit(Decide decide, const std::string& change_id,
                                        Callback callback) {
   const base::TimePoint begun_at = dispatcher_.now();
-  // Only of use for changes that were not written: the function's last run need not be the one that
-  // took effect, since an earlier proposal can be found to have done so after all.
+  // Used only for changes that were not written: the last run of the function need not be the one
+  // that was committed, since an earlier proposal may be found to have been chosen.
   auto decision = std::make_shared<ChangeDecision>();
   auto function = [decide = std::move(decide), decision,
                    faults = faults_](const std::string& bytes) -> std::optional<std::string> {
@@ -135,16 +135,15 @@
     }
     return configuration::encodeRegisterValue(decision->next);
   };
-  proposer_.change(registers::ConfigurationRegister, std::move(function),
-                   [this, alive = std::weak_ptr(alive_), decision, change_id, begun_at,
-                    callback = std::move(callback)](const registers::RegisterOutcome& outcome) {
-                     if (!alive.expired()) {
-                       onCommitted(outcome, *decision, change_id, begun_at, callback);
-                     }
-                   });
+  proposer_.change(
+      registers::ConfigurationRegister, std::move(function),
+      callbacks_.guard([this, decision, change_id, begun_at,
+                        callback = std::move(callback)](const registers::RegisterOutcome& outcome) {
+        onCommitted(outcome, *decision, change_id, begun_at, callback);
+      }));
 }
 
-void RegisterChangeCoordinator::adoptCommitted(const configuration::Document& document) {
+void RegisterChangeCoordinator::applyCommitted(const configuration::Document& document) {
   if (document.version <= replica_.version()) {
     return;
   }
@@ -160,19 +159,19 @@
                                             const ChangeDecision& decision,
                                             const std::string& change_id, base::TimePoint begun_at,
                                             const Callback& callback) {
-  const base::Duration commit_took = dispatcher_.now() - begun_at;
+  const base::Duration commit_duration = dispatcher_.now() - begun_at;
   if (outcome.code != ResultCode::Ok) {
-    report(refusal(outcome.code), commit_took, {}, {});
-    callback(refusal(outcome.code));
+    report(rejection(outcome.code), commit_duration, {}, {});
+    callback(rejection(outcome.code));
     return;
   }
   const std::optional<RegisterValue> value = decode(outcome.value);
   if (value) {
-    adoptCommitted(value->document);
+    applyCommitted(value->document);
   }
   const ChangeAnswer answer = recordedAnswer(value, change_id, answerOf(decision), outcome.changed);
   if (answer.code != ResultCode::Ok || faults_.acknowledge_without_waiting) {
-    report(answer, commit_took, {}, {});
+    report(answer, commit_duration, {}, {});
     callback(answer);
     return;
   }
@@ -195,22 +194,23 @@
                 });
 }
 
-void RegisterChangeCoordinator::report(const ChangeAnswer& answer, base::Duration commit_took,
-                                       base::Duration wait_took, const InForceOutcome& in_force) {
-  const bool unclear =
+void RegisterChangeCoordinator::report(const ChangeAnswer& answer, base::Duration commit_duration,
+                                       base::Duration wait_duration,
+                                       const InForceOutcome& in_force) {
+  const bool is_pending =
       answer.code == ResultCode::CommittedNotYetInForce || answer.code == ResultCode::NoQuorum;
-  const bool is_behind = in_force.lagging > 0;
+  const bool is_lagging = in_force.lagging > 0;
   base::Incident incident;
   incident.event = "change-ended";
-  incident.severity = unclear ? base::Severity::Warning : base::Severity::Notice;
+  incident.severity = is_pending ? base::Severity::Warning : base::Severity::Notice;
   incident.code = answer.code;
   incident.fields = {{"version", std::to_string(answer.version)},
                      {"repeated", answer.repeated ? "yes" : ""},
-                     {"commit_ms", std::to_string(base::toMilliseconds(commit_took))},
-                     {"wait_ms", std::to_string(base::toMilliseconds(wait_took))},
+                     {"commit_ms", std::to_string(base::toMilliseconds(commit_duration))},
+                     {"wait_ms", std::to_string(base::toMilliseconds(wait_duration))},
                      {"readings", std::to_string(in_force.readings)},
                      {"behind", std::to_string(in_force.lagging)},
-                     {"first_behind", is_behind ? in_force.first_lagging.toString() : ""}};
+                     {"first_behind", is_lagging ? in_force.first_lagging.toString() : ""}};
   incidents_.report(incident);
 }
 
--- a/libraries/core/source/status_json.h
+++ b/libraries/core/source/status_json.h
@@ -3,19 +3,18 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/core/node_information.h"
-#include "switchsaddle/journal/state_view.h"
 #include "switchsaddle/wire/session_messages.h"
 
 /**
  * @file
- * Bodies of the control API about the answering node itself.
+ * JSON bodies of the control API about the responding node.
  */
 
 namespace switchsaddle::core {
 
-/** The body of GET /v1/status: node, configuration version, storage, core set, leases, sessions. */
+/** @return the body of GET /v1/status: node, configuration version, storage, core set, leases,
+ * sessions. */
 std::string renderStatus(const NodeStatus& status,
                          const std::vector<wire::SessionTableEntry>& sessions,
                          std::uint64_t version, std::uint64_t digest);
--- a/libraries/core/test/control_service_test.cc
+++ b/libraries/core/test/control_service_test.cc
@@ -45,7 +45,7 @@
     return *response;
   }
 
-  /** Sends, and parses the body. */
+  /** Sends a request, checks the status and parses the body. */
   configuration::JsonValue expect(const std::string& method, const std::string& target,
                                   const std::string& body = {}, ResultCode code = ResultCode::Ok) {
     const http::Response response = send(method, target, body);
@@ -77,7 +77,7 @@
                            {configuration::sha256Hex(OperatorKey)}}};
 };
 
-TEST_F(ControlServiceTest, AnswersOnlyOperators) {
+TEST_F(ControlServiceTest, ServesOnlyOperators) {
   EXPECT_EQ(send("GET", "/v1/configuration", {}, "").status,
             base::describe(ResultCode::MissingKey).http_status);
   EXPECT_EQ(send("GET", "/v1/configuration", {}, "wrong").status,
@@ -120,7 +120,7 @@
   EXPECT_EQ(replica_.version(), 2U);
 }
 
-TEST_F(ControlServiceTest, AConflictTellsTheVersionInForce) {
+TEST_F(ControlServiceTest, AConflictReportsTheVersionInForce) {
   const configuration::JsonValue body =
       expect("POST", "/v1/configuration/changes",
              R"({"change_id":"late","base_version":0,"set":{"evacuations/z1":{}}})",
@@ -129,7 +129,7 @@
   EXPECT_EQ(body.integerOf("version"), 1);
 }
 
-TEST_F(ControlServiceTest, FaultyBodiesAreRefusedWithAllTheirFaults) {
+TEST_F(ControlServiceTest, FaultyBodiesAreRejectedWithAllTheirFaults) {
   EXPECT_EQ(errorCode(expect("POST", "/v1/configuration/changes", "{", ResultCode::MalformedJson)),
             static_cast<int>(ResultCode::MalformedJson));
   const http::Response response =
@@ -140,7 +140,7 @@
   EXPECT_NE(response.body.find("shapes/b"), std::string::npos);
 }
 
-TEST_F(ControlServiceTest, EmptiesAndRestoresAZoneWhateverTheVersion) {
+TEST_F(ControlServiceTest, EvacuatesAndRestoresAZoneWhateverTheVersion) {
   expect("POST", "/v1/zones/z1/evacuation", R"({"change_id":"e1"})");
   EXPECT_TRUE(replica_.view()->evacuated_zones.contains("z1"));
   const std::uint64_t version = replica_.version();
@@ -152,16 +152,16 @@
   expect("DELETE", "/v1/zones/z1/evacuation?change_id=e2");
 }
 
-TEST_F(ControlServiceTest, AnOrderWithoutChangeIdIsRefused) {
+TEST_F(ControlServiceTest, AnOrderWithoutChangeIdIsRejected) {
   expect("POST", "/v1/zones/z1/evacuation", "{}", ResultCode::ConfigurationInvalid);
   EXPECT_EQ(replica_.version(), 1U);
 }
 
-TEST_F(ControlServiceTest, RevokingAKeyThatIsNotThereIsToldSo) {
+TEST_F(ControlServiceTest, RevokingAnUnknownKeyIsRejected) {
   expect("DELETE", "/v1/keys/none?change_id=k1", {}, ResultCode::ConfigurationInvalid);
 }
 
-TEST_F(ControlServiceTest, TellsWhatIsInForceWhere) {
+TEST_F(ControlServiceTest, ReportsTheVersionInForceAtEachFront) {
   directory_.setSession({"127.0.0.1", 7100}, 1);
   const http::Response response = send("GET", "/v1/configuration/in-force");
   EXPECT_NE(response.body.find("127.0.0.1:7100"), std::string::npos);
@@ -169,19 +169,19 @@
   expect("GET", "/v1/configuration/in-force", {}, ResultCode::NoQuorum);
 }
 
-TEST_F(ControlServiceTest, WithoutAQuorumReadsAreRefused) {
+TEST_F(ControlServiceTest, WithoutAQuorumReadsAreRejected) {
   proposer_.has_quorum = false;
   expect("GET", "/v1/configuration", {}, ResultCode::NoQuorum);
   EXPECT_EQ(send("GET", "/v1/status").status, 200);
 }
 
-TEST_F(ControlServiceTest, ReportsStatusAndBeliefs) {
+TEST_F(ControlServiceTest, ReportsStatusAndState) {
   const configuration::JsonValue status = expect("GET", "/v1/status");
   EXPECT_EQ(status.integerOf("version"), 1);
   ASSERT_NE(status.find("leases"), nullptr);
   EXPECT_EQ(status.find("leases")->elements.front().textOf("name"), "platform-watcher");
-  const http::Response beliefs = send("GET", "/v1/beliefs");
-  EXPECT_NE(beliefs.body.find("routes/chat"), std::string::npos);
+  const http::Response state = send("GET", "/v1/beliefs");
+  EXPECT_NE(state.body.find("routes/chat"), std::string::npos);
 }
 
 TEST_F(ControlServiceTest, ReplacesACore) {
@@ -196,7 +196,7 @@
 class ControlHealthTest : public ControlServiceTest {
  protected:
   ControlHealthTest() {
-    wire::HealthReport statement;
+    wire::HealthReport report;
     wire::PoolHealth pool;
     pool.pool = worker_health::poolKey("p");
     for (int index = 0; index < 10; ++index) {
@@ -209,18 +209,18 @@
       health.counts.dispatched = 100;
       health.counts.timed = 100;
       health.counts.stalled = index == 9 ? 60 : 0;
-      statement.workers.push_back(health);
+      report.workers.push_back(health);
       worker_health::addCounts(pool.counts, health.counts);
     }
-    statement.pools.push_back(pool);
+    report.pools.push_back(pool);
     node_.ranking.setWorkers(node_.snapshot);
-    node_.ledger.update({{"10.0.0.1", 1}, 1}, "north", statement);
+    node_.ledger.update({{"10.0.0.1", 1}, 1}, "north", report);
     node_.ranking.refresh();
   }
   static std::string order(const std::string& id) { return R"({"change_id":")" + id + R"("})"; }
 };
 
-TEST_F(ControlHealthTest, ShowsTheSickestFirst) {
+TEST_F(ControlHealthTest, RanksTheMostUnhealthyWorkerFirst) {
   const configuration::JsonValue body = expect("GET", "/v1/health/workers");
   const configuration::JsonValue& first = body.find("workers")->elements.front();
   EXPECT_EQ(first.textOf("worker"), "w9");
@@ -239,10 +239,10 @@
             static_cast<int>(ResultCode::UnknownWorker));
 }
 
-TEST_F(ControlHealthTest, TakesTheSickestOutOnceHoweverOftenItIsAsked) {
+TEST_F(ControlHealthTest, NextMaintenanceIsIdempotent) {
   const configuration::JsonValue first = expect("POST", "/v1/maintenance/next", order("n1"));
   EXPECT_EQ(first.textOf("worker"), "w9");
-  // Another is sick by now; the order was for that one.
+  // Another worker may be unhealthy by now; the retried order stays with the first.
   const configuration::JsonValue again = expect("POST", "/v1/maintenance/next", order("n1"));
   EXPECT_EQ(again.textOf("worker"), "w9");
   EXPECT_EQ(again.integerOf("version"), first.integerOf("version"));
@@ -251,7 +251,7 @@
   EXPECT_EQ(status.find("workers")->elements.front().textOf("state"), "draining");
 }
 
-TEST_F(ControlHealthTest, RefusalsAreNumbered) {
+TEST_F(ControlHealthTest, RejectionsHaveTheirCodes) {
   expect("POST", "/v1/maintenance/workers/w3", order("a"));
   EXPECT_EQ(errorCode(expect("POST", "/v1/maintenance/workers/w3", order("b"),
                              ResultCode::AlreadyInMaintenance)),
@@ -262,14 +262,14 @@
   expect("POST", "/v1/maintenance/workers/nobody", order("d"), ResultCode::UnknownWorker);
 }
 
-TEST_F(ControlHealthTest, AFinishedWorkerTakesRequestsAgain) {
+TEST_F(ControlHealthTest, AWorkerReturnsFromMaintenance) {
   expect("POST", "/v1/maintenance/workers/w3", order("a"));
   expect("DELETE", "/v1/maintenance/workers/w3?change_id=b");
   expect("DELETE", "/v1/maintenance/workers/w3?change_id=b");
   EXPECT_TRUE(expect("GET", "/v1/maintenance").find("workers")->elements.empty());
 }
 
-TEST_F(ControlHealthTest, WithoutAQuorumNothingIsTakenOut) {
+TEST_F(ControlHealthTest, WithoutAQuorumNoWorkerIsTakenIntoMaintenance) {
   proposer_.has_quorum = false;
   EXPECT_EQ(errorCode(expect("POST", "/v1/maintenance/next", order("n1"), ResultCode::NoQuorum)),
             static_cast<int>(ResultCode::NoQuorum));
--- a/libraries/core/test/core_incidents_test.cc
+++ b/libraries/core/test/core_incidents_test.cc
@@ -15,13 +15,13 @@
 
 using std::chrono::seconds;
 
-/** A platform that never answers. */
+/** A platform that never replies. */
 class UnresponsivePlatform : public workers::PlatformSource {
  public:
   void read(std::function<void(workers::PlatformReading)> /*callback*/) override {}
 };
 
-/** A core of one node, which is a majority by itself. */
+/** A core set of one node, which is a majority by itself. */
 class CoreIncidentsTest : public testing::Test {
  protected:
   CoreIncidentsTest() {
@@ -47,10 +47,10 @@
 
   http::Response get(const std::string& path) {
     CoreHttpService service(*node_, nullptr);
-    http::Response answer;
+    http::Response result;
     service.handle({"GET", path, {}, ""},
-                   [&](http::Response response) { answer = std::move(response); });
-    return answer;
+                   [&](http::Response response) { result = std::move(response); });
+    return result;
   }
 
   simulation::World world_{1};
@@ -68,7 +68,7 @@
   std::unique_ptr<CoreNode> node_;
 };
 
-TEST_F(CoreIncidentsTest, TellsOfLeasesGained) {
+TEST_F(CoreIncidentsTest, ReportsLeasesGained) {
   node_->start();
   world_.runFor(seconds(10));
   const base::Incident* gained = incidents_.find("lease-gained");
@@ -78,30 +78,30 @@
   EXPECT_EQ(get("/readyz").status, 200);
 }
 
-TEST_F(CoreIncidentsTest, TellsOnceThatItCannotBearTheLossesAskedFor) {
+TEST_F(CoreIncidentsTest, ReportsOnceThatItCannotTolerateTheLosses) {
   settings_.tolerated_core_losses = 1;
   createNode();
   node_->start();
   world_.runFor(seconds(10));
   EXPECT_EQ(incidents_.find("tolerance-not-met"), nullptr);
   world_.runFor(seconds(30));
-  const base::Incident* told = incidents_.find("tolerance-not-met");
-  ASSERT_NE(told, nullptr);
-  EXPECT_EQ(told->code, base::ResultCode::ToleranceNotMet);
-  const auto tells = [](const base::Incident& incident) {
+  const base::Incident* reported = incidents_.find("tolerance-not-met");
+  ASSERT_NE(reported, nullptr);
+  EXPECT_EQ(reported->code, base::ResultCode::ToleranceNotMet);
+  const auto is_shortfall = [](const base::Incident& incident) {
     return incident.event == "tolerance-not-met";
   };
-  EXPECT_EQ(std::ranges::count_if(incidents_.all, tells), 1);
+  EXPECT_EQ(std::ranges::count_if(incidents_.all, is_shortfall), 1);
 }
 
-TEST_F(CoreIncidentsTest, TellsOfAStoreThatCannotBeOpenedAndIsNotReady) {
+TEST_F(CoreIncidentsTest, ReportsAStoreThatCannotBeOpenedAndIsNotReady) {
   disk_.setFull(true);
   node_->start();
   world_.runFor(seconds(5));
-  const base::Incident* refused = incidents_.find("storage-not-opened");
-  ASSERT_NE(refused, nullptr);
-  EXPECT_EQ(refused->severity, base::Severity::Error);
-  EXPECT_TRUE(refused->dumps_ring);
+  const base::Incident* not_opened = incidents_.find("storage-not-opened");
+  ASSERT_NE(not_opened, nullptr);
+  EXPECT_EQ(not_opened->severity, base::Severity::Error);
+  EXPECT_TRUE(not_opened->dumps_ring);
   EXPECT_EQ(get("/readyz").status, 503);
   EXPECT_EQ(get("/healthz").status, 200);
   EXPECT_NE(get("/metrics").body.find("switchsaddle_storage_fault 1\n"), std::string::npos);
--- a/libraries/core/test/load_ledger_test.cc
+++ b/libraries/core/test/load_ledger_test.cc
@@ -23,8 +23,8 @@
     record.load.workers = std::move(loads);
     return record;
   }
-  /** What a front is told, as "worker:requests/prefill_ms". */
-  std::vector<std::string> told(const wire::SessionRecord& record) {
+  /** The load reported to a front, as "worker:requests/prefill_ms". */
+  std::vector<std::string> reportedTo(const wire::SessionRecord& record) {
     std::vector<std::string> texts;
     for (const wire::WorkerLoad& load : ledger.loadFor(record).others) {
       texts.push_back(std::to_string(load.worker) + ":" + std::to_string(load.requests) + "/" +
@@ -40,17 +40,17 @@
   wire::SessionRecord second = recordOf(2, {{FirstWorker, 3, 50}});
 };
 
-TEST_F(LoadLedgerTest, TellsEachFrontWhatTheOthersHave) {
+TEST_F(LoadLedgerTest, ReportsToEachFrontTheLoadOfItsPeers) {
   ledger.update(first);
   ledger.update(second);
-  EXPECT_THAT(told(first), testing::ElementsAre("11:3/50"));
-  EXPECT_THAT(told(second), testing::ElementsAre("11:2/100", "22:1/0"));
-  EXPECT_THAT(told(recordOf(3, {})), testing::ElementsAre("11:5/150", "22:1/0"));
+  EXPECT_THAT(reportedTo(first), testing::ElementsAre("11:3/50"));
+  EXPECT_THAT(reportedTo(second), testing::ElementsAre("11:2/100", "22:1/0"));
+  EXPECT_THAT(reportedTo(recordOf(3, {})), testing::ElementsAre("11:5/150", "22:1/0"));
   EXPECT_EQ(ledger.requestsOn(FirstWorker), 5);
   EXPECT_EQ(ledger.requestsOn(33), 0);
 }
 
-TEST_F(LoadLedgerTest, OfManyWorkersTheMostLoadedAreToldAndTheMeanOfTheRest) {
+TEST_F(LoadLedgerTest, ReportsTheMostLoadedWorkersAndTheMeanOfTheRest) {
   std::vector<wire::WorkerLoad> loads;
   for (std::uint16_t worker = 0; worker < 2'100; ++worker) {
     loads.push_back({worker, 1, worker});
@@ -65,28 +65,28 @@
   EXPECT_FLOAT_EQ(load.rest_prefill_ms, (2'100 - LoadLedger::MaximumReportedWorkers - 1) / 2.0);
 }
 
-TEST_F(LoadLedgerTest, ARecordTakesThePlaceOfTheOneBefore) {
+TEST_F(LoadLedgerTest, ARecordReplacesThePreviousOne) {
   ledger.update(first);
   ledger.update(first);
   ledger.update(recordOf(1, {{FirstWorker, 1, 10}}));
-  EXPECT_THAT(told(second), testing::ElementsAre("11:1/10"));
+  EXPECT_THAT(reportedTo(second), testing::ElementsAre("11:1/10"));
   ledger.update(recordOf(1, {}));
-  EXPECT_THAT(told(second), testing::IsEmpty());
+  EXPECT_THAT(reportedTo(second), testing::IsEmpty());
 }
 
-TEST_F(LoadLedgerTest, AFrontThatEndedOrIsSilentCountsWithNothing) {
+TEST_F(LoadLedgerTest, AFrontThatEndedOrTimedOutCountsWithNothing) {
   ledger.update(first);
   first.closed = true;
   ledger.update(first);
-  EXPECT_THAT(told(second), testing::IsEmpty());
+  EXPECT_THAT(reportedTo(second), testing::IsEmpty());
   ledger.update(second);
   world.runFor(milliseconds(1'400));
-  EXPECT_THAT(told(first), testing::ElementsAre("11:3/50"));
+  EXPECT_THAT(reportedTo(first), testing::ElementsAre("11:3/50"));
   world.runFor(milliseconds(200));
-  EXPECT_THAT(told(first), testing::IsEmpty());
+  EXPECT_THAT(reportedTo(first), testing::IsEmpty());
 }
 
-TEST_F(LoadLedgerTest, SilentFrontsAreForgottenAtACoreThatNobodyAsks) {
+TEST_F(LoadLedgerTest, UnresponsiveFrontsAreRemovedWithoutGrants) {
   ledger.update(first);
   world.runFor(milliseconds(1'600));
   ledger.update(second);
@@ -94,20 +94,20 @@
   EXPECT_EQ(ledger.requestsOn(SecondWorker), 0);
 }
 
-TEST_F(LoadLedgerTest, TwoProcessesOfOneAddressCountApart) {
+TEST_F(LoadLedgerTest, TwoProcessesOfOneAddressCountSeparately) {
   ledger.update(first);
   wire::SessionRecord restarted = recordOf(1, {{FirstWorker, 1, 5}});
   restarted.instance = 7;
   ledger.update(restarted);
-  EXPECT_THAT(told(second), testing::ElementsAre("11:3/105", "22:1/0"));
+  EXPECT_THAT(reportedTo(second), testing::ElementsAre("11:3/105", "22:1/0"));
 }
 
-TEST_F(LoadLedgerTest, AddsUpKindsOfWorkOfAllFronts) {
+TEST_F(LoadLedgerTest, SumsKindsOfWorkOverAllFronts) {
   first.load.kinds = {{7, 10, 1'000, 500}};
   second.load.kinds = {{7, 5, 500, 100}, {9, 1, 20, 20}};
   ledger.update(first);
   ledger.update(second);
-  // They are added up five times a second.
+  // They are summed five times a second.
   world.runFor(milliseconds(200));
   const std::vector<wire::WorkKindCounts> kinds = ledger.loadFor(first).kinds;
   ASSERT_EQ(kinds.size(), 2U);
@@ -117,11 +117,11 @@
   EXPECT_FLOAT_EQ(kinds[0].read_tokens, 600);
 }
 
-TEST_F(LoadLedgerTest, SumsStopAtWhatTheMessageHolds) {
+TEST_F(LoadLedgerTest, SumsSaturateAtTheRangeOfTheMessage) {
   for (std::uint16_t front = 10; front < 13; ++front) {
     ledger.update(recordOf(front, {{FirstWorker, 1, 60'000}}));
   }
-  EXPECT_THAT(told(second), testing::ElementsAre("11:3/65535"));
+  EXPECT_THAT(reportedTo(second), testing::ElementsAre("11:3/65535"));
 }
 
 }  // namespace
--- a/libraries/core/test/observed_proposer_test.cc
+++ b/libraries/core/test/observed_proposer_test.cc
@@ -20,22 +20,22 @@
   ObservedProposer proposer_{process_, inner_, incidents_};
 };
 
-TEST_F(ObservedProposerTest, PassesOperationsOnAndMeasuresThem) {
-  registers::RegisterOutcome seen;
+TEST_F(ObservedProposerTest, ForwardsOperationsAndMeasuresThem) {
+  registers::RegisterOutcome result;
   proposer_.change(
       "configuration", [](const std::string&) { return std::optional<std::string>("new"); },
-      [&](const registers::RegisterOutcome& outcome) { seen = outcome; });
-  EXPECT_EQ(seen.value, "new");
-  EXPECT_TRUE(seen.changed);
-  proposer_.read("configuration", [&](const auto& outcome) { seen = outcome; });
-  EXPECT_FALSE(seen.changed);
+      [&](const registers::RegisterOutcome& outcome) { result = outcome; });
+  EXPECT_EQ(result.value, "new");
+  EXPECT_TRUE(result.changed);
+  proposer_.read("configuration", [&](const auto& outcome) { result = outcome; });
+  EXPECT_FALSE(result.changed);
   EXPECT_EQ(proposer_.counters().operations, 2U);
   const auto& counts = proposer_.counters().latency.counts();
   EXPECT_EQ(std::accumulate(counts.begin(), counts.end(), std::uint64_t{0}), 2U);
   EXPECT_TRUE(incidents_.all.empty());
 }
 
-TEST_F(ObservedProposerTest, TellsOfALostQuorumWithTheRegister) {
+TEST_F(ObservedProposerTest, ReportsALostQuorumWithTheRegister) {
   inner_.has_quorum = false;
   proposer_.read("configuration", [](const auto&) {});
   ASSERT_EQ(incidents_.all.size(), 1U);
--- a/libraries/core/test/quota_allocator_test.cc
+++ b/libraries/core/test/quota_allocator_test.cc
@@ -16,12 +16,12 @@
     tenant.name = "t";
     tenant.rate_per_s = 100;
     allocator.setConfiguration(view);
-    // It has heard the fronts for a whole window.
+    // The core has received the records of the fronts for a whole window.
     allocator.allocate({});
     world.runFor(std::chrono::seconds(8));
   }
-  /** What the allocator says to the front of a record. */
-  std::vector<wire::TenantAllocation> told(std::size_t index) {
+  /** The allocation for the front of a record. */
+  std::vector<wire::TenantAllocation> allocationsFor(std::size_t index) {
     return allocator.allocate(records[index].record).value();
   }
   wire::SessionRecord& front(std::uint16_t port, float per_s, float admitted) {
@@ -45,7 +45,7 @@
                            {8, 0, 0}};
 };
 
-TEST_F(QuotaAllocatorTest, KnowsNothingUntilItHasHeardTheFrontsForAWindow) {
+TEST_F(QuotaAllocatorTest, AllocatesNothingUntilItHasReceivedRecordsForAWindow) {
   front(1, 90, 700);
   allocator.stopReceiving();
   EXPECT_FALSE(allocator.allocate(records[0].record).has_value());
@@ -55,16 +55,16 @@
   EXPECT_TRUE(allocator.allocate(records[0].record).has_value());
 }
 
-TEST_F(QuotaAllocatorTest, SaysNothingOfATenantThatUsedLittle) {
+TEST_F(QuotaAllocatorTest, AllocatesNothingForATenantThatUsedLittle) {
   front(1, 10, 100);
-  EXPECT_TRUE(told(0).empty());
+  EXPECT_TRUE(allocationsFor(0).empty());
 }
 
-TEST_F(QuotaAllocatorTest, PartsFollowDemandAndSumToTheWhole) {
+TEST_F(QuotaAllocatorTest, SharesFollowDemandAndSumToOne) {
   front(1, 90, 300);
   front(2, 10, 300);
-  const auto first = told(0);
-  const auto second = told(1);
+  const auto first = allocationsFor(0);
+  const auto second = allocationsFor(1);
   ASSERT_EQ(first.size(), 1U);
   EXPECT_FLOAT_EQ(first[0].fleet_admitted, 600);
   EXPECT_FLOAT_EQ(first[0].fleet_units_per_s, 100);
@@ -72,45 +72,45 @@
   EXPECT_NEAR(first[0].share + second[0].share, 1.0, 1e-6);
 }
 
-TEST_F(QuotaAllocatorTest, WhatASilentFrontLetInCountsOn) {
+TEST_F(QuotaAllocatorTest, UnitsAdmittedByAnUnresponsiveFrontStillCount) {
   front(1, 50, 300);
   front(2, 50, 300);
-  EXPECT_FLOAT_EQ(told(0)[0].fleet_admitted, 600);
+  EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 600);
   records.pop_back();
   world.runFor(std::chrono::seconds(5));
-  // It may let in its equal part of the 800 by itself.
-  EXPECT_FLOAT_EQ(told(0)[0].fleet_admitted, 700);
+  // While partitioned it may admit its equal share of the 800.
+  EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 700);
   // Another process at its address shows that it has ended.
   wire::SessionRecord& restarted = front(2, 50, 0);
   restarted.instance = 77;
   world.runFor(std::chrono::milliseconds(200));
-  EXPECT_FLOAT_EQ(told(0)[0].fleet_admitted, 600);
+  EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 600);
   records.pop_back();
-  // What it had let in has left the window, but cut off it could still use its part.
+  // The units it admitted have left the window, but it may be partitioned and use its share.
   world.runFor(std::chrono::seconds(11));
-  EXPECT_FLOAT_EQ(told(0)[0].fleet_admitted, 700);
+  EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 700);
   world.runFor(std::chrono::seconds(61));
-  EXPECT_FLOAT_EQ(told(0)[0].fleet_admitted, 300);
+  EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 300);
 }
 
-TEST_F(QuotaAllocatorTest, ACoreThatDoesNotKnowWhatWasUsedDecidesOnlyWhereNobodyCan) {
+TEST_F(QuotaAllocatorTest, ACoreWithoutKnowledgeDecidesOnlyWhereNoCoreHasIt) {
   wire::SessionRecord& old = front(1, 50, 300);
   old.fleet_knowledge.age_ms = 60'000;
   EXPECT_TRUE(allocator.mayDecide());
   EXPECT_DOUBLE_EQ(allocator.useOf("t").value().admitted, 300);
-  // It was cut off: the fronts have run on, and other cores have heard them.
+  // It was partitioned: the fronts kept running, and other cores received their records.
   allocator.stopReceiving();
   EXPECT_FALSE(allocator.mayDecide());
   EXPECT_FALSE(allocator.useOf("t").has_value());
-  // All have just started: nobody knows, and what was used before has left the window by and by.
+  // All fronts have just started: no core knows, and earlier use leaves the window gradually.
   records.clear();
   front(2, 50, 10);
   world.runFor(std::chrono::milliseconds(200));
   EXPECT_TRUE(allocator.mayDecide());
-  const double at_first = allocator.useOf("t").value().admitted;
+  const double initially = allocator.useOf("t").value().admitted;
   world.runFor(std::chrono::seconds(4));
-  // Half of the 0.84 x 800 that are assumed to have been used.
-  EXPECT_NEAR(at_first - allocator.useOf("t").value().admitted, 336, 1);
+  // Half of the 0.84 x 800 that are assumed to have been used before.
+  EXPECT_NEAR(initially - allocator.useOf("t").value().admitted, 336, 1);
 }
 
 }  // namespace
--- a/libraries/core/test/register_change_coordinator_test.cc
+++ b/libraries/core/test/register_change_coordinator_test.cc
@@ -26,7 +26,7 @@
   return change;
 }
 
-/** A front that applies what is pushed to it and has its session say so. */
+/** A front that applies pushed deltas and confirms them by its session. */
 struct Front {
   Front(simulation::World& world, simulation::Network& network, FakeDirectory& directory,
         base::NodeAddress own_address)
@@ -67,7 +67,7 @@
   base::Duration taken_{};
 };
 
-TEST_F(RegisterChangeCoordinatorTest, AcknowledgesOnceEveryLiveFrontHasIt) {
+TEST_F(RegisterChangeCoordinatorTest, AcknowledgesOnceEveryLiveFrontHasAppliedTheChange) {
   const ChangeAnswer answer = submit(changeOf("1", 0));
   EXPECT_EQ(answer.code, ResultCode::Ok);
   EXPECT_EQ(answer.version, 1U);
@@ -76,11 +76,11 @@
   EXPECT_LT(taken_, milliseconds(50));
 }
 
-TEST_F(RegisterChangeCoordinatorTest, HandsOnWhatItCommittedAndNothingElse) {
-  std::vector<wire::ConfigurationDelta> handed;
+TEST_F(RegisterChangeCoordinatorTest, SendsCommittedDeltasToPeersAndNothingElse) {
+  std::vector<wire::ConfigurationDelta> sent;
   coordinator_.setCommittedListener([&](const wire::ConfigurationDelta& delta) {
     EXPECT_LT(replica_.version(), delta.to_version);
-    handed.push_back(delta);
+    sent.push_back(delta);
   });
   const std::string second_route = R"({"models":["n"],"pool":"p","service":"completions"})";
   EXPECT_EQ(submit(changeOf("1", 0)).code, ResultCode::Ok);
@@ -88,14 +88,14 @@
   EXPECT_EQ(submit(changeOf("3", 1)).code, ResultCode::ConfigurationConflict);
   EXPECT_TRUE(submit(changeOf("2", 1, second_route)).repeated);
   submit(changeOf("4", 2), true);
-  ASSERT_EQ(handed.size(), 2U);
-  EXPECT_EQ(handed[1].from_version, 1U);
-  EXPECT_EQ(handed[1].to_version, 2U);
-  EXPECT_EQ(handed[1].entries.size(), 1U);
-  EXPECT_EQ(handed[1].digest, replica_.digest());
+  ASSERT_EQ(sent.size(), 2U);
+  EXPECT_EQ(sent[1].from_version, 1U);
+  EXPECT_EQ(sent[1].to_version, 2U);
+  EXPECT_EQ(sent[1].entries.size(), 1U);
+  EXPECT_EQ(sent[1].digest, replica_.digest());
 }
 
-TEST_F(RegisterChangeCoordinatorTest, DoesNotAcknowledgeWhileOneFrontIsBehind) {
+TEST_F(RegisterChangeCoordinatorTest, DoesNotAcknowledgeWhileOneFrontIsLagging) {
   second_.confirms = false;
   const ChangeAnswer answer = submit(changeOf("1", 0));
   EXPECT_EQ(answer.code, ResultCode::CommittedNotYetInForce);
@@ -103,7 +103,7 @@
   EXPECT_EQ(taken_, seconds(2));
 }
 
-TEST_F(RegisterChangeCoordinatorTest, AResendRepeatsTheResultAndGoesOnWaiting) {
+TEST_F(RegisterChangeCoordinatorTest, ARetryRepeatsTheOutcomeAndWaitsAgain) {
   second_.confirms = false;
   submit(changeOf("1", 0));
   ChangeAnswer again = submit(changeOf("1", 0));
@@ -115,7 +115,7 @@
   EXPECT_TRUE(again.repeated);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, AnswersAtOnceWhenTheLastFrontBehindLapses) {
+TEST_F(RegisterChangeCoordinatorTest, AcknowledgesWhenTheSessionOfTheLastLaggingFrontLapses) {
   second_.confirms = false;
   std::optional<ChangeAnswer> answer;
   coordinator_.submit(changeOf("1", 0), false,
@@ -128,7 +128,7 @@
   EXPECT_EQ(answer->code, ResultCode::Ok);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, ALostPushIsSentAgain) {
+TEST_F(RegisterChangeCoordinatorTest, ALostPushIsRetried) {
   network_.cut({"127.0.0.1", 7000}, second_.address);
   std::optional<ChangeAnswer> answer;
   coordinator_.submit(changeOf("1", 0), false,
@@ -141,25 +141,25 @@
   EXPECT_EQ(answer->code, ResultCode::Ok);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, OfTwoChangesOnOneBaseExactlyOneWins) {
+TEST_F(RegisterChangeCoordinatorTest, OfTwoChangesOnOneBaseExactlyOneCommits) {
   EXPECT_EQ(submit(changeOf("1", 0)).code, ResultCode::Ok);
   const ChangeAnswer loser = submit(changeOf("2", 0));
   EXPECT_EQ(loser.code, ResultCode::ConfigurationConflict);
   EXPECT_EQ(loser.version, 1U);
-  EXPECT_LT(taken_, milliseconds(1)) << "a refusal is not held back";
+  EXPECT_LT(taken_, milliseconds(1)) << "a rejection does not wait";
   const ChangeAnswer again = submit(changeOf("2", 0));
   EXPECT_EQ(again.code, ResultCode::ConfigurationConflict);
   EXPECT_TRUE(again.repeated);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, TheAnswerIsThatOfTheLastRunOfTheChangeFunction) {
+TEST_F(RegisterChangeCoordinatorTest, ReportsTheOutcomeOfTheCommittedRunOfTheChangeFunction) {
   proposer_.runs = 3;
   const ChangeAnswer answer = submit(changeOf("1", 0));
   EXPECT_EQ(answer.code, ResultCode::Ok);
   EXPECT_FALSE(answer.repeated);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, RefusesInvalidChangesWithTheirFaults) {
+TEST_F(RegisterChangeCoordinatorTest, RejectsInvalidChangesWithTheirFaults) {
   const ChangeAnswer answer = submit(changeOf("1", 0, "5"));
   EXPECT_EQ(answer.code, ResultCode::ConfigurationInvalid);
   EXPECT_FALSE(answer.faults.empty());
@@ -172,7 +172,7 @@
   EXPECT_EQ(replica_.version(), 0U);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, WithoutAQuorumNothingIsPromised) {
+TEST_F(RegisterChangeCoordinatorTest, WithoutAQuorumNothingIsAcknowledged) {
   proposer_.has_quorum = false;
   EXPECT_EQ(submit(changeOf("1", 0)).code, ResultCode::NoQuorum);
 }
@@ -186,12 +186,12 @@
   directory_.defers_replies = true;
   bool first_done = false;
   tracker_.wait(0, world_.now() + seconds(2),
-                [&](const InForceOutcome& seen) { first_done = seen.in_force; });
+                [&](const InForceOutcome& outcome) { first_done = outcome.in_force; });
   std::optional<ChangeAnswer> answer;
   coordinator_.submit(changeOf("1", 0), false,
                       [&](const ChangeAnswer& result) { answer = result; });
   ASSERT_EQ(directory_.pending.size(), 1U);
-  // The earlier reading saw no sessions at all.
+  // The earlier reading returned no sessions.
   directory_.pending.front()(ResultCode::Ok, {});
   EXPECT_TRUE(first_done);
   EXPECT_FALSE(answer.has_value());
