--- a/libraries/claims/include/switchsaddle/claims/claim_client.h
+++ b/libraries/claims/include/switchsaddle/claims/claim_client.h
@@ -7,17 +7,20 @@
 
 namespace switchsaddle::claims {
 
+/** Receives the outcome; not `available` means that the request may or may not be recorded. */
 using ClaimCallback = std::function<void(const wire::ClaimReply&)>;
 
 /**
- * The front's side of claims. Asks a core node and, where it is silent or refuses, the next,
- * repeating the very same request, until the deadline; begin() and finish() are idempotent for one
- * run.
+ * Client of the claims, used by fronts. Sends a request to a core node and, where that times out or
+ * fails, the same request to the next one, until the deadline. begin() and finish() are idempotent
+ * for one run. Runs on the control strand.
  */
 class ClaimClient {
  public:
   virtual ~ClaimClient() = default;
+  /** Claims an idempotency key for a run. */
   virtual void begin(const wire::ClaimBegin& request, ClaimCallback callback) = 0;
+  /** Ends the claim of a run with its outcome. */
   virtual void finish(const wire::ClaimFinish& request, ClaimCallback callback) = 0;
 };
 
--- a/libraries/claims/source/claim_service.cc
+++ b/libraries/claims/source/claim_service.cc
@@ -12,8 +12,10 @@
 
 namespace {
 
-/** The claim, nothing where the register is empty; a corrupt one reads as Unknown, so that the key
- * never runs again. */
+/**
+ * @return the claim; unset where the register is empty. A corrupt claim is decoded as Unknown, so
+ * that the key never runs again.
+ */
 std::optional<ClaimValue> readClaim(const std::string& present) {
   if (present.empty()) {
     return std::nullopt;
@@ -30,9 +32,9 @@
 std::optional<std::string> applyBegin(const wire::ClaimBegin& request, const std::string& present) {
   const std::optional<ClaimValue> claim = readClaim(present);
   const bool claimable = !claim || claim->state == ClaimState::NotRun;
-  // A begin that arrives after its own run was ended must not claim the key for nobody.
-  const bool ended_already = claim && claim->run == request.run;
-  if (!claimable || ended_already) {
+  // A late begin whose run has ended already must not claim the key: nobody would end the claim.
+  const bool has_ended = claim && claim->run == request.run;
+  if (!claimable || has_ended) {
     return std::nullopt;
   }
   ClaimValue value;
@@ -50,7 +52,7 @@
   }
   std::optional<ClaimValue> claim = readClaim(present);
   if (!claim && request.state == ClaimState::NotRun) {
-    // The begin may still be under way; this keeps it from claiming the key later.
+    // The begin may still be in flight; the record prevents it from claiming the key later.
     claim = ClaimValue{};
     claim->run = request.run;
   }
@@ -64,7 +66,7 @@
 }
 
 wire::ClaimReply toReply(const registers::RegisterOutcome& outcome, const std::string& run,
-                         ClaimState wanted) {
+                         ClaimState expected) {
   wire::ClaimReply reply;
   reply.available = outcome.code == base::ResultCode::Ok;
   if (!reply.available) {
@@ -74,7 +76,7 @@
   if (!claim) {
     return reply;
   }
-  reply.won = claim->run == run && claim->state == wanted;
+  reply.won = claim->run == run && claim->state == expected;
   reply.state = claim->state;
   reply.fingerprint = claim->fingerprint;
   reply.run = claim->run;
--- a/libraries/claims/source/claim_value.cc
+++ b/libraries/claims/source/claim_value.cc
@@ -8,13 +8,13 @@
 
 namespace {
 
-/** Raised whenever the layout of a stored claim changes. */
+/** Incremented whenever the layout of a stored claim changes. */
 constexpr std::uint16_t LayoutVersion = 1;
 
-/** Longer than any run may take. */
+/** Longer than the longest run. */
 constexpr base::Duration LifetimeMargin = std::chrono::minutes(10);
 
-/** The tenant with '%' and '/' escaped, so that the separator after it is the first one. */
+/** Escapes '%' and '/' in a tenant, so that the first separator of a key ends the tenant. */
 std::string escapeTenant(const std::string& tenant) {
   std::string escaped;
   for (const char character : tenant) {
@@ -43,7 +43,7 @@
   try {
     lifetime_s = decodeClaim(value).lifetime_s;
   } catch (const base::Error&) {
-    // Nothing was accepted yet, or it can't be read: it is kept for as long as any claim.
+    // No value was accepted yet, or it is corrupt: the default lifetime applies.
   }
   return std::chrono::seconds(lifetime_s) + LifetimeMargin;
 }
--- a/libraries/claims/source/peer_claim_client.cc
+++ b/libraries/claims/source/peer_claim_client.cc
@@ -23,73 +23,70 @@
   operation.request = std::move(request);
   operation.callback = std::move(callback);
   operation.deadline = dispatcher_.now() + options_.deadline;
-  operation.core = preferred_core_;
-  operation.silence = dispatcher_.createTimer([this, id] { passOver(id); });
-  operation.pause = dispatcher_.createTimer([this, id] { attemptNext(id); });
+  operation.core_index = preferred_core_;
+  operation.timeout_timer = dispatcher_.createTimer([this, id] { skipCore(id); });
+  operation.retry_timer = dispatcher_.createTimer([this, id] { attemptNext(id); });
   operations_.emplace(id, std::move(operation));
   attemptNext(id);
 }
 
 void PeerClaimClient::attemptNext(std::uint64_t id) {
   Operation& operation = operations_.at(id);
-  const base::Duration left = operation.deadline - dispatcher_.now();
-  if (left <= base::Duration::zero()) {
-    end(id, wire::ClaimReply{});
+  const base::Duration remaining = operation.deadline - dispatcher_.now();
+  if (remaining <= base::Duration::zero()) {
+    finishOperation(id, wire::ClaimReply{});
     return;
   }
   const std::vector<base::NodeAddress> cores = cores_();
-  if (cores.empty() || operation.attempts_in_round >= cores.size()) {
-    operation.attempts_in_round = 0;
-    operation.pause->enable(std::min(options_.pause, left));
+  if (cores.empty() || operation.attempts >= cores.size()) {
+    operation.attempts = 0;
+    operation.retry_timer->enable(std::min(options_.retry_delay, remaining));
     return;
   }
-  ++operation.attempts_in_round;
-  const base::NodeAddress& core = cores[operation.core % cores.size()];
-  if (operation.owing.contains(core)) {
-    passOver(id);
+  ++operation.attempts;
+  const base::NodeAddress& core = cores[operation.core_index % cores.size()];
+  if (operation.pending.contains(core)) {
+    skipCore(id);
   } else {
-    ask(id, core, left);
+    send(id, core, remaining);
   }
 }
 
-void PeerClaimClient::ask(std::uint64_t id, const base::NodeAddress& core, base::Duration left) {
+void PeerClaimClient::send(std::uint64_t id, const base::NodeAddress& core,
+                           base::Duration remaining) {
   Operation& operation = operations_.at(id);
-  operation.present = core;
-  operation.owing.insert(core);
-  operation.silence->enable(std::min(options_.core_timeout, left));
-  calls_.call(
-      core, operation.request, left,
-      [this, alive = std::weak_ptr(alive_), id, core, index = operation.core](const auto& result) {
-        if (!alive.expired()) {
-          onAnswer(id, core, index, result);
-        }
-      });
+  operation.last_core = core;
+  operation.pending.insert(core);
+  operation.timeout_timer->enable(std::min(options_.core_timeout, remaining));
+  calls_.call(core, operation.request, remaining,
+              callbacks_.guard([this, id, core, core_index = operation.core_index](
+                                   const auto& result) { onReply(id, core, core_index, result); }));
 }
 
-void PeerClaimClient::onAnswer(std::uint64_t id, const base::NodeAddress& core, std::size_t index,
-                               const transport::CallResult& result) {
+void PeerClaimClient::onReply(std::uint64_t id, const base::NodeAddress& core,
+                              std::size_t core_index, const transport::CallResult& result) {
   const auto found = operations_.find(id);
   if (found == operations_.end()) {
     return;
   }
   Operation& operation = found->second;
-  operation.owing.erase(core);
+  operation.pending.erase(core);
   const auto* reply = result.as<wire::ClaimReply>();
   if (reply != nullptr && reply->available) {
-    preferred_core_ = index;
-    end(id, *reply);
-  } else if (core == operation.present && operation.silence->enabled()) {
-    operation.silence->disable();
-    passOver(id);
+    preferred_core_ = core_index;
+    finishOperation(id, *reply);
+  } else if (core == operation.last_core && operation.timeout_timer->enabled()) {
+    operation.timeout_timer->disable();
+    skipCore(id);
   }
 }
 
-void PeerClaimClient::passOver(std::uint64_t id) {
-  ++operations_.at(id).core;
+void PeerClaimClient::skipCore(std::uint64_t id) {
+  ++operations_.at(id).core_index;
   attemptNext(id);
 }
 
-void PeerClaimClient::end(std::uint64_t id, const wire::ClaimReply& reply) {
+void PeerClaimClient::finishOperation(std::uint64_t id, const wire::ClaimReply& reply) {
   const auto found = operations_.find(id);
   const ClaimCallback callback = std::move(found->second.callback);
   operations_.erase(found);
--- a/libraries/claims/test/claim_service_test.cc
+++ b/libraries/claims/test/claim_service_test.cc
@@ -49,7 +49,7 @@
   ClaimService service{calls, proposer};
 };
 
-TEST_F(ClaimServiceTest, OneRunWinsAndMayAskAgain) {
+TEST_F(ClaimServiceTest, OneRunWinsAndMayRetry) {
   EXPECT_TRUE(begin(beginOf("a")).won);
   EXPECT_TRUE(begin(beginOf("a")).won);
   const wire::ClaimReply other = begin(beginOf("b"));
@@ -59,7 +59,7 @@
   EXPECT_EQ(other.run, "a");
 }
 
-TEST_F(ClaimServiceTest, AnotherRequestUnderTheKeySeesTheFirstFingerprint) {
+TEST_F(ClaimServiceTest, AnotherRequestWithTheKeyGetsTheFirstFingerprint) {
   begin(beginOf("a", 7));
   const wire::ClaimReply other = begin(beginOf("b", 8));
   EXPECT_FALSE(other.won);
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_F(ClaimServiceTest, NotRunMayBeClaimedAnewByAnotherRunOnly) {
+TEST_F(ClaimServiceTest, NotRunMayBeClaimedAgainByAnotherRunOnly) {
   begin(beginOf("a"));
   EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).won);
   EXPECT_FALSE(begin(beginOf("a")).won);
@@ -91,14 +91,14 @@
   EXPECT_EQ(begin(beginOf("c")).state, ClaimState::InFlight);
 }
 
-TEST_F(ClaimServiceTest, OnlyTheHolderEndsAClaim) {
+TEST_F(ClaimServiceTest, OnlyTheOwnerEndsAClaim) {
   begin(beginOf("a"));
   EXPECT_FALSE(finish(finishOf("b", ClaimState::Ran, "forged")).won);
   EXPECT_FALSE(finish(finishOf("a", ClaimState::InFlight)).available == false);
   EXPECT_EQ(begin(beginOf("c")).state, ClaimState::InFlight);
 }
 
-TEST_F(ClaimServiceTest, AWithdrawnClaimIsNotTakenByItsLateBegin) {
+TEST_F(ClaimServiceTest, AWithdrawnClaimIsNotGrantedToItsLateBegin) {
   EXPECT_FALSE(finish(finishOf("z", ClaimState::Ran, "x")).won);
   EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).won);
   EXPECT_FALSE(begin(beginOf("a")).won);
@@ -127,7 +127,7 @@
   EXPECT_NE(claimKey("a/b", "c"), claimKey("a%2Fb", "c"));
 }
 
-/** A front's client and two core nodes with one set of registers. */
+/** A client on a front, and two core nodes with one set of registers. */
 class PeerClaimClientTest : public testing::Test {
  protected:
   struct Core {
@@ -161,25 +161,25 @@
   PeerClaimClient client{process, calls, [] { return std::vector{FirstCore, SecondCore}; }};
 };
 
-TEST_F(PeerClaimClientTest, PassesOverASilentCore) {
+TEST_F(PeerClaimClientTest, SkipsAnUnresponsiveCore) {
   network.cut(FrontAddress, FirstCore);
   EXPECT_TRUE(begin("a").won);
-  const base::TimePoint asked = world.now();
+  const base::TimePoint requested_at = world.now();
   EXPECT_EQ(begin("b").run, "a");
-  EXPECT_LT(world.now() - asked, std::chrono::milliseconds(300));
+  EXPECT_LT(world.now() - requested_at, std::chrono::milliseconds(300));
 }
 
-TEST_F(PeerClaimClientTest, PassesOverARefusingCore) {
+TEST_F(PeerClaimClientTest, SkipsACoreThatRefusesConnections) {
   first.reset();
   EXPECT_TRUE(begin("a").won);
 }
 
-TEST_F(PeerClaimClientTest, AnswersUnavailableAtItsDeadline) {
+TEST_F(PeerClaimClientTest, EndsAsUnavailableAtItsDeadline) {
   proposer.outage = MemoryProposer::Outage::AfterChange;
-  const base::TimePoint asked = world.now();
+  const base::TimePoint requested_at = world.now();
   EXPECT_FALSE(begin("a").available);
-  EXPECT_GE(world.now() - asked, std::chrono::seconds(2));
-  EXPECT_LT(world.now() - asked, std::chrono::milliseconds(2500));
+  EXPECT_GE(world.now() - requested_at, std::chrono::seconds(2));
+  EXPECT_LT(world.now() - requested_at, std::chrono::milliseconds(2500));
 }
 
 TEST_F(PeerClaimClientTest, RepeatsTheSameRequestUntilACoreHasAQuorum) {
--- a/libraries/claims/test/memory_proposer.h
+++ b/libraries/claims/test/memory_proposer.h
@@ -8,10 +8,10 @@
 
 namespace switchsaddle::claims {
 
-/** Registers in memory, with an outage that can be switched on. */
+/** Registers in memory, with an outage that the test controls. */
 class MemoryProposer : public registers::RegisterProposer {
  public:
-  /** How changes fail while set: not at all, before or after they took place. */
+  /** How changes fail: not at all, before or after they are applied. */
   enum class Outage { None, BeforeChange, AfterChange };
 
   void change(const std::string& key, registers::ChangeFunction function,
--- a/libraries/claims/test/peer_claim_client_test.cc
+++ b/libraries/claims/test/peer_claim_client_test.cc
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A client and five cores that answer each claim after a while. */
-class LateClaimCoresTest : public testing::Test {
+/** A client and five cores that reply to each claim after a delay. */
+class SlowClaimCoresTest : public testing::Test {
  protected:
   struct Core {
     Core(simulation::World& world, simulation::Network& network, const base::NodeAddress& address)
@@ -24,21 +24,21 @@
     simulation::Process process;
     std::unique_ptr<transport::Transport> transport;
     transport::PeerCalls calls;
-    base::Duration answers_after = milliseconds(1);
-    std::size_t asked = 0;
+    base::Duration reply_delay = milliseconds(1);
+    std::size_t requests = 0;
   };
 
-  LateClaimCoresTest() {
+  SlowClaimCoresTest() {
     for (std::uint16_t index = 0; index < 5; ++index) {
       addresses_.push_back({"127.0.0.1", static_cast<std::uint16_t>(7'000 + index)});
       cores_.push_back(std::make_unique<Core>(world_, network_, addresses_.back()));
       Core& core = *cores_.back();
       core.calls.handle<wire::ClaimBegin>(
           [&core](const auto&, const wire::ClaimBegin&, const transport::ReplyFunction& reply) {
-            ++core.asked;
-            wire::ClaimReply answer;
-            answer.available = true;
-            core.process.postAfter(core.answers_after, [reply, answer] { reply(answer); });
+            ++core.requests;
+            wire::ClaimReply claim;
+            claim.available = true;
+            core.process.postAfter(core.reply_delay, [reply, claim] { reply(claim); });
           });
     }
   }
@@ -46,15 +46,15 @@
   void begin() {
     begun_at_ = world_.now();
     client_.begin({}, [this](const wire::ClaimReply& reply) {
-      ++answers_;
-      answer_ = reply;
-      took_ = world_.now() - begun_at_;
+      ++replies_;
+      reply_ = reply;
+      duration_ = world_.now() - begun_at_;
     });
   }
-  std::size_t asked() const {
+  std::size_t requests() const {
     std::size_t sum = 0;
     for (const auto& core : cores_) {
-      sum += core->asked;
+      sum += core->requests;
     }
     return sum;
   }
@@ -69,34 +69,34 @@
   transport::PeerCalls calls_{process_, *transport_};
   PeerClaimClient client_{process_, calls_, [this] { return addresses_; }};
   base::TimePoint begun_at_;
-  std::optional<wire::ClaimReply> answer_;
-  base::Duration took_{};
-  std::size_t answers_ = 0;
+  std::optional<wire::ClaimReply> reply_;
+  base::Duration duration_{};
+  std::size_t replies_ = 0;
 };
 
-TEST_F(LateClaimCoresTest, AnAnswerAfterTheSilenceBoundCounts) {
+TEST_F(SlowClaimCoresTest, AReplyAfterTheCoreTimeoutCounts) {
   for (const auto& core : cores_) {
-    core->answers_after = milliseconds(500);
+    core->reply_delay = milliseconds(500);
   }
   begin();
   world_.runFor(seconds(5));
-  ASSERT_EQ(answers_, 1U);
-  EXPECT_TRUE(answer_->available);
-  EXPECT_LT(took_, milliseconds(510));
-  EXPECT_EQ(asked(), 2U);
+  ASSERT_EQ(replies_, 1U);
+  EXPECT_TRUE(reply_->available);
+  EXPECT_LT(duration_, milliseconds(510));
+  EXPECT_EQ(requests(), 2U);
 }
 
-TEST_F(LateClaimCoresTest, ACoreThatOwesAnAnswerIsNotAskedAgain) {
+TEST_F(SlowClaimCoresTest, ACoreWithAPendingReplyGetsNoSecondRequest) {
   for (const auto& core : cores_) {
-    core->answers_after = seconds(10);
+    core->reply_delay = seconds(10);
   }
   begin();
   world_.runFor(seconds(5));
-  ASSERT_EQ(answers_, 1U);
-  EXPECT_FALSE(answer_->available);
-  EXPECT_GE(took_, seconds(2));
-  EXPECT_LT(took_, milliseconds(2'100));
-  EXPECT_EQ(asked(), 5U);
+  ASSERT_EQ(replies_, 1U);
+  EXPECT_FALSE(reply_->available);
+  EXPECT_GE(duration_, seconds(2));
+  EXPECT_LT(duration_, milliseconds(2'100));
+  EXPECT_EQ(requests(), 5U);
 }
 
 }  // namespace
--- a/libraries/node_options/include/switchsaddle/node_options/node_options.h
+++ b/libraries/node_options/include/switchsaddle/node_options/node_options.h
@@ -6,7 +6,8 @@
 
 /**
  * @file
- * What fronts and cores take from the settings alike. All nodes of a fleet must share these times.
+ * Conversion of the settings into options that fronts and cores have in common. All nodes of a fleet
+ * must use the same values.
  */
 
 namespace switchsaddle::node_options {
