--- a/libraries/dissemination/include/switchsaddle/dissemination/configuration_replica.h
+++ b/libraries/dissemination/include/switchsaddle/dissemination/configuration_replica.h
@@ -13,22 +13,23 @@
 
 using ViewPtr = std::shared_ptr<const configuration::View>;
 
-/** What became of a delta handed to the replica. */
+/** The outcome of applying a delta to the replica. */
 enum class ApplyOutcome : std::uint8_t {
   /** The delta is in force. */
   Applied,
-  /** This node already holds its version or a newer one. */
+  /** The replica has the version of the delta or a newer one. */
   NotNewer,
-  /** The delta starts above the version held here, or its digest does not fit: fetch the rest. */
-  DoesNotFit,
-  /** The configuration it leads to cannot be read here; the former stays in force. */
-  Refused,
+  /** The delta starts above the replica's version, or the digest differs: fetch the missing rest.
+   */
+  Mismatch,
+  /** The resulting configuration is invalid at this node; the previous one stays in force. */
+  Rejected,
 };
 
 /**
- * The configuration in force on this node. Deltas are applied strictly in the order of their
- * versions; each changed entry is journalled, then the listeners hear the new view. Once apply()
- * returns Applied the whole node works by the new configuration. Runs on the control strand.
+ * The configuration in force on this node. Deltas are applied in the order of their versions: each
+ * changed entry is journalled, and then the listeners are notified. Invariant: when apply() returns
+ * Applied, every component of the node uses the new configuration. Runs on the control strand.
  */
 class ConfigurationReplica {
  public:
@@ -39,13 +40,15 @@
   ApplyOutcome apply(const wire::ConfigurationDelta& delta);
   const configuration::Document& document() const { return document_; }
   std::uint64_t version() const { return document_.version; }
-  /** The digest of the document in force. */
+  /** @return the digest of the document in force. */
   std::uint64_t digest() const { return digest_; }
-  /** The view in force; at version 0 one without entries. Never null. */
+  /** @return the view in force, without entries at version 0; never null. */
   const ViewPtr& view() const { return view_; }
+  /** Listeners are notified in the order in which they were added. */
   void addListener(Listener listener) { listeners_.push_back(std::move(listener)); }
 
  private:
+  /** Journals the entries that the delta put in force, and the version. */
   void journalEntries(const wire::ConfigurationDelta& delta);
 
   journal::Journal& journal_;
--- a/libraries/dissemination/include/switchsaddle/dissemination/gossip_agent.h
+++ b/libraries/dissemination/include/switchsaddle/dissemination/gossip_agent.h
@@ -2,10 +2,10 @@
 
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <set>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/dissemination/configuration_replica.h"
@@ -14,23 +14,23 @@
 
 namespace switchsaddle::dissemination {
 
-/** Times and bounds of the gossip. */
+/** Intervals and limits of the gossip. */
 struct GossipOptions {
   base::Duration interval = std::chrono::milliseconds(1'000);
   base::Duration call_timeout = std::chrono::milliseconds(500);
-  /** How many random peers hear at once of something new. */
+  /** Number of random peers to which urgent updates are pushed. */
   std::size_t fanout = 3;
-  /** Most scores in one answer; half of them the freshest, the others at random. */
+  /** Maximum of scores in one reply; half of them the most recent, the others random. */
   std::size_t score_batch = 16;
 };
 
 /**
- * Epidemic dissemination. Each interval it sends a digest of what this node has to one random peer,
- * takes in what the peer has beyond it, and is asked back where the peer lacks something. What is
- * new and urgent (observations, worker views) is besides pushed at once to `fanout` random peers by
- * each node on first hearing of it, and by no node twice. Owns the handlers of ConfigurationDelta,
- * ConfigurationFetch, WorkerView, WorkerViewChange, GossipDigest and GossipDelta. Runs on the
- * control strand.
+ * Epidemic dissemination of the configuration, the worker view, observations of workers, and route
+ * scores. Anti-entropy: at each interval the agent sends a digest of its state to one random peer
+ * and applies the delta in the reply; a peer that lacks something pulls in turn. Rumours: urgent
+ * updates (observations, worker views) are pushed to `fanout` random peers by each node when it
+ * first receives them, and never again. Handles ConfigurationDelta, ConfigurationFetch, WorkerView,
+ * WorkerViewChange, GossipDigest and GossipDelta. Runs on the control strand.
  */
 class GossipAgent {
  public:
@@ -43,36 +43,45 @@
   GossipAgent(const GossipAgent&) = delete;
   GossipAgent& operator=(const GossipAgent&) = delete;
 
+  /** Starts the periodic anti-entropy after a random part of the interval. */
   void start();
-  /** Sends no more digests and asks nobody; what peers ask is still answered. */
+  /** Stops the periodic anti-entropy; requests of peers are still served. */
   void stop();
-  /** The peers to choose from; the own address is passed over. */
+  /** Sets the peers to choose from; the local address is ignored. */
   void setPeers(std::vector<base::NodeAddress> peers);
+  /** The source of the scores sent to peers; none: no scores are sent. */
   void setScoreSource(ScoreSource source) { score_source_ = std::move(source); }
+  /** Receives the scores of peers. */
   void setScoreSink(ScoreSink sink) { score_sink_ = std::move(sink); }
 
-  /** Something this node saw itself: takes it in and pushes it where it is new. */
+  /** Applies an observation made at this node, and pushes it where it is new. */
   void observe(const wire::WorkerObservation& observation);
-  /** A view made at this node: takes it in, and pushes it to random peers and to `first`. */
-  void publishView(const wire::WorkerView& view, const std::vector<base::NodeAddress>& first = {});
-  /** Asks a peer for all this node lacks. At most one such question is open for each peer. */
+  /** Applies a view created at this node, and pushes the change to `targets` and random peers. */
+  void publishView(const wire::WorkerView& view,
+                   const std::vector<base::NodeAddress>& targets = {});
+  /** Pulls what this node lacks from a peer. At most one pull from each peer is in flight. */
   void pullFrom(const base::NodeAddress& peer);
 
  private:
-  void registerHandlers();
+  void registerGossipHandlers();
+  void registerConfigurationHandlers();
+  void registerViewHandlers();
   void onInterval();
   wire::GossipDigest digest() const;
+  /** @return what this node has and the peer lacks by its digest. */
   wire::GossipDelta deltaFor(const wire::GossipDigest& peer);
+  /** @return at most `score_batch` scores, some of them random. */
   std::vector<wire::RouteScore> chooseScores();
+  /** @return whether this node lacks something that the peer has. */
   bool isAhead(const wire::GossipDigest& peer) const;
   void onDigest(const base::NodeAddress& from, const wire::GossipDigest& peer,
                 const transport::ReplyFunction& reply);
   void onDelta(const base::NodeAddress& from, const wire::GossipDelta& delta);
   void onConfiguration(const base::NodeAddress& from, const wire::ConfigurationDelta& delta);
   void fetchConfiguration(const base::NodeAddress& from);
-  /** Takes a view in; where it is new, what it changed is pushed to `first` and random peers. */
-  void receiveView(const wire::WorkerView& view, const std::vector<base::NodeAddress>& first = {});
-  void receiveViewChange(const base::NodeAddress& from, const wire::WorkerViewChange& change);
+  /** Applies a view; where it is new, the change is pushed to `targets` and random peers. */
+  void applyView(const wire::WorkerView& view, const std::vector<base::NodeAddress>& targets = {});
+  void applyViewChange(const base::NodeAddress& from, const wire::WorkerViewChange& change);
   void applyObservations(const std::vector<wire::WorkerObservation>& observations);
   void pushObservations(const std::vector<wire::WorkerObservation>& observations);
   std::vector<base::NodeAddress> randomPeers(std::size_t count);
@@ -84,12 +93,13 @@
   GossipOptions options_;
   base::TimerPtr timer_;
   std::vector<base::NodeAddress> peers_;
-  /** Peers with a question of this node open. */
-  std::set<base::NodeAddress> requested_;
+  /** Peers with a pull in flight. */
+  std::set<base::NodeAddress> pulling_;
+  /** Peers with a fetch of the configuration in flight. */
   std::set<base::NodeAddress> fetching_;
   ScoreSource score_source_;
   ScoreSink score_sink_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::dissemination
--- a/libraries/dissemination/include/switchsaddle/dissemination/state_report.h
+++ b/libraries/dissemination/include/switchsaddle/dissemination/state_report.h
@@ -6,7 +6,10 @@
 
 namespace switchsaddle::dissemination {
 
-/** What a node believes by its journal, with ages, as GET /v1/beliefs tells it. */
+/**
+ * Builds the report of GET /v1/beliefs: the latest journal entry of each subject and key of a node,
+ * with its age.
+ */
 configuration::StateReport reportState(const base::NodeAddress& node,
                                        const journal::StateView& entries, base::TimePoint now);
 
--- a/libraries/dissemination/source/configuration_replica.cc
+++ b/libraries/dissemination/source/configuration_replica.cc
@@ -16,14 +16,14 @@
   }
   configuration::Document next = document_;
   if (!next.apply(delta)) {
-    return ApplyOutcome::DoesNotFit;
+    return ApplyOutcome::Mismatch;
   }
   ViewPtr view;
   try {
     view = std::make_shared<configuration::View>(configuration::buildView(next));
   } catch (const base::Error& error) {
     journal_.append(journal::Subject::Configuration, "refused", error.what(), delta.to_version);
-    return ApplyOutcome::Refused;
+    return ApplyOutcome::Rejected;
   }
   document_ = std::move(next);
   digest_ = delta.digest;
@@ -38,8 +38,9 @@
 
 void ConfigurationReplica::journalEntries(const wire::ConfigurationDelta& delta) {
   for (const wire::ConfigurationEntry& entry : delta.entries) {
-    const auto held = document_.entries.find(entry.path);
-    const bool in_force = held != document_.entries.end() && held->second.version == entry.version;
+    const auto present = document_.entries.find(entry.path);
+    const bool in_force =
+        present != document_.entries.end() && present->second.version == entry.version;
     if (in_force) {
       journal_.append(journal::Subject::Configuration, entry.path,
                       entry.removed ? std::string() : entry.json, entry.version);
--- a/libraries/dissemination/source/gossip_agent.cc
+++ b/libraries/dissemination/source/gossip_agent.cc
@@ -9,6 +9,7 @@
 
 namespace {
 
+/** @return whether the first pair of term and sequence is the older one. */
 bool viewIsOlder(std::uint64_t term, std::uint64_t sequence, std::uint64_t other_term,
                  std::uint64_t other_sequence) {
   return term != other_term ? term < other_term : sequence < other_sequence;
@@ -25,57 +26,41 @@
       workers_(workers),
       options_(options),
       timer_(dispatcher.createTimer([this] { onInterval(); })) {
-  registerHandlers();
+  registerGossipHandlers();
+  registerConfigurationHandlers();
+  registerViewHandlers();
 }
 
-void GossipAgent::registerHandlers() {
-  calls_.handle<wire::GossipDigest>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& from,
-                                            const wire::GossipDigest& peer,
-                                            const transport::ReplyFunction& reply) {
-        if (!alive.expired()) {
-          onDigest(from, peer, reply);
-        }
-      });
+void GossipAgent::registerGossipHandlers() {
+  calls_.handle<wire::GossipDigest>(callbacks_.guard(
+      [this](const base::NodeAddress& from, const wire::GossipDigest& peer,
+             const transport::ReplyFunction& reply) { onDigest(from, peer, reply); }));
   calls_.handle<wire::GossipDelta>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& from,
-                                            const wire::GossipDelta& delta, const auto& /*reply*/) {
-        if (!alive.expired()) {
-          onDelta(from, delta);
-        }
-      });
+      callbacks_.guard([this](const base::NodeAddress& from, const wire::GossipDelta& delta,
+                              const auto& /*reply*/) { onDelta(from, delta); }));
+}
+
+void GossipAgent::registerConfigurationHandlers() {
   calls_.handle<wire::ConfigurationDelta>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& from,
-                                            const wire::ConfigurationDelta& delta,
-                                            const transport::ReplyFunction& reply) {
-        if (!alive.expired()) {
-          onConfiguration(from, delta);
-          reply(wire::Acknowledgement{});
-        }
-      });
-  calls_.handle<wire::ConfigurationFetch>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& /*from*/,
-                                            const wire::ConfigurationFetch& fetch,
-                                            const transport::ReplyFunction& reply) {
-        if (!alive.expired()) {
-          reply(replica_.document().deltaSince(fetch.since_version));
-        }
-      });
+      callbacks_.guard([this](const base::NodeAddress& from, const wire::ConfigurationDelta& delta,
+                              const transport::ReplyFunction& reply) {
+        onConfiguration(from, delta);
+        reply(wire::Acknowledgement{});
+      }));
+  calls_.handle<wire::ConfigurationFetch>(callbacks_.guard(
+      [this](const base::NodeAddress& /*from*/, const wire::ConfigurationFetch& fetch,
+             const transport::ReplyFunction& reply) {
+        reply(replica_.document().deltaSince(fetch.since_version));
+      }));
+}
+
+void GossipAgent::registerViewHandlers() {
   calls_.handle<wire::WorkerView>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& /*from*/,
-                                            const wire::WorkerView& view, const auto& /*reply*/) {
-        if (!alive.expired()) {
-          receiveView(view);
-        }
-      });
+      callbacks_.guard([this](const base::NodeAddress& /*from*/, const wire::WorkerView& view,
+                              const auto& /*reply*/) { applyView(view); }));
   calls_.handle<wire::WorkerViewChange>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& from,
-                                            const wire::WorkerViewChange& change,
-                                            const auto& /*reply*/) {
-        if (!alive.expired()) {
-          receiveViewChange(from, change);
-        }
-      });
+      callbacks_.guard([this](const base::NodeAddress& from, const wire::WorkerViewChange& change,
+                              const auto& /*reply*/) { applyViewChange(from, change); }));
 }
 
 void GossipAgent::start() {
@@ -103,19 +88,16 @@
 }
 
 void GossipAgent::pullFrom(const base::NodeAddress& peer) {
-  if (!requested_.insert(peer).second) {
+  if (!pulling_.insert(peer).second) {
     return;
   }
   calls_.call(peer, digest(), options_.call_timeout,
-              [this, alive = std::weak_ptr(alive_), peer](const transport::CallResult& result) {
-                if (alive.expired()) {
-                  return;
-                }
-                requested_.erase(peer);
+              callbacks_.guard([this, peer](const transport::CallResult& result) {
+                pulling_.erase(peer);
                 if (const auto* delta = result.as<wire::GossipDelta>()) {
                   onDelta(peer, *delta);
                 }
-              });
+              }));
 }
 
 wire::GossipDigest GossipAgent::digest() const {
@@ -151,11 +133,11 @@
   if (scores.size() <= options_.score_batch) {
     return scores;
   }
-  const std::size_t fresh = options_.score_batch / 2;
+  const std::size_t recent = options_.score_batch / 2;
   std::partial_sort(
-      scores.begin(), scores.begin() + static_cast<std::ptrdiff_t>(fresh), scores.end(),
+      scores.begin(), scores.begin() + static_cast<std::ptrdiff_t>(recent), scores.end(),
       [](const auto& first, const auto& second) { return first.age_ms < second.age_ms; });
-  for (std::size_t index = fresh; index < options_.score_batch; ++index) {
+  for (std::size_t index = recent; index < options_.score_batch; ++index) {
     std::swap(scores[index], scores[index + random_.below(scores.size() - index)]);
   }
   scores.resize(options_.score_batch);
@@ -181,7 +163,7 @@
   if (delta.configuration.to_version > replica_.version()) {
     onConfiguration(from, delta.configuration);
   }
-  receiveView(delta.workers);
+  applyView(delta.workers);
   applyObservations(delta.observations);
   if (score_sink_ && !delta.scores.empty()) {
     score_sink_(delta.scores);
@@ -190,7 +172,7 @@
 
 void GossipAgent::onConfiguration(const base::NodeAddress& from,
                                   const wire::ConfigurationDelta& delta) {
-  if (replica_.apply(delta) == ApplyOutcome::DoesNotFit) {
+  if (replica_.apply(delta) == ApplyOutcome::Mismatch) {
     fetchConfiguration(from);
   }
 }
@@ -200,15 +182,12 @@
     return;
   }
   calls_.call(from, wire::ConfigurationFetch{replica_.version()}, options_.call_timeout,
-              [this, alive = std::weak_ptr(alive_), from](const transport::CallResult& result) {
-                if (alive.expired()) {
-                  return;
-                }
+              callbacks_.guard([this, from](const transport::CallResult& result) {
                 fetching_.erase(from);
                 if (const auto* delta = result.as<wire::ConfigurationDelta>()) {
                   replica_.apply(*delta);
                 }
-              });
+              }));
 }
 
 void GossipAgent::observe(const wire::WorkerObservation& observation) {
@@ -216,14 +195,14 @@
 }
 
 void GossipAgent::applyObservations(const std::vector<wire::WorkerObservation>& observations) {
-  std::vector<wire::WorkerObservation> learned;
+  std::vector<wire::WorkerObservation> applied;
   for (const wire::WorkerObservation& observation : observations) {
     if (workers_.applyObservation(observation)) {
-      learned.push_back(observation);
+      applied.push_back(observation);
     }
   }
-  if (!learned.empty()) {
-    pushObservations(learned);
+  if (!applied.empty()) {
+    pushObservations(applied);
   }
 }
 
@@ -233,35 +212,35 @@
   calls_.notifyAll(randomPeers(options_.fanout), push);
 }
 
-void GossipAgent::receiveView(const wire::WorkerView& view,
-                              const std::vector<base::NodeAddress>& first) {
+void GossipAgent::applyView(const wire::WorkerView& view,
+                            const std::vector<base::NodeAddress>& targets) {
   const wire::WorkerView before = workers_.view();
   if (!workers_.applyView(view)) {
     return;
   }
   const wire::WorkerViewChange change = workers::changeBetween(before, view);
-  std::vector<base::NodeAddress> others = first;
-  std::erase(others, calls_.localAddress());
-  calls_.notifyAll(std::move(others), change);
+  std::vector<base::NodeAddress> peers = targets;
+  std::erase(peers, calls_.localAddress());
+  calls_.notifyAll(std::move(peers), change);
   calls_.notifyAll(randomPeers(options_.fanout), change);
 }
 
-void GossipAgent::receiveViewChange(const base::NodeAddress& from,
-                                    const wire::WorkerViewChange& change) {
-  const wire::WorkerView& held = workers_.view();
-  if (!viewIsOlder(held.term, held.sequence, change.term, change.sequence)) {
+void GossipAgent::applyViewChange(const base::NodeAddress& from,
+                                  const wire::WorkerViewChange& change) {
+  const wire::WorkerView& present = workers_.view();
+  if (!viewIsOlder(present.term, present.sequence, change.term, change.sequence)) {
     return;
   }
-  if (const auto next = workers::applyChange(held, change)) {
-    receiveView(*next);
+  if (const auto next = workers::applyChange(present, change)) {
+    applyView(*next);
   } else {
     pullFrom(from);
   }
 }
 
 void GossipAgent::publishView(const wire::WorkerView& view,
-                              const std::vector<base::NodeAddress>& first) {
-  receiveView(view, first);
+                              const std::vector<base::NodeAddress>& targets) {
+  applyView(view, targets);
 }
 
 std::vector<base::NodeAddress> GossipAgent::randomPeers(std::size_t count) {
--- a/libraries/dissemination/test/configuration_replica_test.cc
+++ b/libraries/dissemination/test/configuration_replica_test.cc
@@ -29,7 +29,7 @@
 
 TEST_F(ConfigurationReplicaTest, AppliesDeltasInTheOrderOfVersions) {
   EXPECT_EQ(replica_.apply(first_.deltaSince(0)), ApplyOutcome::Applied);
-  EXPECT_EQ(replica_.apply(third_.deltaSince(2)), ApplyOutcome::DoesNotFit);
+  EXPECT_EQ(replica_.apply(third_.deltaSince(2)), ApplyOutcome::Mismatch);
   EXPECT_EQ(replica_.version(), 1U);
   EXPECT_EQ(replica_.apply(third_.deltaSince(1)), ApplyOutcome::Applied);
   EXPECT_EQ(replica_.apply(second_.deltaSince(1)), ApplyOutcome::NotNewer);
@@ -37,25 +37,25 @@
   EXPECT_EQ(replica_.view()->version, 3U);
 }
 
-TEST_F(ConfigurationReplicaTest, AnAlteredDeltaIsNotTakenIn) {
+TEST_F(ConfigurationReplicaTest, AnAlteredDeltaIsNotApplied) {
   wire::ConfigurationDelta delta = first_.deltaSince(0);
   delta.entries.front().json = R"({"models":["other"],"pool":"p","service":"completions"})";
-  EXPECT_EQ(replica_.apply(delta), ApplyOutcome::DoesNotFit);
+  EXPECT_EQ(replica_.apply(delta), ApplyOutcome::Mismatch);
   EXPECT_EQ(replica_.version(), 0U);
 }
 
-TEST_F(ConfigurationReplicaTest, AConfigurationThatCannotBeReadLeavesTheFormerInForce) {
+TEST_F(ConfigurationReplicaTest, AnInvalidConfigurationLeavesThePreviousOneInForce) {
   replica_.apply(first_.deltaSince(0));
   configuration::Change change;
   change.base_version = 1;
   change.set.push_back({"routes/broken", "5"});
   const configuration::Document broken = configuration::applyChange(first_, change);
-  EXPECT_EQ(replica_.apply(broken.deltaSince(1)), ApplyOutcome::Refused);
+  EXPECT_EQ(replica_.apply(broken.deltaSince(1)), ApplyOutcome::Rejected);
   EXPECT_EQ(replica_.version(), 1U);
   EXPECT_EQ(journal_.events().back().key, "refused");
 }
 
-TEST_F(ConfigurationReplicaTest, ListenersHearOfWhatIsInForceAndEntriesAreJournalled) {
+TEST_F(ConfigurationReplicaTest, NotifiesListenersAndJournalsEntries) {
   std::vector<std::uint64_t> versions;
   replica_.addListener([&](const ViewPtr& view) {
     EXPECT_EQ(replica_.version(), view->version);
--- a/libraries/dissemination/test/gossip_agent_test.cc
+++ b/libraries/dissemination/test/gossip_agent_test.cc
@@ -79,7 +79,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
-TEST_F(GossipAgentTest, AConfigurationHeldByOneReachesAll) {
+TEST_F(GossipAgentTest, AConfigurationAtOneNodeReachesAll) {
   addNodes(14);
   const configuration::Document document = documentWithRoutes(3);
   ASSERT_EQ(nodes_[0]->replica.apply(document.deltaSince(0)), ApplyOutcome::Applied);
@@ -114,7 +114,7 @@
   EXPECT_GE(reached, 10);
 }
 
-TEST_F(GossipAgentTest, APushDiesOutAfterBoundedMessages) {
+TEST_F(GossipAgentTest, APushEndsAfterBoundedMessages) {
   addNodes(10);
   for (const auto& node : nodes_) {
     node->agent.stop();
@@ -125,7 +125,7 @@
   EXPECT_LE(network_.envelopesSent(), 10U * GossipOptions{}.fanout);
 }
 
-TEST_F(GossipAgentTest, APushedDeltaWithAGapIsFetchedFromItsSender) {
+TEST_F(GossipAgentTest, AGapBeforeAPushedDeltaIsFetchedFromItsSender) {
   addNodes(2);
   for (const auto& node : nodes_) {
     node->agent.stop();
@@ -137,7 +137,7 @@
   EXPECT_EQ(nodes_[1]->replica.version(), 4U);
 }
 
-TEST_F(GossipAgentTest, ScoresTravelWithTheExchange) {
+TEST_F(GossipAgentTest, ScoresAreSentWithAntiEntropyReplies) {
   addNodes(2);
   nodes_[0]->agent.setScoreSource([] {
     wire::RouteScore score;
@@ -145,14 +145,14 @@
     score.arm = "a";
     return std::vector<wire::RouteScore>{score};
   });
-  std::vector<wire::RouteScore> heard;
-  nodes_[1]->agent.setScoreSink([&](const auto& scores) { heard = scores; });
+  std::vector<wire::RouteScore> received;
+  nodes_[1]->agent.setScoreSink([&](const auto& scores) { received = scores; });
   world_.runFor(seconds(3));
-  ASSERT_EQ(heard.size(), 1U);
-  EXPECT_EQ(heard.front().arm, "a");
+  ASSERT_EQ(received.size(), 1U);
+  EXPECT_EQ(received.front().arm, "a");
 }
 
-TEST_F(GossipAgentTest, AnAnswerCarriesABoundedBatchOfScores) {
+TEST_F(GossipAgentTest, AReplyHasABoundedBatchOfScores) {
   constexpr std::size_t Arms = 300;
   addNodes(2);
   nodes_[0]->agent.setScoreSource([] {
@@ -163,24 +163,24 @@
     }
     return scores;
   });
-  std::set<std::string> heard;
+  std::set<std::string> received;
   bool freshest_in_each = true;
   nodes_[1]->agent.setScoreSink([&](const std::vector<wire::RouteScore>& scores) {
     EXPECT_LE(scores.size(), GossipOptions{}.score_batch);
     bool has_freshest = false;
     for (const wire::RouteScore& score : scores) {
-      heard.insert(score.arm);
+      received.insert(score.arm);
       has_freshest = has_freshest || score.arm == "arm-250";
     }
     freshest_in_each = freshest_in_each && has_freshest;
   });
   world_.runFor(seconds(600));
   EXPECT_TRUE(freshest_in_each);
-  // The others come at random: after 600 answers with 8 of them each, hardly one is missing.
-  EXPECT_GE(heard.size(), Arms - 5);
+  // The others are random: after 600 replies with 8 of them each, hardly one is missing.
+  EXPECT_GE(received.size(), Arms - 5);
 }
 
-TEST_F(GossipAgentTest, AChangedWorkerDoesNotSendTheWholeViewAgain) {
+TEST_F(GossipAgentTest, AChangedWorkerIsSentWithoutTheCompleteView) {
   addNodes(8);
   wire::WorkerView view{1, 1, {}};
   for (int index = 0; index < 500; ++index) {
@@ -202,7 +202,7 @@
   EXPECT_LE(network_.bytesSent() - before, 10'000U);
 }
 
-TEST_F(GossipAgentTest, AViewChangeWithAGapIsFetchedFromItsSender) {
+TEST_F(GossipAgentTest, AGapBeforeAViewChangeIsFetchedFromItsSender) {
   addNodes(2);
   for (const auto& node : nodes_) {
     node->agent.stop();
@@ -218,13 +218,13 @@
   EXPECT_EQ(nodes_[1]->workers.view().workers.size(), 2U);
 }
 
-TEST_F(GossipAgentTest, EqualNodesFallSilentButForTheirDigests) {
+TEST_F(GossipAgentTest, NodesInSyncExchangeDigestsOnly) {
   addNodes(4);
   nodes_[0]->agent.observe({"a", 1, true, false});
   world_.runFor(seconds(5));
   const std::uint64_t before = network_.envelopesSent();
   world_.runFor(seconds(10));
-  // One question and one answer for each node and second.
+  // One request and one reply for each node and second.
   EXPECT_LE(network_.envelopesSent() - before, 4U * 2U * 11U);
 }
 
