--- /dev/null
+++ b/libraries/admission/include/switchsaddle/admission/ledger_locator.h
@@ -0,0 +1,43 @@
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <vector>
+
+#include "switchsaddle/base/node_address.h"
+
+namespace switchsaddle::admission {
+
+/**
+ * Where a front finds the ledger of each shard, and the highest term it has seen of it. Tries the
+ * cores in turn until one serves the shard. Runs on the control strand.
+ */
+class LedgerLocator {
+ public:
+  using CoreAddresses = std::function<std::vector<base::NodeAddress>()>;
+
+  explicit LedgerLocator(CoreAddresses core_addresses)
+      : core_addresses_(std::move(core_addresses)) {}
+
+  /** @return the presumed address of the shard's ledger; empty where no core is known. */
+  base::NodeAddress addressOf(std::uint32_t shard);
+  /** The presumed address was wrong. @param redirect the ledger by its reply; may be empty. */
+  void reject(std::uint32_t shard, const base::NodeAddress& redirect);
+  /** Records a term. @return whether it is at least as high as those seen before. */
+  bool observeTerm(std::uint32_t shard, std::uint64_t term);
+  /** @return the highest term seen of each ledger, by shard. */
+  std::map<std::uint32_t, std::uint64_t> terms() const;
+
+ private:
+  struct Shard {
+    base::NodeAddress ledger;
+    std::size_t next_core = 0;
+    std::uint64_t term = 0;
+  };
+
+  CoreAddresses core_addresses_;
+  std::map<std::uint32_t, Shard> shards_;
+};
+
+}  // namespace switchsaddle::admission
--- a/libraries/admission/include/switchsaddle/admission/ledger_shard.h
+++ b/libraries/admission/include/switchsaddle/admission/ledger_shard.h
@@ -5,14 +5,13 @@
 
 namespace switchsaddle::admission {
 
-/** Ledgers the branches are divided among; each is a lease of its own, so that they spread over the
- * core. */
+/** Number of ledgers that share the branches; each has its own lease, to spread them over cores. */
 inline constexpr std::uint32_t LedgerShards = 4;
 
-/** The shard whose ledger keeps a branch. */
+/** @return the shard whose ledger manages the branch. */
 std::uint32_t ledgerShardOf(const std::string& branch);
 
-/** The lease of a shard's ledger: "limit-ledger/K". */
+/** @return the name of the lease of a shard's ledger: "limit-ledger/K". */
 std::string ledgerLeaseName(std::uint32_t shard);
 
 }  // namespace switchsaddle::admission
--- a/libraries/admission/include/switchsaddle/admission/ledger_slot_broker.h
+++ b/libraries/admission/include/switchsaddle/admission/ledger_slot_broker.h
@@ -4,117 +4,126 @@
 #include <deque>
 #include <functional>
 #include <map>
-#include <memory>
 #include <string>
 #include <vector>
 
+#include "switchsaddle/admission/ledger_locator.h"
 #include "switchsaddle/admission/slot_broker.h"
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/transport/peer_calls.h"
+#include "switchsaddle/wire/admission_messages.h"
 
 namespace switchsaddle::admission {
 
-/** Times and bounds of a front's broker. */
+/** Time-outs and limits of a front's broker. */
 struct SlotBrokerOptions {
-  /** How long a request may wait for the ledger before it is refused with LimitsUnavailable. */
+  /** Time after which a queued request fails with LimitsUnavailable. */
   base::Duration acquire_deadline = std::chrono::milliseconds(1'500);
-  /** How long one call to a core node may take: above the ledger's recall timeout. */
+  /** Time-out of a call to a core node: above the ledger's recall time-out. */
   base::Duration call_timeout = std::chrono::milliseconds(400);
-  /** Idle slots are given back after this. */
-  base::Duration idle_time = std::chrono::milliseconds(50);
-  /** Requests waiting for slots of one branch; more are refused at once. */
-  std::size_t waiting_limit = 256;
-  /** Pause before another node is asked after one did not know the ledger. */
-  base::Duration retry_pause = std::chrono::milliseconds(50);
-  /** Idle slots asked for longer ago are not handed out: the front may have been frozen. */
+  /** Idle slots are released after this time. */
+  base::Duration idle_timeout = std::chrono::milliseconds(50);
+  /** Maximum of requests queued for slots of one branch. */
+  std::size_t queue_limit = 256;
+  /** Delay before the next core is tried after one that does not serve the ledger. */
+  base::Duration retry_delay = std::chrono::milliseconds(50);
+  /** Idle slots older than this are not used, since the front may have been frozen. */
   base::Duration idle_validity = std::chrono::seconds(5);
-  /** Each of these is off only in tests which show what it is for. */
+  /** Test-only switches, which show that a mechanism is needed. */
   bool check_terms = true;
   bool check_sequences = true;
 };
 
 /**
- * The front's side of the share tree: holds slots granted by the ledgers and hands them to
- * requests. All it tells of a branch is numbered, and a grant counts only while nothing later was
- * told and no newer term was heard of; so the ledger never counts fewer slots than are in use here.
- * One message about a branch is under way at a time. Runs on the control strand.
+ * Slot broker of a front: pools the slots that the ledgers granted and issues them to requests.
+ *
+ * Each message of the front about a branch has a sequence number. Invariant: a grant counts only
+ * while no later message was sent and no newer term was seen, so that the ledger never counts fewer
+ * slots than are in use here. At most one request about a branch is in flight. Runs on the control
+ * strand.
  */
 class LedgerSlotBroker : public SlotBroker {
  public:
-  using CoreAddresses = std::function<std::vector<base::NodeAddress>()>;
+  using CoreAddresses = LedgerLocator::CoreAddresses;
 
+  /** @param core_addresses evaluated for the core nodes known at that time. */
   LedgerSlotBroker(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
                    std::uint64_t front_instance, CoreAddresses core_addresses,
                    SlotBrokerOptions options);
-  ~LedgerSlotBroker() override;
+  LedgerSlotBroker(const LedgerSlotBroker&) = delete;
+  LedgerSlotBroker& operator=(const LedgerSlotBroker&) = delete;
 
   void acquire(const std::string& branch, std::function<void(SlotOutcome)> callback) override;
   std::uint32_t inUse(const std::string& branch) const;
-  /** The slots held of one branch, and how many of them are in use. */
+  /** The slots of one branch that are allocated to this front, and those of them in use. */
   struct Allocation {
     std::string branch;
-    std::uint32_t held = 0;
+    std::uint32_t allocated = 0;
     std::uint32_t in_use = 0;
   };
   std::vector<Allocation> allocations() const;
-  /** The highest term heard of for each ledger, by shard. */
-  std::map<std::uint32_t, std::uint64_t> ledgerTerms() const;
+  /** @return the highest term seen of each ledger, by shard. */
+  std::map<std::uint32_t, std::uint64_t> ledgerTerms() const { return locator_.terms(); }
 
  private:
-  class Hold;
+  class Permit;
+  /** A queued acquire(). */
   struct Waiter {
     std::function<void(SlotOutcome)> callback;
     base::TimePoint deadline;
-    /** Sequence of the last message before it came: only a later one can have asked for it. */
+    /** Sequence of the last message before it arrived: only later ones can include it. */
     std::uint64_t after_sequence = 0;
   };
   struct BranchPool {
     std::uint64_t sequence = 0;
     /** When the latest message was sent. */
     base::TimePoint sent_at{};
-    std::uint32_t held = 0;
-    /** Idle slots which the message under way gives back. */
+    std::uint32_t allocated = 0;
+    /** Idle slots that the request in flight releases. */
     std::uint32_t offered = 0;
     std::uint32_t in_use = 0;
-    std::deque<Waiter> waiting;
-    bool asking = false;
-    /** Fires for the earliest waiter's deadline, a retry, or idle slots to be given back. */
+    std::deque<Waiter> queue;
+    bool request_in_flight = false;
     base::TimerPtr deadline_timer;
     base::TimerPtr retry_timer;
     base::TimerPtr idle_timer;
   };
 
   BranchPool& pool(const std::string& branch);
-  SlotPermitPtr take(const std::string& branch, BranchPool& pool);
+  /** @return whether a slot can be issued without a request to the ledger. */
+  bool hasValidIdle(const BranchPool& pool) const;
+  SlotPermitPtr issuePermit(const std::string& branch, BranchPool& pool);
   void release(const std::string& branch);
-  void serveWaiting(const std::string& branch);
+  void serveQueue(const std::string& branch);
+  /** Rejects the waiters that the request with the sequence included. */
   void rejectRequested(const std::string& branch, std::uint64_t sequence);
-  /** The message under way reached no ledger, so its idle slots are still this front's. */
-  void keepOffered(const std::string& branch);
-  bool hasIdle(const BranchPool& pool) const;
-  void expireWaiting(const std::string& branch);
-  void ask(const std::string& branch);
-  void onReply(const std::string& branch, std::uint64_t sequence,
-               const transport::CallResult& result);
+  void expireWaiters(const std::string& branch);
+
+  /** Requests slots for the queue and releases idle ones, unless a request is in flight. */
+  void sendRequest(const std::string& branch);
+  wire::SlotRequest nextRequest(const std::string& branch, BranchPool& pool);
+  void onResult(const std::string& branch, std::uint64_t sequence,
+                const transport::CallResult& result);
+  /** No ledger processed the request. */
+  void onNoLedger(const std::string& branch, std::uint64_t sequence,
+                  const transport::CallResult& result);
+  void onLedgerReply(const std::string& branch, std::uint64_t sequence,
+                     const wire::SlotReply& reply);
+  /** The request in flight reached no ledger, so its idle slots are still allocated. */
+  void restoreOffered(const std::string& branch);
+
   void onRecall(const wire::SlotRecall& recall, const transport::ReplyFunction& reply);
+  /** Releases the idle slots and invalidates the reply in flight. */
   wire::SlotAllocation recallBranch(const std::string& branch, BranchPool& pool);
-  base::NodeAddress ledgerAddress(std::uint32_t shard);
-  void selectNextCore(std::uint32_t shard);
 
   base::Dispatcher& dispatcher_;
   transport::PeerCalls& calls_;
   std::uint64_t front_instance_;
-  CoreAddresses core_addresses_;
   SlotBrokerOptions options_;
+  LedgerLocator locator_;
   std::map<std::string, BranchPool> pools_;
-  /** By shard: the node believed to keep the ledger, and the highest term heard of. */
-  struct ShardState {
-    base::NodeAddress ledger;
-    std::size_t next_core = 0;
-    std::uint64_t term = 0;
-  };
-  std::map<std::uint32_t, ShardState> shards_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::admission
--- a/libraries/admission/include/switchsaddle/admission/queued_slot_request.h
+++ b/libraries/admission/include/switchsaddle/admission/queued_slot_request.h
@@ -6,11 +6,11 @@
 
 namespace switchsaddle::admission {
 
-/** A front's request for slots which the ledger has not answered yet. */
+/** A front's request for slots with a pending reply. */
 struct QueuedSlotRequest {
   wire::SlotRequest request;
   transport::ReplyFunction reply;
-  /** Whether it came before the recall under way, so that the recall's answers are newer. */
+  /** Whether it arrived before the recall in progress, so that the recall's reports are newer. */
   bool in_recall = false;
 
   FrontIdentity front() const { return FrontIdentity{request.front, request.front_instance}; }
--- a/libraries/admission/include/switchsaddle/admission/reservation_table.h
+++ b/libraries/admission/include/switchsaddle/admission/reservation_table.h
@@ -21,22 +21,26 @@
   }
 };
 
-/** Upper bounds of what one front may hold, by branch. */
+/** Upper bounds of the slots allocated to one front, by branch. */
 using BranchReservations = std::map<std::string, std::uint32_t>;
 
 /**
- * What a ledger keeps in a replicated register: an upper bound of the slots each front may hold. A
- * ledger raises a bound before it grants beyond it, so that its successor never grants a slot which
- * a silent front still uses.
+ * The value of a ledger's replicated register: upper bounds of the slots allocated to each front. A
+ * ledger raises a bound before it grants beyond it, so that its successor never grants a slot that
+ * an unresponsive front still uses.
  */
 struct ReservationTable {
-  /** Term of the ledger that wrote it; a ledger of an older term may not write any more. */
+  /** Fencing token: the term of the ledger that wrote it. Ledgers of older terms may not write. */
   std::uint64_t term = 0;
   std::map<FrontIdentity, BranchReservations> reserved;
 };
 
 std::string encodeReservations(const ReservationTable& table);
-/** An empty string decodes to an empty table. Throws base::Error with RecordCorrupt. */
+/**
+ * Reverses encodeReservations(); an empty string decodes to an empty table.
+ *
+ * @throws base::Error with RecordCorrupt.
+ */
 ReservationTable decodeReservations(const std::string& bytes);
 
 }  // namespace switchsaddle::admission
--- a/libraries/admission/include/switchsaddle/admission/slot_broker.h
+++ b/libraries/admission/include/switchsaddle/admission/slot_broker.h
@@ -9,7 +9,7 @@
 
 namespace switchsaddle::admission {
 
-/** One slot of a branch in use; destroying it gives the slot back to this front's pool. */
+/** One slot of a branch in use; its destruction releases the slot to this front's pool. */
 class SlotPermit {
  public:
   virtual ~SlotPermit() = default;
@@ -17,22 +17,27 @@
 
 using SlotPermitPtr = std::unique_ptr<SlotPermit>;
 
-/** Either a slot, or why there is none: OverBranchLimit (proven full) or LimitsUnavailable. */
+/** A slot, or the reason why there is none: OverBranchLimit, LimitsUnavailable or QueueFull. */
 struct SlotOutcome {
   base::ResultCode code = base::ResultCode::LimitsUnavailable;
+  /** Null unless the code is Ok. */
   SlotPermitPtr hold;
-  /** When asking again is worthwhile, in milliseconds. */
+  /** Recommended delay before a retry, in milliseconds. */
   std::uint32_t retry_after_ms = 1'000;
 };
 
 /**
- * Hands out the fleet-wide slots of the share tree to requests on one front. A slot counts against
- * the branch and each of its ancestors. Where this front has an idle slot the callback runs before
- * acquire() returns; else the branch's ledger is asked.
+ * Allocates the fleet-wide slots of the share tree to requests on one front. A slot counts against
+ * the branch and each of its ancestors. Runs on the control strand.
  */
 class SlotBroker {
  public:
   virtual ~SlotBroker() = default;
+  /**
+   * Acquires a slot of a branch.
+   *
+   * @param callback called once; before acquire() returns where this front has an idle slot.
+   */
   virtual void acquire(const std::string& branch, std::function<void(SlotOutcome)> callback) = 0;
 };
 
--- a/libraries/admission/source/branch_allocations.cc
+++ b/libraries/admission/source/branch_allocations.cc
@@ -9,12 +9,12 @@
   return found == allocations_.end() ? Allocation{} : found->second;
 }
 
-std::uint32_t BranchAllocations::held() const {
-  std::uint32_t held = 0;
+std::uint32_t BranchAllocations::allocated() const {
+  std::uint32_t allocated = 0;
   for (const auto& [front, allocation] : allocations_) {
-    held += allocation.held;
+    allocated += allocation.allocated;
   }
-  return held;
+  return allocated;
 }
 
 std::uint32_t BranchAllocations::inUseSince(base::TimePoint since) const {
@@ -26,10 +26,10 @@
   return in_use;
 }
 
-std::vector<FrontIdentity> BranchAllocations::liveHolders() const {
+std::vector<FrontIdentity> BranchAllocations::liveFronts() const {
   std::vector<FrontIdentity> fronts;
   for (const auto& [front, allocation] : allocations_) {
-    if (allocation.held > 0 && !allocation.ended_at) {
+    if (allocation.allocated > 0 && !allocation.ended_at) {
       fronts.push_back(front);
     }
   }
@@ -39,21 +39,21 @@
 void BranchAllocations::adoptReservation(const FrontIdentity& front, std::uint32_t reserved,
                                          base::TimePoint now) {
   Allocation allocation;
-  allocation.held = reserved;
+  allocation.allocated = reserved;
   allocation.in_use = reserved;
   allocation.last_seen = now;
   allocations_[front] = allocation;
 }
 
-void BranchAllocations::recordReport(const FrontIdentity& front, const wire::SlotAllocation& told,
+void BranchAllocations::recordReport(const FrontIdentity& front, const wire::SlotAllocation& report,
                                      base::TimePoint now) {
-  allocations_[front] = Allocation{told.sequence, told.held, told.in_use, true, now, {}};
+  allocations_[front] = Allocation{report.sequence, report.held, report.in_use, true, now, {}};
 }
 
 std::uint32_t BranchAllocations::addGrant(const FrontIdentity& front, std::uint32_t slots) {
   Allocation& allocation = allocations_[front];
-  allocation.held += slots;
-  return allocation.held;
+  allocation.allocated += slots;
+  return allocation.allocated;
 }
 
 void BranchAllocations::noteEnded(const FrontIdentity& front, base::TimePoint now) {
@@ -73,8 +73,8 @@
   });
 }
 
-void BranchAllocations::noteUnanswered(const FrontIdentity& front,
-                                       base::TimePoint unresponsive_since) {
+void BranchAllocations::noteTimedOut(const FrontIdentity& front,
+                                     base::TimePoint unresponsive_since) {
   const auto found = allocations_.find(front);
   if (found == allocations_.end()) {
     return;
--- a/libraries/admission/source/ledger_slot_broker.cc
+++ b/libraries/admission/source/ledger_slot_broker.cc
@@ -9,28 +9,23 @@
 
 namespace {
 
-/** When asking again is worthwhile after the branch was found full, in milliseconds. */
+/** Recommended delay before a retry after the branch was found full, in milliseconds. */
 constexpr std::uint32_t ExhaustedRetryMs = 1'000;
 /** The same after the ledger could not be reached. */
 constexpr std::uint32_t UnavailableRetryMs = 2'000;
 
 }  // namespace
 
-/** A slot in use; gives it back to the broker unless that is gone. */
-class LedgerSlotBroker::Hold : public SlotPermit {
+/** A slot in use, which is released to the broker unless the broker is destroyed. */
+class LedgerSlotBroker::Permit : public SlotPermit {
  public:
-  Hold(LedgerSlotBroker& broker, std::string branch)
-      : broker_(broker), alive_(broker.alive_), branch_(std::move(branch)) {}
-  ~Hold() override {
-    if (!alive_.expired()) {
-      broker_.release(branch_);
-    }
-  }
+  explicit Permit(std::function<void()> release) : release_(std::move(release)) {}
+  ~Permit() override { release_(); }
+  Permit(const Permit&) = delete;
+  Permit& operator=(const Permit&) = delete;
 
  private:
-  LedgerSlotBroker& broker_;
-  std::weak_ptr<bool> alive_;
-  std::string branch_;
+  std::function<void()> release_;
 };
 
 LedgerSlotBroker::LedgerSlotBroker(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
@@ -39,31 +34,22 @@
     : dispatcher_(dispatcher),
       calls_(calls),
       front_instance_(front_instance),
-      core_addresses_(std::move(core_addresses)),
-      options_(options) {
+      options_(options),
+      locator_(std::move(core_addresses)) {
   calls_.handle<wire::SlotRecall>(
-      [this, alive = std::weak_ptr(alive_)](const base::NodeAddress& /*from*/,
-                                            const wire::SlotRecall& recall,
-                                            const transport::ReplyFunction& reply) {
-        if (!alive.expired()) {
-          onRecall(recall, reply);
-        }
-      });
-}
-
-LedgerSlotBroker::~LedgerSlotBroker() {
-  alive_.reset();
+      callbacks_.guard([this](const base::NodeAddress& /*from*/, const wire::SlotRecall& recall,
+                              const transport::ReplyFunction& reply) { onRecall(recall, reply); }));
 }
 
 LedgerSlotBroker::BranchPool& LedgerSlotBroker::pool(const std::string& branch) {
   const auto [found, inserted] = pools_.try_emplace(branch);
-  BranchPool& made = found->second;
+  BranchPool& pool = found->second;
   if (inserted) {
-    made.deadline_timer = dispatcher_.createTimer([this, branch] { expireWaiting(branch); });
-    made.retry_timer = dispatcher_.createTimer([this, branch] { ask(branch); });
-    made.idle_timer = dispatcher_.createTimer([this, branch] { ask(branch); });
+    pool.deadline_timer = dispatcher_.createTimer([this, branch] { expireWaiters(branch); });
+    pool.retry_timer = dispatcher_.createTimer([this, branch] { sendRequest(branch); });
+    pool.idle_timer = dispatcher_.createTimer([this, branch] { sendRequest(branch); });
   }
-  return made;
+  return pool;
 }
 
 std::uint32_t LedgerSlotBroker::inUse(const std::string& branch) const {
@@ -74,208 +60,191 @@
 std::vector<LedgerSlotBroker::Allocation> LedgerSlotBroker::allocations() const {
   std::vector<Allocation> allocations;
   for (const auto& [branch, pool] : pools_) {
-    allocations.push_back({branch, pool.held, pool.in_use});
+    allocations.push_back({branch, pool.allocated, pool.in_use});
   }
   return allocations;
 }
 
-std::map<std::uint32_t, std::uint64_t> LedgerSlotBroker::ledgerTerms() const {
-  std::map<std::uint32_t, std::uint64_t> terms;
-  for (const auto& [shard, state] : shards_) {
-    terms[shard] = state.term;
-  }
-  return terms;
-}
-
-bool LedgerSlotBroker::hasIdle(const BranchPool& pool) const {
-  return pool.held > pool.in_use && dispatcher_.now() - pool.sent_at <= options_.idle_validity;
+bool LedgerSlotBroker::hasValidIdle(const BranchPool& pool) const {
+  return pool.allocated > pool.in_use && dispatcher_.now() - pool.sent_at <= options_.idle_validity;
 }
 
-SlotPermitPtr LedgerSlotBroker::take(const std::string& branch, BranchPool& pool) {
+SlotPermitPtr LedgerSlotBroker::issuePermit(const std::string& branch, BranchPool& pool) {
   ++pool.in_use;
-  return std::make_unique<Hold>(*this, branch);
+  return std::make_unique<Permit>(callbacks_.guard([this, branch] { release(branch); }));
 }
 
 void LedgerSlotBroker::acquire(const std::string& branch,
                                std::function<void(SlotOutcome)> callback) {
   BranchPool& slots = pool(branch);
-  if (hasIdle(slots) && slots.waiting.empty()) {
-    callback(SlotOutcome{base::ResultCode::Ok, take(branch, slots), 0});
+  if (hasValidIdle(slots) && slots.queue.empty()) {
+    callback(SlotOutcome{base::ResultCode::Ok, issuePermit(branch, slots), 0});
     return;
   }
-  if (slots.waiting.size() >= options_.waiting_limit) {
+  if (slots.queue.size() >= options_.queue_limit) {
     callback(SlotOutcome{base::ResultCode::QueueFull, nullptr, ExhaustedRetryMs});
     return;
   }
-  slots.waiting.push_back(
+  slots.queue.push_back(
       Waiter{std::move(callback), dispatcher_.now() + options_.acquire_deadline, slots.sequence});
   if (!slots.deadline_timer->enabled()) {
     slots.deadline_timer->enable(options_.acquire_deadline);
   }
-  ask(branch);
+  sendRequest(branch);
 }
 
 void LedgerSlotBroker::release(const std::string& branch) {
   BranchPool& slots = pool(branch);
   --slots.in_use;
-  serveWaiting(branch);
-  const bool idle = slots.held > slots.in_use;
-  if (idle && !slots.idle_timer->enabled()) {
-    slots.idle_timer->enable(options_.idle_time);
+  serveQueue(branch);
+  const bool has_idle = slots.allocated > slots.in_use;
+  if (has_idle && !slots.idle_timer->enabled()) {
+    slots.idle_timer->enable(options_.idle_timeout);
   }
 }
 
-void LedgerSlotBroker::serveWaiting(const std::string& branch) {
+void LedgerSlotBroker::serveQueue(const std::string& branch) {
   BranchPool& slots = pool(branch);
-  while (hasIdle(slots) && !slots.waiting.empty()) {
-    const Waiter waiter = std::move(slots.waiting.front());
-    slots.waiting.pop_front();
-    waiter.callback(SlotOutcome{base::ResultCode::Ok, take(branch, slots), 0});
+  while (hasValidIdle(slots) && !slots.queue.empty()) {
+    const Waiter waiter = std::move(slots.queue.front());
+    slots.queue.pop_front();
+    waiter.callback(SlotOutcome{base::ResultCode::Ok, issuePermit(branch, slots), 0});
   }
 }
 
 void LedgerSlotBroker::rejectRequested(const std::string& branch, std::uint64_t sequence) {
-  std::deque<Waiter>& waiting = pool(branch).waiting;
-  std::vector<Waiter> refused;
-  while (!waiting.empty() && waiting.front().after_sequence < sequence) {
-    refused.push_back(std::move(waiting.front()));
-    waiting.pop_front();
+  std::deque<Waiter>& queue = pool(branch).queue;
+  std::vector<Waiter> rejected;
+  while (!queue.empty() && queue.front().after_sequence < sequence) {
+    rejected.push_back(std::move(queue.front()));
+    queue.pop_front();
   }
-  for (const Waiter& waiter : refused) {
+  for (const Waiter& waiter : rejected) {
     waiter.callback(SlotOutcome{base::ResultCode::OverBranchLimit, nullptr, ExhaustedRetryMs});
   }
 }
 
-void LedgerSlotBroker::expireWaiting(const std::string& branch) {
+void LedgerSlotBroker::expireWaiters(const std::string& branch) {
   BranchPool& slots = pool(branch);
   const base::TimePoint now = dispatcher_.now();
   std::vector<Waiter> expired;
-  while (!slots.waiting.empty() && slots.waiting.front().deadline <= now) {
-    expired.push_back(std::move(slots.waiting.front()));
-    slots.waiting.pop_front();
+  while (!slots.queue.empty() && slots.queue.front().deadline <= now) {
+    expired.push_back(std::move(slots.queue.front()));
+    slots.queue.pop_front();
   }
-  if (!slots.waiting.empty()) {
-    slots.deadline_timer->enable(slots.waiting.front().deadline - now);
+  if (!slots.queue.empty()) {
+    slots.deadline_timer->enable(slots.queue.front().deadline - now);
   }
   for (const Waiter& waiter : expired) {
     waiter.callback(SlotOutcome{base::ResultCode::LimitsUnavailable, nullptr, UnavailableRetryMs});
   }
 }
 
-base::NodeAddress LedgerSlotBroker::ledgerAddress(std::uint32_t shard) {
-  ShardState& state = shards_[shard];
-  if (state.ledger.empty()) {
-    const std::vector<base::NodeAddress> cores = core_addresses_();
-    if (!cores.empty()) {
-      state.ledger = cores[(state.next_core + shard) % cores.size()];
-    }
-  }
-  return state.ledger;
-}
-
-void LedgerSlotBroker::selectNextCore(std::uint32_t shard) {
-  ShardState& state = shards_[shard];
-  state.ledger = {};
-  ++state.next_core;
-}
-
-void LedgerSlotBroker::ask(const std::string& branch) {
+void LedgerSlotBroker::sendRequest(const std::string& branch) {
   BranchPool& slots = pool(branch);
-  const bool has_idle = slots.held > slots.in_use;
-  if (slots.asking || (slots.waiting.empty() && !has_idle)) {
+  const bool has_idle = slots.allocated > slots.in_use;
+  if (slots.request_in_flight || (slots.queue.empty() && !has_idle)) {
     return;
   }
-  const base::NodeAddress ledger = ledgerAddress(ledgerShardOf(branch));
+  const base::NodeAddress ledger = locator_.addressOf(ledgerShardOf(branch));
   if (ledger.empty()) {
-    slots.retry_timer->enable(options_.retry_pause);
+    slots.retry_timer->enable(options_.retry_delay);
     return;
   }
-  slots.offered = slots.held - slots.in_use;
-  slots.held = slots.in_use;
-  slots.sent_at = dispatcher_.now();
-  slots.asking = true;
+  const wire::SlotRequest request = nextRequest(branch, slots);
+  calls_.call(ledger, request, options_.call_timeout,
+              callbacks_.guard(
+                  [this, branch, sequence = request.sequence](const transport::CallResult& result) {
+                    onResult(branch, sequence, result);
+                  }));
+}
+
+wire::SlotRequest LedgerSlotBroker::nextRequest(const std::string& branch, BranchPool& pool) {
+  pool.offered = pool.allocated - pool.in_use;
+  pool.allocated = pool.in_use;
+  pool.sent_at = dispatcher_.now();
+  pool.request_in_flight = true;
   wire::SlotRequest request;
   request.branch = branch;
   request.front_instance = front_instance_;
   request.front = calls_.localAddress();
-  request.sequence = ++slots.sequence;
-  request.held = slots.held;
-  request.in_use = slots.in_use;
-  request.wanted = static_cast<std::uint32_t>(slots.waiting.size());
-  calls_.call(ledger, request, options_.call_timeout,
-              [this, alive = std::weak_ptr(alive_), branch,
-               sequence = request.sequence](const transport::CallResult& result) {
-                if (!alive.expired()) {
-                  onReply(branch, sequence, result);
-                }
-              });
+  request.sequence = ++pool.sequence;
+  request.held = pool.allocated;
+  request.in_use = pool.in_use;
+  request.wanted = static_cast<std::uint32_t>(pool.queue.size());
+  return request;
 }
 
-void LedgerSlotBroker::onReply(const std::string& branch, std::uint64_t sequence,
-                               const transport::CallResult& result) {
-  BranchPool& slots = pool(branch);
-  slots.asking = false;
-  const std::uint32_t shard = ledgerShardOf(branch);
-  ShardState& state = shards_[shard];
+void LedgerSlotBroker::onResult(const std::string& branch, std::uint64_t sequence,
+                                const transport::CallResult& result) {
+  pool(branch).request_in_flight = false;
   const auto* reply = result.as<wire::SlotReply>();
-  if (reply == nullptr || !reply->is_ledger) {
-    const bool not_heard = reply != nullptr || result.code == base::ResultCode::PeerUnreachable;
-    if (not_heard && sequence == slots.sequence) {
-      keepOffered(branch);
-    }
-    selectNextCore(shard);
-    if (reply != nullptr && !reply->ledger.empty()) {
-      state.ledger = reply->ledger;
-    }
-    slots.retry_timer->enable(options_.retry_pause);
-    return;
+  if (reply != nullptr && reply->is_ledger) {
+    onLedgerReply(branch, sequence, *reply);
+  } else {
+    onNoLedger(branch, sequence, result);
   }
-  const bool current_term = reply->term >= state.term || !options_.check_terms;
-  state.term = std::max(state.term, reply->term);
-  const bool is_void =
-      !current_term || (reply->sequence != slots.sequence && options_.check_sequences);
-  if (!is_void) {
-    slots.held += reply->granted;
-    serveWaiting(branch);
+}
+
+void LedgerSlotBroker::onNoLedger(const std::string& branch, std::uint64_t sequence,
+                                  const transport::CallResult& result) {
+  BranchPool& slots = pool(branch);
+  const auto* reply = result.as<wire::SlotReply>();
+  // After a time-out a ledger may have processed the request.
+  const bool not_processed = reply != nullptr || result.code == base::ResultCode::PeerUnreachable;
+  if (not_processed && sequence == slots.sequence) {
+    restoreOffered(branch);
   }
-  if (!is_void && reply->exhausted) {
+  locator_.reject(ledgerShardOf(branch), reply == nullptr ? base::NodeAddress{} : reply->ledger);
+  slots.retry_timer->enable(options_.retry_delay);
+}
+
+void LedgerSlotBroker::onLedgerReply(const std::string& branch, std::uint64_t sequence,
+                                     const wire::SlotReply& reply) {
+  BranchPool& slots = pool(branch);
+  const bool current_term =
+      locator_.observeTerm(ledgerShardOf(branch), reply.term) || !options_.check_terms;
+  const bool current_sequence = reply.sequence == slots.sequence || !options_.check_sequences;
+  const bool is_valid = current_term && current_sequence;
+  if (is_valid) {
+    slots.allocated += reply.granted;
+    serveQueue(branch);
+  }
+  if (is_valid && reply.exhausted) {
     rejectRequested(branch, sequence);
   }
-  if (!slots.waiting.empty()) {
-    const bool at_once = is_void || reply->granted > 0 || reply->exhausted;
-    slots.retry_timer->enable(at_once ? base::Duration::zero() : options_.retry_pause);
-  } else if (slots.held > slots.in_use) {
-    slots.idle_timer->enable(options_.idle_time);
+  if (!slots.queue.empty()) {
+    const bool immediately = !is_valid || reply.granted > 0 || reply.exhausted;
+    slots.retry_timer->enable(immediately ? base::Duration::zero() : options_.retry_delay);
+  } else if (slots.allocated > slots.in_use) {
+    slots.idle_timer->enable(options_.idle_timeout);
   }
 }
 
-void LedgerSlotBroker::keepOffered(const std::string& branch) {
+void LedgerSlotBroker::restoreOffered(const std::string& branch) {
   BranchPool& slots = pool(branch);
-  slots.held += slots.offered;
+  slots.allocated += slots.offered;
   slots.offered = 0;
   slots.sent_at = dispatcher_.now();
-  serveWaiting(branch);
+  serveQueue(branch);
 }
 
 wire::SlotAllocation LedgerSlotBroker::recallBranch(const std::string& branch, BranchPool& pool) {
-  // A reply still under way is made void by the new sequence.
-  pool.held = pool.in_use;
+  pool.allocated = pool.in_use;
   pool.sent_at = dispatcher_.now();
-  return wire::SlotAllocation{branch, ++pool.sequence, pool.held, pool.in_use};
+  return wire::SlotAllocation{branch, ++pool.sequence, pool.allocated, pool.in_use};
 }
 
 void LedgerSlotBroker::onRecall(const wire::SlotRecall& recall,
                                 const transport::ReplyFunction& reply) {
   wire::SlotReport report;
   report.front_instance = front_instance_;
-  ShardState& state = shards_[recall.shard];
-  report.term_accepted = recall.term >= state.term || !options_.check_terms;
+  report.term_accepted = locator_.observeTerm(recall.shard, recall.term) || !options_.check_terms;
   if (report.term_accepted) {
-    state.term = std::max(state.term, recall.term);
     for (auto& [branch, slots] : pools_) {
-      const bool asked =
+      const bool is_recalled =
           recall.branch.empty() ? ledgerShardOf(branch) == recall.shard : recall.branch == branch;
-      if (asked && slots.sequence > 0) {
+      if (is_recalled && slots.sequence > 0) {
         report.allocations.push_back(recallBranch(branch, slots));
       }
     }
--- a/libraries/admission/source/reservation_writer.cc
+++ b/libraries/admission/source/reservation_writer.cc
@@ -8,12 +8,12 @@
 
 ReservationWriter::ReservationWriter(registers::RegisterProposer& proposer, std::uint32_t shard,
                                      ReservationWriterOptions options, ConfirmFunction confirm,
-                                     HoldsFunction holds)
+                                     IsAllocatedFunction is_allocated)
     : proposer_(proposer),
       shard_(shard),
       options_(options),
       confirm_(std::move(confirm)),
-      holds_(std::move(holds)) {}
+      is_allocated_(std::move(is_allocated)) {}
 
 std::string ReservationWriter::registerKey() const {
   return "ledger/" + std::to_string(shard_);
@@ -30,99 +30,101 @@
     return encodeReservations(table);
   };
   proposer_.change(registerKey(), raise_term,
-                   [this, alive = std::weak_ptr(alive_), term,
-                    done = std::move(done)](const registers::RegisterOutcome& outcome) {
-                     if (!alive.expired() && term == term_) {
+                   callbacks_.guard([this, term, done = std::move(done)](
+                                        const registers::RegisterOutcome& outcome) {
+                     if (term == term_) {
                        done(outcome);
                      }
-                   });
+                   }));
 }
 
-void ReservationWriter::takeOver(const ReservationTable& table) {
+void ReservationWriter::adopt(const ReservationTable& table) {
   durable_ = table;
-  wanted_ = table;
+  target_ = table;
 }
 
 std::vector<QueuedSlotRequest> ReservationWriter::endTerm() {
-  std::vector<QueuedSlotRequest> held_back;
+  std::vector<QueuedSlotRequest> deferred;
   for (PendingGrant& pending : pending_grants_) {
-    held_back.push_back(std::move(pending.waiting));
+    deferred.push_back(std::move(pending.request));
   }
   pending_grants_.clear();
   writing_ = false;
   term_ = 0;
-  return held_back;
+  return deferred;
 }
 
-void ReservationWriter::grant(QueuedSlotRequest waiting, std::uint32_t slots, std::uint32_t held) {
-  reserve(waiting.front(), waiting.request.branch, held);
-  if (isReserved(waiting, slots)) {
-    confirm_(waiting, slots);
+void ReservationWriter::grant(QueuedSlotRequest request, std::uint32_t slots,
+                              std::uint32_t allocated) {
+  reserve(request.front(), request.request.branch, allocated);
+  if (isReserved(request, slots)) {
+    confirm_(request, slots);
     return;
   }
-  pending_grants_.push_back(PendingGrant{std::move(waiting), slots});
+  pending_grants_.push_back(PendingGrant{std::move(request), slots});
   write();
 }
 
-void ReservationWriter::forget(const FrontIdentity& front) {
-  wanted_.reserved.erase(front);
+void ReservationWriter::remove(const FrontIdentity& front) {
+  target_.reserved.erase(front);
 }
 
 std::vector<FrontIdentity> ReservationWriter::otherInstances(const FrontIdentity& front) const {
-  std::vector<FrontIdentity> others;
-  for (const auto& [known, reservations] : wanted_.reserved) {
+  std::vector<FrontIdentity> instances;
+  for (const auto& [known, reservations] : target_.reserved) {
     if (known.address == front.address && known.instance != front.instance) {
-      others.push_back(known);
+      instances.push_back(known);
     }
   }
-  return others;
+  return instances;
 }
 
 bool ReservationWriter::grantPending(const std::string& branch) const {
   return std::ranges::any_of(pending_grants_, [&branch](const PendingGrant& pending) {
-    return pending.waiting.request.branch == branch;
+    return pending.request.request.branch == branch;
   });
 }
 
 bool ReservationWriter::grantPending(const std::string& branch, const FrontIdentity& front) const {
   return std::ranges::any_of(pending_grants_, [&branch, &front](const PendingGrant& pending) {
-    return pending.waiting.request.branch == branch && pending.waiting.front() == front;
+    return pending.request.request.branch == branch && pending.request.front() == front;
   });
 }
 
 void ReservationWriter::reserve(const FrontIdentity& front, const std::string& branch,
                                 std::uint32_t slots) {
-  std::uint32_t& reserved = wanted_.reserved[front][branch];
+  std::uint32_t& reserved = target_.reserved[front][branch];
   if (reserved < slots) {
     const std::uint32_t steps = (slots + options_.reservation_step - 1) / options_.reservation_step;
     reserved = steps * options_.reservation_step;
   }
 }
 
-bool ReservationWriter::isReserved(const QueuedSlotRequest& waiting, std::uint32_t granted) const {
+bool ReservationWriter::isReserved(const QueuedSlotRequest& request, std::uint32_t granted) const {
   if (!options_.reserve_before_granting) {
     return true;
   }
-  const auto front = durable_.reserved.find(waiting.front());
+  const auto front = durable_.reserved.find(request.front());
   if (front == durable_.reserved.end()) {
     return false;
   }
-  const auto branch = front->second.find(waiting.request.branch);
-  return branch != front->second.end() && branch->second >= waiting.request.held + granted;
+  const auto branch = front->second.find(request.request.branch);
+  return branch != front->second.end() && branch->second >= request.request.held + granted;
 }
 
 ReservationTable ReservationWriter::tableToWrite() {
-  // Bounds of fronts which hold nothing any more are taken out with the next write.
-  for (auto& [front, reservations] : wanted_.reserved) {
-    std::erase_if(reservations,
-                  [this, &front = front](const auto& item) { return !holds_(front, item.first); });
+  // The write also removes the reservations of fronts without allocated slots.
+  for (auto& [front, reservations] : target_.reserved) {
+    std::erase_if(reservations, [this, &front = front](const auto& item) {
+      return !is_allocated_(front, item.first);
+    });
   }
-  std::erase_if(wanted_.reserved, [](const auto& item) { return item.second.empty(); });
-  wanted_.term = term_;
-  return wanted_;
+  std::erase_if(target_.reserved, [](const auto& item) { return item.second.empty(); });
+  target_.term = term_;
+  return target_;
 }
 
-void ReservationWriter::stopRelyingOnRemoved(const ReservationTable& next) {
+void ReservationWriter::removeFromDurable(const ReservationTable& next) {
   std::erase_if(durable_.reserved,
                 [&next](const auto& item) { return !next.reserved.contains(item.first); });
   for (auto& [front, reservations] : durable_.reserved) {
@@ -137,7 +139,7 @@
   }
   writing_ = true;
   ReservationTable table = tableToWrite();
-  stopRelyingOnRemoved(table);
+  removeFromDurable(table);
   const std::string bytes = encodeReservations(table);
   const std::uint64_t term = term_;
   const auto change = [term, bytes, fenced = options_.fence_by_term](
@@ -148,12 +150,12 @@
     return bytes;
   };
   proposer_.change(registerKey(), change,
-                   [this, alive = std::weak_ptr(alive_), term,
-                    table = std::move(table)](const registers::RegisterOutcome& outcome) {
-                     if (!alive.expired() && term == term_) {
+                   callbacks_.guard([this, term, table = std::move(table)](
+                                        const registers::RegisterOutcome& outcome) {
+                     if (term == term_) {
                        onWritten(outcome, table);
                      }
-                   });
+                   }));
 }
 
 void ReservationWriter::onWritten(const registers::RegisterOutcome& outcome,
@@ -166,15 +168,14 @@
   std::vector<PendingGrant> pending;
   pending.swap(pending_grants_);
   for (PendingGrant& pending_grant : pending) {
-    const QueuedSlotRequest& waiting = pending_grant.waiting;
-    if (isReserved(waiting, pending_grant.slots)) {
-      confirm_(waiting, pending_grant.slots);
+    const QueuedSlotRequest& request = pending_grant.request;
+    if (isReserved(request, pending_grant.slots)) {
+      confirm_(request, pending_grant.slots);
     } else if (is_written) {
       pending_grants_.push_back(std::move(pending_grant));
     } else {
-      // The register did not answer: the slots stay counted as held until the front tells
-      // otherwise.
-      confirm_(waiting, 0);
+      // The register is unavailable: the slots count as allocated until the front reports.
+      confirm_(request, 0);
     }
   }
   if (!pending_grants_.empty()) {
--- a/libraries/admission/source/slot_ledger.cc
+++ b/libraries/admission/source/slot_ledger.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Beyond the longest request, for clocks and timers that run late. */
+/** Added to the longest request, for the drift of clocks and late timers. */
 constexpr base::Duration TimeoutMargin = std::chrono::seconds(30);
 
 }  // namespace
@@ -22,16 +22,17 @@
       lease_(lease),
       shard_(shard),
       options_(options),
+      branches_(options.order_by_sequence),
+      recaller_(calls, shard, options.recall_timeout),
       reservations_(
           proposer, shard,
           ReservationWriterOptions{options.reservation_step, options.reserve_before_granting,
                                    options.fence_by_term},
-          [this](const QueuedSlotRequest& waiting, std::uint32_t granted) {
-            answer(waiting, granted, false);
+          [this](const QueuedSlotRequest& queued, std::uint32_t granted) {
+            reply(queued, granted, false);
           },
           [this](const FrontIdentity& front, const std::string& branch) {
-            const auto state = branches_.find(branch);
-            return state != branches_.end() && state->second.allocations.contains(front);
+            return branches_.isAllocated(front, branch);
           }),
       fence_timer_(dispatcher.createTimer([this] { fence(); })) {}
 
@@ -39,20 +40,39 @@
   return serving_ && lease_.held() && lease_.term() == term_;
 }
 
-void SlotLedger::setLimits(std::map<std::string, std::uint32_t> limits) {
+void SlotLedger::setLimits(BranchTable::Limits limits) {
   std::erase_if(limits, [this](const auto& item) { return ledgerShardOf(item.first) != shard_; });
-  limits_ = std::move(limits);
-  for (const auto& [branch, slots] : limits_) {
-    serveWaiting(branch);
+  branches_.setLimits(std::move(limits));
+  for (const auto& [branch, slots] : branches_.limits()) {
+    serveQueue(branch);
   }
 }
 
+void SlotLedger::setLongestUse(base::Duration longest_use) {
+  // Requests that began under an earlier configuration keep the deadline that they were given.
+  longest_use_ = std::max(longest_use_, longest_use);
+}
+
+base::Duration SlotLedger::unresponsiveTimeout() const {
+  return std::max(options_.unresponsive_timeout, longest_use_ + TimeoutMargin);
+}
+
 void SlotLedger::onLeaseGained() {
   onLeaseLost();
   term_ = lease_.term();
+  recaller_.setTerm(term_);
   fence();
 }
 
+void SlotLedger::onLeaseLost() {
+  fence_timer_->disable();
+  serving_ = false;
+  rejectAll();
+  term_ = 0;
+  recaller_.setTerm(0);
+  branches_.clear();
+}
+
 void SlotLedger::fence() {
   if (!lease_.held() || lease_.term() != term_) {
     return;
@@ -63,38 +83,18 @@
 
 void SlotLedger::onFenced(const registers::RegisterOutcome& outcome) {
   if (outcome.code != base::ResultCode::Ok) {
-    // Where cores refuse connections the register answers at once, so asking again takes a pause.
-    fence_timer_->enable(options_.fence_pause);
+    // Where cores refuse connections the register fails immediately, so the retry is delayed.
+    fence_timer_->enable(options_.fence_retry_delay);
     return;
   }
   const ReservationTable table = decodeReservations(outcome.value);
   if (table.term == term_) {
-    takeOver(table);
+    adopt(table);
   }
 }
 
-void SlotLedger::onLeaseLost() {
-  fence_timer_->disable();
-  serving_ = false;
-  refuseNotServing();
-  term_ = 0;
-  branches_.clear();
-}
-
-void SlotLedger::refuseNotServing() {
-  // The fronts then look for the successor at once.
-  for (const QueuedSlotRequest& waiting : reservations_.endTerm()) {
-    waiting.reply(wire::SlotReply{});
-  }
-  for (const auto& [branch, state] : branches_) {
-    for (const QueuedSlotRequest& waiting : state.waiting) {
-      waiting.reply(wire::SlotReply{});
-    }
-  }
-}
-
-void SlotLedger::takeOver(const ReservationTable& table) {
-  reservations_.takeOver(table);
+void SlotLedger::adopt(const ReservationTable& table) {
+  reservations_.adopt(table);
   for (const auto& [front, reservations] : table.reserved) {
     for (const auto& [branch, slots] : reservations) {
       branches_[branch].allocations.adoptReservation(front, slots, dispatcher_.now());
@@ -104,201 +104,140 @@
   serving_ = true;
 }
 
-void SlotLedger::requestReport(const FrontIdentity& front) {
-  const std::uint64_t term = term_;
-  calls_.call(
-      front.address, wire::SlotRecall{term, shard_, {}}, options_.recall_timeout,
-      [this, alive = std::weak_ptr(alive_), front, term](const transport::CallResult& result) {
-        if (alive.expired() || term != term_) {
-          return;
-        }
-        if (result.code == base::ResultCode::PeerUnreachable) {
-          dropFront(front);
-        } else if (const auto* report = result.as<wire::SlotReport>()) {
-          noteReport(front, *report, {});
-        }
-      });
-}
-
-void SlotLedger::noteReport(const FrontIdentity& front, const wire::SlotReport& report,
-                            const std::string& branch) {
-  if (report.front_instance != front.instance) {
-    // Another process listens there now, so this one is gone and its connections are closed.
-    dropFront(front);
-    return;
-  }
-  if (!report.term_accepted) {
-    return;
-  }
-  for (auto& [path, state] : branches_) {
-    const bool asked = branch.empty() || branch == path;
-    if (asked && state.allocations.contains(front)) {
-      noteReportOf(path, state, front, report);
-    }
+void SlotLedger::rejectAll() {
+  // A reply that is not the ledger's makes the fronts look for the successor at once.
+  for (const QueuedSlotRequest& queued : reservations_.endTerm()) {
+    queued.reply(wire::SlotReply{});
   }
-}
-
-void SlotLedger::noteReportOf(const std::string& branch, BranchState& state,
-                              const FrontIdentity& front, const wire::SlotReport& report) {
-  const Allocation counted = state.allocations.of(front);
-  const auto told = std::ranges::find(report.allocations, branch, &wire::SlotAllocation::branch);
-  if (told == report.allocations.end()) {
-    // A request which the report was overtaken by is later than it.
-    if (counted.sequence == 0) {
-      state.allocations.erase(front);
+  for (const auto& [branch, state] : branches_.states()) {
+    for (const QueuedSlotRequest& queued : state.queue) {
+      queued.reply(wire::SlotReply{});
     }
-  } else if (!isStale(counted, told->sequence)) {
-    state.allocations.recordReport(front, *told, dispatcher_.now());
-    renewWaiting(front, state, *told);
   }
 }
 
-void SlotLedger::renewWaiting(const FrontIdentity& front, BranchState& state,
-                              const wire::SlotAllocation& told) {
-  // What the front waits for is still wanted; a grant must stand on what it told last.
-  for (QueuedSlotRequest& waiting : state.waiting) {
-    if (waiting.front() == front) {
-      waiting.request.sequence = told.sequence;
-      waiting.request.held = told.held;
-      waiting.request.in_use = told.in_use;
-    }
-  }
-}
-
-bool SlotLedger::isStale(const Allocation& allocation, std::uint64_t sequence) const {
-  return options_.order_by_sequence && sequence <= allocation.sequence;
+void SlotLedger::requestReport(const FrontIdentity& front) {
+  recaller_.recall(front, {}, [this, front](RecallOutcome outcome, const wire::SlotReport& report) {
+    applyRecall(front, {}, outcome, report);
+  });
 }
 
-void SlotLedger::answerEarlierRequests(const FrontIdentity& front, BranchState& state) {
-  const auto is_earlier = [&front](const QueuedSlotRequest& waiting) {
-    return waiting.front() == front;
-  };
-  for (const QueuedSlotRequest& waiting : state.waiting) {
-    if (is_earlier(waiting)) {
-      answer(waiting, 0, false);
-    }
+void SlotLedger::applyRecall(const FrontIdentity& front, const std::string& branch,
+                             RecallOutcome outcome, const wire::SlotReport& report) {
+  if (outcome == RecallOutcome::FrontEnded) {
+    dropFront(front);
+  } else if (outcome == RecallOutcome::Reported) {
+    branches_.applyReport(front, report, branch, dispatcher_.now());
   }
-  std::erase_if(state.waiting, is_earlier);
 }
 
 void SlotLedger::dropFront(const FrontIdentity& front) {
-  for (auto& [branch, state] : branches_) {
-    state.allocations.noteEnded(front, dispatcher_.now());
-  }
-  reservations_.forget(front);
+  branches_.noteEnded(front, dispatcher_.now());
+  reservations_.remove(front);
 }
 
 void SlotLedger::queryOtherInstances(const FrontIdentity& front) {
-  // Which instance is the later one can't be told from a message, which may be an old one. The
-  // process that answers a call now is the living one.
+  // A message, which may be an old one, does not show which instance is the later one. The process
+  // that replies to a call now is the live one.
   for (const FrontIdentity& other : reservations_.otherInstances(front)) {
     requestReport(other);
   }
 }
 
-void SlotLedger::setLongestUse(base::Duration longest_use) {
-  // Requests which began under an earlier configuration keep the time they were given.
-  longest_use_ = std::max(longest_use_, longest_use);
-}
-
-base::Duration SlotLedger::unresponsiveTimeout() const {
-  return std::max(options_.unresponsive_timeout, longest_use_ + TimeoutMargin);
-}
-
-void SlotLedger::onRequest(const wire::SlotRequest& request, transport::ReplyFunction reply) {
+void SlotLedger::onRequest(const wire::SlotRequest& request, transport::ReplyFunction reply_to) {
   if (!serving()) {
-    reply(wire::SlotReply{});
+    reply_to(wire::SlotReply{});
     return;
   }
-  const QueuedSlotRequest waiting{request, std::move(reply)};
-  const FrontIdentity front = waiting.front();
+  const QueuedSlotRequest queued{request, std::move(reply_to)};
+  const FrontIdentity front = queued.front();
   queryOtherInstances(front);
-  BranchState& state = branches_[request.branch];
-  const Allocation allocation = state.allocations.of(front);
-  const bool unconfirmed = allocation.sequence == 0 && allocation.held > 0;
-  if (unconfirmed && options_.confirm_after_takeover) {
-    // The request may have been under way since before the predecessor's last grants.
+  const Allocation allocation = branches_[request.branch].allocations.of(front);
+  const bool is_unconfirmed = allocation.sequence == 0 && allocation.allocated > 0;
+  if (is_unconfirmed && options_.confirm_after_takeover) {
+    // The request may be older than the predecessor's last grants.
     requestReport(front);
-    answer(waiting, 0, false);
-    return;
-  }
-  if (isStale(allocation, request.sequence)) {
-    if (request.sequence < allocation.sequence) {
-      answer(waiting, 0, false);
-    }
-    return;
+    reply(queued, 0, false);
+  } else if (!branches_.isStale(allocation, request.sequence)) {
+    acceptRequest(queued);
+  } else if (request.sequence < allocation.sequence) {
+    reply(queued, 0, false);
   }
+}
+
+void SlotLedger::acceptRequest(const QueuedSlotRequest& queued) {
+  const wire::SlotRequest& request = queued.request;
+  const FrontIdentity front = queued.front();
+  BranchState& state = branches_[request.branch];
   state.allocations.recordReport(
       front, wire::SlotAllocation{request.branch, request.sequence, request.held, request.in_use},
       dispatcher_.now());
-  answerEarlierRequests(front, state);
+  replyToEarlierRequests(front, state);
   if (request.held == 0 && request.wanted == 0) {
     state.allocations.erase(front);
   }
   if (request.wanted == 0) {
-    answer(waiting, 0, false);
+    reply(queued, 0, false);
   } else {
-    state.waiting.push_back(waiting);
+    state.queue.push_back(queued);
   }
-  serveWaiting(request.branch);
+  serveQueue(request.branch);
 }
 
-std::uint32_t SlotLedger::freeSlots(const std::string& branch) const {
-  const auto limit = limits_.find(branch);
-  if (limit == limits_.end()) {
-    return 0;
+void SlotLedger::replyToEarlierRequests(const FrontIdentity& front, BranchState& state) {
+  const auto is_earlier = [&front](const QueuedSlotRequest& queued) {
+    return queued.front() == front;
+  };
+  for (const QueuedSlotRequest& queued : state.queue) {
+    if (is_earlier(queued)) {
+      reply(queued, 0, false);
+    }
   }
-  const std::uint32_t held = allocatedSlots(branch);
-  return limit->second > held ? limit->second - held : 0;
+  std::erase_if(state.queue, is_earlier);
 }
 
-std::uint32_t SlotLedger::allocatedSlots(const std::string& branch) const {
-  const auto state = branches_.find(branch);
-  return state == branches_.end() ? 0 : state->second.allocations.held();
-}
-
-void SlotLedger::serveWaiting(const std::string& branch) {
+void SlotLedger::serveQueue(const std::string& branch) {
   if (!serving()) {
     return;
   }
   BranchState& state = branches_[branch];
   state.allocations.dropEnded(dispatcher_.now() - options_.ended_front_time);
-  while (!state.waiting.empty()) {
-    const std::uint32_t available = freeSlots(branch);
-    if (available == 0) {
+  while (!state.queue.empty()) {
+    if (branches_.freeSlots(branch) == 0) {
       startRecall(branch);
       return;
     }
-    QueuedSlotRequest waiting = std::move(state.waiting.front());
-    state.waiting.pop_front();
-    const std::uint32_t slots = std::min(available, waiting.request.wanted);
-    grant(branch, std::move(waiting), slots);
+    grantFirst(branch);
   }
 }
 
-void SlotLedger::grant(const std::string& branch, QueuedSlotRequest waiting, std::uint32_t slots) {
-  const std::uint32_t held = branches_[branch].allocations.addGrant(waiting.front(), slots);
-  reservations_.grant(std::move(waiting), slots, held);
+void SlotLedger::grantFirst(const std::string& branch) {
+  BranchState& state = branches_[branch];
+  QueuedSlotRequest queued = std::move(state.queue.front());
+  state.queue.pop_front();
+  const std::uint32_t slots = std::min(branches_.freeSlots(branch), queued.request.wanted);
+  const std::uint32_t allocated = state.allocations.addGrant(queued.front(), slots);
+  reservations_.grant(std::move(queued), slots, allocated);
 }
 
-void SlotLedger::answer(const QueuedSlotRequest& waiting, std::uint32_t granted,
-                        bool exhausted) const {
-  wire::SlotReply reply;
-  reply.is_ledger = true;
-  reply.ledger = calls_.localAddress();
-  reply.term = term_;
-  reply.sequence = waiting.request.sequence;
-  reply.granted = granted;
-  reply.exhausted = exhausted;
-  waiting.reply(std::move(reply));
+void SlotLedger::reply(const QueuedSlotRequest& queued, std::uint32_t granted,
+                       bool exhausted) const {
+  wire::SlotReply message;
+  message.is_ledger = true;
+  message.ledger = calls_.localAddress();
+  message.term = term_;
+  message.sequence = queued.request.sequence;
+  message.granted = granted;
+  message.exhausted = exhausted;
+  queued.reply(std::move(message));
 }
 
-std::vector<FrontIdentity> SlotLedger::frontsToRecall(const std::string& branch) const {
+std::vector<FrontIdentity> SlotLedger::frontsToRecall(const std::string& branch) {
   if (!options_.recall_before_refusing) {
     return {};
   }
-  std::vector<FrontIdentity> fronts = branches_.at(branch).allocations.liveHolders();
-  // A recall would make void what a pending grant stands on.
+  std::vector<FrontIdentity> fronts = branches_[branch].allocations.liveFronts();
+  // A recall would invalidate the report that a pending grant is based on.
   std::erase_if(fronts, [this, &branch](const FrontIdentity& front) {
     return reservations_.grantPending(branch, front);
   });
@@ -310,76 +249,60 @@
   if (state.recalling) {
     return;
   }
-  const std::vector<FrontIdentity> asked = frontsToRecall(branch);
-  for (QueuedSlotRequest& waiting : state.waiting) {
-    waiting.in_recall = true;
+  const std::vector<FrontIdentity> fronts = frontsToRecall(branch);
+  for (QueuedSlotRequest& queued : state.queue) {
+    queued.in_recall = true;
   }
   state.recalling = true;
-  state.recalls_open = static_cast<std::uint32_t>(asked.size());
-  if (asked.empty()) {
+  state.pending_recalls = static_cast<std::uint32_t>(fronts.size());
+  if (fronts.empty()) {
     finishRecall(branch);
     return;
   }
-  for (const FrontIdentity& front : asked) {
+  for (const FrontIdentity& front : fronts) {
     recall(branch, front);
   }
 }
 
 void SlotLedger::recall(const std::string& branch, const FrontIdentity& front) {
-  const std::uint64_t term = term_;
-  calls_.call(front.address, wire::SlotRecall{term, shard_, branch}, options_.recall_timeout,
-              [this, alive = std::weak_ptr(alive_), front, branch,
-               term](const transport::CallResult& result) {
-                if (alive.expired() || term != term_) {
-                  return;
-                }
-                BranchState& state = branches_[branch];
-                if (result.code == base::ResultCode::PeerUnreachable) {
-                  dropFront(front);
-                } else if (const auto* report = result.as<wire::SlotReport>()) {
-                  noteReport(front, *report, branch);
-                } else {
-                  state.allocations.noteUnanswered(front,
-                                                   dispatcher_.now() - unresponsiveTimeout());
-                }
-                if (--state.recalls_open == 0) {
-                  finishRecall(branch);
-                }
-              });
-}
-
-bool SlotLedger::allKnownInUse(const std::string& branch) const {
-  const auto state = branches_.find(branch);
-  const auto limit = limits_.find(branch);
-  if (state == branches_.end() || limit == limits_.end()) {
-    return false;
-  }
-  const base::TimePoint since = dispatcher_.now() - options_.evidence_age;
-  return state->second.allocations.inUseSince(since) >= limit->second;
+  recaller_.recall(
+      front, branch, [this, front, branch](RecallOutcome outcome, const wire::SlotReport& report) {
+        BranchState& state = branches_[branch];
+        applyRecall(front, branch, outcome, report);
+        if (outcome == RecallOutcome::TimedOut) {
+          state.allocations.noteTimedOut(front, dispatcher_.now() - unresponsiveTimeout());
+        }
+        if (--state.pending_recalls == 0) {
+          finishRecall(branch);
+        }
+      });
 }
 
 void SlotLedger::finishRecall(const std::string& branch) {
   BranchState& state = branches_[branch];
   state.recalling = false;
-  while (!state.waiting.empty() && freeSlots(branch) > 0) {
-    QueuedSlotRequest waiting = std::move(state.waiting.front());
-    state.waiting.pop_front();
-    const std::uint32_t slots = std::min(freeSlots(branch), waiting.request.wanted);
-    grant(branch, std::move(waiting), slots);
+  while (!state.queue.empty() && branches_.freeSlots(branch) > 0) {
+    grantFirst(branch);
   }
-  // A grant that waits for its reservation may come to nothing.
-  const bool exhausted = allKnownInUse(branch) && !reservations_.grantPending(branch);
-  std::deque<QueuedSlotRequest> later;
-  std::deque<QueuedSlotRequest> refused;
-  for (QueuedSlotRequest& waiting : state.waiting) {
-    (waiting.in_recall ? refused : later).push_back(std::move(waiting));
+  rejectRecalled(branch);
+  if (!state.queue.empty()) {
+    startRecall(branch);
   }
-  state.waiting = std::move(later);
-  for (const QueuedSlotRequest& waiting : refused) {
-    answer(waiting, 0, exhausted);
+}
+
+void SlotLedger::rejectRecalled(const std::string& branch) {
+  BranchState& state = branches_[branch];
+  // A grant that waits for its reservation may fail, so the branch is not known to be full then.
+  const bool exhausted = branches_.isExhausted(branch, dispatcher_.now() - options_.evidence_age) &&
+                         !reservations_.grantPending(branch);
+  std::deque<QueuedSlotRequest> later;
+  std::deque<QueuedSlotRequest> rejected;
+  for (QueuedSlotRequest& queued : state.queue) {
+    (queued.in_recall ? rejected : later).push_back(std::move(queued));
   }
-  if (!state.waiting.empty()) {
-    startRecall(branch);
+  state.queue = std::move(later);
+  for (const QueuedSlotRequest& queued : rejected) {
+    reply(queued, 0, exhausted);
   }
 }
 
--- a/libraries/admission/test/ledger_protocol_test.cc
+++ b/libraries/admission/test/ledger_protocol_test.cc
@@ -10,35 +10,35 @@
 
 constexpr std::uint32_t Limit = 12;
 
-/** A front whose every message the test writes, so that old ones may come late. */
+/** A front whose messages the test writes, so that old ones may arrive late. */
 struct ScriptedFront {
   ScriptedFront(simulation::World& world, simulation::Network& network)
       : process(world), transport(network.attach(address, process)), calls(process, *transport) {
     calls.handle<wire::SlotRecall>([this](const base::NodeAddress&, const wire::SlotRecall& recall,
                                           const transport::ReplyFunction& reply) {
       ++recalls;
-      if (answer_recall) {
-        reply(answer_recall(recall));
+      if (reply_to_recall) {
+        reply(reply_to_recall(recall));
       }
     });
   }
 
-  wire::SlotRequest message(std::uint64_t sequence, std::uint32_t held, std::uint32_t wanted) {
+  wire::SlotRequest message(std::uint64_t sequence, std::uint32_t allocated, std::uint32_t wanted) {
     wire::SlotRequest request;
     request.branch = branch;
     request.front = address;
     request.front_instance = instance;
     request.sequence = sequence;
-    request.held = held;
-    request.in_use = held;
+    request.held = allocated;
+    request.in_use = allocated;
     request.wanted = wanted;
     return request;
   }
-  wire::SlotReport reportOf(std::uint64_t sequence, std::uint32_t held) const {
+  wire::SlotReport reportOf(std::uint64_t sequence, std::uint32_t allocated) const {
     wire::SlotReport report;
     report.front_instance = instance;
     report.term_accepted = true;
-    report.allocations = {{branch, sequence, held, held}};
+    report.allocations = {{branch, sequence, allocated, allocated}};
     return report;
   }
 
@@ -49,7 +49,7 @@
   transport::PeerCalls calls;
   std::uint64_t instance = 7;
   int recalls = 0;
-  std::function<wire::SlotReport(const wire::SlotRecall&)> answer_recall;
+  std::function<wire::SlotReport(const wire::SlotRecall&)> reply_to_recall;
 };
 
 class LedgerProtocolTest : public ::testing::Test {
@@ -66,16 +66,16 @@
     core.ledger->onLeaseGained();
     world.runFor(milliseconds(50));
   }
-  /** Hands a message to the ledger and returns the answer it has after a while. */
-  std::optional<wire::SlotReply> tell(const wire::SlotRequest& request) {
-    std::optional<wire::SlotReply> answer;
-    core.ledger->onRequest(request, [&answer](const wire::Message& message) {
-      answer = std::get<wire::SlotReply>(message);
+  /** Delivers a message to the ledger. @return the reply, if there is one after a while. */
+  std::optional<wire::SlotReply> deliver(const wire::SlotRequest& request) {
+    std::optional<wire::SlotReply> reply;
+    core.ledger->onRequest(request, [&reply](const wire::Message& message) {
+      reply = std::get<wire::SlotReply>(message);
     });
     world.runFor(milliseconds(300));
-    return answer;
+    return reply;
   }
-  std::uint32_t held() const { return core.ledger->allocatedSlots(front.branch); }
+  std::uint32_t allocated() const { return core.ledger->allocatedSlots(front.branch); }
 
   simulation::World world{1};
   simulation::Network network{world};
@@ -84,121 +84,121 @@
   ScriptedFront front{world, network};
 };
 
-TEST_F(LedgerProtocolTest, ASuccessorDoesNotBelieveAMessageOlderThanItsPredecessorsGrants) {
+TEST_F(LedgerProtocolTest, ASuccessorIgnoresAMessageOlderThanItsPredecessorsGrants) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(2, 0, 5))->granted, 5U);
+  ASSERT_EQ(deliver(front.message(2, 0, 5))->granted, 5U);
   acquireLease();
-  // Sent before the grant and held up on the way; the front has five slots in use.
-  const auto late = tell(front.message(1, 0, 0));
-  EXPECT_GE(held(), 5U);
+  // Sent before the grant and delayed in the network; the front has five slots in use.
+  const auto late = deliver(front.message(1, 0, 0));
+  EXPECT_GE(allocated(), 5U);
   EXPECT_TRUE(late && late->is_ledger && late->granted == 0);
-  front.answer_recall = [this](const wire::SlotRecall&) { return front.reportOf(3, 5); };
-  tell(front.message(4, 5, 0));
-  EXPECT_EQ(held(), 5U);
+  front.reply_to_recall = [this](const wire::SlotRecall&) { return front.reportOf(3, 5); };
+  deliver(front.message(4, 5, 0));
+  EXPECT_EQ(allocated(), 5U);
 }
 
-TEST_F(LedgerProtocolTest, AMessageOfAnEarlierInstanceDoesNotFreeTheSlotsOfTheLivingOne) {
+TEST_F(LedgerProtocolTest, AMessageOfAnEarlierInstanceDoesNotReleaseTheSlotsOfTheLiveOne) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(1, 0, 5))->granted, 5U);
-  front.answer_recall = [this](const wire::SlotRecall&) { return front.reportOf(2, 5); };
+  ASSERT_EQ(deliver(front.message(1, 0, 5))->granted, 5U);
+  front.reply_to_recall = [this](const wire::SlotRecall&) { return front.reportOf(2, 5); };
   wire::SlotRequest late = front.message(9, 0, 1);
   late.front_instance = 6;
-  tell(late);
-  EXPECT_GE(held(), 5U);
+  deliver(late);
+  EXPECT_GE(allocated(), 5U);
 }
 
-TEST_F(LedgerProtocolTest, ALaterInstanceFreesTheSlotsOfTheEarlierOne) {
+TEST_F(LedgerProtocolTest, ALaterInstanceReleasesTheSlotsOfTheEarlierOne) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(1, 0, 5))->granted, 5U);
+  ASSERT_EQ(deliver(front.message(1, 0, 5))->granted, 5U);
   front.instance = 8;
-  front.answer_recall = [this](const wire::SlotRecall&) { return front.reportOf(2, 1); };
-  ASSERT_EQ(tell(front.message(1, 0, 1))->granted, 1U);
-  EXPECT_EQ(held(), 6U) << "what the earlier one began may still run";
+  front.reply_to_recall = [this](const wire::SlotRecall&) { return front.reportOf(2, 1); };
+  ASSERT_EQ(deliver(front.message(1, 0, 1))->granted, 1U);
+  EXPECT_EQ(allocated(), 6U) << "requests of the earlier instance may still run";
   world.runFor(seconds(1));
-  tell(front.message(3, 1, 1));
-  EXPECT_EQ(held(), 2U);
+  deliver(front.message(3, 1, 1));
+  EXPECT_EQ(allocated(), 2U);
 }
 
-TEST_F(LedgerProtocolTest, AReportThatAFirstRequestOvertookDoesNotFreeItsSlots) {
+TEST_F(LedgerProtocolTest, AReportOvertakenByAFirstRequestDoesNotReleaseItsSlots) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(1, 0, 5))->granted, 5U);
-  front.answer_recall = [this](const wire::SlotRecall&) {
+  ASSERT_EQ(deliver(front.message(1, 0, 5))->granted, 5U);
+  front.reply_to_recall = [this](const wire::SlotRecall&) {
     wire::SlotReport report = front.reportOf(0, 0);
     report.allocations.clear();
     return report;
   };
   wire::SlotRequest other = front.message(9, 0, 1);
-  other.front_instance = 6;  // Makes the ledger ask who lives at the address.
-  tell(other);
-  EXPECT_GE(held(), 5U);
+  other.front_instance = 6;  // Makes the ledger query the instance at the address.
+  deliver(other);
+  EXPECT_GE(allocated(), 5U);
 }
 
-TEST_F(LedgerProtocolTest, AFrontWithALongStreamIsAskedBeforeItsSlotsCountAsFree) {
+TEST_F(LedgerProtocolTest, AFrontWithALongStreamIsRecalledBeforeItsSlotsCountAsFree) {
   core.ledger->setLongestUse(std::chrono::hours(1));
   acquireLease();
-  ASSERT_EQ(tell(front.message(1, 0, Limit))->granted, Limit);
+  ASSERT_EQ(deliver(front.message(1, 0, Limit))->granted, Limit);
   world.runFor(std::chrono::minutes(10));
   wire::SlotRequest other = front.message(1, 0, 1);
   other.front = {"127.0.0.4", 300};
-  const auto answer = tell(other);
+  const auto reply = deliver(other);
   EXPECT_EQ(front.recalls, 1);
-  EXPECT_TRUE(answer && answer->granted == 0 && !answer->exhausted);
+  EXPECT_TRUE(reply && reply->granted == 0 && !reply->exhausted);
   world.runFor(std::chrono::minutes(55));
   other.sequence = 2;
-  EXPECT_EQ(tell(other)->granted, 1U);
+  EXPECT_EQ(deliver(other)->granted, 1U);
 }
 
-TEST_F(LedgerProtocolTest, RequestsThatWaitAreAnsweredWhenTheLeaseIsLost) {
+TEST_F(LedgerProtocolTest, QueuedRequestsAreRejectedWhenTheLeaseIsLost) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(1, 0, Limit))->granted, Limit);
+  ASSERT_EQ(deliver(front.message(1, 0, Limit))->granted, Limit);
   wire::SlotRequest other = front.message(1, 0, 1);
   other.front = {"127.0.0.4", 300};
-  std::optional<wire::SlotReply> answer;
-  core.ledger->onRequest(other, [&answer](const wire::Message& message) {
-    answer = std::get<wire::SlotReply>(message);
+  std::optional<wire::SlotReply> reply;
+  core.ledger->onRequest(other, [&reply](const wire::Message& message) {
+    reply = std::get<wire::SlotReply>(message);
   });
-  EXPECT_FALSE(answer);
+  EXPECT_FALSE(reply);
   core.has_lease = false;
   core.ledger->onLeaseLost();
-  EXPECT_TRUE(answer && !answer->is_ledger);
+  EXPECT_TRUE(reply && !reply->is_ledger);
 }
 
-TEST_F(LedgerProtocolTest, AnOvertakenRequestIsAnsweredAtOnce) {
+TEST_F(LedgerProtocolTest, AnOvertakenRequestIsRejectedAtOnce) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(5, 0, 2))->granted, 2U);
-  const auto answer = tell(front.message(4, 0, 2));
-  EXPECT_TRUE(answer && answer->is_ledger && answer->granted == 0 && !answer->exhausted);
-  EXPECT_EQ(held(), 2U);
+  ASSERT_EQ(deliver(front.message(5, 0, 2))->granted, 2U);
+  const auto reply = deliver(front.message(4, 0, 2));
+  EXPECT_TRUE(reply && reply->is_ledger && reply->granted == 0 && !reply->exhausted);
+  EXPECT_EQ(allocated(), 2U);
 }
 
-TEST_F(LedgerProtocolTest, AFrontThatWaitsIsRecalledTooAndItsGrantStandsOnTheReport) {
+TEST_F(LedgerProtocolTest, AQueuedFrontIsRecalledTooAndItsGrantIsBasedOnTheReport) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(1, 0, Limit))->granted, Limit);
-  // It asks for one more, and by the time of the recall it uses two fewer.
-  front.answer_recall = [this](const wire::SlotRecall&) { return front.reportOf(3, Limit - 2); };
-  const auto answer = tell(front.message(2, Limit, 1));
-  EXPECT_TRUE(answer && answer->sequence == 3 && answer->granted == 1);
-  EXPECT_EQ(held(), Limit - 1);
+  ASSERT_EQ(deliver(front.message(1, 0, Limit))->granted, Limit);
+  // It requests one more, and at the time of the recall it uses two fewer.
+  front.reply_to_recall = [this](const wire::SlotRecall&) { return front.reportOf(3, Limit - 2); };
+  const auto reply = deliver(front.message(2, Limit, 1));
+  EXPECT_TRUE(reply && reply->sequence == 3 && reply->granted == 1);
+  EXPECT_EQ(allocated(), Limit - 1);
 }
 
-TEST_F(LedgerProtocolTest, ASmallerLimitDrainsWithoutNewGrants) {
+TEST_F(LedgerProtocolTest, ASmallerLimitTakesEffectWithoutNewGrants) {
   acquireLease();
-  ASSERT_EQ(tell(front.message(1, 0, 10))->granted, 10U);
+  ASSERT_EQ(deliver(front.message(1, 0, 10))->granted, 10U);
   core.ledger->setLimits({{front.branch, 4}});
-  std::uint64_t told = 2;
+  std::uint64_t sequence = 2;
   std::uint32_t used = 6;
-  front.answer_recall = [&](const wire::SlotRecall&) { return front.reportOf(++told, used); };
-  const auto above = tell(front.message(2, 6, 2));
+  front.reply_to_recall = [&](const wire::SlotRecall&) { return front.reportOf(++sequence, used); };
+  const auto above = deliver(front.message(2, 6, 2));
   EXPECT_TRUE(above->exhausted && above->granted == 0);
   used = 3;
-  EXPECT_EQ(tell(front.message(++told, 3, 2))->granted, 1U);
+  EXPECT_EQ(deliver(front.message(++sequence, 3, 2))->granted, 1U);
   core.ledger->setLimits({});
   used = 0;
-  const auto removed = tell(front.message(++told, 0, 1));
+  const auto removed = deliver(front.message(++sequence, 0, 1));
   EXPECT_TRUE(removed->granted == 0 && !removed->exhausted);
 }
 
-TEST_F(LedgerProtocolTest, NoRefusalIsCertainWhileAGrantWaitsForItsReservation) {
+TEST_F(LedgerProtocolTest, DoesNotReportExhaustionWhileAGrantWaitsForItsReservation) {
   acquireLease();
   shared.available = false;
   std::optional<wire::SlotReply> first;
@@ -207,12 +207,12 @@
   });
   wire::SlotRequest other = front.message(1, 0, 1);
   other.front = {"127.0.0.4", 300};
-  const auto second = tell(other);
+  const auto second = deliver(other);
   EXPECT_TRUE(first && first->granted == 0 && !first->exhausted);
   EXPECT_TRUE(second && second->granted == 0 && !second->exhausted);
 }
 
-/** Slots in use of `Limit` once an old ledger's late write has met its successor's. */
+/** Slots in use of `Limit` after a late write of an earlier ledger. */
 int usedAfterLateWrite(bool fenced) {
   simulation::World world{1};
   simulation::Network network{world};
@@ -237,7 +237,7 @@
     world.runFor(milliseconds(50));
   };
   takeOver(0);
-  // The first ledger's write is held up until its successor has granted all slots.
+  // The first ledger's write is delayed until its successor has granted all slots.
   shared.extra_delay = seconds(2);
   wire::SlotRequest request;
   request.branch = branch;
@@ -252,7 +252,7 @@
     first.request(branch, seconds(60));
   }
   world.runFor(seconds(3));
-  // The front freezes with its slots in use, and a third ledger knows of it from the register.
+  // The front freezes with its slots in use; a third ledger knows it from the register only.
   first.process.freeze();
   cores[1]->has_lease = false;
   cores[1]->ledger->onLeaseLost();
@@ -261,10 +261,10 @@
     second.request(branch, seconds(60));
   }
   world.runFor(seconds(3));
-  return static_cast<int>(first.holds.size() + second.holds.size());
+  return static_cast<int>(first.permits.size() + second.permits.size());
 }
 
-TEST(LedgerFenceTest, ALateWriteOfAnEarlierTermDoesNotUndoReservations) {
+TEST(LedgerFenceTest, ALateWriteOfAnEarlierTermDoesNotOverwriteReservations) {
   EXPECT_EQ(usedAfterLateWrite(true), static_cast<int>(Limit));
 }
 
@@ -272,7 +272,7 @@
   EXPECT_GT(usedAfterLateWrite(false), static_cast<int>(Limit));
 }
 
-TEST(LedgerSlotBrokerTest, KeepsItsIdleSlotsWhileNoCoreListens) {
+TEST(LedgerSlotBrokerTest, KeepsItsIdleSlotsWhileAllCoresRefuseConnections) {
   simulation::World world{1};
   simulation::Network network{world};
   SharedRegister shared{world};
@@ -294,7 +294,7 @@
     front.request(branch, seconds(1));
   }
   world.runFor(milliseconds(100));
-  EXPECT_EQ(front.answers[base::ResultCode::Ok], 6);
+  EXPECT_EQ(front.outcomes[base::ResultCode::Ok], 6);
 }
 
 }  // namespace
--- a/libraries/admission/test/slot_fleet.h
+++ b/libraries/admission/test/slot_fleet.h
@@ -14,15 +14,15 @@
 
 namespace switchsaddle::admission::testing {
 
-/** One linearizable register for all cores, answering after a delay; may be made unavailable. */
+/** One linearizable register for all cores with delayed replies; may be made unavailable. */
 class SharedRegister {
  public:
   explicit SharedRegister(simulation::World& world) : world_(world) {}
   bool available = true;
-  /** Rounds take up to this long, so that changes may overtake each other. */
+  /** Longest delay of a round, in which changes may overtake each other. */
   base::Duration longest_delay = std::chrono::milliseconds(2);
 
-  /** For changes begun from now on. */
+  /** Added to the delay of changes that begin from now on. */
   base::Duration extra_delay{};
 
   base::Duration delay() {
@@ -30,7 +30,7 @@
     return extra_delay +
            base::Duration(static_cast<std::int64_t>(world_.random().below(longest + 1)));
   }
-  /** Operations begun, since the test's start. */
+  /** Operations begun since the start of the test. */
   std::uint64_t operations = 0;
 
   class Proposer : public registers::RegisterProposer {
@@ -69,7 +69,7 @@
   std::map<std::string, std::string> values_;
 };
 
-/** A core process with one ledger, whose lease the test grants and takes. */
+/** A core process with one ledger, whose lease the test grants and revokes. */
 struct LedgerNode : LedgerLease {
   LedgerNode(simulation::World& world, simulation::Network& network, SharedRegister& shared,
              base::NodeAddress node_address, SlotLedgerOptions ledger_options = {})
@@ -107,7 +107,7 @@
   simulation::Network& network_;
 };
 
-/** Takes the lease from whichever core holds it and gives it to another, under the next term. */
+/** Moves the lease from its holder to another core, with the next term. */
 inline void moveLease(const std::vector<std::unique_ptr<LedgerNode>>& cores, std::size_t index,
                       std::uint64_t term) {
   for (const auto& core : cores) {
@@ -121,7 +121,7 @@
   cores[index]->ledger->onLeaseGained();
 }
 
-/** What the workers and callers of one branch see, at every instant. */
+/** The branch as its workers and callers observe it at every instant. */
 class BranchObserver {
  public:
   BranchObserver(simulation::World& world, std::uint32_t limit) : world_(world), limit_(limit) {}
@@ -132,22 +132,22 @@
     over_limit = over_limit || used > static_cast<int>(limit_);
     noteFull();
   }
-  /** A caller that came at `arrival` is refused as over its branch now. */
-  void onRefusal(base::TimePoint arrival) {
+  /** A caller that arrived at `arrival` is rejected as over its branch limit now. */
+  void onRejection(base::TimePoint arrival) {
     noteFull();
-    ++refusals;
-    longest_refusal = std::max(longest_refusal, world_.now() - arrival);
+    ++rejections;
+    longest_rejection = std::max(longest_rejection, world_.now() - arrival);
     if (!full_at || *full_at < arrival) {
-      ++refusals_inside;
+      ++rejections_within_limit;
     }
   }
 
   int used = 0;
   bool over_limit = false;
-  int refusals = 0;
-  /** Refusals while a slot was free from the caller's arrival on. */
-  int refusals_inside = 0;
-  base::Duration longest_refusal{};
+  int rejections = 0;
+  /** Rejections although a slot was free at some time since the caller's arrival. */
+  int rejections_within_limit = 0;
+  base::Duration longest_rejection{};
 
  private:
   void noteFull() {
@@ -162,7 +162,7 @@
   std::optional<base::TimePoint> full_at;
 };
 
-/** A front process with a broker and the requests it serves. */
+/** A front process with a broker and its requests in flight. */
 class FrontNode {
  public:
   FrontNode(simulation::World& world, simulation::Network& network, base::NodeAddress address,
@@ -187,42 +187,42 @@
   void kill() {
     process.kill();
     broker.reset();
-    noteUse(-static_cast<int>(holds.size()));
-    holds.clear();
+    noteUse(-static_cast<int>(permits.size()));
+    permits.clear();
     calls_.reset();
     transport_.reset();
   }
 
   bool alive() const { return broker != nullptr; }
 
-  /** Asks for a slot and keeps it for `duration`. */
+  /** Acquires a slot and uses it for `duration`. */
   void request(const std::string& branch, base::Duration duration) {
-    ++asked;
+    ++requests;
     broker->acquire(branch, [this, duration, arrival = process.now()](SlotOutcome outcome) {
-      ++answers[outcome.code];
+      ++outcomes[outcome.code];
       if (outcome.hold == nullptr) {
         if (outcome.code == base::ResultCode::OverBranchLimit && observer_ != nullptr) {
-          observer_->onRefusal(arrival);
+          observer_->onRejection(arrival);
         }
         return;
       }
-      auto hold = std::make_shared<SlotPermitPtr>(std::move(outcome.hold));
-      holds.push_back(hold);
+      auto permit = std::make_shared<SlotPermitPtr>(std::move(outcome.hold));
+      permits.push_back(permit);
       noteUse(1);
-      process.postAfter(duration, [this, hold] {
-        std::erase(holds, hold);
+      process.postAfter(duration, [this, permit] {
+        std::erase(permits, permit);
         noteUse(-1);
-        // Giving the slot back may serve a waiting request, which adds to `holds`.
-        hold->reset();
+        // The release of the slot may serve a queued request, which adds to `permits`.
+        permit->reset();
       });
     });
   }
 
   simulation::Process process;
   std::unique_ptr<LedgerSlotBroker> broker;
-  std::vector<std::shared_ptr<SlotPermitPtr>> holds;
-  std::map<base::ResultCode, int> answers;
-  int asked = 0;
+  std::vector<std::shared_ptr<SlotPermitPtr>> permits;
+  std::map<base::ResultCode, int> outcomes;
+  int requests = 0;
 
  private:
   void noteUse(int change) {
@@ -241,7 +241,7 @@
   std::uint64_t instance_ = 100;
 };
 
-/** A branch name which shard 0 keeps. */
+/** The name of a branch that shard 0 manages. */
 inline std::string branchOfShardZero() {
   int number = 0;
   while (ledgerShardOf("branch-" + std::to_string(number)) != 0) {
--- a/libraries/admission/test/slot_fleet_seeds_test.cc
+++ b/libraries/admission/test/slot_fleet_seeds_test.cc
@@ -14,13 +14,13 @@
 constexpr int Steps = 1'500;
 constexpr int Seeds = 120;
 
-/** The mechanisms under test, each of which a red run switches off. */
+/** The mechanisms under test, each of which some run disables. */
 struct Mechanisms {
   SlotLedgerOptions ledger;
   SlotBrokerOptions broker;
 };
 
-/** Fronts of one branch which ask too much of it while they and the ledgers fail. */
+/** Fronts that overload one branch while they and the ledgers fail. */
 class SlotFleet {
  public:
   SlotFleet(std::uint64_t seed, const Mechanisms& mechanisms) : world(seed) {
@@ -46,13 +46,13 @@
   void run() {
     for (int step = 0; step < Steps; ++step) {
       for (const auto& front : fronts) {
-        const bool asks = front->alive() && !front->process.frozen() && world.random().chance(0.4);
-        if (asks) {
+        const bool sends = front->alive() && !front->process.frozen() && world.random().chance(0.4);
+        if (sends) {
           front->request(branch, milliseconds(20 + world.random().below(300)));
         }
       }
       if (world.random().chance(0.02)) {
-        disturb();
+        injectFault();
       }
       world.runFor(milliseconds(10));
     }
@@ -88,7 +88,7 @@
     front.process.wake();
   }
 
-  void disturb() {
+  void injectFault() {
     base::RandomSource& random = world.random();
     FrontNode& front = *fronts[random.below(fronts.size())];
     switch (random.below(8)) {
@@ -122,76 +122,76 @@
 
 class SlotFleetTest : public ::testing::TestWithParam<int> {};
 
-TEST_P(SlotFleetTest, TheBranchIsNeverExceededNorRefusedWithinWhileFrontsAndLedgersFail) {
+TEST_P(SlotFleetTest, NeverExceedsTheBranchNorRejectsWithinItWhileFrontsAndLedgersFail) {
   SlotFleet fleet(static_cast<std::uint64_t>(GetParam()), Mechanisms{});
   fleet.run();
   EXPECT_FALSE(fleet.observer.over_limit);
-  EXPECT_EQ(fleet.observer.refusals_inside, 0);
-  // Once all is well again every slot can be had, so none has leaked.
+  EXPECT_EQ(fleet.observer.rejections_within_limit, 0);
+  // After recovery every slot can be acquired, so none has leaked.
   fleet.healAll();
   FrontNode& front = *fleet.fronts[0];
-  front.answers.clear();
+  front.outcomes.clear();
   for (std::uint32_t index = 0; index < Limit; ++index) {
     front.request(fleet.branch, seconds(60));
   }
   fleet.world.runFor(seconds(2));
-  EXPECT_EQ(front.answers[base::ResultCode::Ok], static_cast<int>(Limit));
+  EXPECT_EQ(front.outcomes[base::ResultCode::Ok], static_cast<int>(Limit));
   EXPECT_EQ(fleet.observer.used, static_cast<int>(Limit));
   EXPECT_FALSE(fleet.observer.over_limit);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SlotFleetTest, ::testing::Range(1, Seeds + 1));
 
-TEST(SlotFleetSeeds, TheScenarioBringsAboutRefusals) {
-  int refusals = 0;
+TEST(SlotFleetSeeds, TheScenarioCausesRejections) {
+  int rejections = 0;
   base::Duration longest{};
   for (int seed = 1; seed <= Seeds; ++seed) {
     SlotFleet fleet(static_cast<std::uint64_t>(seed), Mechanisms{});
     fleet.run();
-    refusals += fleet.observer.refusals;
-    longest = std::max(longest, fleet.observer.longest_refusal);
+    rejections += fleet.observer.rejections;
+    longest = std::max(longest, fleet.observer.longest_rejection);
   }
-  std::cout << "seeds " << Seeds << ", refusals " << refusals << ", the longest wait for one "
+  std::cout << "seeds " << Seeds << ", rejections " << rejections << ", the longest time to one "
             << base::toMilliseconds(longest) << " ms\n";
-  EXPECT_GT(refusals, 100 * Seeds);
+  EXPECT_GT(rejections, 100 * Seeds);
 }
 
-/** Seeds in which the fleet breaks a promise with a mechanism switched off. */
-struct RedRun {
+/** Seeds in which the fleet violates an invariant with a mechanism disabled. */
+struct ViolationCounts {
   int over_limit = 0;
-  int refused_inside = 0;
+  int rejected_within_limit = 0;
 };
 
-RedRun runRed(const Mechanisms& mechanisms) {
-  RedRun red;
+ViolationCounts countViolations(const Mechanisms& mechanisms) {
+  ViolationCounts violations;
   for (int seed = 1; seed <= Seeds; ++seed) {
     SlotFleet fleet(static_cast<std::uint64_t>(seed), mechanisms);
     fleet.run();
-    red.over_limit += fleet.observer.over_limit ? 1 : 0;
-    red.refused_inside += fleet.observer.refusals_inside > 0 ? 1 : 0;
+    violations.over_limit += fleet.observer.over_limit ? 1 : 0;
+    violations.rejected_within_limit += fleet.observer.rejections_within_limit > 0 ? 1 : 0;
   }
-  std::cout << "seeds " << Seeds << ", over the limit in " << red.over_limit
-            << ", refused inside in " << red.refused_inside << "\n";
-  return red;
+  std::cout << "seeds " << Seeds << ", over the limit in " << violations.over_limit
+            << ", rejected within the limit in " << violations.rejected_within_limit << "\n";
+  return violations;
 }
 
-TEST(SlotFleetRed, WithoutReservationsTheBranchIsExceeded) {
+TEST(SlotFleetMechanisms, WithoutReservationsTheBranchIsExceeded) {
   Mechanisms mechanisms;
   mechanisms.ledger.reserve_before_granting = false;
-  EXPECT_GT(runRed(mechanisms).over_limit, 0);
+  EXPECT_GT(countViolations(mechanisms).over_limit, 0);
 }
 
-TEST(SlotFleetRed, WithoutSequenceNumbersTheBranchIsExceeded) {
+TEST(SlotFleetMechanisms, WithoutSequenceNumbersTheBranchIsExceeded) {
   Mechanisms mechanisms;
   mechanisms.ledger.order_by_sequence = false;
   mechanisms.broker.check_sequences = false;
-  EXPECT_GT(runRed(mechanisms).over_limit, 0);
+  EXPECT_GT(countViolations(mechanisms).over_limit, 0);
 }
 
-TEST(SlotFleetRed, WithoutRecallsCallersInsideTheirBranchAreRefused) {
+TEST(SlotFleetMechanisms, WithoutRecallsCallersWithinTheLimitAreRejected) {
   Mechanisms mechanisms;
   mechanisms.ledger.recall_before_refusing = false;
-  EXPECT_GT(runRed(mechanisms).refused_inside, 0);
+  EXPECT_GT(countViolations(mechanisms).rejected_within_limit, 0);
 }
 
 }  // namespace
--- a/libraries/admission/test/slot_ledger_test.cc
+++ b/libraries/admission/test/slot_ledger_test.cc
@@ -35,20 +35,20 @@
 
   void grantLease(std::size_t index) { moveLease(cores, index, ++term); }
 
-  /** Slots in use as the workers would see them: a killed front's connections are closed. */
+  /** Slots in use as workers observe them: the connections of a killed front are closed. */
   std::size_t inUse() const {
     std::size_t used = 0;
     for (const auto& front : fronts) {
-      used += front->holds.size();
+      used += front->permits.size();
     }
     return used;
   }
 
-  int answers(base::ResultCode code) const {
+  int outcomes(base::ResultCode code) const {
     int count = 0;
     for (const auto& front : fronts) {
-      const auto found = front->answers.find(code);
-      count += found == front->answers.end() ? 0 : found->second;
+      const auto found = front->outcomes.find(code);
+      count += found == front->outcomes.end() ? 0 : found->second;
     }
     return count;
   }
@@ -63,7 +63,7 @@
   std::uint64_t term = 0;
 };
 
-TEST_F(SlotLedgerTest, GrantsUpToTheLimitAndRefusesTheNextAtOnce) {
+TEST_F(SlotLedgerTest, GrantsUpToTheLimitAndRejectsTheNextAtOnce) {
   build(1, 2);
   grantLease(1);
   world->runFor(milliseconds(50));
@@ -74,13 +74,13 @@
   EXPECT_EQ(inUse(), Limit);
   const base::TimePoint before = world->now();
   fronts[0]->request(branch, seconds(1));
-  ASSERT_TRUE(
-      world->runUntil([&] { return answers(base::ResultCode::OverBranchLimit) == 1; }, seconds(5)));
+  ASSERT_TRUE(world->runUntil([&] { return outcomes(base::ResultCode::OverBranchLimit) == 1; },
+                              seconds(5)));
   EXPECT_LT(world->now() - before, milliseconds(300));
   EXPECT_EQ(inUse(), Limit);
 }
 
-TEST_F(SlotLedgerTest, RecallsIdleSlotsBeforeItRefuses) {
+TEST_F(SlotLedgerTest, RecallsIdleSlotsBeforeItRejects) {
   build(2, 2);
   grantLease(0);
   world->runFor(milliseconds(50));
@@ -90,8 +90,8 @@
   world->runUntil([&] { return inUse() == Limit; }, seconds(2));
   world->runUntil([&] { return inUse() == 0; }, seconds(2));
   fronts[1]->request(branch, seconds(1));
-  world->runUntil([&] { return fronts[1]->answers.size() == 1; }, seconds(2));
-  EXPECT_EQ(fronts[1]->answers.begin()->first, base::ResultCode::Ok);
+  world->runUntil([&] { return fronts[1]->outcomes.size() == 1; }, seconds(2));
+  EXPECT_EQ(fronts[1]->outcomes.begin()->first, base::ResultCode::Ok);
 }
 
 TEST_F(SlotLedgerTest, SlotsOfAKilledFrontComeBack) {
@@ -104,8 +104,8 @@
   world->runFor(milliseconds(200));
   fronts[0]->kill();
   fronts[1]->request(branch, seconds(1));
-  world->runUntil([&] { return fronts[1]->answers.size() == 1; }, seconds(3));
-  EXPECT_EQ(fronts[1]->answers.begin()->first, base::ResultCode::Ok);
+  world->runUntil([&] { return fronts[1]->outcomes.size() == 1; }, seconds(3));
+  EXPECT_EQ(fronts[1]->outcomes.begin()->first, base::ResultCode::Ok);
 }
 
 TEST_F(SlotLedgerTest, ASuccessorCountsTheSlotsOfAFrozenFront) {
@@ -133,7 +133,7 @@
   build(5, 1);
   fronts[0]->request(branch, seconds(1));
   world->runFor(seconds(3));
-  EXPECT_EQ(answers(base::ResultCode::LimitsUnavailable), 1);
+  EXPECT_EQ(outcomes(base::ResultCode::LimitsUnavailable), 1);
   EXPECT_EQ(inUse(), 0U);
 }
 
