--- a/libraries/core/source/core_options.cc
+++ b/libraries/core/source/core_options.cc
@@ -26,6 +26,12 @@
   return result;
 }
 
+registers::AcceptorOptions acceptorOptionsOf(const CoreFaults& faults) {
+  registers::AcceptorOptions options;
+  options.test_answer_before_sync = faults.answer_before_sync;
+  return options;
+}
+
 registers::ProposerOptions proposerOptionsOf(const configuration::TimeSettings& times) {
   registers::ProposerOptions result;
   result.operation_deadline = times.register_deadline;
@@ -49,8 +55,8 @@
 MembershipOptions membershipOptionsOf(const configuration::Settings& settings) {
   MembershipOptions result;
   result.unresponsive_timeout = settings.times.core_replacement_timeout;
-  result.tolerated_core_losses = settings.tolerated_core_losses;
-  result.tolerated_zone_losses = settings.tolerated_zone_losses;
+  result.tolerated.cores = settings.tolerated_core_losses;
+  result.tolerated.zones = settings.tolerated_zone_losses;
   return result;
 }
 
--- a/libraries/core/test/fakes.h
+++ b/libraries/core/test/fakes.h
@@ -11,7 +11,7 @@
 
 namespace switchsaddle::core {
 
-/** One register in memory, shared by proposers; answers at once unless told to be silent. */
+/** One register in memory, shared by proposers; replies immediately. */
 class FakeProposer : public registers::RegisterProposer {
  public:
   void change(const std::string& /*key*/, registers::ChangeFunction function,
@@ -36,17 +36,17 @@
 
   std::string value;
   bool has_quorum = true;
-  /** How often the change function is run, as after refused ballots. */
+  /** How often the change function runs, as after rejected ballots. */
   int runs = 1;
 };
 
-/** A directory whose sessions the test sets. */
+/** A session directory with the sessions that the test sets. */
 class FakeDirectory : public sessions::SessionDirectory {
  public:
   void readLive(sessions::LiveSessionsCallback callback) override {
     ++reads;
-    if (holds) {
-      held.push_back(std::move(callback));
+    if (defers_replies) {
+      pending.push_back(std::move(callback));
       return;
     }
     callback(code, live);
@@ -56,7 +56,7 @@
   }
   std::vector<wire::SessionTableEntry> localSessions() const override { return live; }
   std::vector<wire::SessionTableEntry> localLagging(std::uint64_t version) const override {
-    if (own_table_empty) {
+    if (local_table_empty) {
       return {};
     }
     std::vector<wire::SessionTableEntry> lagging = live;
@@ -83,24 +83,24 @@
   base::ResultCode code = base::ResultCode::Ok;
   int reads = 0;
   /** As at a node that is no member of the acceptor set. */
-  bool own_table_empty = false;
-  /** Keeps the callbacks in `held` for the test to run. */
-  bool holds = false;
-  std::vector<sessions::LiveSessionsCallback> held;
+  bool local_table_empty = false;
+  /** Keeps the callbacks in `pending` for the test to run. */
+  bool defers_replies = false;
+  std::vector<sessions::LiveSessionsCallback> pending;
 };
 
-/** A node that the test makes up. */
+/** A node with made-up state. */
 class FakeNode : public NodeInformation {
  public:
   FakeNode(base::Dispatcher& dispatcher, journal::Journal& journal)
-      : ledger(dispatcher), ranking(dispatcher, ledger), beliefs_(journal) {}
+      : ledger(dispatcher), ranking(dispatcher, ledger), state_view_(journal) {}
   NodeStatus status() const override {
     NodeStatus status;
     status.address = {"127.0.0.1", 7000};
     status.leases.push_back({"platform-watcher", true, 4});
     return status;
   }
-  const journal::StateView& beliefs() const override { return beliefs_; }
+  const journal::StateView& stateView() const override { return state_view_; }
   const worker_health::HealthRanking& health() const override { return ranking; }
   workers::WorkerSnapshotPtr fleet() const override { return snapshot; }
   std::uint32_t requestsOn(const std::string& /*worker*/) const override { return 2; }
@@ -110,7 +110,7 @@
   std::shared_ptr<workers::WorkerSnapshot> snapshot = std::make_shared<workers::WorkerSnapshot>();
 
  private:
-  journal::StateView beliefs_;
+  journal::StateView state_view_;
 };
 
 }  // namespace switchsaddle::core
