--- a/libraries/registers/include/switchsaddle/registers/acceptor_set_change.h
+++ b/libraries/registers/include/switchsaddle/registers/acceptor_set_change.h
@@ -2,14 +2,14 @@
 
 #include <functional>
 #include <memory>
-#include <optional>
-#include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/registers/quorum_proposer.h"
 
 namespace switchsaddle::registers {
 
+struct AcceptorSetGoal;
 class RegisterTransfer;
 struct SetInstallResult;
 
@@ -19,26 +19,27 @@
   base::Duration retry_pause = std::chrono::milliseconds(50);
   /** A change without progress for this long is rolled back and ends with NoQuorum. */
   base::Duration idle_limit = std::chrono::seconds(4);
+  /** Most registers in one page of the transfer to a new member. */
   std::uint32_t page_limit = 200;
-  /** Leaves out the copy of the registers. For tests only: it loses committed values. */
+  /** Leaves out the transfer of the registers. For tests only: it loses committed values. */
   bool test_skip_transfer = false;
 };
 
 /**
  * Changes the acceptor set by one member. The sets form a chain, each chosen by a compare-and-swap
- * of the register AcceptorSetRegister in the set before it. A change goes from set M (epoch e) by a
- * joint set (e+1: majorities of M and of M') to M' (e+2). Before M' is proposed, a majority of M
+ * of AcceptorSetRegister in the set before it. A change goes from set M (epoch e) by a joint set
+ * (e+1: majorities of M and of M') to M' (e+2). Invariant: before M' is proposed, a majority of M
  * has synced the joint set, so that no quorum of M alone can form any more, and the new member has
- * synced every register that a majority of M then held. A change whose driver died is finished, or
- * taken back, by any later driver. docs/design/registers.md holds the argument. Runs on the
- * acceptor's strand; drives one change at a time.
+ * synced every register that a majority of M then had. Any later driver can finish or roll back a
+ * change whose driver failed. docs/design/registers.md has the argument. Runs on the acceptor's
+ * strand; drives one change at a time.
  */
 class AcceptorSetChange {
  public:
   /**
-   * Ok; AcceptorSetChanged: another change is under way here, or the set no longer allows this one;
-   * InvalidValue: the new member's address belongs to another member; NoQuorum: no progress;
-   * RecordCorrupt: the register of the set cannot be understood.
+   * Ok; AcceptorSetChanged: another change is in progress here, or the set no longer allows this
+   * one; InvalidValue: the new member's address belongs to another member, or no member would
+   * remain; NoQuorum: no progress; RecordCorrupt: the set's register cannot be decoded.
    */
   using Callback = std::function<void(base::ResultCode)>;
 
@@ -52,33 +53,29 @@
                Callback callback);
   void add(const wire::AcceptorMember& new_member, Callback callback);
   void remove(const wire::AcceptorMember& old_member, Callback callback);
-  /** Learns the newest set and finishes the change which a driver left under way, if any. */
+  /** Learns the newest set, and finishes the change that another driver left unfinished, if any. */
   void resume(Callback callback);
   bool active() const { return active_; }
 
  private:
-  struct Goal {
-    std::optional<wire::AcceptorMember> leaving;
-    std::optional<wire::AcceptorMember> joining;
-  };
-
-  void begin(Goal goal, Callback callback);
+  void begin(AcceptorSetGoal goal, Callback callback);
+  /** Reads the newest set from its register. */
   void learn();
+  /** Takes the next step from the acceptor set known here. */
   void evaluate();
-  bool goalMet(const wire::AcceptorSet& set) const;
-  /** Ok where the goal can be reached from this set. */
-  base::ResultCode checkGoal(const wire::AcceptorSet& set) const;
-  void proposeJoint(const wire::AcceptorSet& base);
-  void proposeNext(std::uint64_t base_epoch, const wire::AcceptorSet& next);
+  /** Proposes a set by a compare-and-swap from the one of `base_epoch`. */
+  void propose(std::uint64_t base_epoch, const wire::AcceptorSet& next);
   /** Goes on from the chosen set; pauses first where none above `base_epoch` is known. */
   void onChosen(const RegisterOutcome& outcome, std::uint64_t base_epoch);
   void installJoint();
   void onJointInstalled(const SetInstallResult& result);
   void transferNext();
-  void onCopied(bool complete);
+  void onTransferred(bool complete);
   void proposeFinal(const std::vector<wire::AcceptorMember>& members);
   void installFinal(const wire::AcceptorSet& final_set);
-  void progress();
+  void onFinalInstalled(const SetInstallResult& result, std::uint64_t final_epoch);
+  void noteProgress();
+  /** Tries again after a pause; without progress for too long, rolls back or gives up. */
   void retryLater();
   void rollBack();
   void finish(base::ResultCode code);
@@ -90,17 +87,17 @@
   AcceptorSetChangeOptions options_;
   base::TimerPtr retry_timer_;
   bool active_ = false;
-  bool giving_up_ = false;
-  Goal goal_;
+  /** Whether the change is being rolled back for lack of progress. */
+  bool rolling_back_ = false;
+  std::unique_ptr<AcceptorSetGoal> goal_;
   Callback callback_;
   base::TimePoint last_progress_{};
-  /** The joint set being worked on; the final set is installed at majorities of both its lists. */
+  /** The joint set in progress; the final set is installed at majorities of both its lists. */
   wire::AcceptorSet joint_;
-  /** New members that have yet to be given the registers. */
+  /** New members that do not have the registers yet. */
   std::vector<wire::AcceptorMember> to_transfer_;
   std::shared_ptr<RegisterTransfer> transfer_;
-  /** Expires with this object, so that callbacks do not outlive it. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/include/switchsaddle/registers/bootstrap.h
+++ b/libraries/registers/include/switchsaddle/registers/bootstrap.h
@@ -2,18 +2,18 @@
 
 #include <functional>
 #include <map>
-#include <memory>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/registers/acceptor.h"
 #include "switchsaddle/transport/peer_calls.h"
 
 namespace switchsaddle::registers {
 
-/** Whom a core process introduces itself to. */
+/** The peers of a core process before it is a member of an acceptor set. */
 struct BootstrapOptions {
   /** The cores of the fleet's first start; empty on a core that joins later. */
   std::vector<base::NodeAddress> initial_cores;
@@ -25,11 +25,11 @@
 };
 
 /**
- * Introduces this core process while it is not a member of an acceptor set, learns the set in force
- * from whoever holds one, and settles the first set of a fleet. Only the initial core with the
- * lowest address settles it, and only once every initial core has answered one round of
- * announcements as empty; a set found anywhere wins. So a core wiped later finds the set at the
- * others and stays unadmitted. Runs on the acceptor's strand.
+ * Announces this core process to its peers while it is not a member of an acceptor set, adopts the
+ * set in force from any peer that has one, and commits the first set of a fleet. Only the initial
+ * core with the lowest address commits it, and only once every initial core has answered the same
+ * round of announcements without any state; a set found anywhere wins. A core whose data folder was
+ * wiped therefore finds the set at its peers and stays unadmitted. Runs on the acceptor's strand.
  */
 class Bootstrap {
  public:
@@ -42,9 +42,10 @@
 
   /** Starts the announcements; called once. */
   void start();
-  /** Further cores that may know the acceptor set, in place of those known so far. */
+  /** Replaces the further cores that may know the acceptor set. */
   void setSeeds(std::vector<base::NodeAddress> seeds) { options_.seeds = std::move(seeds); }
-  /** Called for each announcement of an instance which is not in the acceptor set held here. */
+  /** @param listener called for each announcement of an instance that is not in the acceptor set.
+   */
   void setCandidateListener(CandidateListener listener) { listener_ = std::move(listener); }
 
  private:
@@ -52,7 +53,7 @@
   void announce();
   void onReply(std::uint64_t round, const wire::CoreAnnounceReply& reply);
   bool isFirstInitialCore() const;
-  void settleFirstSet();
+  void commitFirstSet();
   void publish(const wire::AcceptorSet& set);
   wire::AcceptorMember ownMember() const;
 
@@ -64,10 +65,9 @@
   base::TimerPtr timer_;
   /** Numbers the rounds of announcements. */
   std::uint64_t round_ = 0;
-  /** The empty cores that answered the present round. */
+  /** The cores without state that answered the present round. */
   std::map<base::NodeAddress, wire::AcceptorMember> empty_cores_;
-  /** Expires with this object, so that call callbacks do not outlive it. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/include/switchsaddle/registers/proposer.h
+++ b/libraries/registers/include/switchsaddle/registers/proposer.h
@@ -10,17 +10,18 @@
 namespace switchsaddle::registers {
 
 /**
- * Computes the new value from the present one (empty where the register was never written). Returns
- * nothing to leave the register as it is; it is then only read, which is itself confirmed by a
- * quorum. May run several times, so it must have no effects.
+ * Computes the new value of a register. Must have no side effects, since it may run several times.
+ * @param present the present value; empty where the register was never written.
+ * @return the new value; nothing to leave the register as it is. The operation is then a read,
+ * which is confirmed by a quorum as well.
  */
 using ChangeFunction = std::function<std::optional<std::string>(const std::string& present)>;
 
-/** The end of a change or read. */
+/** The result of a change or read. */
 struct RegisterOutcome {
-  /** Ok; NoQuorum: not known to have taken place, and it may still do so. */
+  /** Ok; NoQuorum: the operation may or may not have taken effect, and may still do so. */
   base::ResultCode code = base::ResultCode::NoQuorum;
-  /** The value in force after the operation; only with Ok. */
+  /** The value after the operation; only with Ok. */
   std::string value;
   /** Whether this operation's change function wrote `value`. */
   bool changed = false;
@@ -29,8 +30,9 @@
 using RegisterCallback = std::function<void(const RegisterOutcome&)>;
 
 /**
- * Changes and reads registers in two quorum rounds from any core node. Retries with higher ballots
- * after a refusal, with random back-off, until its deadline. Every operation is linearizable.
+ * Changes and reads registers in two quorum rounds from any core node. An attempt that is rejected
+ * is retried with a higher ballot after a random backoff, until the operation's deadline. Every
+ * operation is linearizable.
  */
 class RegisterProposer {
  public:
--- a/libraries/registers/include/switchsaddle/registers/quorum_proposer.h
+++ b/libraries/registers/include/switchsaddle/registers/quorum_proposer.h
@@ -5,6 +5,7 @@
 #include <memory>
 #include <string>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/registers/acceptor.h"
 #include "switchsaddle/registers/proposer.h"
@@ -15,36 +16,37 @@
 
 /** Bounds of a proposer. */
 struct ProposerOptions {
-  /** An operation that has not ended by then is answered NoQuorum. */
+  /** An operation that has not ended by then ends with NoQuorum. */
   base::Duration operation_deadline = std::chrono::seconds(2);
-  /** How long an acceptor's answer to one round is awaited. */
+  /** Time-out of each request of a round. */
   base::Duration round_timeout = std::chrono::milliseconds(400);
-  /** Back-off after a failed attempt: random, up to the minimum doubled at each failure. */
+  /** Backoff after a failed attempt: random, up to the minimum doubled at each failure. */
   base::Duration minimum_back_off = std::chrono::milliseconds(4);
   base::Duration maximum_back_off = std::chrono::milliseconds(100);
   /** Most operations on one key carried by one pair of rounds. */
   std::size_t batch_limit = 64;
-  /** Takes the place of the majority where not zero. For tests only: it breaks the registers. */
+  /** Replaces the majority where not zero. For tests only: it breaks the registers. */
   std::size_t test_quorum_size = 0;
 };
 
-/** Counters of a proposer, since it was made. */
+/** Counters of a proposer since its construction. */
 struct ProposerCounters {
   std::uint64_t attempts = 0;
   std::uint64_t failed_attempts = 0;
   std::uint64_t operations = 0;
+  /** Batches that ended after the prepare round. */
   std::uint64_t reads_without_write = 0;
 };
 
 /**
- * Proposes changes of registers by a prepare and an accept round on the acceptor set that the local
- * acceptor holds. Operations on one key wait for each other; those waiting are carried by one pair
- * of rounds, their functions applied one after the other. An attempt whose accept round stayed
- * unanswered is found again by its ballot in the lineage of the accepted value, so that no function
- * takes effect twice; where the lineage is too short to tell, the operation ends with NoQuorum. Its
- * ballots carry a number drawn at random for each proposer made, so that no ballot is used twice.
- * Callbacks run exactly once, on the dispatcher's strand, never from within the call. Runs on one
- * strand.
+ * Proposes changes of registers by a prepare and an accept round on the acceptor set of the local
+ * acceptor. Operations on one key are queued; those in the queue share one pair of rounds, in which
+ * their functions are applied one after the other. An attempt whose accept round was not answered
+ * by a quorum is found again by its ballot in the lineage of the accepted value, so that no
+ * function takes effect twice; where the lineage is too short, the operation ends with NoQuorum.
+ * The proposer's part of its ballots is drawn at random on construction, so that no ballot is used
+ * twice. Callbacks run exactly once, on the dispatcher's strand, never from within the call. Runs
+ * on one strand.
  */
 class QuorumProposer : public RegisterProposer {
  public:
@@ -56,8 +58,8 @@
 
   void change(const std::string& key, ChangeFunction function, RegisterCallback callback) override;
   void read(const std::string& key, RegisterCallback callback) override;
-  /** Reads, and proposes the value anew even where it is known to be committed, so that every
-   * acceptor that answers holds it. For repair. */
+  /** Reads, and proposes the value again even where it is known to be chosen, so that every
+   * acceptor that answers has it. For repair. */
   void rewrite(const std::string& key, RegisterCallback callback);
 
   const ProposerCounters& counters() const { return counters_; }
@@ -68,7 +70,7 @@
   void enqueue(const std::string& key, ChangeFunction function, RegisterCallback callback,
                bool rewrite);
   wire::Ballot nextBallot();
-  /** Later ballots will be above this one. */
+  /** Raises the round of later ballots above that of this one. */
   void observe(const wire::Ballot& ballot);
   void releaseIfIdle(const std::string& key);
 
@@ -81,8 +83,7 @@
   std::uint64_t proposer_id_;
   std::uint64_t last_round_ = 0;
   std::map<std::string, std::shared_ptr<KeyProposer>> keys_;
-  /** Expires with this object, so that posted callbacks do not outlive it. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/include/switchsaddle/registers/scrubber.h
+++ b/libraries/registers/include/switchsaddle/registers/scrubber.h
@@ -1,43 +1,44 @@
 #pragma once
 
 #include <functional>
-#include <memory>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/registers/quorum_proposer.h"
 
 namespace switchsaddle::registers {
 
-/** The pace of a scrubber. */
+/** Intervals and bounds of a scrubber. */
 struct ScrubberOptions {
   /** Pause between two pages compared with a peer. */
   base::Duration page_interval = std::chrono::milliseconds(500);
   std::uint32_t page_limit = 200;
-  /** Pause between two readings of the store's files. */
+  /** Pause between two verifications of the store's files. */
   base::Duration file_interval = std::chrono::seconds(60);
   base::Duration call_timeout = std::chrono::milliseconds(400);
 };
 
-/** Counters of a scrubber, since it was made. */
+/** Counters of a scrubber since its construction. */
 struct ScrubberCounters {
   std::uint64_t pages = 0;
   std::uint64_t installed_here = 0;
   std::uint64_t installed_at_peers = 0;
-  std::uint64_t proposed_anew = 0;
+  std::uint64_t proposed_again = 0;
   std::uint64_t damaged_records = 0;
   std::uint64_t rewrites = 0;
 };
 
 /**
- * Repairs registers in the background. Compares the local acceptor's registers with those of one
- * random member after the other, page by page, and copies what either lacks by the rule of the
- * accept round; where the lagging side has promised a higher ballot, the register is proposed anew.
- * Has the store read its files again, and has damaged registers proposed anew, before which the
- * acceptor makes no promise on them; the files are then written anew, so that a damaged one does
- * not cost the instance at the next start. Runs on the acceptor's strand.
+ * Repairs registers in the background (anti-entropy). Compares the local acceptor's registers with
+ * those of one random peer after the other, page by page, and copies registers that either lacks by
+ * the rule of an accept request; where the lagging acceptor has promised a higher ballot, the
+ * register is proposed again. It also has the store verify its files. Damaged registers are
+ * proposed again, before which the acceptor rejects prepare requests for them; the files are then
+ * rewritten, so that a damaged one does not cost the instance at the next start. Runs on the
+ * acceptor's strand.
  */
 class Scrubber {
  public:
@@ -47,7 +48,8 @@
   Scrubber(const Scrubber&) = delete;
   Scrubber& operator=(const Scrubber&) = delete;
 
-  /** Records which others keep in the same store, for writing the whole state anew. */
+  /** @param other_records returns the records of the other users of the store, which a rewrite of
+   * the complete state includes. */
   void setOtherRecords(std::function<std::vector<storage::Record>()> other_records) {
     other_records_ = std::move(other_records);
   }
@@ -61,10 +63,11 @@
   void reconcile(const wire::RegisterScanReply& own, const wire::RegisterScanReply& peer);
   void installHere(const std::vector<wire::RegisterScanEntry>& entries);
   void installAtPeer(std::vector<wire::RegisterScanEntry> entries);
-  void proposeAnew(const std::string& key);
-  void readFiles();
+  void proposeAgain(const std::string& key);
+  void verifyFiles();
+  void onFilesVerified(base::ResultCode code, const std::vector<std::string>& damaged_records);
   void repairDamaged();
-  /** Replaces the store's files, the damaged among them, by the state in memory. */
+  /** Replaces the store's files, including the damaged ones, by the state in memory. */
   void rewriteFiles();
 
   base::Dispatcher& dispatcher_;
@@ -79,9 +82,9 @@
   base::TimerPtr page_timer_;
   base::TimerPtr file_timer_;
   wire::AcceptorMember peer_;
+  /** Last key of the page compared before; empty at the start of a pass. */
   std::string cursor_;
-  /** Expires with this object, so that callbacks do not outlive it. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/source/acceptor.cc
+++ b/libraries/registers/source/acceptor.cc
@@ -3,50 +3,45 @@
 #include <algorithm>
 #include <utility>
 
+#include "acceptor_members.h"
 #include "acceptor_records.h"
-#include "register_state.h"
-#include "switchsaddle/base/error.h"
+#include "acceptor_storage.h"
+#include "pending_answers.h"
+#include "register_table.h"
 
 namespace switchsaddle::registers {
 
 namespace {
 
-constexpr const char* AcceptorSetRecord = "acceptor-set";
-
-bool contains(const std::vector<wire::AcceptorMember>& members, std::uint64_t instance) {
-  return std::any_of(members.begin(), members.end(),
-                     [instance](const auto& member) { return member.instance == instance; });
-}
-
 wire::RegisterScanEntry makeEntry(const std::string& key, const RegisterState& state) {
   return {key, state.promised, state.accepted, state.value, state.lineage};
 }
 
-bool allKnown(const std::vector<wire::AcceptorMember>& members) {
-  return !members.empty() && !contains(members, 0);
+bool allInstancesKnown(const std::vector<wire::AcceptorMember>& members) {
+  return !members.empty() && !containsInstance(members, 0);
 }
 
-}  // namespace
+std::vector<storage::Record> single(storage::Record record) {
+  std::vector<storage::Record> records;
+  records.push_back(std::move(record));
+  return records;
+}
 
-/** An answer that waits for its commit; it is sent once, by whichever comes first. */
-struct Acceptor::PendingAnswer {
-  base::TimePoint overdue_at;
-  transport::ReplyFunction reply;
-  bool sent = false;
-};
+}  // namespace
 
 Acceptor::Acceptor(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
                    storage::RecordStore& store, journal::Journal& journal, AcceptorOptions options)
-    : dispatcher_(dispatcher),
-      calls_(calls),
-      store_(store),
+    : calls_(calls),
       journal_(journal),
       options_(options),
-      removed_(std::make_unique<RemovedRegisters>()),
-      loaded_at_(dispatcher.now()),
+      registers_(std::make_unique<RegisterTable>(dispatcher)),
       expiry_timer_(dispatcher.createTimer([this] { removeExpired(); })),
-      overdue_timer_(dispatcher.createTimer([this] { answerOverdue(); })),
-      reopen_timer_(dispatcher.createTimer([this] { reopen(); })) {
+      pending_answers_(std::make_unique<PendingAnswers>(
+          dispatcher, options.commit_bound,
+          [this] { return emptyReply(wire::RegisterVerdict::Unavailable); })),
+      storage_(std::make_unique<AcceptorStorage>(
+          dispatcher, store, journal, options.reopen_pause,
+          [this](const storage::OpenedStore& opened) { load(opened); })) {
   registerHandlers();
 }
 
@@ -63,69 +58,52 @@
       });
   calls_.handle<wire::RegisterInstallRequest>(
       [this](const auto&, const wire::RegisterInstallRequest& request, auto reply) {
-        if (!mayVote() || request.set_epoch > acceptor_set_.epoch) {
-          reply(wire::RegisterInstallReply{false, instance_});
-          return;
-        }
-        installRegisters(request.entries, request.removed_floor,
-                         [this, reply = std::move(reply)](bool synced) {
-                           reply(wire::RegisterInstallReply{synced, instance_});
-                         });
+        onRegisterInstall(request, std::move(reply));
       });
   calls_.handle<wire::AcceptorSetInstallRequest>(
       [this](const auto&, const wire::AcceptorSetInstallRequest& request, auto reply) {
-        if (!loaded_) {
-          reply(wire::AcceptorSetInstallReply{});
-          return;
-        }
-        installSet(request.acceptor_set, [this, reply = std::move(reply)](bool synced) {
-          reply(wire::AcceptorSetInstallReply{synced, acceptor_set_, instance_});
-        });
+        onSetInstall(request, std::move(reply));
       });
 }
 
 void Acceptor::load(const storage::OpenedStore& opened,
                     const std::vector<wire::AcceptorMember>& initial_members) {
-  registers_.clear();
+  registers_->clear();
   damaged_.clear();
   acceptor_set_ = {};
   instance_ = opened.instance;
-  const std::string prefix = RegisterRecordPrefix;
-  for (const auto& [key, bytes] : opened.records) {
-    if (key == AcceptorSetRecord) {
-      acceptor_set_ = decodeAcceptorSet(bytes);
-    } else if (key.starts_with(prefix)) {
-      registers_[key.substr(prefix.size())] = decodeRegisterState(bytes);
-    }
-  }
-  loadRemoved(opened);
-  loaded_ = true;
-  storage_failed_ = false;
-  if (acceptor_set_.epoch == 0 && allKnown(initial_members)) {
-    installSet(wire::AcceptorSet{1, initial_members, {}}, [](bool) {});
-    return;
+  const auto stored_set = opened.records.find(AcceptorSetRecord);
+  if (stored_set != opened.records.end()) {
+    acceptor_set_ = decodeAcceptorSet(stored_set->second);
   }
+  registers_->load(opened.records);
+  storage_->markLoaded();
   if (acceptor_set_.epoch != 0) {
-    takeSet(acceptor_set_);
+    adoptSet(acceptor_set_);
+  } else if (allInstancesKnown(initial_members)) {
+    installSet(wire::AcceptorSet{1, initial_members, {}}, [](bool) {});
   }
 }
 
-bool Acceptor::isMember(std::uint64_t instance) const {
-  return contains(acceptor_set_.members, instance) || contains(acceptor_set_.previous, instance);
+bool Acceptor::loaded() const {
+  return storage_->loaded();
 }
 
 bool Acceptor::mayVote() const {
-  return loaded_ && !storage_failed_ && isMember(instance_);
+  return storage_->usable() && containsInstance(acceptor_set_, instance_);
 }
 
-bool Acceptor::holdsState() const {
-  return acceptor_set_.epoch != 0 || !registers_.empty();
+bool Acceptor::hasState() const {
+  return acceptor_set_.epoch != 0 || !registers_->empty();
 }
 
 const std::string* Acceptor::acceptedValue(const std::string& key) const {
-  const auto found = registers_.find(key);
-  const bool accepted = found != registers_.end() && !found->second.accepted.isZero();
-  return accepted ? &found->second.value : nullptr;
+  const RegisterState* state = registers_->find(key);
+  return state != nullptr && !state->accepted.isZero() ? &state->value : nullptr;
+}
+
+std::size_t Acceptor::registerCount() const {
+  return registers_->size();
 }
 
 wire::RegisterReply Acceptor::emptyReply(wire::RegisterVerdict verdict) const {
@@ -135,82 +113,59 @@
   return reply;
 }
 
-std::optional<wire::RegisterReply> Acceptor::refusal(std::uint64_t set_epoch) const {
-  const bool usable = loaded_ && !storage_failed_;
-  if (usable && set_epoch == acceptor_set_.epoch && mayVote()) {
+std::optional<wire::RegisterReply> Acceptor::rejection(std::uint64_t set_epoch) const {
+  if (set_epoch == acceptor_set_.epoch && mayVote()) {
     return std::nullopt;
   }
-  const bool newer = usable && set_epoch < acceptor_set_.epoch;
-  wire::RegisterReply reply = emptyReply(newer ? wire::RegisterVerdict::OtherAcceptorSet
-                                               : wire::RegisterVerdict::Unavailable);
+  const bool sender_lags = storage_->usable() && set_epoch < acceptor_set_.epoch;
+  wire::RegisterReply reply = emptyReply(sender_lags ? wire::RegisterVerdict::OtherAcceptorSet
+                                                     : wire::RegisterVerdict::Unavailable);
   reply.newer_set = acceptor_set_;
   return reply;
 }
 
-RegisterState& Acceptor::state(const std::string& key) {
-  const auto [found, is_new] = registers_.try_emplace(key);
-  if (is_new) {
-    found->second.accepted_at_s = livedSeconds();
-  }
-  return found->second;
-}
-
-wire::Ballot Acceptor::promisedOf(const std::string& key) const {
-  const auto found = registers_.find(key);
-  if (found != registers_.end()) {
-    return found->second.promised;
-  }
-  return mayExpire(key) ? std::max(removed_->floor, removed_->inherited_floor) : wire::Ballot{};
-}
-
-storage::Record Acceptor::recordOf(const std::string& key) const {
-  return {RegisterRecordPrefix + key, encodeRegisterState(registers_.at(key)), false};
-}
-
 void Acceptor::onPrepare(const wire::PrepareRequest& request, transport::ReplyFunction reply) {
-  if (const auto refused = refusal(request.set_epoch)) {
-    reply(*refused);
+  if (const auto rejected = rejection(request.set_epoch)) {
+    reply(*rejected);
     return;
   }
   if (damaged_.contains(request.key)) {
     reply(emptyReply(wire::RegisterVerdict::Unavailable));
     return;
   }
-  const wire::Ballot promised = promisedOf(request.key);
+  const wire::Ballot promised = registers_->promisedBallot(request.key);
   if (request.ballot < promised) {
     wire::RegisterReply answer = emptyReply(wire::RegisterVerdict::Refused);
     answer.promised = promised;
     reply(answer);
     return;
   }
-  RegisterState& held = state(request.key);
-  held.promised = request.ballot;
+  const RegisterState& state = registers_->promise(request.key, request.ballot);
   wire::RegisterReply answer = emptyReply(wire::RegisterVerdict::Granted);
-  answer.promised = held.promised;
-  answer.accepted = held.accepted;
-  answer.value = held.value;
-  answer.lineage = held.lineage;
-  commitAnswer(recordOf(request.key), answer, std::move(reply), [] {});
+  answer.promised = state.promised;
+  answer.accepted = state.accepted;
+  answer.value = state.value;
+  answer.lineage = state.lineage;
+  commitAnswer(registers_->record(request.key), answer, std::move(reply), [] {});
 }
 
 void Acceptor::onAccept(const wire::AcceptRequest& request, transport::ReplyFunction reply) {
-  if (const auto refused = refusal(request.set_epoch)) {
-    reply(*refused);
+  if (const auto rejected = rejection(request.set_epoch)) {
+    reply(*rejected);
     return;
   }
-  const wire::Ballot promised = promisedOf(request.key);
-  wire::RegisterReply answer = emptyReply(wire::RegisterVerdict::Refused);
-  answer.promised = promised;
+  const wire::Ballot promised = registers_->promisedBallot(request.key);
   if (request.ballot < promised) {
+    wire::RegisterReply answer = emptyReply(wire::RegisterVerdict::Refused);
+    answer.promised = promised;
     reply(answer);
     return;
   }
-  state(request.key) =
-      RegisterState{request.ballot, request.ballot, request.value, request.lineage, livedSeconds()};
-  answer.verdict = wire::RegisterVerdict::Granted;
+  registers_->accept(request.key, request.ballot, request.value, request.lineage);
+  wire::RegisterReply answer = emptyReply(wire::RegisterVerdict::Granted);
   answer.promised = request.ballot;
   answer.accepted = request.ballot;
-  commitAnswer(recordOf(request.key), answer, std::move(reply),
+  commitAnswer(registers_->record(request.key), answer, std::move(reply),
                [this, key = request.key, value = request.value] {
                  damaged_.erase(key);
                  if (accepted_listener_) {
@@ -221,97 +176,26 @@
 
 void Acceptor::commitAnswer(storage::Record record, const wire::RegisterReply& answer,
                             transport::ReplyFunction reply, std::function<void()> after_commit) {
-  auto pending = std::make_shared<PendingAnswer>();
-  pending->overdue_at = dispatcher_.now() + options_.commit_bound;
-  pending->reply = std::move(reply);
   if (options_.test_answer_before_sync) {
-    pending->sent = true;
-    pending->reply(answer);
+    reply(answer);
+    reply = [](const wire::Message&) {};
   }
-  pending_answers_.push_back(pending);
-  armOverdueTimer();
-  std::vector<storage::Record> records;
-  records.push_back(std::move(record));
-  commit(std::move(records),
-         [this, pending, answer, after_commit = std::move(after_commit)](bool synced) {
-           if (!pending->sent) {
-             pending->sent = true;
-             pending->reply(synced ? answer : emptyReply(wire::RegisterVerdict::Unavailable));
-           }
-           if (synced) {
-             after_commit();
-           }
-         });
-}
-
-void Acceptor::commit(std::vector<storage::Record> records, InstallCallback callback) {
-  store_.commit(std::move(records),
-                [this, alive = std::weak_ptr(alive_), failures = commit_failures_,
-                 callback = std::move(callback)](base::ResultCode code) {
-                  if (alive.expired()) {
-                    return;
-                  }
-                  if (code != base::ResultCode::Ok) {
-                    noteCommitFailure(code);
-                  }
-                  // A commit behind a failed one may hold what was built on the lost one.
-                  callback(failures == commit_failures_);
-                });
+  const auto pending = pending_answers_->add(std::move(reply));
+  storage_->commit(
+      single(std::move(record)),
+      [this, pending, answer, after_commit = std::move(after_commit)](bool synced) {
+        pending->send(synced ? answer : emptyReply(wire::RegisterVerdict::Unavailable));
+        if (synced) {
+          after_commit();
+        }
+      });
 }
 
 void Acceptor::noteCommitFailure(base::ResultCode code) {
-  ++commit_failures_;
-  if (storage_failed_) {
-    return;
-  }
-  storage_failed_ = true;
-  journal_.append(journal::Subject::Storage, "acceptor", base::describe(code).name.data(), 0);
-  reopen_timer_->enable(options_.reopen_pause);
-}
-
-void Acceptor::reopen() {
-  store_.open([this, alive = std::weak_ptr(alive_)](base::ResultCode code,
-                                                    const storage::OpenedStore& opened) {
-    if (alive.expired()) {
-      return;
-    }
-    if (code != base::ResultCode::Ok) {
-      reopen_timer_->enable(options_.reopen_pause);
-      return;
-    }
-    try {
-      load(opened);
-    } catch (const base::Error&) {
-      reopen_timer_->enable(options_.reopen_pause);
-    }
-  });
+  storage_->reportCommitFailure(code);
 }
 
-void Acceptor::armOverdueTimer() {
-  while (!pending_answers_.empty() && pending_answers_.front()->sent) {
-    pending_answers_.pop_front();
-  }
-  if (!pending_answers_.empty() && !overdue_timer_->enabled()) {
-    overdue_timer_->enable(pending_answers_.front()->overdue_at - dispatcher_.now());
-  }
-}
-
-void Acceptor::answerOverdue() {
-  while (!pending_answers_.empty()) {
-    PendingAnswer& oldest = *pending_answers_.front();
-    if (!oldest.sent && oldest.overdue_at > dispatcher_.now()) {
-      break;
-    }
-    if (!oldest.sent) {
-      oldest.sent = true;
-      oldest.reply(emptyReply(wire::RegisterVerdict::Unavailable));
-    }
-    pending_answers_.pop_front();
-  }
-  armOverdueTimer();
-}
-
-void Acceptor::takeSet(const wire::AcceptorSet& set) {
+void Acceptor::adoptSet(const wire::AcceptorSet& set) {
   acceptor_set_ = set;
   journal_.append(journal::Subject::AcceptorSet, AcceptorSetRecord,
                   std::to_string(set.members.size()) + " members, " +
@@ -322,59 +206,87 @@
   }
 }
 
+storage::Record Acceptor::setRecord() const {
+  return {AcceptorSetRecord, encodeAcceptorSet(acceptor_set_), false};
+}
+
+void Acceptor::onSetInstall(const wire::AcceptorSetInstallRequest& request,
+                            transport::ReplyFunction reply) {
+  if (!loaded()) {
+    reply(wire::AcceptorSetInstallReply{});
+    return;
+  }
+  installSet(request.acceptor_set, [this, reply = std::move(reply)](bool synced) {
+    reply(wire::AcceptorSetInstallReply{synced, acceptor_set_, instance_});
+  });
+}
+
 void Acceptor::installSet(const wire::AcceptorSet& set, InstallCallback callback) {
-  if (!loaded_) {
+  if (!loaded()) {
     callback(false);
     return;
   }
   if (set.epoch > acceptor_set_.epoch) {
-    takeSet(set);
+    adoptSet(set);
   }
-  std::vector<storage::Record> records;
-  records.push_back({AcceptorSetRecord, encodeAcceptorSet(acceptor_set_), false});
-  commit(std::move(records), std::move(callback));
+  storage_->commit(single(setRecord()), std::move(callback));
+}
+
+void Acceptor::onRegisterInstall(const wire::RegisterInstallRequest& request,
+                                 transport::ReplyFunction reply) {
+  if (!mayVote() || request.set_epoch > acceptor_set_.epoch) {
+    reply(wire::RegisterInstallReply{false, instance_});
+    return;
+  }
+  installRegisters(request.entries, request.removed_floor,
+                   [this, reply = std::move(reply)](bool synced) {
+                     reply(wire::RegisterInstallReply{synced, instance_});
+                   });
 }
 
 void Acceptor::installRegisters(const std::vector<wire::RegisterScanEntry>& entries,
                                 const wire::Ballot& removed_floor, InstallCallback callback) {
-  bool all_held = true;
+  using CopyResult = RegisterTable::CopyResult;
+  bool all_current = true;
   std::vector<storage::Record> records;
-  if (removed_floor > removed_->inherited_floor) {
-    removed_->inherited_floor = removed_floor;
-    records.push_back(removedRecord());
+  if (registers_->inheritFloor(removed_floor)) {
+    records.push_back(registers_->updateRemovedRecord());
   }
-  std::vector<std::string> taken;
-  for (const wire::RegisterScanEntry& copied : entries) {
-    const bool may_be_removed = !registers_.contains(copied.key) && mayExpire(copied.key);
-    if (may_be_removed && copied.accepted <= removed_->floor) {
-      // Perhaps after a promise above this ballot.
-      all_held = false;
-      continue;
+  std::vector<std::string> accepted_keys;
+  for (const wire::RegisterScanEntry& copy : entries) {
+    const CopyResult result = registers_->acceptCopy(copy);
+    if (result == CopyResult::Accepted) {
+      accepted_keys.push_back(copy.key);
+    }
+    if (result == CopyResult::PromisedHigher || result == CopyResult::BelowFloor) {
+      all_current = false;
     }
-    RegisterState& held = state(copied.key);
-    if (copied.accepted > held.accepted && copied.accepted >= held.promised) {
-      held = RegisterState{copied.accepted, copied.accepted, copied.value, copied.lineage,
-                           livedSeconds()};
-      taken.push_back(copied.key);
+    if (result != CopyResult::BelowFloor) {
+      records.push_back(registers_->record(copy.key));
     }
-    all_held = all_held && held.accepted >= copied.accepted;
-    records.push_back(recordOf(copied.key));
   }
   if (records.empty()) {
-    callback(all_held);
+    callback(all_current);
     return;
   }
-  commit(std::move(records),
-         [this, taken = std::move(taken), all_held, callback = std::move(callback)](bool synced) {
-           if (synced && accepted_listener_) {
-             for (const std::string& key : taken) {
-               if (const std::string* value = acceptedValue(key)) {
-                 accepted_listener_(key, *value);
-               }
-             }
-           }
-           callback(synced && all_held);
-         });
+  storage_->commit(std::move(records), [this, accepted_keys = std::move(accepted_keys), all_current,
+                                        callback = std::move(callback)](bool synced) {
+    if (synced) {
+      notifyAccepted(accepted_keys);
+    }
+    callback(synced && all_current);
+  });
+}
+
+void Acceptor::notifyAccepted(const std::vector<std::string>& keys) {
+  if (!accepted_listener_) {
+    return;
+  }
+  for (const std::string& key : keys) {
+    if (const std::string* value = acceptedValue(key)) {
+      accepted_listener_(key, *value);
+    }
+  }
 }
 
 wire::RegisterScanReply Acceptor::scan(const std::string& after, std::uint32_t limit) const {
@@ -382,60 +294,87 @@
   reply.instance = instance_;
   reply.set_epoch = acceptor_set_.epoch;
   reply.complete = mayVote() && damaged_.empty();
-  reply.removed_floor = std::max(removed_->floor, removed_->inherited_floor);
-  if (!loaded_ || storage_failed_) {
-    // What memory holds beyond the disk is not told to others.
+  reply.removed_floor = registers_->removedFloor();
+  if (!storage_->usable()) {
+    // Memory may contain changes whose commit failed.
     reply.done = true;
     return reply;
   }
   const std::uint32_t bound = std::min(std::max(limit, 1U), options_.scan_limit);
-  auto position = after.empty() ? registers_.begin() : registers_.upper_bound(after);
-  while (position != registers_.end() && reply.entries.size() < bound) {
+  auto position = registers_->upperBound(after);
+  while (position != registers_->end() && reply.entries.size() < bound) {
     reply.entries.push_back(makeEntry(position->first, position->second));
     ++position;
   }
-  reply.done = position == registers_.end();
+  reply.done = position == registers_->end();
   return reply;
 }
 
 std::optional<wire::RegisterScanEntry> Acceptor::entry(const std::string& key) const {
-  const auto found = registers_.find(key);
-  if (found == registers_.end()) {
-    return std::nullopt;
+  const RegisterState* state = registers_->find(key);
+  return state == nullptr ? std::nullopt : std::optional(makeEntry(key, *state));
+}
+
+void Acceptor::setLifetimeSource(LifetimeSource source) {
+  registers_->setLifetimeSource(std::move(source));
+  expiry_timer_->enable(options_.expiry_interval);
+}
+
+bool Acceptor::mayExpire(const std::string& key) const {
+  return registers_->mayExpire(key);
+}
+
+void Acceptor::removeExpired() {
+  expiry_timer_->enable(options_.expiry_interval);
+  if (!mayVote()) {
+    return;
   }
-  return makeEntry(found->first, found->second);
+  const bool raise_floor = !options_.test_forget_removed;
+  std::vector<storage::Record> records;
+  for (const std::string& key : registers_->removeExpired(raise_floor)) {
+    damaged_.erase(key);
+    records.push_back({RegisterRecordPrefix + key, {}, true});
+  }
+  if (records.empty() && !registers_->runningTimeIsStale()) {
+    return;
+  }
+  // In one commit, so that no register is removed without the floor that stands for it.
+  records.push_back(registers_->updateRemovedRecord());
+  storage_->commit(std::move(records), [](bool) {});
 }
 
 std::optional<std::string> Acceptor::markDamaged(const std::string& record_key) {
   const std::string prefix = RegisterRecordPrefix;
   std::vector<storage::Record> records;
   std::optional<std::string> damaged_register;
-  if (record_key.starts_with(prefix) && registers_.contains(record_key.substr(prefix.size()))) {
-    damaged_register = record_key.substr(prefix.size());
-    damaged_.insert(*damaged_register);
-    records.push_back(recordOf(*damaged_register));
-  } else if (record_key == AcceptorSetRecord) {
-    records.push_back({AcceptorSetRecord, encodeAcceptorSet(acceptor_set_), false});
-  }
-  if (record_key == RemovedRegistersRecord) {
-    records.push_back(removedRecord());
+  if (record_key == AcceptorSetRecord) {
+    records.push_back(setRecord());
+  } else if (record_key == RemovedRegistersRecord) {
+    records.push_back(registers_->updateRemovedRecord());
+  } else if (record_key.starts_with(prefix)) {
+    const std::string key = record_key.substr(prefix.size());
+    if (registers_->find(key) != nullptr) {
+      damaged_register = key;
+      damaged_.insert(key);
+      records.push_back(registers_->record(key));
+    }
   }
   if (!records.empty()) {
     journal_.append(journal::Subject::Storage, record_key, "damaged", 0);
-    commit(std::move(records), [](bool) {});
+    storage_->commit(std::move(records), [](bool) {});
   }
   return damaged_register;
 }
 
 std::vector<storage::Record> Acceptor::records() const {
   std::vector<storage::Record> records;
-  if (!loaded_ || storage_failed_) {
+  if (!storage_->usable()) {
     return records;
   }
-  records.push_back({AcceptorSetRecord, encodeAcceptorSet(acceptor_set_), false});
-  records.push_back({RemovedRegistersRecord, encodeRemovedRegisters(*removed_), false});
-  for (const auto& [key, held] : registers_) {
-    records.push_back(recordOf(key));
+  records.push_back(setRecord());
+  records.push_back(registers_->removedRecord());
+  for (auto position = registers_->upperBound({}); position != registers_->end(); ++position) {
+    records.push_back(registers_->record(position->first));
   }
   return records;
 }
--- a/libraries/registers/source/acceptor_records.h
+++ b/libraries/registers/source/acceptor_records.h
@@ -7,6 +7,7 @@
 
 namespace switchsaddle::registers {
 
+inline constexpr const char* AcceptorSetRecord = "acceptor-set";
 /** Followed by the register's key. */
 inline constexpr const char* RegisterRecordPrefix = "register/";
 inline constexpr const char* RemovedRegistersRecord = "removed-registers";
--- a/libraries/registers/source/acceptor_set_change.cc
+++ b/libraries/registers/source/acceptor_set_change.cc
@@ -1,45 +1,14 @@
 #include "switchsaddle/registers/acceptor_set_change.h"
 
-#include <algorithm>
 #include <utility>
 
-#include "register_state.h"
+#include "acceptor_members.h"
+#include "acceptor_set_goal.h"
 #include "register_transfer.h"
-#include "set_install_round.h"
-#include "switchsaddle/base/error.h"
+#include "set_installation.h"
 
 namespace switchsaddle::registers {
 
-namespace {
-
-bool contains(const std::vector<wire::AcceptorMember>& members,
-              const wire::AcceptorMember& member) {
-  return std::find(members.begin(), members.end(), member) != members.end();
-}
-
-/** The set in the register; nothing where its value cannot be understood. */
-std::optional<wire::AcceptorSet> readSet(const std::string& value) {
-  try {
-    return decodeAcceptorSet(value);
-  } catch (const base::Error&) {
-    return std::nullopt;
-  }
-}
-
-/** The compare-and-swap of the acceptor set from one epoch to the next. */
-ChangeFunction swapFrom(std::uint64_t base_epoch, const wire::AcceptorSet& next) {
-  return [base_epoch, next](const std::string& present) -> std::optional<std::string> {
-    // The first set is settled by Bootstrap and not written to the register.
-    const auto set = present.empty() ? wire::AcceptorSet{1, {}, {}} : readSet(present);
-    if (!set || set->epoch != base_epoch) {
-      return std::nullopt;
-    }
-    return encodeAcceptorSet(next);
-  };
-}
-
-}  // namespace
-
 AcceptorSetChange::AcceptorSetChange(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
                                      Acceptor& acceptor, QuorumProposer& proposer,
                                      AcceptorSetChangeOptions options)
@@ -48,7 +17,8 @@
       acceptor_(acceptor),
       proposer_(proposer),
       options_(options),
-      retry_timer_(dispatcher.createTimer([this] { learn(); })) {}
+      retry_timer_(dispatcher.createTimer([this] { learn(); })),
+      goal_(std::make_unique<AcceptorSetGoal>()) {}
 
 AcceptorSetChange::~AcceptorSetChange() {
   if (transfer_) {
@@ -73,32 +43,29 @@
   begin({}, std::move(callback));
 }
 
-void AcceptorSetChange::begin(Goal goal, Callback callback) {
+void AcceptorSetChange::begin(AcceptorSetGoal goal, Callback callback) {
   if (active_) {
     dispatcher_.post(
         [callback = std::move(callback)] { callback(base::ResultCode::AcceptorSetChanged); });
     return;
   }
   active_ = true;
-  giving_up_ = false;
-  goal_ = std::move(goal);
+  rolling_back_ = false;
+  *goal_ = std::move(goal);
   callback_ = std::move(callback);
   joint_ = {};
-  progress();
+  noteProgress();
   learn();
 }
 
-void AcceptorSetChange::progress() {
+void AcceptorSetChange::noteProgress() {
   last_progress_ = dispatcher_.now();
 }
 
 void AcceptorSetChange::learn() {
-  proposer_.read(AcceptorSetRegister,
-                 [this, alive = std::weak_ptr(alive_)](const RegisterOutcome& outcome) {
-                   if (!alive.expired()) {
-                     onChosen(outcome, 0);
-                   }
-                 });
+  proposer_.read(AcceptorSetRegister, callbacks_.guard([this](const RegisterOutcome& outcome) {
+    onChosen(outcome, 0);
+  }));
 }
 
 void AcceptorSetChange::onChosen(const RegisterOutcome& outcome, std::uint64_t base_epoch) {
@@ -107,19 +74,19 @@
     return;
   }
   if (!outcome.value.empty()) {
-    const std::optional<wire::AcceptorSet> chosen = readSet(outcome.value);
+    const std::optional<wire::AcceptorSet> chosen = readAcceptorSet(outcome.value);
     if (!chosen) {
       finish(base::ResultCode::RecordCorrupt);
       return;
     }
     if (chosen->epoch > acceptor_.acceptorSet().epoch) {
-      progress();
+      noteProgress();
       acceptor_.installSet(*chosen, [](bool) {});
     }
   }
   if (acceptor_.acceptorSet().epoch <= base_epoch) {
-    // The swap was refused although nothing newer is known here: asking again at once would find
-    // the same, round after round.
+    // The swap failed although no newer set is known here. An immediate retry would fail in the
+    // same way.
     retryLater();
     return;
   }
@@ -130,77 +97,37 @@
   const wire::AcceptorSet set = acceptor_.acceptorSet();
   if (!set.previous.empty()) {
     joint_ = set;
-    giving_up_ ? rollBack() : installJoint();
+    rolling_back_ ? rollBack() : installJoint();
     return;
   }
-  if (giving_up_ || goalMet(set)) {
+  if (rolling_back_ || goal_->reachedBy(set)) {
     installFinal(set);
     return;
   }
-  const base::ResultCode allowed = checkGoal(set);
+  const base::ResultCode allowed = goal_->check(set);
   if (allowed != base::ResultCode::Ok) {
     finish(allowed);
     return;
   }
-  proposeJoint(set);
-}
-
-bool AcceptorSetChange::goalMet(const wire::AcceptorSet& set) const {
-  const bool left = !goal_.leaving || !contains(set.members, *goal_.leaving);
-  const bool joined = !goal_.joining || contains(set.members, *goal_.joining);
-  return left && joined;
+  propose(set.epoch, goal_->jointSet(set));
 }
 
-base::ResultCode AcceptorSetChange::checkGoal(const wire::AcceptorSet& set) const {
-  const bool leaving_is_member = !goal_.leaving || contains(set.members, *goal_.leaving);
-  if (!leaving_is_member) {
-    return base::ResultCode::AcceptorSetChanged;
-  }
-  for (const wire::AcceptorMember& member : set.members) {
-    const bool stays = !goal_.leaving || member != *goal_.leaving;
-    if (stays && goal_.joining && member.address == goal_.joining->address) {
-      return base::ResultCode::InvalidValue;
-    }
-  }
-  const bool empties = goal_.leaving && !goal_.joining && set.members.size() == 1;
-  return empties ? base::ResultCode::InvalidValue : base::ResultCode::Ok;
-}
-
-void AcceptorSetChange::proposeJoint(const wire::AcceptorSet& base) {
-  wire::AcceptorSet next;
-  next.epoch = base.epoch + 1;
-  next.previous = base.members;
-  next.members = base.members;
-  if (goal_.leaving) {
-    std::erase(next.members, *goal_.leaving);
-  }
-  if (goal_.joining) {
-    next.members.push_back(*goal_.joining);
-  }
-  proposeNext(base.epoch, next);
-}
-
-void AcceptorSetChange::proposeNext(std::uint64_t base_epoch, const wire::AcceptorSet& next) {
-  proposer_.change(AcceptorSetRegister, swapFrom(base_epoch, next),
-                   [this, alive = std::weak_ptr(alive_), base_epoch](const auto& outcome) {
-                     if (!alive.expired()) {
-                       onChosen(outcome, base_epoch);
-                     }
-                   });
+void AcceptorSetChange::propose(std::uint64_t base_epoch, const wire::AcceptorSet& next) {
+  proposer_.change(AcceptorSetRegister, swapAcceptorSet(base_epoch, next),
+                   callbacks_.guard([this, base_epoch](const RegisterOutcome& outcome) {
+                     onChosen(outcome, base_epoch);
+                   }));
 }
 
 void AcceptorSetChange::installJoint() {
-  installAtMembers(calls_, joint_, joint_, options_.call_timeout,
-                   [this, alive = std::weak_ptr(alive_)](const SetInstallResult& result) {
-                     if (!alive.expired()) {
-                       onJointInstalled(result);
-                     }
-                   });
+  installAtMembers(
+      calls_, joint_, joint_, options_.call_timeout,
+      callbacks_.guard([this](const SetInstallResult& result) { onJointInstalled(result); }));
 }
 
 void AcceptorSetChange::onJointInstalled(const SetInstallResult& result) {
   if (result.newest.epoch > joint_.epoch) {
-    progress();
+    noteProgress();
     acceptor_.installSet(result.newest, [](bool) {});
     evaluate();
     return;
@@ -208,7 +135,7 @@
   to_transfer_.clear();
   bool joined = true;
   for (const wire::AcceptorMember& member : joint_.members) {
-    if (!contains(joint_.previous, member)) {
+    if (!containsMember(joint_.previous, member)) {
       to_transfer_.push_back(member);
       joined = joined && result.synced.contains(member.instance);
     }
@@ -217,7 +144,7 @@
     retryLater();
     return;
   }
-  progress();
+  noteProgress();
   transferNext();
 }
 
@@ -229,10 +156,10 @@
   transfer_ = std::make_shared<RegisterTransfer>(
       calls_, proposer_, joint_, to_transfer_.back(),
       RegisterTransferOptions{options_.call_timeout, options_.page_limit});
-  transfer_->start([this] { progress(); }, [this](bool complete) { onCopied(complete); });
+  transfer_->start([this] { noteProgress(); }, [this](bool complete) { onTransferred(complete); });
 }
 
-void AcceptorSetChange::onCopied(bool complete) {
+void AcceptorSetChange::onTransferred(bool complete) {
   if (!complete) {
     retryLater();
     return;
@@ -245,27 +172,29 @@
   wire::AcceptorSet next;
   next.epoch = joint_.epoch + 1;
   next.members = members;
-  proposeNext(joint_.epoch, next);
+  propose(joint_.epoch, next);
 }
 
 void AcceptorSetChange::installFinal(const wire::AcceptorSet& final_set) {
-  // Where this driver saw the joint set, those who leave are told too.
+  // Where this driver saw the joint set, the members that leave receive the final one as well.
   const bool follows = joint_.epoch != 0 && final_set.epoch == joint_.epoch + 1;
-  installAtMembers(calls_, final_set, follows ? joint_ : final_set, options_.call_timeout,
-                   [this, alive = std::weak_ptr(alive_),
-                    epoch = final_set.epoch](const SetInstallResult& result) {
-                     if (alive.expired()) {
-                       return;
-                     }
-                     if (result.newest.epoch > epoch) {
-                       acceptor_.installSet(result.newest, [](bool) {});
-                     }
-                     if (!result.quorum) {
-                       retryLater();
-                       return;
-                     }
-                     finish(giving_up_ ? base::ResultCode::NoQuorum : base::ResultCode::Ok);
-                   });
+  installAtMembers(
+      calls_, final_set, follows ? joint_ : final_set, options_.call_timeout,
+      callbacks_.guard([this, final_epoch = final_set.epoch](const SetInstallResult& result) {
+        onFinalInstalled(result, final_epoch);
+      }));
+}
+
+void AcceptorSetChange::onFinalInstalled(const SetInstallResult& result,
+                                         std::uint64_t final_epoch) {
+  if (result.newest.epoch > final_epoch) {
+    acceptor_.installSet(result.newest, [](bool) {});
+  }
+  if (!result.quorum) {
+    retryLater();
+    return;
+  }
+  finish(rolling_back_ ? base::ResultCode::NoQuorum : base::ResultCode::Ok);
 }
 
 void AcceptorSetChange::retryLater() {
@@ -275,18 +204,19 @@
     return;
   }
   const bool joint = !acceptor_.acceptorSet().previous.empty();
-  if (giving_up_ || !joint) {
+  if (rolling_back_ || !joint) {
     finish(base::ResultCode::NoQuorum);
     return;
   }
-  giving_up_ = true;
-  progress();
+  rolling_back_ = true;
+  noteProgress();
   rollBack();
 }
 
 void AcceptorSetChange::rollBack() {
   joint_ = acceptor_.acceptorSet();
-  // Every quorum of the joint set held a majority of the previous members, so they lack nothing.
+  // Every quorum of the joint set contained a majority of the previous members, so that no register
+  // needs a transfer.
   proposeFinal(joint_.previous);
 }
 
--- a/libraries/registers/source/bootstrap.cc
+++ b/libraries/registers/source/bootstrap.cc
@@ -4,17 +4,9 @@
 #include <set>
 #include <utility>
 
-namespace switchsaddle::registers {
-
-namespace {
+#include "acceptor_members.h"
 
-bool isMember(const wire::AcceptorSet& set, std::uint64_t instance) {
-  const auto same = [instance](const auto& member) { return member.instance == instance; };
-  return std::any_of(set.members.begin(), set.members.end(), same) ||
-         std::any_of(set.previous.begin(), set.previous.end(), same);
-}
-
-}  // namespace
+namespace switchsaddle::registers {
 
 Bootstrap::Bootstrap(base::Dispatcher& dispatcher, transport::PeerCalls& calls, Acceptor& acceptor,
                      BootstrapOptions options)
@@ -41,8 +33,8 @@
     return;
   }
   const wire::AcceptorSet& set = acceptor_.acceptorSet();
-  reply(wire::CoreAnnounceReply{set, ownMember(), acceptor_.holdsState(), options_.zone});
-  const bool is_candidate = set.epoch != 0 && !isMember(set, announce.member.instance);
+  reply(wire::CoreAnnounceReply{set, ownMember(), acceptor_.hasState(), options_.zone});
+  const bool is_candidate = set.epoch != 0 && !containsInstance(set, announce.member.instance);
   if (is_candidate && listener_) {
     listener_(announce);
   }
@@ -50,22 +42,21 @@
 
 void Bootstrap::announce() {
   timer_->enable(options_.announce_interval);
-  if (!acceptor_.loaded() || isMember(acceptor_.acceptorSet(), acceptor_.instance())) {
+  if (!acceptor_.loaded() || containsInstance(acceptor_.acceptorSet(), acceptor_.instance())) {
     return;
   }
   const std::uint64_t round = ++round_;
   empty_cores_.clear();
   std::set<base::NodeAddress> targets(options_.initial_cores.begin(), options_.initial_cores.end());
   targets.insert(options_.seeds.begin(), options_.seeds.end());
-  const wire::CoreAnnounce announcement{ownMember(), acceptor_.holdsState(), options_.zone};
+  const wire::CoreAnnounce announcement{ownMember(), acceptor_.hasState(), options_.zone};
   for (const base::NodeAddress& target : targets) {
     calls_.call(target, announcement, options_.call_timeout,
-                [this, alive = std::weak_ptr(alive_), round](const auto& result) {
-                  const auto* reply = result.template as<wire::CoreAnnounceReply>();
-                  if (!alive.expired() && reply != nullptr) {
+                callbacks_.guard([this, round](const transport::CallResult& result) {
+                  if (const auto* reply = result.as<wire::CoreAnnounceReply>()) {
                     onReply(round, *reply);
                   }
-                });
+                }));
   }
 }
 
@@ -79,7 +70,7 @@
     return;
   }
   empty_cores_[reply.member.address] = reply.member;
-  settleFirstSet();
+  commitFirstSet();
 }
 
 bool Bootstrap::isFirstInitialCore() const {
@@ -87,8 +78,8 @@
   return !cores.empty() && *std::min_element(cores.begin(), cores.end()) == calls_.localAddress();
 }
 
-void Bootstrap::settleFirstSet() {
-  if (acceptor_.holdsState() || !isFirstInitialCore()) {
+void Bootstrap::commitFirstSet() {
+  if (acceptor_.hasState() || !isFirstInitialCore()) {
     return;
   }
   wire::AcceptorSet first;
--- a/libraries/registers/source/quorum_proposer.cc
+++ b/libraries/registers/source/quorum_proposer.cc
@@ -58,15 +58,12 @@
 }
 
 void QuorumProposer::releaseIfIdle(const std::string& key) {
-  dispatcher_.post([this, alive = std::weak_ptr(alive_), key] {
-    if (alive.expired()) {
-      return;
-    }
+  dispatcher_.post(callbacks_.guard([this, key] {
     const auto found = keys_.find(key);
     if (found != keys_.end() && found->second->idle()) {
       keys_.erase(found);
     }
-  });
+  }));
 }
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/source/quorum_tally.cc
+++ b/libraries/registers/source/quorum_tally.cc
@@ -1,7 +1,6 @@
 #include "quorum_tally.h"
 
 #include <algorithm>
-#include <set>
 
 namespace switchsaddle::registers {
 
@@ -45,14 +44,4 @@
   });
 }
 
-std::vector<base::NodeAddress> memberAddresses(const wire::AcceptorSet& set) {
-  std::set<base::NodeAddress> addresses;
-  for (const auto* members : {&set.members, &set.previous}) {
-    for (const wire::AcceptorMember& member : *members) {
-      addresses.insert(member.address);
-    }
-  }
-  return {addresses.begin(), addresses.end()};
-}
-
 }  // namespace switchsaddle::registers
--- a/libraries/registers/source/quorum_tally.h
+++ b/libraries/registers/source/quorum_tally.h
@@ -9,13 +9,13 @@
 namespace switchsaddle::registers {
 
 /**
- * Counts the answers of one round against an acceptor set: while `previous` is not empty, a quorum
- * is a majority of both lists. An answer counts only for the member whose instance gave it. Each
- * address is told about at most once.
+ * Counts the answers to one request against an acceptor set: while `previous` is not empty, a
+ * quorum is a majority of both lists. An answer counts only for the member whose instance gave it.
+ * At most one of grant() and fail() is called for each address.
  */
 class QuorumTally {
  public:
-  /** `quorum_size` other than zero takes the place of the majority; for tests only. */
+  /** @param quorum_size replaces the majority where not zero; for tests only. */
   explicit QuorumTally(const wire::AcceptorSet& set, std::size_t quorum_size = 0);
   void grant(const base::NodeAddress& address, std::uint64_t instance);
   void fail(const base::NodeAddress& address);
@@ -33,7 +33,4 @@
   std::vector<Count> counts_;
 };
 
-/** The addresses of all members, each once. */
-std::vector<base::NodeAddress> memberAddresses(const wire::AcceptorSet& set);
-
 }  // namespace switchsaddle::registers
--- a/libraries/registers/source/register_state.cc
+++ b/libraries/registers/source/register_state.cc
@@ -14,7 +14,7 @@
   try {
     wire::readRecord(bytes, state);
   } catch (const base::Error&) {
-    // A record from before the age was kept; its bytes end one field earlier.
+    // A record of an earlier release, which ends before `accepted_at_s`.
     state = {};
     wire::readRecord(bytes, state.promised, state.accepted, state.value, state.lineage);
   }
--- a/libraries/registers/source/register_state.h
+++ b/libraries/registers/source/register_state.h
@@ -5,9 +5,15 @@
 
 #include "switchsaddle/wire/register_messages.h"
 
+/**
+ * @file
+ * The stored records of an acceptor. The order of the fields is the stored format. The functions
+ * that decode throw base::Error with RecordCorrupt.
+ */
+
 namespace switchsaddle::registers {
 
-/** What one acceptor keeps of one register. */
+/** The state of one register at one acceptor. */
 struct RegisterState {
   wire::Ballot promised;
   /** Zero where nothing was accepted. */
@@ -15,8 +21,8 @@
   std::string value;
   /** Ballots of the newest proposals the value was built on, oldest first. */
   std::vector<wire::Ballot> lineage;
-  /** When the value was accepted, or the register first heard of, in seconds that this acceptor has
-   * run; zero in records from before this was kept. */
+  /** When the value was accepted, or the register first prepared, in seconds of the acceptor's
+   * running time; zero in records of earlier releases. */
   std::uint64_t accepted_at_s = 0;
 
   template <class Archive>
@@ -25,33 +31,29 @@
   }
 };
 
-/** What an acceptor keeps of the registers that it has removed. */
+/** What stands for the registers that an acceptor has removed. */
 struct RemovedRegisters {
-  /** Highest promise of a register that was removed here. */
+  /** Highest ballot promised for a register that was removed here. */
   wire::Ballot floor;
-  /** The same of the acceptors from which this one copied its registers when it joined. */
+  /** Highest floor of the acceptors from which this one copied its registers when it joined. */
   wire::Ballot inherited_floor;
-  /** Seconds that this acceptor has run, over all its lives. */
-  std::uint64_t lived_s = 0;
+  /** Running time of this acceptor in seconds, over all its incarnations. */
+  std::uint64_t running_s = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(floor, inherited_floor, lived_s);
+    archive(floor, inherited_floor, running_s);
   }
 };
 
-/** The bytes of a register's record. */
 std::string encodeRegisterState(const RegisterState& state);
-/** Reverses encodeRegisterState(). Throws base::Error with RecordCorrupt. */
 RegisterState decodeRegisterState(const std::string& bytes);
 
 std::string encodeRemovedRegisters(const RemovedRegisters& removed);
-/** Reverses encodeRemovedRegisters(). Throws base::Error with RecordCorrupt. */
 RemovedRegisters decodeRemovedRegisters(const std::string& bytes);
 
-/** The bytes of an acceptor set, as a record and as the value of its register. */
+/** The bytes of an acceptor set, both as a record and as the value of its register. */
 std::string encodeAcceptorSet(const wire::AcceptorSet& set);
-/** Reverses encodeAcceptorSet(). Throws base::Error with RecordCorrupt. */
 wire::AcceptorSet decodeAcceptorSet(const std::string& bytes);
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/source/register_transfer.cc
+++ b/libraries/registers/source/register_transfer.cc
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "acceptor_members.h"
+#include "scan_pages.h"
+
 namespace switchsaddle::registers {
 
 RegisterTransfer::RegisterTransfer(transport::PeerCalls& calls, QuorumProposer& proposer,
@@ -73,13 +76,9 @@
 }
 
 void RegisterTransfer::mergePage() {
-  // Up to the frontier every source has told all its keys.
   std::optional<std::string> frontier;
   for (const wire::RegisterScanReply& reply : replies_) {
-    if (!reply.done) {
-      const std::string& last = reply.entries.back().key;
-      frontier = frontier ? std::min(*frontier, last) : last;
-    }
+    lowerFrontier(frontier, reply);
   }
   std::map<std::string, wire::RegisterScanEntry> newest;
   for (const wire::RegisterScanReply& reply : replies_) {
@@ -99,7 +98,7 @@
   }
   last_page_ = !frontier;
   cursor_ = frontier.value_or(cursor_);
-  proposed_anew_ = false;
+  proposed_again_ = false;
   installPage();
 }
 
@@ -109,28 +108,31 @@
     return;
   }
   installed_floor_ = removed_floor_;
-  calls_.call(
-      target_.address, wire::RegisterInstallRequest{entries_, joint_.epoch, removed_floor_},
-      options_.call_timeout, [weak = weak_from_this()](const transport::CallResult& result) {
-        const auto self = weak.lock();
-        if (!self || !self->on_done_) {
-          return;
-        }
-        const auto* reply = result.as<wire::RegisterInstallReply>();
-        const bool is_target = reply != nullptr && reply->instance == self->target_.instance;
-        if (is_target && reply->synced) {
-          self->nextPage();
-        } else if (!is_target || self->proposed_anew_) {
-          self->end(false);
-        } else {
-          self->proposeAnew(0);
-        }
-      });
+  calls_.call(target_.address, wire::RegisterInstallRequest{entries_, joint_.epoch, removed_floor_},
+              options_.call_timeout,
+              [weak = weak_from_this()](const transport::CallResult& result) {
+                const auto self = weak.lock();
+                if (self && self->on_done_) {
+                  self->onInstalled(result);
+                }
+              });
+}
+
+void RegisterTransfer::onInstalled(const transport::CallResult& result) {
+  const auto* reply = result.as<wire::RegisterInstallReply>();
+  const bool is_target = reply != nullptr && reply->instance == target_.instance;
+  if (is_target && reply->synced) {
+    nextPage();
+  } else if (!is_target || proposed_again_) {
+    end(false);
+  } else {
+    proposeAgain(0);
+  }
 }
 
-void RegisterTransfer::proposeAnew(std::size_t index) {
+void RegisterTransfer::proposeAgain(std::size_t index) {
   if (index == entries_.size()) {
-    proposed_anew_ = true;
+    proposed_again_ = true;
     installPage();
     return;
   }
@@ -144,7 +146,7 @@
                         self->end(false);
                         return;
                       }
-                      self->proposeAnew(index + 1);
+                      self->proposeAgain(index + 1);
                     });
 }
 
--- a/libraries/registers/source/register_transfer.h
+++ b/libraries/registers/source/register_transfer.h
@@ -12,18 +12,19 @@
 
 namespace switchsaddle::registers {
 
-/** Bounds of a copy. */
+/** Bounds of a transfer. */
 struct RegisterTransferOptions {
   base::Duration call_timeout{};
+  /** Most registers in one page. */
   std::uint32_t page_limit = 0;
 };
 
 /**
- * Copies every register that a majority of a joint set's previous members holds into one new
- * member, page by page, each register at its highest accepted ballot. A register that the new
- * member cannot take, because it has promised a higher ballot, is proposed anew instead. Ends with
- * false at the first page that fails; a later copy starts over, and what is already held is not
- * written again.
+ * Copies every register that a majority of a joint set's previous members has to one new member,
+ * page by page, each register at its highest accepted ballot. A register that the new member
+ * rejects, because it has promised a higher ballot, is proposed again instead. Ends at the first
+ * page that fails; a later transfer starts over, and registers that are already there are not
+ * written again. Runs on the acceptor's strand.
  */
 class RegisterTransfer : public std::enable_shared_from_this<RegisterTransfer> {
  public:
@@ -31,18 +32,24 @@
 
   RegisterTransfer(transport::PeerCalls& calls, QuorumProposer& proposer, wire::AcceptorSet joint,
                    wire::AcceptorMember target, RegisterTransferOptions options);
-  /** `on_page` is called after each page copied. */
+  /**
+   * @param on_page called after each page copied.
+   * @param on_done called once, with false where a page failed.
+   */
   void start(std::function<void()> on_page, DoneCallback on_done);
-  /** No callback runs afterwards. */
+  /** Ends the transfer without any callback. */
   void cancel();
 
  private:
   void requestPage();
   void onPage(std::uint64_t page, const base::NodeAddress& from,
               const transport::CallResult& result);
+  /** Makes one page of the replies, up to the key which every source has reached. */
   void mergePage();
   void installPage();
-  void proposeAnew(std::size_t index);
+  void onInstalled(const transport::CallResult& result);
+  /** Proposes the page's registers again, from this one on, and then installs the page. */
+  void proposeAgain(std::size_t index);
   void nextPage();
   void end(bool complete);
 
@@ -58,12 +65,13 @@
   std::size_t outstanding_ = 0;
   std::optional<QuorumTally> tally_;
   std::vector<wire::RegisterScanReply> replies_;
-  /** Of all sources so far, and what the target was last told. */
+  /** Highest floor of the sources so far. */
   wire::Ballot removed_floor_;
+  /** The floor that was last sent to the target. */
   wire::Ballot installed_floor_;
   std::vector<wire::RegisterScanEntry> entries_;
   bool last_page_ = false;
-  bool proposed_anew_ = false;
+  bool proposed_again_ = false;
 };
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/source/scrubber.cc
+++ b/libraries/registers/source/scrubber.cc
@@ -6,42 +6,31 @@
 #include <optional>
 #include <utility>
 
+#include "scan_pages.h"
+
 namespace switchsaddle::registers {
 
 namespace {
 
-/** The last key up to which both pages are whole; nothing where both reach the end. */
-std::optional<std::string> commonFrontier(const wire::RegisterScanReply& first,
-                                          const wire::RegisterScanReply& second) {
-  std::optional<std::string> frontier;
-  for (const auto* page : {&first, &second}) {
-    if (!page->done && !page->entries.empty()) {
-      const std::string& last = page->entries.back().key;
-      frontier = frontier ? std::min(*frontier, last) : last;
-    }
-  }
-  return frontier;
-}
-
-/** The entries up to the frontier whose accepted ballot is above that of the other page, but for
+/** @return the entries of `page` that are missing or older in `other`, up to the frontier, except
  * those that may have expired there. */
 std::vector<wire::RegisterScanEntry> newerEntries(const wire::RegisterScanReply& page,
                                                   const wire::RegisterScanReply& other,
                                                   const std::optional<std::string>& frontier,
                                                   const Acceptor& acceptor) {
-  std::map<std::string, wire::Ballot> others;
+  std::map<std::string, wire::Ballot> other_ballots;
   for (const wire::RegisterScanEntry& entry : page.entries) {
     if (acceptor.mayExpire(entry.key)) {
-      others[entry.key] = other.removed_floor;
+      other_ballots[entry.key] = other.removed_floor;
     }
   }
   for (const wire::RegisterScanEntry& entry : other.entries) {
-    others[entry.key] = entry.accepted;
+    other_ballots[entry.key] = entry.accepted;
   }
   std::vector<wire::RegisterScanEntry> newer;
   for (const wire::RegisterScanEntry& entry : page.entries) {
     const bool in_page = !frontier || entry.key <= *frontier;
-    if (in_page && entry.accepted > others[entry.key]) {
+    if (in_page && entry.accepted > other_ballots[entry.key]) {
       newer.push_back(entry);
     }
   }
@@ -61,7 +50,7 @@
       store_(store),
       options_(options),
       page_timer_(dispatcher_.createTimer([this] { comparePage(); })),
-      file_timer_(dispatcher_.createTimer([this] { readFiles(); })) {}
+      file_timer_(dispatcher_.createTimer([this] { verifyFiles(); })) {}
 
 void Scrubber::start() {
   page_timer_->enable(options_.page_interval);
@@ -90,13 +79,9 @@
   if (peer_.instance == 0) {
     return;
   }
-  calls_.call(peer_.address, wire::RegisterScanRequest{cursor_, options_.page_limit},
-              options_.call_timeout,
-              [this, alive = std::weak_ptr(alive_)](const transport::CallResult& result) {
-                if (!alive.expired()) {
-                  onPeerPage(result);
-                }
-              });
+  calls_.call(
+      peer_.address, wire::RegisterScanRequest{cursor_, options_.page_limit}, options_.call_timeout,
+      callbacks_.guard([this](const transport::CallResult& result) { onPeerPage(result); }));
 }
 
 void Scrubber::onPeerPage(const transport::CallResult& result) {
@@ -112,7 +97,9 @@
 }
 
 void Scrubber::reconcile(const wire::RegisterScanReply& own, const wire::RegisterScanReply& peer) {
-  const std::optional<std::string> frontier = commonFrontier(own, peer);
+  std::optional<std::string> frontier;
+  lowerFrontier(frontier, own);
+  lowerFrontier(frontier, peer);
   installHere(newerEntries(peer, own, frontier, acceptor_));
   installAtPeer(newerEntries(own, peer, frontier, acceptor_));
   cursor_ = frontier.value_or("");
@@ -125,9 +112,9 @@
   counters_.installed_here += entries.size();
   acceptor_.installRegisters(entries, {}, [](bool) {});
   for (const wire::RegisterScanEntry& entry : entries) {
-    const auto held = acceptor_.entry(entry.key);
-    if (!held || held->accepted < entry.accepted) {
-      proposeAnew(entry.key);
+    const auto own = acceptor_.entry(entry.key);
+    if (!own || own->accepted < entry.accepted) {
+      proposeAgain(entry.key);
     }
   }
 }
@@ -142,28 +129,33 @@
               options_.call_timeout, [](const transport::CallResult&) {});
 }
 
-void Scrubber::proposeAnew(const std::string& key) {
-  ++counters_.proposed_anew;
+void Scrubber::proposeAgain(const std::string& key) {
+  ++counters_.proposed_again;
   proposer_.rewrite(key, [](const RegisterOutcome&) {});
 }
 
-void Scrubber::readFiles() {
+void Scrubber::verifyFiles() {
   file_timer_->enable(options_.file_interval);
-  store_.scrub([this, alive = std::weak_ptr(alive_)](base::ResultCode code,
-                                                     const std::vector<std::string>& damaged) {
-    const bool was_read = code == base::ResultCode::Ok || code == base::ResultCode::RecordCorrupt;
-    if (alive.expired() || !was_read) {
-      return;
-    }
-    for (const std::string& record_key : damaged) {
-      ++counters_.damaged_records;
-      acceptor_.markDamaged(record_key);
-    }
-    repairDamaged();
-    if (code == base::ResultCode::RecordCorrupt) {
-      rewriteFiles();
-    }
-  });
+  store_.scrub(callbacks_.guard(
+      [this](base::ResultCode code, const std::vector<std::string>& damaged_records) {
+        onFilesVerified(code, damaged_records);
+      }));
+}
+
+void Scrubber::onFilesVerified(base::ResultCode code,
+                               const std::vector<std::string>& damaged_records) {
+  const bool was_read = code == base::ResultCode::Ok || code == base::ResultCode::RecordCorrupt;
+  if (!was_read) {
+    return;
+  }
+  for (const std::string& record_key : damaged_records) {
+    ++counters_.damaged_records;
+    acceptor_.markDamaged(record_key);
+  }
+  repairDamaged();
+  if (code == base::ResultCode::RecordCorrupt) {
+    rewriteFiles();
+  }
 }
 
 void Scrubber::rewriteFiles() {
@@ -172,8 +164,8 @@
     return;
   }
   if (other_records_) {
-    std::vector<storage::Record> others = other_records_();
-    std::move(others.begin(), others.end(), std::back_inserter(state));
+    std::vector<storage::Record> other_records = other_records_();
+    std::move(other_records.begin(), other_records.end(), std::back_inserter(state));
   }
   ++counters_.rewrites;
   store_.rewrite(std::move(state));
@@ -181,7 +173,7 @@
 
 void Scrubber::repairDamaged() {
   for (const std::string& key : acceptor_.damagedKeys()) {
-    proposeAnew(key);
+    proposeAgain(key);
   }
 }
 
--- a/libraries/registers/source/set_install_round.h
+++ b/libraries/registers/source/set_installation.h
@@ -7,19 +7,20 @@
 
 namespace switchsaddle::registers {
 
-/** What the members answered to an acceptor set. */
+/** The members' answers to an acceptor set. */
 struct SetInstallResult {
-  /** Whether majorities of both lists of the counted set have it, or a newer one, synced. */
+  /** Whether majorities of both lists of the counted set have synced it or a newer one. */
   bool quorum = false;
   /** The newest set that any member answered with. */
   wire::AcceptorSet newest;
-  /** Instances that have it, or a newer one, synced. */
+  /** Instances that have synced it or a newer one. */
   std::set<std::uint64_t> synced;
 };
 
 /**
- * Sends `set` to every member of `counted`, and calls back once all have answered or timed out. The
- * calls keep what they need alive; the caller guards its callback.
+ * Sends an acceptor set to members, whose calls outlive the caller.
+ * @param counted the set whose members receive it and form the quorum.
+ * @param callback called once every member has answered or timed out.
  */
 void installAtMembers(transport::PeerCalls& calls, const wire::AcceptorSet& set,
                       const wire::AcceptorSet& counted, base::Duration timeout,
--- a/libraries/registers/test/acceptor_set_change_test.cc
+++ b/libraries/registers/test/acceptor_set_change_test.cc
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** The end of one change of the acceptor set. */
-struct SetOutcome {
+/** Records the result of one change of the acceptor set. */
+struct ChangeResult {
   std::optional<base::ResultCode> code;
   AcceptorSetChange::Callback callback() {
     return [this](base::ResultCode result) { code = result; };
@@ -23,14 +23,14 @@
 
 base::ResultCode replaceAndWait(TestCluster& cluster, std::size_t driver, std::size_t leaving,
                                 std::size_t joining) {
-  SetOutcome outcome;
+  ChangeResult outcome;
   cluster.core(driver).change->replace(cluster.member(leaving), cluster.member(joining),
                                        outcome.callback());
   cluster.world.runUntil([&] { return outcome.code.has_value(); }, seconds(30));
   return outcome.code.value_or(base::ResultCode::InternalError);
 }
 
-/** Replaces all five members one by one; how many keys the new members still know. */
+/** Replaces all five members one by one. @return the number of keys that the new members have. */
 std::size_t keysAfterReplacingAll(bool skip_transfer) {
   TestOptions options;
   options.change.test_skip_transfer = skip_transfer;
@@ -52,12 +52,12 @@
   EXPECT_EQ(keysAfterReplacingAll(false), KeyCount);
 }
 
-/** Without the copy the registers are lost, so the test above can fail. */
-TEST(AcceptorSetChangeTest, ReplacingWithoutTheCopyLosesRegisters) {
+/** Shows that the test above detects lost registers. */
+TEST(AcceptorSetChangeTest, ReplacingWithoutTransferLosesRegisters) {
   EXPECT_LT(keysAfterReplacingAll(true), KeyCount);
 }
 
-TEST(AcceptorSetChangeTest, NewMemberHoldsEverythingBeforeTheOldOneLeaves) {
+TEST(AcceptorSetChangeTest, NewMemberHasEveryRegisterBeforeTheOldOneLeaves) {
   TestOptions options;
   options.proposer.operation_deadline = seconds(20);
   options.scrubber.page_interval = std::chrono::hours(1);
@@ -80,12 +80,12 @@
   cluster.world.runFor(milliseconds(20));
   const std::size_t joining = cluster.addCore();
   cluster.world.runFor(seconds(1));
-  SetOutcome added;
+  ChangeResult added;
   cluster.core(0).change->add(cluster.member(joining), added.callback());
   cluster.world.runFor(seconds(2));
   EXPECT_EQ(added.code, base::ResultCode::Ok);
   EXPECT_EQ(cluster.core(0).acceptor->acceptorSet().members.size(), 4U);
-  SetOutcome removed;
+  ChangeResult removed;
   cluster.core(0).change->remove(cluster.member(1), removed.callback());
   cluster.world.runFor(seconds(2));
   EXPECT_EQ(removed.code, base::ResultCode::Ok);
@@ -93,8 +93,8 @@
   EXPECT_TRUE(cluster.core(joining).acceptor->mayVote());
 }
 
-/** The driver and one more member are lost at any moment of a change; another core finishes it. */
-TEST(AcceptorSetChangeTest, AnotherCoreFinishesAfterTheDriverDied) {
+/** The driver and one more member fail at any moment of a change; another core finishes it. */
+TEST(AcceptorSetChangeTest, AnotherCoreFinishesAfterTheDriverFailed) {
   std::size_t replaced = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     TestCluster cluster(seed, 5);
@@ -104,13 +104,13 @@
     cluster.world.runFor(milliseconds(600));
     cluster.network.conditions.loss = 0.01;
     clients.start(2);
-    SetOutcome first;
+    ChangeResult first;
     const wire::AcceptorMember lost = cluster.member(4);
     cluster.wipe(4);
     cluster.core(0).change->replace(lost, cluster.member(joining), first.callback());
     cluster.world.runFor(std::chrono::microseconds(seed * 300));
     cluster.kill(0);
-    SetOutcome second;
+    ChangeResult second;
     cluster.core(1).change->resume(second.callback());
     cluster.world.runUntil([&] { return second.code.has_value(); }, seconds(30));
     ASSERT_EQ(second.code, base::ResultCode::Ok) << "seed " << seed;
@@ -139,8 +139,8 @@
     cluster.world.runFor(milliseconds(600));
     cluster.network.conditions.loss = 0.02;
     clients.start(2);
-    SetOutcome first;
-    SetOutcome second;
+    ChangeResult first;
+    ChangeResult second;
     cluster.core(0).change->replace(cluster.member(4), cluster.member(first_new), first.callback());
     cluster.world.runFor(std::chrono::microseconds(cluster.world.random().below(20000)));
     cluster.core(1).change->replace(cluster.member(4), cluster.member(second_new),
@@ -156,7 +156,7 @@
   }
 }
 
-TEST(AcceptorSetChangeTest, RollsBackWhereTheNewMemberDies) {
+TEST(AcceptorSetChangeTest, RollsBackWhenTheNewMemberFails) {
   TestCluster cluster(9, 5);
   cluster.world.runFor(milliseconds(20));
   const auto before = cluster.core(0).acceptor->acceptorSet().members;
@@ -171,22 +171,22 @@
   EXPECT_EQ(replaceAndWait(cluster, 0, 4, other), base::ResultCode::Ok);
 }
 
-TEST(AcceptorSetChangeTest, AWipedCoreIsAdmittedAgainAtItsOldAddress) {
+TEST(AcceptorSetChangeTest, WipedCoreIsAdmittedAgainAtItsOldAddress) {
   TestCluster cluster(10, 5);
   cluster.world.runFor(milliseconds(20));
   const wire::AcceptorMember lost = cluster.member(2);
   cluster.wipe(2);
   cluster.restart(2);
   cluster.world.runFor(seconds(1));
-  SetOutcome outcome;
+  ChangeResult outcome;
   cluster.core(0).change->replace(lost, cluster.member(2), outcome.callback());
   cluster.world.runFor(seconds(3));
   EXPECT_EQ(outcome.code, base::ResultCode::Ok);
   EXPECT_TRUE(cluster.core(2).acceptor->mayVote());
 }
 
-/** The members hold a set which the register does not know, so that every swap is refused. */
-TEST(AcceptorSetChangeTest, PausesAndGivesUpWhereTheRegisterIsBehindTheMembers) {
+/** The members have a set that the register does not contain, so that every swap fails. */
+TEST(AcceptorSetChangeTest, PausesAndGivesUpWhenTheRegisterLagsBehindTheMembers) {
   TestCluster cluster(12, 5);
   cluster.world.runFor(milliseconds(20));
   wire::AcceptorSet ahead = cluster.core(0).acceptor->acceptorSet();
@@ -196,42 +196,42 @@
   }
   const std::size_t joining = cluster.addCore();
   cluster.world.runFor(seconds(1));
-  SetOutcome outcome;
+  ChangeResult outcome;
   cluster.core(0).change->replace(cluster.member(4), cluster.member(joining), outcome.callback());
   const std::uint64_t attempts_before = cluster.core(0).proposer->counters().attempts;
   cluster.world.runFor(seconds(1));
-  // Two for each retry pause at the most.
+  // At most two attempts for each retry pause.
   EXPECT_LE(cluster.core(0).proposer->counters().attempts - attempts_before, 42U);
   cluster.world.runFor(seconds(9));
   EXPECT_EQ(outcome.code, base::ResultCode::NoQuorum);
 }
 
-/** Members are wiped and replaced one after the other while faults go on. */
+/** Members are wiped and replaced one after the other under further faults. */
 TEST(AcceptorSetChangeTest, HistoriesAreLinearizableAcrossReplacementsUnderFaults) {
   std::size_t replaced = 0;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     TestCluster cluster(seed, 5);
     Clients clients(cluster);
-    Faults faults(cluster, 0);
+    FaultInjector faults(cluster, 0);
     cluster.world.runFor(milliseconds(20));
     clients.start(3);
     for (std::size_t leaving = 0; leaving < 3; ++leaving) {
       const std::size_t joining = cluster.addCore();
       cluster.world.runFor(milliseconds(600));
       cluster.network.conditions.loss = 0.02;
-      SetOutcome outcome;
+      ChangeResult outcome;
       TestCore& driver = cluster.core(cluster.informedCore());
       driver.change->replace(cluster.member(leaving), cluster.member(joining), outcome.callback());
       faults.run(seconds(1));
       faults.heal();
       cluster.world.runFor(seconds(1));
-      SetOutcome resumed;
+      ChangeResult resumed;
       cluster.core(joining).change->resume(resumed.callback());
       cluster.world.runUntil([&] { return resumed.code.has_value(); }, seconds(30));
       const auto& members = cluster.core(joining).acceptor->acceptorSet().members;
-      const bool in =
+      const bool is_member =
           std::find(members.begin(), members.end(), cluster.member(joining)) != members.end();
-      if (in && resumed.code == base::ResultCode::Ok) {
+      if (is_member && resumed.code == base::ResultCode::Ok) {
         ++replaced;
         cluster.wipe(leaving);
         cluster.restart(leaving);
--- a/libraries/registers/test/acceptor_test.cc
+++ b/libraries/registers/test/acceptor_test.cc
@@ -2,8 +2,8 @@
 
 #include <gtest/gtest.h>
 
-#include "cluster.h"
 #include "switchsaddle/wire/stored_record.h"
+#include "test_cluster.h"
 
 namespace switchsaddle::registers {
 namespace {
@@ -13,16 +13,16 @@
 
 constexpr const char* Key = "configuration";
 
-/** Three core nodes; the tests send requests from the second to the first. */
+/** Three core nodes; the tests send requests from the second to the acceptor of the first. */
 class AcceptorTest : public testing::Test {
  protected:
   AcceptorTest() : cluster_(1, 3) { cluster_.world.runFor(milliseconds(20)); }
 
   template <class Reply, class Request>
-  std::optional<Reply> ask(const Request& request) {
+  std::optional<Reply> request(const Request& message) {
     std::optional<Reply> reply;
     bool ended = false;
-    cluster_.core(1).calls->call(cluster_.core(0).address, request, seconds(1),
+    cluster_.core(1).calls->call(cluster_.core(0).address, message, seconds(1),
                                  [&](const transport::CallResult& result) {
                                    ended = true;
                                    if (const auto* answer = result.as<Reply>()) {
@@ -33,14 +33,15 @@
     return reply;
   }
   wire::RegisterReply prepare(std::uint64_t round, std::uint64_t epoch = 1) {
-    return ask<wire::RegisterReply>(wire::PrepareRequest{Key, {round, 1}, epoch}).value();
+    return request<wire::RegisterReply>(wire::PrepareRequest{Key, {round, 1}, epoch}).value();
   }
   wire::RegisterReply accept(std::uint64_t round, const std::string& value) {
-    return ask<wire::RegisterReply>(wire::AcceptRequest{Key, {round, 1}, 1, value, {}}).value();
+    return request<wire::RegisterReply>(wire::AcceptRequest{Key, {round, 1}, 1, value, {}}).value();
   }
   bool install(std::uint64_t round, const std::string& value) {
     const wire::RegisterScanEntry entry{Key, {}, {round, 1}, value, {}};
-    return ask<wire::RegisterInstallReply>(wire::RegisterInstallRequest{{entry}, 1, {}})->synced;
+    return request<wire::RegisterInstallReply>(wire::RegisterInstallRequest{{entry}, 1, {}})
+        ->synced;
   }
   Acceptor& acceptor() { return *cluster_.core(0).acceptor; }
   TestDisk& disk() { return cluster_.core(0).disk; }
@@ -48,7 +49,7 @@
   TestCluster cluster_;
 };
 
-TEST_F(AcceptorTest, KeepsPromisesAndValuesOverARestart) {
+TEST_F(AcceptorTest, KeepsPromisedBallotsAndValuesAfterARestart) {
   EXPECT_EQ(prepare(5).verdict, wire::RegisterVerdict::Granted);
   EXPECT_EQ(accept(5, "five").verdict, wire::RegisterVerdict::Granted);
   EXPECT_EQ(prepare(8).accepted.round, 5U);
@@ -61,7 +62,7 @@
   EXPECT_EQ(answer.value, "five");
 }
 
-TEST_F(AcceptorTest, ReadsRecordsFromBeforeTheAgeWasKept) {
+TEST_F(AcceptorTest, LoadsRecordsWithoutTheTimeOfAcceptance) {
   cluster_.kill(0);
   const wire::Ballot ballot{4, 1};
   disk().records["register/old"] =
@@ -84,7 +85,7 @@
                                  });
     cluster_.world.runFor(std::chrono::microseconds(round * 80));
     cluster_.kill(0);
-    // The answer may be on its way when the node dies.
+    // The answer may be in flight when the node is killed.
     cluster_.world.runFor(milliseconds(5));
     cluster_.restart(0);
     cluster_.world.runFor(milliseconds(5));
@@ -94,7 +95,7 @@
   }
 }
 
-TEST_F(AcceptorTest, AnswersUnavailableWhileTheDiskFailsAndRereadsAfterwards) {
+TEST_F(AcceptorTest, AnswersUnavailableWhileTheDiskFailsAndReloadsAfterwards) {
   EXPECT_EQ(accept(1, "one").verdict, wire::RegisterVerdict::Granted);
   disk().failing = true;
   EXPECT_EQ(accept(2, "two").verdict, wire::RegisterVerdict::Unavailable);
@@ -106,10 +107,10 @@
   EXPECT_EQ(*acceptor().acceptedValue(Key), "one");
 }
 
-TEST_F(AcceptorTest, DoesNotAnswerForACommitBehindAFailedOne) {
+TEST_F(AcceptorTest, RejectsACommitSubmittedBeforeAnEarlierOneFailed) {
   wire::AcceptorSet newer = acceptor().acceptorSet();
   newer.epoch = 2;
-  // Long enough for the request to arrive while the commit before it is under way.
+  // Long enough for the request to arrive while the commit before it is in progress.
   disk().extra_delay = milliseconds(20);
   disk().full_for_one_commit = true;
   std::optional<bool> installed;
@@ -120,17 +121,18 @@
   EXPECT_EQ(acceptor().acceptorSet().epoch, 1U);
 }
 
-TEST_F(AcceptorTest, AnswersUnavailableWhereTheDiskIsSlow) {
+TEST_F(AcceptorTest, AnswersUnavailableWhenACommitExceedsItsBound) {
   disk().extra_delay = milliseconds(700);
-  const base::TimePoint asked = cluster_.world.now();
+  const base::TimePoint requested_at = cluster_.world.now();
   EXPECT_EQ(prepare(1).verdict, wire::RegisterVerdict::Unavailable);
-  EXPECT_LT(cluster_.world.now() - asked, milliseconds(600));
+  EXPECT_LT(cluster_.world.now() - requested_at, milliseconds(600));
 }
 
-TEST_F(AcceptorTest, NamesTheNewerSetToOlderRequestsAndRefusesNewerOnes) {
+TEST_F(AcceptorTest, SendsItsSetToLaggingProposersAndRejectsNewerEpochs) {
   wire::AcceptorSet newer = acceptor().acceptorSet();
   newer.epoch = 4;
-  EXPECT_TRUE(ask<wire::AcceptorSetInstallReply>(wire::AcceptorSetInstallRequest{newer})->synced);
+  EXPECT_TRUE(
+      request<wire::AcceptorSetInstallReply>(wire::AcceptorSetInstallRequest{newer})->synced);
   const wire::RegisterReply older = prepare(1, 3);
   EXPECT_EQ(older.verdict, wire::RegisterVerdict::OtherAcceptorSet);
   EXPECT_EQ(older.newer_set.epoch, 4U);
@@ -138,7 +140,7 @@
   EXPECT_EQ(prepare(1, 4).verdict, wire::RegisterVerdict::Granted);
 }
 
-TEST_F(AcceptorTest, AWipedInstanceDoesNotVote) {
+TEST_F(AcceptorTest, WipedInstanceDoesNotVote) {
   cluster_.wipe(0);
   cluster_.restart(0);
   cluster_.world.runFor(seconds(1));
@@ -147,7 +149,7 @@
   EXPECT_FALSE(install(1, "one"));
 }
 
-TEST_F(AcceptorTest, TakesCopiesOnlyByTheRuleOfTheAcceptRound) {
+TEST_F(AcceptorTest, InstallsCopiesOnlyByTheAcceptRule) {
   EXPECT_TRUE(install(3, "three"));
   EXPECT_TRUE(install(2, "two"));
   EXPECT_EQ(*acceptor().acceptedValue(Key), "three");
@@ -156,7 +158,7 @@
   EXPECT_EQ(*acceptor().acceptedValue(Key), "three");
 }
 
-TEST_F(AcceptorTest, MakesNoPromiseOnADamagedRegister) {
+TEST_F(AcceptorTest, RejectsPrepareForADamagedRegisterUntilItIsAccepted) {
   EXPECT_EQ(accept(1, "one").verdict, wire::RegisterVerdict::Granted);
   EXPECT_EQ(acceptor().markDamaged(std::string("register/") + Key), Key);
   EXPECT_EQ(prepare(2).verdict, wire::RegisterVerdict::Unavailable);
--- a/libraries/registers/test/bootstrap_test.cc
+++ b/libraries/registers/test/bootstrap_test.cc
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-#include "cluster.h"
+#include "test_cluster.h"
 
 namespace switchsaddle::registers {
 namespace {
@@ -12,14 +12,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TestOptions unsettled() {
+TestOptions withoutFirstSet() {
   TestOptions options;
   options.first_set_known = false;
   return options;
 }
 
-TEST(BootstrapTest, SettlesTheFirstSetOnlyOnceAllHaveAnswered) {
-  TestCluster cluster(1, 5, unsettled());
+TEST(BootstrapTest, CommitsTheFirstSetOnlyOnceAllInitialCoresAnswered) {
+  TestCluster cluster(1, 5, withoutFirstSet());
   for (const std::size_t index : {0, 1, 2, 3}) {
     cluster.restart(index);
   }
@@ -35,9 +35,9 @@
   }
 }
 
-TEST(BootstrapTest, SettlesOneSetUnderLossAndKills) {
+TEST(BootstrapTest, CommitsOneSetUnderLossAndKills) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    TestCluster cluster(seed, 5, unsettled());
+    TestCluster cluster(seed, 5, withoutFirstSet());
     cluster.network.conditions.loss = 0.1;
     for (int round = 0; round < 20; ++round) {
       const std::size_t index = cluster.world.random().below(5);
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(BootstrapTest, AWipedCoreStaysUnadmittedAndIsNamedACandidate) {
+TEST(BootstrapTest, WipedCoreStaysUnadmittedAndBecomesACandidate) {
   for (const std::size_t wiped : {0, 3}) {
     TestCluster cluster(7, 5);
     cluster.world.runFor(milliseconds(50));
--- a/libraries/registers/test/clients.cc
+++ b/libraries/registers/test/clients.cc
@@ -37,27 +37,27 @@
 }
 
 RegisterOutcome Clients::readOnce() {
-  RegisterOutcome seen;
+  RegisterOutcome read;
   bool done = false;
   const std::size_t operation = history.begin(false, cluster_.world.now());
   cluster_.core(cluster_.informedCore()).proposer->read(Key, [&](const RegisterOutcome& outcome) {
     history.end(operation, outcome, cluster_.world.now());
-    seen = outcome;
+    read = outcome;
     done = true;
   });
   cluster_.world.runUntil([&] { return done; }, seconds(10));
-  return seen;
+  return read;
 }
 
-void Faults::run(base::Duration duration) {
+void FaultInjector::run(base::Duration duration) {
   const base::TimePoint end = cluster_.world.now() + duration;
   while (cluster_.world.now() < end) {
     cluster_.world.runFor(milliseconds(10 + cluster_.world.random().below(120)));
-    one();
+    injectOne();
   }
 }
 
-void Faults::heal() {
+void FaultInjector::heal() {
   cluster_.network.healAll();
   cluster_.network.conditions.loss = 0;
   for (std::size_t index = 0; index < cluster_.size(); ++index) {
@@ -66,15 +66,15 @@
   }
 }
 
-void Faults::one() {
+void FaultInjector::injectOne() {
   simulation::World& world = cluster_.world;
   const std::size_t index = world.random().below(cluster_.size());
   switch (world.random().below(9)) {
     case 0:
-      cluster_.cutAtRandom(2);
+      cluster_.partitionAtRandom(2);
       break;
     case 1:
-      cluster_.cutAtRandom(1);
+      cluster_.partitionAtRandom(1);
       break;
     case 2:
     case 3:
--- a/libraries/registers/test/clients.h
+++ b/libraries/registers/test/clients.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "cluster.h"
 #include "history.h"
+#include "test_cluster.h"
 
 namespace switchsaddle::registers {
 
@@ -13,7 +13,7 @@
   explicit Clients(TestCluster& cluster) : cluster_(cluster) {}
   void start(std::size_t clients);
   void stop() { stopping_ = true; }
-  /** One read at a node that knows the acceptor set. */
+  /** Reads once at a node that has the acceptor set, and waits for the outcome. */
   RegisterOutcome readOnce();
 
   History history;
@@ -26,17 +26,17 @@
   bool stopping_ = false;
 };
 
-/** Cuts, kills, freezes and wipes at random, one fault after the other. */
-class Faults {
+/** Injects partitions, kills, freezes and wipes at random, one fault after the other. */
+class FaultInjector {
  public:
-  Faults(TestCluster& cluster, std::size_t most_wipes)
+  FaultInjector(TestCluster& cluster, std::size_t most_wipes)
       : cluster_(cluster), wipes_left_(most_wipes) {}
   void run(base::Duration duration);
-  /** Ends every fault but the wipes. */
+  /** Ends every fault except the wipes. */
   void heal();
 
  private:
-  void one();
+  void injectOne();
 
   TestCluster& cluster_;
   std::size_t wipes_left_;
--- a/libraries/registers/test/history.cc
+++ b/libraries/registers/test/history.cc
@@ -30,8 +30,8 @@
 void History::end(std::size_t operation, const RegisterOutcome& outcome, base::TimePoint now) {
   Operation& ended = operations_[operation];
   ended.ended = now;
-  ended.known = outcome.code == base::ResultCode::Ok;
-  if (!ended.known) {
+  ended.succeeded = outcome.code == base::ResultCode::Ok;
+  if (!ended.succeeded) {
     return;
   }
   ended.changed = outcome.changed;
@@ -42,7 +42,7 @@
 std::size_t History::succeeded() const {
   return static_cast<std::size_t>(
       std::count_if(operations_.begin(), operations_.end(),
-                    [](const auto& operation) { return operation.known; }));
+                    [](const auto& operation) { return operation.succeeded; }));
 }
 
 std::string History::violation() const {
@@ -55,18 +55,18 @@
   std::map<std::string, std::uint64_t> number_of;
   for (std::size_t index = 0; index < operations_.size(); ++index) {
     const Operation& operation = operations_[index];
-    if (!operation.known) {
+    if (!operation.succeeded) {
       continue;
     }
     const std::string name = "operation " + std::to_string(index);
     if (operation.is_change && operation.writer != "/" + std::to_string(index)) {
-      return name + " was told another's value";
+      return name + " returned another operation's value";
     }
     if (writer_of.emplace(operation.number, operation.writer).first->second != operation.writer) {
-      return name + " saw a second writer of number " + std::to_string(operation.number);
+      return name + " observed a second writer of number " + std::to_string(operation.number);
     }
     if (number_of.emplace(operation.writer, operation.number).first->second != operation.number) {
-      return name + " saw a change that took effect twice";
+      return name + " observed a change that took effect twice";
     }
   }
   return {};
@@ -77,7 +77,7 @@
     for (std::size_t second = 0; second < operations_.size(); ++second) {
       const Operation& before = operations_[first];
       const Operation& after = operations_[second];
-      if (!before.known || !after.known || before.ended >= after.started) {
+      if (!before.succeeded || !after.succeeded || before.ended >= after.started) {
         continue;
       }
       const bool in_order =
--- a/libraries/registers/test/history.h
+++ b/libraries/registers/test/history.h
@@ -10,18 +10,18 @@
 namespace switchsaddle::registers {
 
 /**
- * What the clients of one register saw. Each change turns "N/previous writer" into "N+1/writer", so
- * that a linearizable history gives every change its own number, and numbers never fall from an
- * operation to one that started after its end.
+ * The operations of the clients of one register, with their outcomes. Each change turns "N/previous
+ * writer" into "N+1/writer", so that a linearizable history gives every change its own number, and
+ * numbers never fall from an operation to one that started after its end.
  */
 class History {
  public:
-  /** Records the start of an operation; its index. */
+  /** Records the start of an operation. @return its index. */
   std::size_t begin(bool is_change, base::TimePoint now);
   /** The change function of the operation. */
   static ChangeFunction increment(std::size_t operation);
   void end(std::size_t operation, const RegisterOutcome& outcome, base::TimePoint now);
-  /** The first violation found; empty where the history is linearizable. */
+  /** @return the first violation found; empty where the history is linearizable. */
   std::string violation() const;
   std::size_t succeeded() const;
   std::size_t started() const { return operations_.size(); }
@@ -31,9 +31,9 @@
     bool is_change = false;
     base::TimePoint started;
     base::TimePoint ended;
-    bool known = false;
+    bool succeeded = false;
     std::uint64_t number = 0;
-    /** The operation that wrote the value seen; none for the unwritten register. */
+    /** The operation that wrote the value read; empty for the unwritten register. */
     std::string writer;
     bool changed = false;
   };
--- a/libraries/registers/test/keys.h
+++ b/libraries/registers/test/keys.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cluster.h"
+#include "test_cluster.h"
 
 namespace switchsaddle::registers {
 
@@ -8,9 +8,10 @@
 inline constexpr std::size_t KeyCount = 450;
 
 std::string keyName(std::size_t index);
-/** Writes each key's index into its register by the first node; whether all were written. */
+/** Writes each key's index into its register through the first node. @return whether all succeeded.
+ */
 bool writeKeys(TestCluster& cluster);
-/** How many keys read back right at a node. */
+/** @return the number of keys that have their value when read through a node. */
 std::size_t countIntact(TestCluster& cluster, std::size_t reader);
 
 }  // namespace switchsaddle::registers
--- a/libraries/registers/test/quorum_proposer_test.cc
+++ b/libraries/registers/test/quorum_proposer_test.cc
@@ -12,8 +12,8 @@
 
 constexpr const char* Key = Clients::Key;
 
-/** Keeps the outcome of one operation. */
-struct Pending {
+/** Records the outcome of one operation. */
+struct PendingOperation {
   RegisterOutcome outcome;
   bool ended = false;
   RegisterCallback callback() {
@@ -43,7 +43,7 @@
   options.proposer.test_quorum_size = quorum_size;
   TestCluster cluster(seed, 5, options);
   Clients clients(cluster);
-  Faults faults(cluster, wipes);
+  FaultInjector faults(cluster, wipes);
   cluster.world.runFor(milliseconds(20));
   cluster.network.conditions.loss = 0.02;
   cluster.network.conditions.duplication = 0.02;
@@ -57,26 +57,26 @@
           last_read};
 }
 
-TEST(QuorumProposerTest, ChangesAndReadsOnAQuietNetwork) {
+TEST(QuorumProposerTest, ChangesAndReadsWithoutFaults) {
   TestCluster cluster(1, 5);
   cluster.world.runFor(milliseconds(20));
-  Pending changed;
-  Pending seen;
+  PendingOperation changed;
+  PendingOperation read;
   cluster.core(0).proposer->change(Key, History::increment(7), changed.callback());
   cluster.world.runFor(milliseconds(100));
   EXPECT_EQ(changed.outcome.code, base::ResultCode::Ok);
   EXPECT_TRUE(changed.outcome.changed);
   EXPECT_EQ(changed.outcome.value, "1/7");
-  cluster.core(3).proposer->read(Key, seen.callback());
+  cluster.core(3).proposer->read(Key, read.callback());
   cluster.world.runFor(milliseconds(100));
-  EXPECT_EQ(seen.outcome.value, "1/7");
-  EXPECT_FALSE(seen.outcome.changed);
+  EXPECT_EQ(read.outcome.value, "1/7");
+  EXPECT_FALSE(read.outcome.changed);
 }
 
-TEST(QuorumProposerTest, WaitingOperationsShareRounds) {
+TEST(QuorumProposerTest, QueuedOperationsShareRounds) {
   TestCluster cluster(2, 5);
   cluster.world.runFor(milliseconds(20));
-  std::vector<Pending> changes(50);
+  std::vector<PendingOperation> changes(50);
   for (std::size_t index = 0; index < changes.size(); ++index) {
     cluster.core(0).proposer->change(Key, History::increment(index), changes[index].callback());
   }
@@ -88,13 +88,13 @@
   EXPECT_LE(cluster.core(0).proposer->counters().attempts, 2U);
 }
 
-TEST(QuorumProposerTest, FailsEarlyWhereAMajorityRefusesConnections) {
+TEST(QuorumProposerTest, FailsFastWhenAMajorityRefusesConnections) {
   TestCluster cluster(3, 5);
   cluster.world.runFor(milliseconds(20));
   for (const std::size_t index : {2, 3, 4}) {
     cluster.kill(index);
   }
-  Pending read;
+  PendingOperation read;
   cluster.core(0).proposer->read(Key, read.callback());
   EXPECT_TRUE(cluster.world.runUntil([&] { return read.ended; }, milliseconds(50)));
   EXPECT_EQ(read.outcome.code, base::ResultCode::NoQuorum);
@@ -104,9 +104,9 @@
   TestCluster cluster(4, 5);
   cluster.world.runFor(milliseconds(20));
   for (const std::size_t index : {2, 3, 4}) {
-    cluster.cut(0, index);
+    cluster.partition(0, index);
   }
-  Pending read;
+  PendingOperation read;
   cluster.core(0).proposer->read(Key, read.callback());
   cluster.world.runFor(milliseconds(1990));
   EXPECT_FALSE(read.ended);
@@ -121,14 +121,14 @@
     cluster.world.runFor(milliseconds(20));
     cluster.network.conditions.loss = 0.02;
     cluster.network.conditions.duplication = 0.05;
-    std::vector<Pending> races(10);
+    std::vector<PendingOperation> races(10);
     for (std::size_t index = 0; index < races.size(); ++index) {
       const std::string next = "client " + std::to_string(index);
       cluster.core(index % 5).proposer->change(Key, swapFrom("", next), races[index].callback());
     }
     cluster.world.runFor(seconds(5));
     std::size_t winners = 0;
-    for (const Pending& race : races) {
+    for (const PendingOperation& race : races) {
       ASSERT_EQ(race.outcome.code, base::ResultCode::Ok) << "seed " << seed;
       EXPECT_EQ(race.outcome.value, races[0].outcome.value) << "seed " << seed;
       winners += race.outcome.changed ? 1 : 0;
@@ -137,25 +137,25 @@
   }
 }
 
-/** The proposer stops after any number of events of its change, and goes on or dies. */
+/** The proposer freezes after any number of events of its change; it then resumes or is killed. */
 TEST(QuorumProposerTest, ProposerFrozenOrKilledBetweenRoundsIsSafe) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     TestCluster cluster(seed, 5);
     cluster.world.runFor(milliseconds(20));
-    Pending stopped;
+    PendingOperation stopped;
     cluster.core(0).proposer->change(Key, swapFrom("", "first"), stopped.callback());
     for (std::uint64_t event = 0; event < seed / 2; ++event) {
       cluster.world.step();
     }
     const bool kill = seed % 2 == 0;
     kill ? cluster.kill(0) : cluster.core(0).process.freeze();
-    Pending second;
+    PendingOperation second;
     cluster.core(1).proposer->change(Key, swapFrom("", "second"), second.callback());
     cluster.world.runFor(seconds(3));
     ASSERT_EQ(second.outcome.code, base::ResultCode::Ok);
     cluster.core(0).process.wake();
     cluster.world.runFor(seconds(3));
-    Pending last;
+    PendingOperation last;
     cluster.core(2).proposer->read(Key, last.callback());
     cluster.world.runFor(seconds(1));
     EXPECT_EQ(last.outcome.value, second.outcome.value) << "seed " << seed;
@@ -180,7 +180,7 @@
   EXPECT_GT(succeeded * 3, started);
 }
 
-/** The checker finds the fault that quorums without an intersection make. */
+/** Shows that the checker detects quorums without an intersection. */
 TEST(QuorumProposerTest, CheckerFindsQuorumsOfTwoOfFive) {
   std::size_t violations = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
--- a/libraries/registers/test/register_expiry_test.cc
+++ b/libraries/registers/test/register_expiry_test.cc
@@ -1,5 +1,5 @@
-// Registers that expire: memory and disks stay flat, and what was removed at some acceptors never
-// comes back over what was written since and has not expired.
+// Registers that expire: memory and disks stay bounded, and a value removed at some acceptors never
+// replaces one that was written since and has not expired.
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <iostream>
 #include <map>
 
-#include "cluster.h"
+#include "test_cluster.h"
 
 namespace switchsaddle::registers {
 namespace {
@@ -28,18 +28,18 @@
   return options;
 }
 
-/** Claims keys through random nodes under faults; each claim is to hold for the lifetime from when
- * it was begun, whatever some acceptor still holds of the claims before it. */
+/** Claims keys through random nodes under faults. Each claim must last for the lifetime from its
+ * start, whatever earlier claims some acceptor still has. */
 class ExpiringClaims {
  public:
   ExpiringClaims(std::uint64_t seed, bool forget_removed)
       : cluster_(seed, 3, expiringOptions(forget_removed)) {}
 
-  /** The first broken promise, or nothing. */
+  /** @return the first violation, or an empty string. */
   std::string run(base::Duration duration) {
     const base::TimePoint end = cluster_.world.now() + duration;
     while (cluster_.world.now() < end && violation_.empty()) {
-      disturb();
+      injectFault();
       claim("claim/" + std::to_string(random().below(4)));
       cluster_.world.runFor(milliseconds(100 + random().below(900)));
     }
@@ -49,15 +49,15 @@
   std::uint64_t claimedAgain() const { return claimed_again_; }
 
  private:
-  struct Held {
+  struct Claim {
     std::string value;
-    base::TimePoint begun_at;
-    base::TimePoint known_at;
+    base::TimePoint started_at;
+    base::TimePoint acknowledged_at;
   };
 
   base::RandomSource& random() { return cluster_.world.random(); }
 
-  void disturb() {
+  void injectFault() {
     const std::size_t index = random().below(cluster_.size());
     switch (random().below(12)) {
       case 0:
@@ -68,9 +68,9 @@
         cluster_.restart(index);
         break;
       case 3:
-        // Mostly for longer than any claim lives.
+        // Mostly for longer than the lifetime of a claim.
         cluster_.network.healAll();
-        cluster_.cutAtRandom(1);
+        cluster_.partitionAtRandom(1);
         break;
       case 4:
         if (random().chance(0.3)) {
@@ -88,51 +88,51 @@
       return;
     }
     const std::string value = "run-" + std::to_string(++runs_);
-    const base::TimePoint begun_at = cluster_.world.now();
-    const auto known = held_.find(key);
-    const std::optional<Held> before =
-        known == held_.end() ? std::nullopt : std::optional(known->second);
+    const base::TimePoint started_at = cluster_.world.now();
+    const auto previous = claims_.find(key);
+    const std::optional<Claim> before =
+        previous == claims_.end() ? std::nullopt : std::optional(previous->second);
     cluster_.core(index).proposer->change(
         key,
         [value](const std::string& present) {
           return present.empty() ? std::optional(value) : std::nullopt;
         },
-        [this, key, value, begun_at, before](const RegisterOutcome& outcome) {
+        [this, key, value, started_at, before](const RegisterOutcome& outcome) {
           if (outcome.code == base::ResultCode::Ok) {
-            onOutcome(key, value, begun_at, before, outcome);
+            onOutcome(key, value, started_at, before, outcome);
           }
         });
   }
 
-  void onOutcome(const std::string& key, const std::string& value, base::TimePoint begun_at,
-                 const std::optional<Held>& before, const RegisterOutcome& outcome) {
+  void onOutcome(const std::string& key, const std::string& value, base::TimePoint started_at,
+                 const std::optional<Claim>& before, const RegisterOutcome& outcome) {
     const base::TimePoint now = cluster_.world.now();
-    const bool must_hold = before && begun_at > before->known_at &&
-                           now < before->begun_at + Lifetime && outcome.value != before->value;
-    if (must_hold) {
+    const bool must_last = before && started_at > before->acknowledged_at &&
+                           now < before->started_at + Lifetime && outcome.value != before->value;
+    if (must_last) {
       violation_ = key + ": " + outcome.value + " in place of " + before->value;
     }
     if (!outcome.changed || outcome.value != value) {
       return;
     }
     ++claimed_;
-    const auto known = held_.find(key);
-    if (known != held_.end() && known->second.begun_at > begun_at) {
+    const auto previous = claims_.find(key);
+    if (previous != claims_.end() && previous->second.started_at > started_at) {
       return;
     }
-    claimed_again_ += known == held_.end() ? 0 : 1;
-    held_[key] = {value, begun_at, now};
+    claimed_again_ += previous == claims_.end() ? 0 : 1;
+    claims_[key] = {value, started_at, now};
   }
 
   TestCluster cluster_;
   std::uint64_t runs_ = 0;
   std::uint64_t claimed_ = 0;
   std::uint64_t claimed_again_ = 0;
-  std::map<std::string, Held> held_;
+  std::map<std::string, Claim> claims_;
   std::string violation_;
 };
 
-TEST(RegisterExpiryTest, ClaimsHoldForTheirLifetime) {
+TEST(RegisterExpiryTest, ClaimsLastForTheirLifetime) {
   std::uint64_t again = 0;
   for (std::uint64_t seed = 1; seed <= 1'000; ++seed) {
     ExpiringClaims claims(seed, false);
@@ -143,7 +143,7 @@
   EXPECT_GT(again, 3'000U);
 }
 
-TEST(RegisterExpiryTest, SeesAcceptorsThatForgetWhatTheyRemoved) {
+TEST(RegisterExpiryTest, DetectsAcceptorsWithoutAFloor) {
   std::uint64_t found = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     found += ExpiringClaims(seed, true).run(seconds(300)).empty() ? 0 : 1;
@@ -153,7 +153,7 @@
 }
 
 /** Writes a claim each 200 ms for ten lifetimes while nodes restart in turn. */
-TEST(RegisterExpiryTest, MemoryAndDisksStayFlat) {
+TEST(RegisterExpiryTest, MemoryAndDisksStayBounded) {
   TestCluster cluster(1, 3, expiringOptions());
   cluster.world.runFor(milliseconds(50));
   std::size_t most_registers = 0;
@@ -184,13 +184,13 @@
   }
   std::cout << written << " claims, at most " << most_registers << " registers and " << most_records
             << " records\n";
-  // A hundred claims a lifetime; a node that is down, or loses seconds at a restart, keeps some
-  // longer.
+  // There are 100 claims in a lifetime. A node that is down, or loses seconds of running time at a
+  // restart, keeps some of them longer.
   EXPECT_LE(most_registers, 200U);
   EXPECT_LE(most_records, 210U);
 }
 
-TEST(RegisterExpiryTest, ANewMemberTakesOverTheFloorOfThoseItCopiesFrom) {
+TEST(RegisterExpiryTest, NewMemberInheritsTheFloorOfItsSources) {
   TestCluster cluster(3, 3, expiringOptions());
   cluster.world.runFor(milliseconds(50));
   bool written = false;
@@ -210,7 +210,7 @@
   EXPECT_GE(cluster.core(added).acceptor->scan("", 10).removed_floor, floor);
 }
 
-TEST(RegisterExpiryTest, RegistersWithoutALifetimeStay) {
+TEST(RegisterExpiryTest, RegistersWithoutALifetimeNeverExpire) {
   TestCluster cluster(4, 3, expiringOptions());
   cluster.world.runFor(milliseconds(50));
   cluster.core(0).proposer->change(
--- a/libraries/registers/test/scrubber_test.cc
+++ b/libraries/registers/test/scrubber_test.cc
@@ -10,15 +10,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** The registers a core holds after it was cut off while they were written. */
-std::size_t registersOfLaggard(base::Duration page_interval) {
+/** @return the number of registers at a core that was partitioned while they were written. */
+std::size_t registersOfLaggingCore(base::Duration page_interval) {
   TestOptions options;
   options.scrubber.page_interval = page_interval;
   options.proposer.operation_deadline = seconds(9);
   TestCluster cluster(3, 5, options);
   cluster.world.runFor(milliseconds(20));
   for (std::size_t index = 0; index < 4; ++index) {
-    cluster.cut(index, 4);
+    cluster.partition(index, 4);
   }
   EXPECT_TRUE(writeKeys(cluster));
   cluster.network.healAll();
@@ -26,9 +26,9 @@
   return cluster.core(4).acceptor->registerCount();
 }
 
-TEST(ScrubberTest, ALaggingAcceptorIsGivenWhatItLacks) {
-  EXPECT_EQ(registersOfLaggard(milliseconds(500)), KeyCount);
-  EXPECT_EQ(registersOfLaggard(std::chrono::hours(1)), 0U);
+TEST(ScrubberTest, LaggingAcceptorReceivesTheRegistersItLacks) {
+  EXPECT_EQ(registersOfLaggingCore(milliseconds(500)), KeyCount);
+  EXPECT_EQ(registersOfLaggingCore(std::chrono::hours(1)), 0U);
 }
 
 TEST(ScrubberTest, DamagedRegistersAreRepairedFromAMajority) {
@@ -42,7 +42,7 @@
   cluster.core(2).disk.records[record] = "flipped";
   cluster.core(2).disk.damaged = {record};
   for (const std::size_t index : {0, 1, 3, 4}) {
-    cluster.cut(index, 2);
+    cluster.partition(index, 2);
   }
   cluster.world.runFor(seconds(2));
   EXPECT_TRUE(cluster.core(2).acceptor->damagedKeys().contains(keyName(7)));
--- a/libraries/registers/test/cluster.cc
+++ b/libraries/registers/test/test_cluster.cc
@@ -1,4 +1,4 @@
-#include "cluster.h"
+#include "test_cluster.h"
 
 #include <algorithm>
 #include <numeric>
@@ -167,11 +167,11 @@
   disk.instance = world.random().next() | 1U;
 }
 
-void TestCluster::cut(std::size_t first, std::size_t second) {
+void TestCluster::partition(std::size_t first, std::size_t second) {
   network.cut(core(first).address, core(second).address);
 }
 
-void TestCluster::cutAtRandom(std::size_t boundary) {
+void TestCluster::partitionAtRandom(std::size_t boundary) {
   std::vector<std::size_t> order(cores_.size());
   std::iota(order.begin(), order.end(), std::size_t{0});
   for (std::size_t index = order.size() - 1; index > 0; --index) {
@@ -179,7 +179,7 @@
   }
   for (std::size_t first = 0; first < boundary; ++first) {
     for (std::size_t second = boundary; second < order.size(); ++second) {
-      cut(order[first], order[second]);
+      partition(order[first], order[second]);
     }
   }
 }
--- a/libraries/registers/test/cluster.h
+++ b/libraries/registers/test/test_cluster.h
@@ -15,23 +15,23 @@
 
 namespace switchsaddle::registers {
 
-/** What outlives the kill of a simulated core node. */
+/** The disk of a simulated core node, which outlives its process. */
 struct TestDisk {
   std::uint64_t instance = 0;
   bool is_new = true;
   bool failing = false;
-  /** The next commit finds the disk full, those behind it do not. */
+  /** The next commit fails because the disk is full; later ones succeed. */
   bool full_for_one_commit = false;
   /** Added to the delay of every commit. */
   base::Duration extra_delay{};
   std::map<std::string, std::string> records;
   /** Record keys that the next scrub reports as damaged. */
   std::vector<std::string> damaged;
-  /** Counts wipes and losses of power; writes not completed by then are lost. */
+  /** Counts wipes and power losses; writes that are incomplete at that time are lost. */
   std::uint64_t losses = 0;
 };
 
-/** A record store in memory with commit delays, for one life of a simulated process. */
+/** A record store in memory with commit delays, for one incarnation of a simulated process. */
 class TestRecordStore : public storage::RecordStore {
  public:
   TestRecordStore(simulation::World& world, simulation::Process& process, TestDisk& disk)
@@ -52,12 +52,12 @@
 /** The options of every core node of a cluster. */
 struct TestOptions {
   AcceptorOptions acceptor;
-  /** Of registers that expire; none where left out. */
+  /** Without it registers never expire. */
   Acceptor::LifetimeSource lifetimes;
   ProposerOptions proposer;
   AcceptorSetChangeOptions change;
   ScrubberOptions scrubber;
-  /** False: the first set is left to Bootstrap, and no node is started. */
+  /** False: Bootstrap commits the first set, and no node is started. */
   bool first_set_known = true;
 };
 
@@ -92,18 +92,18 @@
   TestCluster(std::uint64_t seed, std::size_t size, TestOptions options = {});
   ~TestCluster();
 
-  /** Adds an empty core node at a new address and starts it; its index. */
+  /** Adds an empty core node at a new address and starts it. @return its index. */
   std::size_t addCore();
-  /** Kills the process; in half of the cases the power goes too. */
+  /** Kills the process, in half of the cases by a power loss. */
   void kill(std::size_t index);
   void restart(std::size_t index);
   /** Kills the node and empties its disk. */
   void wipe(std::size_t index);
-  /** Cuts the nodes below `boundary` of a shuffled order off the others. */
-  void cutAtRandom(std::size_t boundary);
-  void cut(std::size_t first, std::size_t second);
+  /** Partitions the nodes below `boundary` of a shuffled order from the other ones. */
+  void partitionAtRandom(std::size_t boundary);
+  void partition(std::size_t first, std::size_t second);
   wire::AcceptorMember member(std::size_t index) const;
-  /** The first node that runs, is not frozen, and knows an acceptor set. */
+  /** @return the first node that runs, is not frozen, and has an acceptor set. */
   std::size_t informedCore() const;
   TestCore& core(std::size_t index) { return *cores_[index]; }
   std::size_t size() const { return cores_.size(); }
