--- a/libraries/sessions/include/switchsaddle/sessions/address_digest.h
+++ b/libraries/sessions/include/switchsaddle/sessions/address_digest.h
@@ -8,15 +8,15 @@
 
 /**
  * @file
- * Digests by which nodes find out whether they know the same addresses.
+ * Digests by which nodes compare the addresses that they know without sending them.
  */
 
 namespace switchsaddle::sessions {
 
-/** Digest of the addresses in their order. */
+/** @return the digest of the addresses in their order. */
 std::uint64_t digestOfAddresses(const std::vector<base::NodeAddress>& addresses);
 
-/** Digest of a set of fronts, as a front tells it and a core compares it. */
+/** @return the digest of a set of fronts, which a front reports and a core compares. */
 std::uint64_t digestOfFronts(const std::set<base::NodeAddress>& fronts);
 
 }  // namespace switchsaddle::sessions
--- a/libraries/sessions/include/switchsaddle/sessions/core_view.h
+++ b/libraries/sessions/include/switchsaddle/sessions/core_view.h
@@ -8,20 +8,19 @@
 
 namespace switchsaddle::sessions {
 
-/** What a core node's session table needs to know of its acceptor. Control strand. */
+/** The state of a core node's acceptor that its session table depends on. Control strand. */
 class CoreView {
  public:
   virtual ~CoreView() = default;
-  /** Members of the present acceptor set, and of the previous one while a change is under way. */
+  /** @return the members of the acceptor set, and those of the previous one during a change. */
   virtual std::vector<base::NodeAddress> coreAddresses() const = 0;
-  /** Whether these are a majority of the set, and of the previous one while a change is under way.
-   */
+  /** Whether these are a majority of the acceptor set, and of the previous one during a change. */
   virtual bool quorum(const std::set<base::NodeAddress>& answered) const = 0;
-  /** The configuration version which the local acceptor has durably accepted. */
+  /** @return the configuration version that the local acceptor has accepted and synced. */
   virtual std::uint64_t acceptedVersion() const = 0;
-  /** Epoch of the present acceptor set. */
+  /** @return the epoch of the acceptor set. */
   virtual std::uint64_t setEpoch() const { return 0; }
-  /** True while the change of the set that admits the own instance is under way. */
+  /** Whether the change of the acceptor set that admits the own instance is in progress. */
   virtual bool joining() const { return false; }
   /** False while the local acceptor's instance is not admitted or has lost its state. */
   virtual bool mayVote() const = 0;
--- a/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
+++ b/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
@@ -3,10 +3,10 @@
 #include <functional>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/sessions/session_client.h"
@@ -15,7 +15,11 @@
 
 namespace switchsaddle::sessions {
 
-/** Who a front process is. */
+class CoreSelection;
+class GrantChain;
+class RefusalGrace;
+
+/** Identifies a front process. */
 struct FrontIdentity {
   base::NodeAddress address;
   /** Random, new for each process. */
@@ -25,127 +29,127 @@
 
 /** Test-only deviations that show that a rule is needed; never set in a daemon. */
 struct SessionClientFaults {
-  /** Counts the limit from receipt of the grant, not from the moment of asking. */
+  /** Counts the front limit from receipt of the grant instead of from the request. */
   bool count_from_receipt = false;
-  /** Takes the version to be in force from the very first grant. */
+  /** Takes the version that must be in force from the first grant. */
   bool version_of_first_grant = false;
-  /** Serves without a core on refusals which began, or began again, after the lapse. */
+  /** Serves without a core on refusals that began, or began again, after the session lapsed. */
   bool grace_after_gap = false;
   /** Serves whether or not the session is valid. */
   bool ignore_lapse = false;
 };
 
 /**
- * A front's session, granted by a majority of cores through one of them.
- *
- * A session is an unbroken chain of grants, each received before the one before it ended. The
- * version that must be in force is taken from the first request made after the chain's first grant
- * was received: only then do all cores asked for it answer after a majority knew the session.
+ * A front's session, granted by a majority of cores. The front renews it by one core, the current
+ * one, and switches to the next where that refuses the connection or exceeds the core time-out; a
+ * late grant still counts. GrantChain has the rule by which the front learns the version that must
+ * be in force.
  *
- * While a majority of cores refuse connections the client serves on within the grace, provided that
- * the refusals began before the session lapsed and have never had a gap since. All this is judged
- * by the clock at the moment of asking, so that a process woken from a freeze is lapsed at once.
- * Runs on the dispatcher's strand.
+ * While a majority of cores refuse connections, the client serves on within the grace, provided
+ * that the refusals began before the session lapsed and have had no gap since, and no peer has
+ * shown a newer version. All this is evaluated by the clock when state() is called, so that the
+ * session of a process that resumes from a freeze has lapsed at once. Runs on the dispatcher's
+ * strand.
  */
 class QuorumSessionClient : public SessionClient {
  public:
-  /** Told of a newer committed version and a core address that can serve it. */
+  /** Receives a newer committed version and the address of a core that can serve it. */
   using CommittedListener = std::function<void(std::uint64_t, const base::NodeAddress&)>;
+  /** Adds further reports of the front to each renewal. */
+  using RecordSource = std::function<void(wire::SessionRecord&)>;
+  using GrantListener = std::function<void(const wire::SessionOpenReply&)>;
 
+  /** @param seeds the cores that are contacted until a grant names the acceptor set. */
   QuorumSessionClient(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
                       base::RandomSource& random, SessionTimes times,
                       std::vector<base::NodeAddress> seeds, FrontIdentity identity,
                       SessionClientFaults faults = {});
+  ~QuorumSessionClient() override;
+  QuorumSessionClient(const QuorumSessionClient&) = delete;
+  QuorumSessionClient& operator=(const QuorumSessionClient&) = delete;
 
-  void setCommittedListener(CommittedListener listener) { listener_ = std::move(listener); }
-  /** Adds to each renewal what else the cores are to hear, and hears what they say in return. */
-  using RecordSource = std::function<void(wire::SessionRecord&)>;
-  using GrantListener = std::function<void(const wire::SessionOpenReply&)>;
+  void setCommittedListener(CommittedListener listener) {
+    committed_listener_ = std::move(listener);
+  }
   void setRecordSource(RecordSource source) { record_source_ = std::move(source); }
   void setGrantListener(GrantListener listener) { grant_listener_ = std::move(listener); }
-  /** Replaces the cores asked while none is known from a grant. */
-  void setSeeds(std::vector<base::NodeAddress> seeds);
+  /** Adds cores to contact while the session is not valid, since the known ones may be gone. */
+  void setSeeds(const std::vector<base::NodeAddress>& seeds);
   void start() override;
   void close(std::function<void()> closed) override;
   SessionState state() const override;
   void setApplied(std::uint64_t version, std::uint64_t digest) override;
-  /** Renews by another of the known cores, drawn at random, from the next renewal on. */
+  /** Renews by another known core, drawn at random, from the next renewal on. */
   void turnToAnotherCore();
-  /** A peer has shown this version; one newer than that in force ends serving without a core. */
+  /** A peer has shown this version; one above the version in force ends serving without a core. */
   void noteNewerVersionSeen(std::uint64_t version);
-  const std::vector<base::NodeAddress>& coreAddresses() const override { return cores_; }
+  const std::vector<base::NodeAddress>& coreAddresses() const override;
   const std::vector<base::NodeAddress>& frontAddresses() const override { return fronts_; }
 
  private:
-  void tick();
-  /** Whether renewals fail and some core refuses, so that every core is asked at each tick. */
-  bool degraded() const;
-  void ask();
+  /** A renewal without an answer so far, with the timer of the core time-out. */
+  struct PendingRenewal {
+    base::NodeAddress core;
+    base::TimerPtr timeout_timer;
+  };
+
+  // Renewals.
+  void onRenewalTimer();
+  /** Whether the session runs out and some core refuses, so that each renewal goes to all cores. */
+  bool renewsAtAllCores() const;
+  bool renewalPending(const base::NodeAddress& core) const;
+  void renewAtCurrentCore();
   void renewAtAllCores();
-  /** Renews at the present core, unless it still owes an answer: cores that are late are not to get
-   * the more to do. */
-  void renew();
   void sendRenewal(const base::NodeAddress& core);
-  /** A core has not answered within the silence bound; its answer still counts if it comes. */
+
+  // Answers.
+  /** Switches from a core that exceeded the core time-out; its answer still counts if it comes. */
   void onTimeout(const base::NodeAddress& core);
   void onReply(const base::NodeAddress& core, base::TimePoint requested_at,
                const transport::CallResult& result);
   void onGranted(const base::NodeAddress& core, base::TimePoint requested_at,
                  const wire::SessionOpenReply& reply);
-  void learn(const wire::SessionOpenReply& reply);
+  void updateMembership(const wire::SessionOpenReply& reply);
   void onRefused(const base::NodeAddress& core, base::TimePoint requested_at);
   void updateGrace();
-  void endGrace();
-  /** Turns to the next core; false where this was not the present one. */
-  bool passOver(const base::NodeAddress& core);
+
   void finishClose();
   bool sessionValid() const;
-  bool inForce() const;
+  bool appliedVersionAllowed() const;
+  bool newerVersionShown() const { return newest_version_shown_ > applied_version_; }
 
   base::Dispatcher& dispatcher_;
   transport::PeerCalls& calls_;
   base::RandomSource& random_;
   SessionTimes times_;
-  std::vector<base::NodeAddress> seeds_;
   FrontIdentity identity_;
   SessionClientFaults faults_;
-  CommittedListener listener_;
+  CommittedListener committed_listener_;
   RecordSource record_source_;
   GrantListener grant_listener_;
-  std::vector<base::NodeAddress> cores_;
+  std::unique_ptr<CoreSelection> cores_;
+  std::unique_ptr<GrantChain> grants_;
+  std::unique_ptr<RefusalGrace> grace_;
   std::vector<base::NodeAddress> fronts_;
-  /** Digest of the cores and fronts as last learnt. */
+  /** Digest of the cores and fronts in the last grant that named them. */
   std::uint64_t members_digest_ = 0;
-  std::size_t core_index_ = 0;
-  std::size_t refused_in_a_row_ = 0;
+  /** Refusals by the current core since the last renewal by the timer. */
+  std::size_t consecutive_refusals_ = 0;
+  /** Number of the last renewal. */
   std::uint64_t sequence_ = 0;
-  /** An ask that has had no answer yet, and the timer of its silence bound. */
-  struct Ask {
-    base::NodeAddress core;
-    base::TimerPtr response_timer;
-  };
-  std::map<std::uint64_t, Ask> unanswered_;
+  /** By the number of the renewal. */
+  std::map<std::uint64_t, PendingRenewal> pending_renewals_;
   std::uint64_t applied_version_ = 0;
   std::uint64_t applied_digest_ = 0;
-  /** The newest version any peer has shown. */
-  std::uint64_t newest_seen_ = 0;
-  /** The end of the last grant, and when the first grant of its chain was received. */
-  std::optional<base::TimePoint> granted_until_;
-  base::TimePoint chain_granted_at_;
-  /** The version that must be in force; unset until the chain's second request is granted. */
-  std::optional<std::uint64_t> required_version_;
-  /** Refusing cores, with the moment each was last asked. */
-  std::map<base::NodeAddress, base::TimePoint> refusals_;
-  /** Set while refusals have been unbroken since before the lapse: until when they count. */
-  std::optional<base::TimePoint> refusals_cover_until_;
+  /** The newest version that any peer has shown. */
+  std::uint64_t newest_version_shown_ = 0;
   std::function<void()> closed_;
   bool closing_ = false;
   std::uint64_t closing_sequence_ = 0;
-  base::TimePoint next_tick_;
-  base::TimerPtr tick_timer_;
+  base::TimePoint next_renewal_;
+  base::TimerPtr renewal_timer_;
   base::TimerPtr close_timer_;
-  /** Expires with this object, so that late callbacks find it gone. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::sessions
--- a/libraries/sessions/include/switchsaddle/sessions/session_directory.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_directory.h
@@ -11,24 +11,24 @@
 using LiveSessionsCallback =
     std::function<void(base::ResultCode, const std::vector<wire::SessionTableEntry>&)>;
 
-/** Where a core node learns which fronts have live sessions anywhere in the fleet. */
+/** Finds the fronts with live sessions in the fleet, for a core node. Control strand. */
 class SessionDirectory {
  public:
   virtual ~SessionDirectory() = default;
   /**
-   * Asks all core nodes and answers once a majority that is not recovering has: each front which
-   * any of them knows as live, with the highest applied version seen. NoQuorum where no majority
-   * answers within the settings' register deadline. Every session granted before the call is among
-   * them unless it has lapsed.
+   * Reads the tables of all core nodes until a majority that is not recovering has answered.
+   * @param callback receives each front with a live session in any of these tables, with its
+   * highest applied version. Every session granted before the call is included unless it has
+   * lapsed. NoQuorum where no majority answered within SessionTimes::read_deadline.
    */
   virtual void readLive(LiveSessionsCallback callback) = 0;
-  /** The same for the sessions of fronts that have an older version than this in force. One that a
-   * core still knows with an older version is told even where another knows better. */
+  /** The same for fronts that have an older version than this in force. Includes a front that any
+   * core still has with an older version, even where another core has a newer record. */
   virtual void readLagging(std::uint64_t version, LiveSessionsCallback callback) = 0;
-  /** Sessions recorded at this node alone, with all that their fronts tell. */
+  /** @return the live sessions in the table of this node, with complete records. */
   virtual std::vector<wire::SessionTableEntry> localSessions() const = 0;
-  /** Those of fronts that have an older version than this in force, without what fronts tell
-   * besides. */
+  /** @return the live sessions in the table of this node of fronts that have an older version than
+   * this in force, without the fronts' load and demand. */
   virtual std::vector<wire::SessionTableEntry> localLagging(std::uint64_t version) const = 0;
 };
 
--- a/libraries/sessions/include/switchsaddle/sessions/session_times.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_times.h
@@ -8,24 +8,25 @@
 
 /** Time limits of sessions; all nodes of a fleet must share them. */
 struct SessionTimes {
-  /** A front's own limit, counted from the moment of asking. */
+  /** A front's own limit, counted from its request. */
   base::Duration front_limit = std::chrono::milliseconds(1'000);
   /** A core's limit, counted from receipt of the record; above the front's. */
   base::Duration core_limit = std::chrono::milliseconds(1'500);
+  /** Interval of renewals. */
   base::Duration renewal = std::chrono::milliseconds(250);
-  /** A core silent for this long is passed over for the next. */
+  /** A front that has no answer from a core within this time switches to the next core. */
   base::Duration core_timeout = std::chrono::milliseconds(300);
-  /** How long a read of the live sessions may take in all. */
+  /** Time-out of a read of the live sessions. */
   base::Duration read_deadline = std::chrono::milliseconds(2'000);
-  /** How long a front serves on while a majority of cores refuse connections; zero: not at all. */
+  /** How long after its last grant a front may serve while a majority of cores refuse connections;
+   * zero: not at all. */
   base::Duration core_refused_grace = std::chrono::seconds(60);
   /** Least time between two batches of records from one core to its peers. */
   base::Duration batch_interval = std::chrono::milliseconds(20);
-  /** The same where a record tells of a version that its front has newly applied: a change waits
-   * for it. */
+  /** The same where a record shows a version that its front has newly applied, since a change may
+   * wait for it. */
   base::Duration applied_batch_interval = std::chrono::milliseconds(2);
-  /** A batch waits until a majority has recorded the one before, but no longer than this: where
-   * cores are late, more records share a message. */
+  /** Longest time for which a batch waits until a majority has recorded the one before. */
   base::Duration longest_batch_interval = std::chrono::milliseconds(100);
 };
 
--- /dev/null
+++ b/libraries/sessions/source/grant_chain.h
@@ -0,0 +1,50 @@
+#pragma once
+
+#include <cstdint>
+#include <optional>
+
+#include "switchsaddle/base/time.h"
+
+namespace switchsaddle::sessions {
+
+/** A grant as the front received it. */
+struct ReceivedGrant {
+  base::TimePoint requested_at;
+  base::TimePoint received_at;
+  base::TimePoint expires_at;
+  /** Highest version that one of the cores which recorded the request had accepted. */
+  std::uint64_t committed_version = 0;
+};
+
+/**
+ * A session as the front has it: an unbroken chain of grants, each received before the previous one
+ * expired. The version that must be in force is taken from the first request made after the chain's
+ * first grant was received. Only then do all cores that answer do so after a majority has recorded
+ * the session.
+ */
+class GrantChain {
+ public:
+  /** @param version_of_first_grant takes the version from the first grant; for tests only. */
+  explicit GrantChain(bool version_of_first_grant)
+      : version_of_first_grant_(version_of_first_grant) {}
+
+  /** Adds a grant that has not expired. @return whether it began a new chain. */
+  bool add(const ReceivedGrant& grant);
+  bool valid(base::TimePoint now) const { return expires_at_ && now < *expires_at_; }
+  /** @return when the chain ends, or ended; nothing before the first grant. */
+  const std::optional<base::TimePoint>& expiresAt() const { return expires_at_; }
+  /** Whether this version may be dispatched by. */
+  bool allowsVersion(std::uint64_t version) const {
+    return required_version_ && version >= *required_version_;
+  }
+
+ private:
+  bool version_of_first_grant_;
+  std::optional<base::TimePoint> expires_at_;
+  /** When the first grant of the chain was received. */
+  base::TimePoint began_at_;
+  /** Unset until a request made after the chain's first grant is granted. */
+  std::optional<std::uint64_t> required_version_;
+};
+
+}  // namespace switchsaddle::sessions
--- a/libraries/sessions/test/quorum_session_client_test.cc
+++ b/libraries/sessions/test/quorum_session_client_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(front_.client->frontAddresses().size(), SessionFleet::FrontCount);
 }
 
-TEST_F(QuorumSessionClientTest, CatchesUpBeforeItServes) {
+TEST_F(QuorumSessionClientTest, ServesOnlyOnceTheRequiredVersionIsApplied) {
   for (std::size_t index = 0; index < SessionFleet::CoreCount; ++index) {
     fleet_.core(index).accepted = 3;
   }
@@ -61,8 +61,8 @@
   }
 }
 
-TEST_F(QuorumSessionClientTest, KeepsServingWhileEveryCoreAnswersLaterThanTheSilenceBound) {
-  // An ask, a batch, its answer and the grant: four messages.
+TEST_F(QuorumSessionClientTest, KeepsServingWhileEveryCoreExceedsTheTimeout) {
+  // Four messages: the request, the batch, its reply and the grant.
   fleet_.network.conditions.minimum_delay = milliseconds(95);
   fleet_.network.conditions.maximum_delay = milliseconds(105);
   fleet_.run(seconds(2));
@@ -71,20 +71,20 @@
   EXPECT_FALSE(lapsed);
 }
 
-TEST_F(QuorumSessionClientTest, AsksNoMoreOftenWhereEveryCoreAnswersLate) {
-  std::size_t asks = 0;
+TEST_F(QuorumSessionClientTest, SendsNoMoreRenewalsWhenEveryCoreIsSlow) {
+  std::size_t renewals = 0;
   fleet_.network.observer = [&](const auto&, const wire::Envelope& envelope, std::size_t) {
-    asks += std::holds_alternative<wire::SessionOpenRequest>(envelope.message) ? 1 : 0;
+    renewals += std::holds_alternative<wire::SessionOpenRequest>(envelope.message) ? 1 : 0;
   };
   fleet_.run(seconds(4));
-  const std::size_t in_time = std::exchange(asks, 0);
+  const std::size_t renewals_without_delay = std::exchange(renewals, 0);
   fleet_.network.conditions.minimum_delay = milliseconds(95);
   fleet_.network.conditions.maximum_delay = milliseconds(105);
   fleet_.run(seconds(4));
-  EXPECT_LE(asks, in_time);
+  EXPECT_LE(renewals, renewals_without_delay);
 }
 
-TEST_F(QuorumSessionClientTest, IsLapsedAtTheMomentOfWaking) {
+TEST_F(QuorumSessionClientTest, LapsesBeforeAFrozenProcessResumes) {
   front_.process.freeze();
   fleet_.run(milliseconds(1'000));
   EXPECT_EQ(state(), SessionState::Lapsed);
@@ -92,7 +92,7 @@
   EXPECT_TRUE(fleet_.runUntil([this] { return state() == SessionState::Serving; }, seconds(1)));
 }
 
-TEST_F(QuorumSessionClientTest, ServesWithoutCoreUntilTheBound) {
+TEST_F(QuorumSessionClientTest, ServesWithoutCoreUntilTheGraceEnds) {
   killCores(3);
   fleet_.run(seconds(2));
   EXPECT_EQ(state(), SessionState::ServingWithoutCore);
@@ -107,7 +107,7 @@
   EXPECT_TRUE(fleet_.runUntil([this] { return state() == SessionState::Serving; }, seconds(2)));
 }
 
-TEST_F(QuorumSessionClientTest, GraceEndsWithANewerVersionAndStaysEnded) {
+TEST_F(QuorumSessionClientTest, GraceEndsForGoodWithANewerVersion) {
   killCores(5);
   fleet_.run(seconds(2));
   ASSERT_EQ(state(), SessionState::ServingWithoutCore);
@@ -120,7 +120,7 @@
   EXPECT_EQ(state(), SessionState::Lapsed);
 }
 
-TEST_F(QuorumSessionClientTest, NoGraceForAMinorityOfRefusals) {
+TEST_F(QuorumSessionClientTest, NoGraceWhenAMinorityRefuses) {
   killCores(2);
   for (std::size_t index = 2; index < SessionFleet::CoreCount; ++index) {
     fleet_.core(index).process.freeze();
@@ -138,7 +138,7 @@
   EXPECT_EQ(state(), SessionState::Lapsed);
 }
 
-TEST_F(QuorumSessionClientTest, AFreezeWithinTheGraceEndsIt) {
+TEST_F(QuorumSessionClientTest, FreezeWithinTheGraceEndsIt) {
   killCores(5);
   fleet_.run(seconds(2));
   ASSERT_EQ(state(), SessionState::ServingWithoutCore);
@@ -150,7 +150,7 @@
   EXPECT_EQ(state(), SessionState::Lapsed);
 }
 
-TEST_F(QuorumSessionClientTest, GraceOfZeroIsOff) {
+TEST_F(QuorumSessionClientTest, ZeroGraceDisablesServingWithoutCore) {
   SessionTimes times;
   times.core_refused_grace = base::Duration::zero();
   const std::vector<base::NodeAddress> cores = front_.client->coreAddresses();
@@ -165,7 +165,7 @@
   EXPECT_EQ(state(), SessionState::Lapsed);
 }
 
-TEST_F(QuorumSessionClientTest, CloseIsKnownToAMajorityOrWaitsForTheLapse) {
+TEST_F(QuorumSessionClientTest, CloseEndsOnceAMajorityRecordedItOrTheSessionLapsed) {
   bool closed = false;
   front_.client->close([&] { closed = true; });
   EXPECT_EQ(state(), SessionState::Lapsed);
--- a/libraries/sessions/test/session_fleet.cc
+++ b/libraries/sessions/test/session_fleet.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/** A core's view in a fleet whose acceptor set never changes. */
+/** The view of a core in a fleet whose acceptor set never changes. */
 class FixedCoreView : public CoreView {
  public:
   FixedCoreView(std::vector<base::NodeAddress> cores, const std::uint64_t& accepted)
@@ -92,7 +92,7 @@
   node.transport.reset();
 }
 
-void SessionFleet::cutOff(SessionNode& node) {
+void SessionFleet::isolate(SessionNode& node) {
   for (const base::NodeAddress& address : cores()) {
     network.cut(address, node.address);
   }
@@ -183,7 +183,7 @@
   return true;
 }
 
-void SessionFleet::disturb() {
+void SessionFleet::injectFault() {
   SessionNode& node = *nodes[random.below(nodes.size())];
   SessionNode& other = *nodes[random.below(nodes.size())];
   switch (random.below(10)) {
@@ -209,20 +209,20 @@
       network.cut(node.address, other.address);
       break;
     case 4:
-      cutOff(front(random.below(FrontCount)));
+      isolate(front(random.below(FrontCount)));
       break;
     case 5:
       network.healAll();
       break;
     case 6:
     case 7: {
-      // A short freeze, after which the front finds itself cut off.
+      // A short freeze, after which the front is partitioned from the cores.
       SessionNode& frozen = front(random.below(FrontCount));
       if (frozen.process.running() && !frozen.process.frozen()) {
         frozen.process.freeze();
         const base::Duration length = milliseconds(300 + random.below(700));
         world.schedule(length, [this, &frozen] {
-          cutOff(frozen);
+          isolate(frozen);
           frozen.process.wake();
         });
       }
--- a/libraries/sessions/test/session_fleet.h
+++ b/libraries/sessions/test/session_fleet.h
@@ -11,21 +11,21 @@
 
 namespace switchsaddle::sessions {
 
-/** The deviations a fleet runs with; all off in ordinary runs. */
+/** The deviations of all nodes of a fleet; all off in ordinary runs. */
 struct FleetFaults {
   SessionTableFaults table = {};
   SessionClientFaults client = {};
 };
 
-/** One simulated process, a core or a front, with what outlives it. */
+/** One simulated process, a core or a front, with the state that outlives it. */
 struct SessionNode {
   explicit SessionNode(simulation::World& world) : process(world) {}
 
   base::NodeAddress address;
   simulation::Process process;
-  /** A core's accepted version, which is durable. */
+  /** The version that a core has accepted, which is durable. */
   std::uint64_t accepted = 0;
-  /** A front's version in force. */
+  /** The version that a front has in force. */
   std::uint64_t applied = 0;
   std::uint64_t instance = 0;
   std::unique_ptr<transport::Transport> transport;
@@ -37,7 +37,7 @@
 };
 
 /**
- * Five cores and three fronts. After every event it checks THE invariant: once a majority read has
+ * Five cores and three fronts. After every event it checks the invariant: once a majority read has
  * completed without a front's instance, that instance dispatches only with a version in force at
  * least as new as any accepted at a majority before the read began.
  */
@@ -52,29 +52,31 @@
   SessionNode& front(std::size_t index) { return *nodes[CoreCount + index]; }
   void start(SessionNode& node);
   void kill(SessionNode& node);
-  void cutOff(SessionNode& node);
-  /** Runs with the check after every event; false at a violation or where the limit passed. */
+  /** Partitions the node from all cores. */
+  void isolate(SessionNode& node);
+  /** Runs with the check after every event. @return false at a violation or once the limit passed.
+   */
   bool runUntil(const std::function<bool()>& condition, base::Duration limit);
   void run(base::Duration duration) {
     runUntil([] { return false; }, duration);
   }
-  /** A new version reaches a random majority of the running cores, each in its own time. */
+  /** A random majority of the running cores accepts a new version, each after its own delay. */
   void commit();
-  /** Reads the live sessions at a core and notes what the invariant then demands. */
+  /** Reads the live sessions at a core and records what the invariant then requires. */
   void read(SessionNode& reader);
-  /** One random kill, restart, freeze or cut. */
-  void disturb();
+  /** Injects one random kill, restart, freeze or partition. */
+  void injectFault();
   void repair();
   bool allServing();
 
   simulation::World world;
   simulation::Network network{world};
   std::vector<std::unique_ptr<SessionNode>> nodes;
-  /** Whether fronts bring versions they hear of into force. */
+  /** Whether fronts apply the versions that grants announce. */
   bool apply_versions = true;
   std::string violation;
   std::uint64_t reads_completed = 0;
-  /** Fronts alive but absent from a completed read. */
+  /** Number of fronts that were running but absent from a completed read. */
   std::uint64_t absences = 0;
   std::uint64_t checks_dispatching = 0;
   std::uint64_t checks_without_core = 0;
@@ -91,7 +93,7 @@
   FleetFaults faults_;
   std::uint64_t next_version_ = 1;
   std::uint64_t next_instance_ = 1;
-  /** The least version with which an instance may dispatch. */
+  /** The lowest version by which an instance may dispatch. */
   std::map<std::uint64_t, std::uint64_t> required_;
 };
 
--- a/libraries/sessions/test/session_simulation_test.cc
+++ b/libraries/sessions/test/session_simulation_test.cc
@@ -11,8 +11,8 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t SeedCount = 300;
-/** Seeds of the runs with a rule switched off. */
-constexpr std::uint64_t RedSeedCount = 150;
+/** Number of seeds of the runs in which a rule is switched off. */
+constexpr std::uint64_t FaultySeedCount = 150;
 
 /** Thirty seconds of faults, commits and reads under one seed. */
 void runSeed(SessionFleet& fleet, std::uint64_t seed) {
@@ -24,7 +24,7 @@
   fleet.run(seconds(3));
   while (fleet.violation.empty() && fleet.world.now() < end) {
     if (fleet.random.chance(0.15)) {
-      fleet.disturb();
+      fleet.injectFault();
     }
     if (fleet.random.chance(0.3)) {
       fleet.commit();
@@ -34,7 +34,7 @@
   }
 }
 
-/** Twenty seconds of restarting fronts amid slow messages, commits and reads under one seed. */
+/** Twenty seconds of front restarts during slow messages, commits and reads under one seed. */
 void runOpenings(SessionFleet& fleet, std::uint64_t /*seed*/) {
   fleet.network.conditions.maximum_delay = milliseconds(90);
   const base::TimePoint end = fleet.world.now() + seconds(20);
@@ -55,12 +55,12 @@
 
 std::uint64_t seedsWithViolation(Scenario scenario, FleetFaults faults) {
   std::uint64_t found = 0;
-  for (std::uint64_t seed = 1; seed <= RedSeedCount; ++seed) {
+  for (std::uint64_t seed = 1; seed <= FaultySeedCount; ++seed) {
     SessionFleet fleet(seed, faults);
     scenario(fleet, seed);
     found += fleet.violation.empty() ? 0 : 1;
   }
-  std::cout << "violations: " << found << " of " << RedSeedCount << " seeds\n";
+  std::cout << "violations: " << found << " of " << FaultySeedCount << " seeds\n";
   return found;
 }
 
@@ -74,7 +74,7 @@
     runSeed(fleet, seed);
     ASSERT_EQ(fleet.violation, "") << "seed " << seed;
     fleet.network.conditions = {};
-    // Freezes end, with a cut, up to 20 s after they began.
+    // Freezes end, with a partition, up to 20 s after they began.
     fleet.run(seconds(21));
     fleet.repair();
     fleet.run(seconds(5));
@@ -92,33 +92,33 @@
   EXPECT_GT(without_core, SeedCount);
 }
 
-TEST(SessionSimulationTest, OpeningAmidCommitsAndReadsKeepsTheInvariant) {
+TEST(SessionSimulationTest, OpeningDuringCommitsAndReadsKeepsTheInvariant) {
   EXPECT_EQ(seedsWithViolation(runOpenings, {}), 0U);
 }
 
-TEST(SessionSimulationTest, FrontTakingTheVersionOfItsFirstGrantIsFound) {
+TEST(SessionSimulationTest, DetectsAFrontThatTakesTheVersionOfItsFirstGrant) {
   const FleetFaults faults{.client = {.version_of_first_grant = true}};
   EXPECT_GT(seedsWithViolation(runOpenings, faults), 0U);
 }
 
-TEST(SessionSimulationTest, FrontCountingFromReceiptIsFound) {
+TEST(SessionSimulationTest, DetectsAFrontThatCountsFromReceipt) {
   const FleetFaults faults{.client = {.count_from_receipt = true}};
   EXPECT_GT(seedsWithViolation(runSeed, faults), 0U);
 }
 
-TEST(SessionSimulationTest, GraceAfterAGapInTheRefusalsIsFound) {
+TEST(SessionSimulationTest, DetectsGraceAfterAGapInTheRefusals) {
   const FleetFaults faults{.client = {.grace_after_gap = true}};
   EXPECT_GT(seedsWithViolation(runSeed, faults), 0U);
 }
 
-TEST(SessionSimulationTest, CoreWithoutRecoveryPauseIsFound) {
+TEST(SessionSimulationTest, DetectsACoreWithoutRecoveryTime) {
   const FleetFaults faults{.table = {.skip_recovery = true}};
   EXPECT_GT(seedsWithViolation(runSeed, faults), 0U);
 }
 
 /**
- * A read from core 4 whose last answer, that of the frozen core 2, comes late: the front's session
- * was at cores 0 to 2 when it began and is at 0, 1 and 3 when it ends.
+ * A read from core 4 whose last answer, that of the frozen core 2, is late: cores 0 to 2 had the
+ * front's session when the read began; cores 0, 1 and 3 have it when the read ends.
  */
 void runLateAnswer(SessionFleet& fleet) {
   fleet.apply_versions = false;
@@ -145,13 +145,13 @@
   EXPECT_EQ(front.client->state(), SessionState::Serving);
 }
 
-TEST(SessionSimulationTest, ReadRefusesAnswersTooFarApart) {
+TEST(SessionSimulationTest, ReadRejectsAnswersTooFarApart) {
   SessionFleet fleet(1);
   runLateAnswer(fleet);
   EXPECT_EQ(fleet.violation, "");
 }
 
-TEST(SessionSimulationTest, ReadWithoutBoundIsFound) {
+TEST(SessionSimulationTest, DetectsAReadWithoutBound) {
   SessionFleet fleet(1, {.table = {.unbounded_read = true}});
   runLateAnswer(fleet);
   EXPECT_NE(fleet.violation, "");
--- a/libraries/sessions/test/session_table_epoch_test.cc
+++ b/libraries/sessions/test/session_table_epoch_test.cc
@@ -1,4 +1,4 @@
-// Sessions while the acceptor set changes: majorities of two sets must not pass each other by.
+// Sessions while the acceptor set changes: majorities of two sets must intersect.
 
 #include <gtest/gtest.h>
 
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A view which the test moves from set to set. */
-class MovingView : public CoreView {
+/** A view whose acceptor set the test changes. */
+class ChangingView : public CoreView {
  public:
   std::vector<base::NodeAddress> coreAddresses() const override { return members; }
   bool quorum(const std::set<base::NodeAddress>& answered) const override {
@@ -35,7 +35,7 @@
   bool is_joining = false;
 };
 
-/** Six cores, of which the last takes the place of the fifth. */
+/** Six cores, of which the last replaces the fifth. */
 class SessionTableEpochTest : public testing::Test {
  protected:
   static constexpr std::size_t Leaving = 4;
@@ -63,18 +63,18 @@
     world_.runFor(seconds(2));
   }
 
-  /** The members of the set that lacks one of the six. */
-  std::vector<base::NodeAddress> members(std::size_t lacking) const {
+  /** @return the members of the set without one of the six. */
+  std::vector<base::NodeAddress> members(std::size_t excluded) const {
     std::vector<base::NodeAddress> addresses;
     for (std::size_t index = 0; index < CoreCount; ++index) {
-      if (index != lacking) {
+      if (index != excluded) {
         addresses.push_back({"127.0.0." + std::to_string(index + 1), 7000});
       }
     }
     return addresses;
   }
 
-  void takeFinalSet(std::size_t index) {
+  void adoptFinalSet(std::size_t index) {
     cores_[index].view.members = members(Leaving);
     cores_[index].view.epoch = FinalEpoch;
     cores_[index].view.votes = true;
@@ -92,7 +92,7 @@
     return granted;
   }
 
-  /** How many sessions a read lists; nothing where it finds no majority. */
+  /** @return the number of sessions in a read; nothing where it finds no majority. */
   std::optional<std::size_t> read(std::size_t core) {
     std::optional<std::size_t> found;
     bool ended = false;
@@ -106,10 +106,10 @@
     return found;
   }
 
-  /** Cores 3 and 4 have not heard of the final set; no link joins the two camps but those of 2. */
-  void partTheSets() {
+  /** Cores 3 and 4 do not adopt the final set, and reach only core 2 of those that do. */
+  void partitionSets() {
     for (const std::size_t index : {std::size_t{0}, std::size_t{1}, std::size_t{2}, Joining}) {
-      takeFinalSet(index);
+      adoptFinalSet(index);
     }
     world_.runFor(seconds(2));
     for (const std::size_t stale : {std::size_t{3}, Leaving}) {
@@ -123,7 +123,7 @@
   struct Core {
     explicit Core(simulation::World& world) : process(world) {}
     base::NodeAddress address;
-    MovingView view;
+    ChangingView view;
     simulation::Process process;
     std::unique_ptr<transport::Transport> transport;
     std::unique_ptr<transport::PeerCalls> calls;
@@ -141,26 +141,26 @@
   std::unique_ptr<transport::PeerCalls> client_calls_;
 };
 
-TEST_F(SessionTableEpochTest, ACoreOfTheFormerSetGrantsNothingThatTheNextSetDoesNotSee) {
+TEST_F(SessionTableEpochTest, CoreOfThePreviousSetGrantsNoSessionThatAReadMisses) {
   start({});
-  partTheSets();
+  partitionSets();
   EXPECT_FALSE(open(Leaving));
   EXPECT_EQ(read(Joining), std::optional<std::size_t>(0));
 }
 
-TEST_F(SessionTableEpochTest, WithoutTheEpochASessionIsGrantedThatAReadMisses) {
+TEST_F(SessionTableEpochTest, DetectsAGrantWithoutEpochThatAReadMisses) {
   SessionTableFaults faults;
   faults.ignore_epoch = true;
   start(faults);
-  partTheSets();
+  partitionSets();
   EXPECT_TRUE(open(Leaving));
   EXPECT_EQ(read(Joining), std::optional<std::size_t>(0));
 }
 
-TEST_F(SessionTableEpochTest, AJoiningCoreIsCountedInReadsOneCoreLimitAfterItsSetWasSettled) {
+TEST_F(SessionTableEpochTest, JoiningCoreCountsInReadsOneCoreLimitAfterItsSetWasCommitted) {
   start({});
   for (std::size_t index = 0; index < CoreCount; ++index) {
-    takeFinalSet(index);
+    adoptFinalSet(index);
   }
   cores_[Joining].view.is_joining = true;
   world_.runFor(SessionTimes{}.core_limit * 2);
--- a/libraries/sessions/test/session_table_test.cc
+++ b/libraries/sessions/test/session_table_test.cc
@@ -50,7 +50,7 @@
   std::vector<wire::SessionTableEntry> live_;
 };
 
-TEST_F(SessionTableTest, ListsASessionUntilItExpiresOrIsClosed) {
+TEST_F(SessionTableTest, ListsASessionUntilItExpiresOrCloses) {
   send(1, 1, 4);
   EXPECT_EQ(granted_, 1U);
   ASSERT_EQ(read(1), base::ResultCode::Ok);
@@ -86,7 +86,7 @@
   EXPECT_EQ(read(), base::ResultCode::NoQuorum);
 }
 
-TEST_F(SessionTableTest, RecoveringCoresRecordButCannotBeReadFrom) {
+TEST_F(SessionTableTest, RecoveringCoresRecordButDoNotCountInReads) {
   for (std::size_t index = 0; index < 3; ++index) {
     fleet_.kill(fleet_.core(index));
     fleet_.start(fleet_.core(index));
@@ -98,9 +98,8 @@
   EXPECT_GE(fleet_.world.now(), restarted + SessionTimes{}.core_limit);
 }
 
-/** Tables are read again and again while a change waits: of 291 fronts they come to 200 KB
- * otherwise. */
-TEST_F(SessionTableTest, TablesOmitWhatFrontsTellBesides) {
+/** Tables are read repeatedly while a change waits; complete records of 291 fronts take 200 KB. */
+TEST_F(SessionTableTest, TablesOmitLoadAndDemand) {
   wire::SessionRecord record{{"127.0.0.9", 7000}, 1, 1, 3, 0, "z", false};
   record.demand = {{"tenant", 1, 2}};
   record.load.workers = {{7, 1, 1}};
@@ -116,22 +115,22 @@
   EXPECT_TRUE(live_[0].record.load.workers.empty());
 }
 
-TEST_F(SessionTableTest, ReadsOnlyFrontsBehindAVersion) {
+TEST_F(SessionTableTest, ReadsOnlyLaggingFronts) {
   for (std::uint64_t instance = 0; instance < 6; ++instance) {
     wire::SessionRecord record{{"127.0.0.9", 7000}, instance, 1, instance, 0, "z", false};
     client_.calls->call(fleet_.core(0).address, wire::SessionOpenRequest{record}, seconds(1),
                         [](const auto&) {});
   }
   fleet_.run(milliseconds(50));
-  std::size_t behind = 0;
+  std::size_t lagging = 0;
   fleet_.core(3).table->readLagging(
-      4, [&](base::ResultCode, const auto& sessions) { behind = sessions.size(); });
+      4, [&](base::ResultCode, const auto& sessions) { lagging = sessions.size(); });
   fleet_.run(milliseconds(50));
-  EXPECT_EQ(behind, 4U);
+  EXPECT_EQ(lagging, 4U);
   EXPECT_EQ(fleet_.core(3).table->localLagging(4).size(), 4U);
 }
 
-TEST_F(SessionTableTest, CoresThatAnswerLateGetFewerBatches) {
+TEST_F(SessionTableTest, SlowCoresReceiveFewerBatches) {
   fleet_.network.conditions.minimum_delay = milliseconds(40);
   fleet_.network.conditions.maximum_delay = milliseconds(40);
   const std::uint64_t before = fleet_.network.envelopesSent();
@@ -145,7 +144,7 @@
   }
   fleet_.run(milliseconds(400));
   EXPECT_EQ(granted_, Opens);
-  // Each batch takes 80 ms to be recorded, and goes to four peers with an answer each.
+  // A majority records each batch after 80 ms; it goes to four peers, each with a reply.
   EXPECT_LE(fleet_.network.envelopesSent() - before, 2 * Opens + 8 * 8);
 }
 
@@ -159,7 +158,7 @@
   }
   fleet_.run(milliseconds(100));
   EXPECT_EQ(granted_, 500U);
-  // 500 requests and replies; two batches at most, to four peers, with answers.
+  // 500 requests and replies; at most two batches, to four peers, with replies.
   EXPECT_LE(fleet_.network.envelopesSent() - before, 1'000U + 16U);
 }
 
