--- a/libraries/lease/include/switchsaddle/lease/lease_granter.h
+++ b/libraries/lease/include/switchsaddle/lease/lease_granter.h
@@ -2,11 +2,11 @@
 
 #include <functional>
 #include <map>
-#include <memory>
 #include <optional>
 #include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/journal/journal.h"
 #include "switchsaddle/lease/lease_times.h"
@@ -17,23 +17,24 @@
 
 /** Test-only deviations that show that a rule is needed; never set in a daemon. */
 struct LeaseGranterFaults {
-  /** Grants terms of whatever epoch. */
+  /** Grants terms of any epoch. */
   bool ignore_epoch = false;
-  /** Grants right after start, though an earlier life may have granted. */
+  /** Grants right after the start, though an earlier incarnation may have granted. */
   bool skip_recovery = false;
 };
 
 /**
- * A core node's part in granting leases. Keeps, for each name, the highest term it has granted
- * (durable before the grant is answered) and the holder until the lease ends by its own clock.
+ * A core node's part in granting leases. Keeps, for each name, the highest term it has granted,
+ * which is synced before the grant is answered, and the holder until the lease ends by its own
+ * clock.
  *
- * Invariant: of two grants of one name by this node, through all its lives, the later has the
- * higher term, and was made after the earlier one had ended or been released; renewals apart. It
- * grants only terms of its own set's epoch, so that majorities of two sets never grant side by side
- * and a majority with a newcomer, which knows no former term, grants none below them. It
- * grants nothing for one lease duration after it has begun to vote, since an earlier life may have
- * granted. The term and its holder's instance are stored, so that a holder outlives the restart of
- * one granter after another. Runs on the control strand.
+ * Invariant: of two grants of one name by this node, over all its incarnations, the later one has
+ * the higher term and was made after the earlier one had ended or been released; renewals apart. It
+ * grants only terms of the epoch of its acceptor set, so that majorities of two sets never grant
+ * side by side, and a majority with a new member, which knows no earlier term, grants no lower one.
+ * It grants nothing for one lease duration after it has begun to vote, since an earlier incarnation
+ * may have granted. The term and its holder's instance are stored, so that a lease survives a
+ * rolling restart of the granters. Runs on the control strand.
  */
 class LeaseGranter {
  public:
@@ -41,22 +42,22 @@
                storage::RecordStore& store, journal::Journal& journal, LeaseTimes times,
                LeaseGranterFaults faults = {});
 
-  /** Takes the terms over from the opened store; called before the first request. */
+  /**
+   * Loads the stored terms; must be called before the first request.
+   * @throws base::Error with RecordCorrupt where a record cannot be decoded.
+   */
   void load(const storage::OpenedStore& opened);
-  /** What the store holds, or is to hold, of this granter. */
+  /** @return all records of this granter, as they are after the commits submitted so far. */
   std::vector<storage::Record> records() const;
-  /** Asked before each grant; without it the node always votes. */
+  /** @param may_vote called before each grant. Without it the node always votes. */
   void setMayVote(std::function<bool()> may_vote) {
     may_vote_ = std::move(may_vote);
-    observeVote();
+    updateVoting();
   }
-
-  /** Tells the epoch of the granter's set; only terms of that epoch are granted. Without it all
-   * are.
-   */
+  /** @param source returns the epoch of the acceptor set; only terms of that epoch are granted.
+   *   Without it terms of any epoch are. */
   void setEpochSource(std::function<std::uint64_t()> source) { epoch_source_ = std::move(source); }
-
-  /** Told of each failed commit, so that the store's owner opens it anew. */
+  /** @param listener called for each failed commit, so that the store's owner reopens it. */
   void setCommitFailureListener(std::function<void(base::ResultCode)> listener) {
     commit_failure_listener_ = std::move(listener);
   }
@@ -64,9 +65,9 @@
  private:
   struct Lease {
     std::uint64_t highest_term = 0;
-    /** Whether highest_term is in the store. */
+    /** Whether the commit of highest_term has ended. */
     bool durable = true;
-    /** The holder, or the last one known; empty after start. */
+    /** The present or the last holder; empty after the start. */
     base::NodeAddress holder;
     std::uint64_t holder_instance = 0;
     base::TimePoint expires_at;
@@ -74,27 +75,27 @@
 
   void onRequest(const wire::LeaseRequest& request, transport::ReplyFunction reply);
   void onRelease(const wire::LeaseRelease& release);
-  bool observeVote();
+  /** Checks the acceptor. @return whether this node may vote. */
+  bool updateVoting();
   bool mayGrant(const wire::LeaseRequest& request);
   void grantNewTerm(const wire::LeaseRequest& request, transport::ReplyFunction reply);
-  void onStored(const wire::LeaseRequest& request, base::ResultCode code,
-                const transport::ReplyFunction& reply);
-  static storage::Record recordOf(const std::string& name, const Lease& lease);
-  wire::LeaseReply answer(const Lease& lease, bool granted) const;
+  void onCommitted(const wire::LeaseRequest& request, base::ResultCode code,
+                   const transport::ReplyFunction& reply);
+  static storage::Record makeRecord(const std::string& name, const Lease& lease);
+  wire::LeaseReply makeReply(const Lease& lease, bool granted) const;
 
   base::Dispatcher& dispatcher_;
   storage::RecordStore& store_;
   journal::Journal& journal_;
   LeaseTimes times_;
   LeaseGranterFaults faults_;
-  /** Since when this life has been voting; unset while it may not. */
+  /** Since when this incarnation has been voting; unset while it may not. */
   std::optional<base::TimePoint> voting_since_;
   std::function<bool()> may_vote_;
   std::function<std::uint64_t()> epoch_source_;
   std::function<void(base::ResultCode)> commit_failure_listener_;
   std::map<std::string, Lease> leases_;
-  /** Expires with this object, so that late callbacks find it gone. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::lease
--- a/libraries/lease/include/switchsaddle/lease/lease_times.h
+++ b/libraries/lease/include/switchsaddle/lease/lease_times.h
@@ -7,15 +7,17 @@
 namespace switchsaddle::lease {
 
 /** Time limits of leases. A holder may use shorter ones than its granters, which grant each lease
- * for as long as it was asked for; the granters' own must be the longest in use. */
+ * for the requested duration; the granters' own duration must be the longest in use. */
 struct LeaseTimes {
-  /** Counted by granters from receipt and by the holder from the moment of asking. */
+  /** Counted by granters from receipt of the request and by the holder from its sending. */
   base::Duration duration = std::chrono::milliseconds(2'000);
-  /** The holder stops this part of the duration early, for clocks of different speed. */
+  /** Fraction of the duration by which the holder stops early, since clocks run at different
+   * speeds.
+   */
   double drift_margin = 0.1;
-  /** How long a campaign or renewal waits for granters. */
+  /** Time-out of a campaign or renewal. */
   base::Duration call_timeout = std::chrono::milliseconds(400);
-  /** Longest random pause before a campaign, so that rivals seldom meet. */
+  /** Longest random pause before a campaign, so that rivals seldom campaign at the same time. */
   base::Duration maximum_back_off = std::chrono::milliseconds(300);
 };
 
--- a/libraries/lease/include/switchsaddle/lease/term_gate.h
+++ b/libraries/lease/include/switchsaddle/lease/term_gate.h
@@ -6,12 +6,14 @@
 
 namespace switchsaddle::lease {
 
-/** Refuses messages of former holders: per lease name, terms never go back. One strand. */
+/** Rejects messages of former lease holders by their term, the fencing token. Terms of one lease
+ * name never decrease. Runs on one strand. */
 class TermGate {
  public:
-  /** Whether a message with this term is to be taken; false (StaleTerm) below the highest seen. */
+  /** @return whether a message with this term is current; false (StaleTerm) below the highest seen.
+   */
   bool accept(const std::string& name, std::uint64_t term);
-  /** The highest term seen; 0 where there is none. */
+  /** @return the highest term seen; 0 before the first. */
   std::uint64_t highest(const std::string& name) const;
 
  private:
--- a/libraries/lease/source/lease_granter.cc
+++ b/libraries/lease/source/lease_granter.cc
@@ -29,22 +29,15 @@
       times_(times),
       faults_(faults),
       voting_since_(dispatcher.now()) {
-  const std::weak_ptr<bool> alive = alive_;
-  calls.handle<wire::LeaseRequest>([this, alive](const base::NodeAddress& /*from*/,
-                                                 const wire::LeaseRequest& request,
-                                                 transport::ReplyFunction reply) {
-    if (!alive.expired()) {
-      onRequest(request, std::move(reply));
-    }
-  });
-  calls.handle<wire::LeaseRelease>([this, alive](const base::NodeAddress& /*from*/,
-                                                 const wire::LeaseRelease& release,
-                                                 const transport::ReplyFunction& reply) {
-    if (!alive.expired()) {
-      onRelease(release);
-      reply(wire::Acknowledgement{});
-    }
-  });
+  calls.handle<wire::LeaseRequest>(callbacks_.guard(
+      [this](const base::NodeAddress& /*from*/, const wire::LeaseRequest& request,
+             transport::ReplyFunction reply) { onRequest(request, std::move(reply)); }));
+  calls.handle<wire::LeaseRelease>(
+      callbacks_.guard([this](const base::NodeAddress& /*from*/, const wire::LeaseRelease& release,
+                              const transport::ReplyFunction& reply) {
+        onRelease(release);
+        reply(wire::Acknowledgement{});
+      }));
 }
 
 void LeaseGranter::load(const storage::OpenedStore& opened) {
@@ -64,7 +57,7 @@
   }
 }
 
-storage::Record LeaseGranter::recordOf(const std::string& name, const Lease& lease) {
+storage::Record LeaseGranter::makeRecord(const std::string& name, const Lease& lease) {
   return {std::string(KeyPrefix) + name,
           std::to_string(lease.highest_term) + " " + std::to_string(lease.holder_instance), false};
 }
@@ -73,24 +66,24 @@
   std::vector<storage::Record> records;
   for (const auto& [name, lease] : leases_) {
     if (lease.highest_term != 0) {
-      records.push_back(recordOf(name, lease));
+      records.push_back(makeRecord(name, lease));
     }
   }
   return records;
 }
 
-wire::LeaseReply LeaseGranter::answer(const Lease& lease, bool granted) const {
+wire::LeaseReply LeaseGranter::makeReply(const Lease& lease, bool granted) const {
   wire::LeaseReply reply;
   reply.granted = granted;
   reply.term = lease.highest_term;
   reply.holder = lease.holder;
-  const base::Duration left = lease.expires_at - dispatcher_.now();
+  const base::Duration remaining = lease.expires_at - dispatcher_.now();
   reply.remaining_ms =
-      static_cast<std::uint32_t>(std::max<std::int64_t>(0, base::toMilliseconds(left)));
+      static_cast<std::uint32_t>(std::max<std::int64_t>(0, base::toMilliseconds(remaining)));
   return reply;
 }
 
-bool LeaseGranter::observeVote() {
+bool LeaseGranter::updateVoting() {
   if (may_vote_ && !may_vote_()) {
     voting_since_.reset();
     return false;
@@ -102,21 +95,21 @@
 }
 
 bool LeaseGranter::mayGrant(const wire::LeaseRequest& request) {
-  if (!observeVote()) {
+  if (!updateVoting()) {
     return false;
   }
-  const bool paused =
+  const bool recovering =
       !faults_.skip_recovery && dispatcher_.now() < *voting_since_ + times_.duration;
   const bool duration_fits = durationOf(request) <= times_.duration;
   const bool epoch_fits =
       faults_.ignore_epoch || !epoch_source_ || epochOfTerm(request.term) == epoch_source_();
-  return !paused && duration_fits && epoch_fits;
+  return !recovering && duration_fits && epoch_fits;
 }
 
 void LeaseGranter::onRequest(const wire::LeaseRequest& request, transport::ReplyFunction reply) {
   Lease& lease = leases_[request.name];
   if (!mayGrant(request)) {
-    reply(answer(lease, false));
+    reply(makeReply(lease, false));
     return;
   }
   const base::TimePoint now = dispatcher_.now();
@@ -125,12 +118,12 @@
   if (same_holder && request.term == lease.highest_term && lease.durable) {
     lease.holder = request.holder;
     lease.expires_at = now + durationOf(request);
-    reply(answer(lease, true));
+    reply(makeReply(lease, true));
     return;
   }
-  const bool held = now < lease.expires_at && !same_holder;
-  if (held || !lease.durable || request.term <= lease.highest_term) {
-    reply(answer(lease, false));
+  const bool held_by_rival = now < lease.expires_at && !same_holder;
+  if (held_by_rival || !lease.durable || request.term <= lease.highest_term) {
+    reply(makeReply(lease, false));
     return;
   }
   grantNewTerm(request, std::move(reply));
@@ -143,21 +136,19 @@
   lease.holder = request.holder;
   lease.holder_instance = request.holder_instance;
   lease.expires_at = dispatcher_.now() + durationOf(request);
-  store_.commit({recordOf(request.name, lease)}, [this, alive = std::weak_ptr(alive_), request,
-                                                  reply = std::move(reply)](base::ResultCode code) {
-    if (!alive.expired()) {
-      onStored(request, code, reply);
-    }
-  });
+  store_.commit({makeRecord(request.name, lease)},
+                callbacks_.guard([this, request, reply = std::move(reply)](base::ResultCode code) {
+                  onCommitted(request, code, reply);
+                }));
 }
 
-void LeaseGranter::onStored(const wire::LeaseRequest& request, base::ResultCode code,
-                            const transport::ReplyFunction& reply) {
+void LeaseGranter::onCommitted(const wire::LeaseRequest& request, base::ResultCode code,
+                               const transport::ReplyFunction& reply) {
   Lease& lease = leases_[request.name];
   lease.durable = true;
-  const bool stored = code == base::ResultCode::Ok;
-  if (!stored) {
-    // The term stays used up; a higher one has to be stored before the next grant.
+  const bool synced = code == base::ResultCode::Ok;
+  if (!synced) {
+    // The term stays used up: the next grant needs a higher one.
     lease.holder_instance = 0;
     lease.expires_at = dispatcher_.now();
     if (commit_failure_listener_) {
@@ -167,7 +158,7 @@
   const bool still_held = dispatcher_.now() < lease.expires_at;
   journal_.append(journal::Subject::Lease, request.name, still_held ? lease.holder.toString() : "",
                   lease.highest_term);
-  reply(answer(lease, stored && still_held));
+  reply(makeReply(lease, synced && still_held));
 }
 
 void LeaseGranter::onRelease(const wire::LeaseRelease& release) {
@@ -176,9 +167,9 @@
     return;
   }
   Lease& lease = found->second;
-  const bool theirs =
+  const bool is_holder =
       lease.holder_instance == release.holder_instance && lease.highest_term == release.term;
-  if (!theirs) {
+  if (!is_holder) {
     return;
   }
   lease.holder_instance = 0;
--- a/libraries/lease/source/lease_holder.cc
+++ b/libraries/lease/source/lease_holder.cc
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "lease_round.h"
+
 namespace switchsaddle::lease {
 
 LeaseHolder::LeaseHolder(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
@@ -16,25 +18,27 @@
       granters_(granters),
       instance_(instance),
       faults_(faults) {
-  action_timer_ = dispatcher_.createTimer([this] { act(); });
+  next_round_timer_ = dispatcher_.createTimer([this] { startNextRound(); });
   round_timer_ = dispatcher_.createTimer([this] { onRoundEnded(); });
   expiry_timer_ = dispatcher_.createTimer([this] { onExpired(); });
 }
 
+LeaseHolder::~LeaseHolder() = default;
+
 void LeaseHolder::start() {
   running_ = true;
-  action_timer_->enable(backOff());
+  next_round_timer_->enable(drawBackoff());
 }
 
 void LeaseHolder::stop() {
   running_ = false;
-  action_timer_->disable();
+  next_round_timer_->disable();
   round_timer_->disable();
-  const std::uint64_t used = round_ ? std::max(term_, round_->term) : term_;
+  const std::uint64_t highest_used = round_ ? std::max(term_, round_->term()) : term_;
   round_.reset();
-  lose();
-  if (used != 0) {
-    release(used);
+  endLease();
+  if (highest_used != 0) {
+    release(highest_used);
   }
 }
 
@@ -42,40 +46,38 @@
   return held_until_ && dispatcher_.now() < *held_until_;
 }
 
-base::Duration LeaseHolder::holdTime() const {
-  const double part = 1.0 - times_.drift_margin;
-  const double held = static_cast<double>(times_.duration.count()) * part;
-  return base::Duration(static_cast<base::Duration::rep>(held));
+base::Duration LeaseHolder::usableDuration() const {
+  const double usable_fraction = 1.0 - times_.drift_margin;
+  const double usable = static_cast<double>(times_.duration.count()) * usable_fraction;
+  return base::Duration(static_cast<base::Duration::rep>(usable));
 }
 
-base::Duration LeaseHolder::backOff() {
+base::Duration LeaseHolder::drawBackoff() {
   const auto bound = static_cast<std::uint64_t>(times_.maximum_back_off.count()) + 1;
   return base::Duration(static_cast<base::Duration::rep>(random_.below(bound)));
 }
 
-void LeaseHolder::act() {
-  const bool renewal = held() && !std::exchange(contested_, false) && ofPresentEpoch(term_);
+void LeaseHolder::startNextRound() {
+  const bool renewal = held() && !std::exchange(term_contested_, false) && isCurrentEpoch(term_);
   if (!renewal && !granters_.mayCampaign()) {
-    action_timer_->enable(times_.call_timeout + backOff());
+    next_round_timer_->enable(times_.call_timeout + drawBackoff());
     return;
   }
   startRound(renewal ? term_ : nextTerm());
 }
 
-bool LeaseHolder::ofPresentEpoch(std::uint64_t term) const {
+bool LeaseHolder::isCurrentEpoch(std::uint64_t term) const {
   return epochOfTerm(term) == granters_.setEpoch();
 }
 
 std::uint64_t LeaseHolder::nextTerm() const {
-  // Where a higher epoch was heard of, the granters refuse until this node knows their set.
+  // Granters with a higher epoch reject this term until this node has their set.
   const std::uint64_t lowest = granters_.setEpoch() << TermCountBits;
-  return ofPresentEpoch(highest_term_seen_) ? highest_term_seen_ + 1 : lowest + 1;
+  return isCurrentEpoch(highest_term_seen_) ? highest_term_seen_ + 1 : lowest + 1;
 }
 
 void LeaseHolder::startRound(std::uint64_t term) {
-  round_ = std::make_shared<Round>();
-  round_->term = term;
-  round_->requested_at = dispatcher_.now();
+  round_ = std::make_shared<LeaseRound>(term, dispatcher_.now());
   highest_term_seen_ = std::max(highest_term_seen_, term);
   round_timer_->enable(times_.call_timeout);
   wire::LeaseRequest request;
@@ -84,29 +86,27 @@
   request.holder_instance = instance_;
   request.term = term;
   request.duration_ms = static_cast<std::uint32_t>(base::toMilliseconds(times_.duration));
-  const std::vector<base::NodeAddress> asked = granters_.coreAddresses();
-  round_->outstanding = asked.size();
-  for (const base::NodeAddress& granter : asked) {
-    calls_.call(granter, request, times_.call_timeout,
-                [this, alive = std::weak_ptr(alive_), round = round_, granter](const auto& result) {
-                  if (!alive.expired()) {
-                    onAnswer(round, granter, result);
-                  }
-                });
+  const std::vector<base::NodeAddress> granters = granters_.coreAddresses();
+  round_->setRequestCount(granters.size());
+  for (const base::NodeAddress& granter : granters) {
+    calls_.call(
+        granter, request, times_.call_timeout,
+        callbacks_.guard([this, round = round_, granter](const transport::CallResult& result) {
+          onAnswer(round, granter, result);
+        }));
   }
 }
 
 void LeaseHolder::onAnswer(const RoundPtr& round, const base::NodeAddress& granter,
                            const transport::CallResult& result) {
-  --round->outstanding;
+  round->endRequest();
   if (const auto* reply = result.as<wire::LeaseReply>()) {
-    round->answered_by.insert(granter);
+    round->addAnswer(granter);
     onReply(round, granter, *reply);
   }
-  // A campaign that all have answered is lost for sure. Where no majority answered the round takes
-  // its whole time, so that refused connections do not make for a tight loop.
-  const bool is_over = round == round_ && !round->settled && round->outstanding == 0;
-  const bool is_lost = is_over && granters_.quorum(round->answered_by);
+  // A campaign that all granters have answered is lost for sure. Without answers from a majority
+  // the round takes its full time, so that refused connections do not cause a tight loop.
+  const bool is_lost = round == round_ && round->lost(granters_);
   if (is_lost && !held()) {
     round_timer_->disable();
     onRoundEnded();
@@ -116,66 +116,41 @@
 void LeaseHolder::onReply(const RoundPtr& round, const base::NodeAddress& granter,
                           const wire::LeaseReply& reply) {
   highest_term_seen_ = std::max(highest_term_seen_, reply.term);
-  if (round != round_ || (round->settled && reply.granted)) {
+  if (round != round_ || (round->won() && reply.granted)) {
     return;
   }
   if (!reply.granted) {
-    noteRefusal(*round, granter, reply);
+    round->addRejection(granter, reply);
+    term_contested_ = term_contested_ || round->isContested(reply, calls_.localAddress());
     return;
   }
-  round->granted_by.insert(granter);
-  if (ofPresentEpoch(round->term) && granters_.quorum(round->granted_by)) {
-    onMajority(round);
-  }
-}
-
-void LeaseHolder::noteRefusal(Round& round, const base::NodeAddress& granter,
-                              const wire::LeaseReply& reply) {
-  const base::Duration left = std::chrono::milliseconds(reply.remaining_ms);
-  if (left > base::Duration::zero()) {
-    round.held_by[reply.holder].insert(granter);
+  round->addGrant(granter);
+  if (isCurrentEpoch(round->term()) && round->grantedByQuorum(granters_)) {
+    onGrantedByMajority(round);
   }
-  round.held_elsewhere = std::max(round.held_elsewhere, left);
-  contested_ = contested_ || isContested(round, reply);
-}
-
-base::Duration LeaseHolder::waitFor(const Round& round) const {
-  const bool is_held =
-      std::any_of(round.held_by.begin(), round.held_by.end(),
-                  [this](const auto& item) { return granters_.quorum(item.second); });
-  // Rivals whose campaigns split the granters give back what they got, so that the time left of
-  // their grants means nothing.
-  const bool is_split = !is_held && granters_.quorum(round.answered_by);
-  return is_split ? base::Duration::zero() : round.held_elsewhere;
-}
-
-bool LeaseHolder::isContested(const Round& round, const wire::LeaseReply& reply) const {
-  const bool of_another = !reply.holder.empty() && reply.holder != calls_.localAddress();
-  const bool never_grants = reply.term > round.term || (reply.term == round.term && of_another);
-  return never_grants && reply.remaining_ms == 0;
 }
 
-void LeaseHolder::onMajority(const RoundPtr& round) {
-  round->settled = true;
+void LeaseHolder::onGrantedByMajority(const RoundPtr& round) {
+  round->markWon();
   round_timer_->disable();
   const base::TimePoint now = dispatcher_.now();
-  const base::TimePoint from = faults_.count_from_receipt ? now : round->requested_at;
-  const base::TimePoint until = from + holdTime();
+  const base::TimePoint from = faults_.count_from_receipt ? now : round->requestedAt();
+  const base::TimePoint until = from + usableDuration();
   if (now >= until) {
     onRoundEnded();
     return;
   }
-  if (announced_ && !held()) {
-    // Granted anew after a gap: the owner is to hear of the loss first.
-    lose();
+  if (gain_reported_ && !held()) {
+    // Granted again after a gap: the listener must receive the loss first.
+    endLease();
   }
-  const bool raised = term_ != round->term;
-  term_ = round->term;
+  const bool term_raised = term_ != round->term();
+  term_ = round->term();
   held_until_ = until;
   expiry_timer_->enable(until - now);
-  action_timer_->enable(times_.duration / 3);
-  const bool gained = !std::exchange(announced_, true);
-  if ((gained || raised) && listener_) {
+  next_round_timer_->enable(times_.duration / 3);
+  const bool gained = !std::exchange(gain_reported_, true);
+  if ((gained || term_raised) && listener_) {
     listener_(true);
   }
 }
@@ -186,24 +161,24 @@
     return;
   }
   if (held()) {
-    action_timer_->enable(base::Duration::zero());
+    next_round_timer_->enable(base::Duration::zero());
     return;
   }
-  // What was granted is given back, so that a rival need not wait for it to end.
-  release(round->term);
-  action_timer_->enable(waitFor(*round) + backOff());
+  // Releases the grants of the lost campaign, so that a rival need not wait until they expire.
+  release(round->term());
+  next_round_timer_->enable(round->rivalRemaining(granters_) + drawBackoff());
 }
 
 void LeaseHolder::onExpired() {
   if (!held()) {
-    lose();
+    endLease();
   }
 }
 
-void LeaseHolder::lose() {
+void LeaseHolder::endLease() {
   held_until_.reset();
   expiry_timer_->disable();
-  if (std::exchange(announced_, false) && listener_) {
+  if (std::exchange(gain_reported_, false) && listener_) {
     listener_(false);
   }
 }
--- a/libraries/lease/test/lease_fleet.cc
+++ b/libraries/lease/test/lease_fleet.cc
@@ -68,12 +68,12 @@
 }
 
 void LeaseFleet::check() {
-  std::size_t held = 0;
+  std::size_t holders = 0;
   for (const auto& node : nodes) {
     if (!node->holder || !node->holder->held()) {
       continue;
     }
-    ++held;
+    ++holders;
     const std::uint64_t term = node->holder->term();
     const bool same = node->holder.get() == last_holder_ && term == last_term;
     if (!same && term <= last_term) {
@@ -83,8 +83,8 @@
     last_holder_ = node->holder.get();
     last_term = std::max(last_term, term);
   }
-  if (held > 1) {
-    violation = "two holders at one moment";
+  if (holders > 1) {
+    violation = "two holders at the same time";
   }
 }
 
@@ -96,7 +96,7 @@
   return world.runUntil(checked, limit) && violation.empty();
 }
 
-void LeaseFleet::disturb() {
+void LeaseFleet::injectFault() {
   LeaseNode& node = *nodes[random_.below(nodes.size())];
   LeaseNode& other = *nodes[random_.below(nodes.size())];
   switch (random_.below(8)) {
--- a/libraries/lease/test/lease_fleet.h
+++ b/libraries/lease/test/lease_fleet.h
@@ -12,7 +12,7 @@
 
 namespace switchsaddle::lease {
 
-/** One simulated process, a granter or a candidate, with what outlives it. */
+/** One simulated process, a granter or a candidate, with the state that outlives it. */
 struct LeaseNode {
   explicit LeaseNode(simulation::World& world) : process(world) {}
 
@@ -27,8 +27,8 @@
   std::unique_ptr<LeaseHolder> holder;
 };
 
-/** Five granters and three candidates under seeded faults, with the invariants checked after every
- * event. */
+/** Five granters and three candidates under seeded faults. Checks the invariants after every event.
+ */
 class LeaseFleet : public GranterSet {
  public:
   static constexpr std::size_t GranterCount = 5;
@@ -44,15 +44,16 @@
 
   void start(LeaseNode& node);
   void kill(LeaseNode& node);
-  /** Runs, checking after every event; stops at the first violation or where the condition holds.
+  /** Runs with the check after every event, until the first violation or until the condition is
+   * true.
    */
   bool runUntil(const std::function<bool()>& condition, base::Duration limit);
   void run(base::Duration duration) {
     runUntil([] { return false; }, duration);
   }
-  /** One random kill, restart, freeze or cut. */
-  void disturb();
-  /** Ends every disturbance. */
+  /** Injects one random kill, restart, freeze or partition. */
+  void injectFault();
+  /** Ends every fault. */
   void repair();
   LeaseNode* holder();
 
--- a/libraries/lease/test/lease_granter_test.cc
+++ b/libraries/lease/test/lease_granter_test.cc
@@ -22,12 +22,12 @@
     fleet_.world.runFor(seconds(3));
   }
 
-  wire::LeaseReply ask(std::uint64_t instance, std::uint64_t term,
-                       std::uint32_t duration_ms = 2'000) {
+  wire::LeaseReply request(std::uint64_t instance, std::uint64_t term,
+                           std::uint32_t duration_ms = 2'000) {
     std::optional<wire::LeaseReply> answer;
-    wire::LeaseRequest request{"name", client_.calls->localAddress(), instance, term, duration_ms};
+    wire::LeaseRequest message{"name", client_.calls->localAddress(), instance, term, duration_ms};
     client_.calls->call(
-        granter_.address, request, seconds(1),
+        granter_.address, message, seconds(1),
         [&](const transport::CallResult& result) { answer = *result.as<wire::LeaseReply>(); });
     fleet_.world.runUntil([&] { return answer.has_value(); }, seconds(1));
     return answer.value();
@@ -39,72 +39,72 @@
 };
 
 TEST_F(LeaseGranterTest, GrantsOneHolderAtATimeAndOnlyHigherTerms) {
-  EXPECT_TRUE(ask(1, 5).granted);
-  EXPECT_TRUE(ask(1, 5).granted);
-  const wire::LeaseReply refused = ask(2, 6);
-  EXPECT_FALSE(refused.granted);
-  EXPECT_EQ(refused.term, 5U);
-  EXPECT_GT(refused.remaining_ms, 1'900U);
+  EXPECT_TRUE(request(1, 5).granted);
+  EXPECT_TRUE(request(1, 5).granted);
+  const wire::LeaseReply rejected = request(2, 6);
+  EXPECT_FALSE(rejected.granted);
+  EXPECT_EQ(rejected.term, 5U);
+  EXPECT_GT(rejected.remaining_ms, 1'900U);
   fleet_.world.runFor(seconds(2));
-  EXPECT_FALSE(ask(2, 5).granted);
-  EXPECT_TRUE(ask(2, 6).granted);
-  EXPECT_FALSE(ask(1, 5).granted);
+  EXPECT_FALSE(request(2, 5).granted);
+  EXPECT_TRUE(request(2, 6).granted);
+  EXPECT_FALSE(request(1, 5).granted);
 }
 
-TEST_F(LeaseGranterTest, ReleaseFreesAtOnceAndOnlyForItsHolder) {
-  ASSERT_TRUE(ask(1, 1).granted);
+TEST_F(LeaseGranterTest, ReleaseByTheHolderEndsTheLeaseAtOnce) {
+  ASSERT_TRUE(request(1, 1).granted);
   client_.calls->notify(granter_.address, wire::LeaseRelease{"name", 2, 1});
   fleet_.world.runFor(std::chrono::milliseconds(10));
-  EXPECT_FALSE(ask(2, 2).granted);
+  EXPECT_FALSE(request(2, 2).granted);
   client_.calls->notify(granter_.address, wire::LeaseRelease{"name", 1, 1});
   fleet_.world.runFor(std::chrono::milliseconds(10));
-  EXPECT_TRUE(ask(2, 2).granted);
+  EXPECT_TRUE(request(2, 2).granted);
 }
 
-TEST_F(LeaseGranterTest, GrantsNothingWithoutVoteStorageOrWithinTheRecoveryPause) {
-  EXPECT_FALSE(ask(1, 1, 2'001).granted);
+TEST_F(LeaseGranterTest, GrantsNothingWithoutVoteOrStorageOrDuringRecovery) {
+  EXPECT_FALSE(request(1, 1, 2'001).granted);
   granter_.store->failing = true;
-  EXPECT_FALSE(ask(1, 1).granted);
+  EXPECT_FALSE(request(1, 1).granted);
   granter_.store->failing = false;
-  EXPECT_TRUE(ask(1, 2).granted);
+  EXPECT_TRUE(request(1, 2).granted);
   EXPECT_EQ(granter_.disk["lease/name"], "2 1");
   fleet_.kill(granter_);
   fleet_.start(granter_);
-  EXPECT_FALSE(ask(2, 3).granted);
+  EXPECT_FALSE(request(2, 3).granted);
   fleet_.world.runFor(seconds(2));
-  EXPECT_FALSE(ask(2, 2).granted);
-  EXPECT_TRUE(ask(2, 3).granted);
+  EXPECT_FALSE(request(2, 2).granted);
+  EXPECT_TRUE(request(2, 3).granted);
   bool votes = false;
   granter_.granter->setMayVote([&] { return votes; });
-  EXPECT_FALSE(ask(2, 3).granted);
+  EXPECT_FALSE(request(2, 3).granted);
   votes = true;
-  EXPECT_FALSE(ask(2, 3).granted);
+  EXPECT_FALSE(request(2, 3).granted);
   fleet_.world.runFor(seconds(2));
-  EXPECT_TRUE(ask(2, 3).granted);
+  EXPECT_TRUE(request(2, 3).granted);
 }
 
-TEST_F(LeaseGranterTest, GrantsOnlyTermsOfItsSetsEpoch) {
+TEST_F(LeaseGranterTest, GrantsOnlyTermsOfItsAcceptorSetsEpoch) {
   std::uint64_t epoch = 1;
   granter_.granter->setEpochSource([&] { return epoch; });
   const std::uint64_t first = (epoch << TermCountBits) + 1;
   const std::uint64_t second = ((epoch + 1) << TermCountBits) + 1;
-  EXPECT_FALSE(ask(1, 1).granted);
-  EXPECT_FALSE(ask(1, second).granted);
-  EXPECT_TRUE(ask(1, first).granted);
+  EXPECT_FALSE(request(1, 1).granted);
+  EXPECT_FALSE(request(1, second).granted);
+  EXPECT_TRUE(request(1, first).granted);
   epoch = 2;
-  // Neither the holder's renewal nor a rival by the set before.
-  EXPECT_FALSE(ask(1, first).granted);
-  EXPECT_FALSE(ask(2, first + 1).granted);
-  EXPECT_TRUE(ask(1, second).granted);
+  // Neither a renewal by the holder nor a rival, both of the previous set.
+  EXPECT_FALSE(request(1, first).granted);
+  EXPECT_FALSE(request(2, first + 1).granted);
+  EXPECT_TRUE(request(1, second).granted);
 }
 
-TEST_F(LeaseGranterTest, RefusesACorruptRecord) {
+TEST_F(LeaseGranterTest, RejectsACorruptRecord) {
   storage::OpenedStore opened;
   opened.records["lease/name"] = "x";
   EXPECT_THROW(granter_.granter->load(opened), base::Error);
 }
 
-TEST(TermGateTest, TakesOnlyTermsThatDoNotGoBack) {
+TEST(TermGateTest, AcceptsOnlyTermsThatDoNotDecrease) {
   TermGate gate;
   EXPECT_TRUE(gate.accept("a", 2));
   EXPECT_TRUE(gate.accept("a", 2));
--- a/libraries/lease/test/lease_holder_test.cc
+++ b/libraries/lease/test/lease_holder_test.cc
@@ -10,26 +10,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(LeaseHolderTest, TellsOfGainAndLossAndGivesBackOnStop) {
+TEST(LeaseHolderTest, ReportsGainAndLossAndReleasesOnStop) {
   LeaseFleet fleet(1);
-  std::vector<bool> told;
+  std::vector<bool> reports;
   for (std::size_t index = LeaseFleet::GranterCount + 1; index < fleet.nodes.size(); ++index) {
     fleet.kill(*fleet.nodes[index]);
   }
   LeaseNode& node = *fleet.nodes[LeaseFleet::GranterCount];
-  node.holder->setListener([&](bool gained) { told.push_back(gained); });
+  node.holder->setListener([&](bool gained) { reports.push_back(gained); });
   ASSERT_TRUE(fleet.runUntil([&] { return node.holder->held(); }, seconds(10)));
   EXPECT_GT(node.holder->term(), 0U);
   node.holder->stop();
   EXPECT_FALSE(node.holder->held());
   EXPECT_EQ(node.holder->term(), 0U);
-  EXPECT_EQ(told, (std::vector<bool>{true, false}));
+  EXPECT_EQ(reports, (std::vector<bool>{true, false}));
   LeaseNode& rival = *fleet.nodes[LeaseFleet::GranterCount + 1];
   fleet.start(rival);
   EXPECT_TRUE(fleet.runUntil([&] { return rival.holder->held(); }, seconds(1)));
 }
 
-TEST(LeaseHolderTest, HoldsNothingAtTheMomentOfWakingFromAFreeze) {
+TEST(LeaseHolderTest, LeaseEndsBeforeAFrozenHolderResumes) {
   LeaseFleet fleet(2);
   ASSERT_TRUE(fleet.runUntil([&] { return fleet.holder() != nullptr; }, seconds(10)));
   LeaseNode* node = fleet.holder();
@@ -38,7 +38,7 @@
   EXPECT_FALSE(node->holder->held());
 }
 
-TEST(LeaseHolderTest, LosesTheLeaseWhenCutOff) {
+TEST(LeaseHolderTest, LosesTheLeaseWhenPartitioned) {
   LeaseFleet fleet(3);
   ASSERT_TRUE(fleet.runUntil([&] { return fleet.holder() != nullptr; }, seconds(10)));
   LeaseNode* node = fleet.holder();
--- a/libraries/lease/test/lease_simulation_test.cc
+++ b/libraries/lease/test/lease_simulation_test.cc
@@ -14,7 +14,7 @@
 constexpr std::uint64_t SeedCount = 300;
 constexpr base::Duration TakeoverBound = seconds(4);
 
-/** Sixty seconds of faults and ten of quiet under one seed. */
+/** Sixty seconds of faults under one seed. */
 void runSeed(LeaseFleet& fleet, std::uint64_t seed) {
   fleet.network.conditions.loss = static_cast<double>(seed % 4) * 0.03;
   fleet.network.conditions.duplication = static_cast<double>(seed % 3) * 0.05;
@@ -23,7 +23,7 @@
   const base::TimePoint end = fleet.world.now() + seconds(60);
   fleet.run(seconds(4));
   while (fleet.violation.empty() && fleet.world.now() < end) {
-    fleet.disturb();
+    fleet.injectFault();
     fleet.run(milliseconds(20 + random.below(800)));
   }
 }
@@ -38,7 +38,7 @@
   return found;
 }
 
-TEST(LeaseSimulationTest, NeverTwoHoldersAndTermsOnlyGrow) {
+TEST(LeaseSimulationTest, NeverTwoHoldersAndTermsOnlyIncrease) {
   std::uint64_t gains = 0;
   for (std::uint64_t seed = 1; seed <= SeedCount; ++seed) {
     LeaseFleet fleet(seed);
@@ -54,13 +54,13 @@
   EXPECT_GT(gains, SeedCount * 3);
 }
 
-TEST(LeaseSimulationTest, GranterWithoutRecoveryPauseIsFound) {
+TEST(LeaseSimulationTest, DetectsAGranterWithoutRecoveryTime) {
   const std::uint64_t found = seedsWithViolation({.skip_recovery = true}, {});
   std::cout << "violations: " << found << " of " << SeedCount << " seeds\n";
   EXPECT_GT(found, 0U);
 }
 
-TEST(LeaseSimulationTest, HolderCountingFromReceiptIsFound) {
+TEST(LeaseSimulationTest, DetectsAHolderThatCountsFromReceipt) {
   const std::uint64_t found = seedsWithViolation({}, {.count_from_receipt = true});
   std::cout << "violations: " << found << " of " << SeedCount << " seeds\n";
   EXPECT_GT(found, 0U);
@@ -85,12 +85,12 @@
             << times[times.size() * 99 / 100] << ", max " << times.back() << '\n';
 }
 
-/** Times of a lease that is to change hands soon, as the platform watcher's. */
+/** Times of a lease with a short takeover, such as the platform watcher's. */
 constexpr LeaseTimes ShortTimes{milliseconds(1'500), 0.1, milliseconds(250), milliseconds(150)};
-/** Rivals that split the granters make it longer than the lease and a back-off. */
+/** Longer than the lease and a backoff, since rivals may split the granters. */
 constexpr base::Duration ShortTakeoverBound = milliseconds(2'000);
 
-TEST(LeaseSimulationTest, AShortLeaseChangesHandsSoonAlsoWhereItsHolderIsCutOff) {
+TEST(LeaseSimulationTest, ShortLeaseIsTakenOverWithinItsBoundFromAKilledOrPartitionedHolder) {
   for (std::uint64_t seed = 1; seed <= SeedCount; ++seed) {
     LeaseFleet fleet(seed, {}, {}, ShortTimes);
     ASSERT_TRUE(fleet.runUntil([&] { return fleet.holder() != nullptr; }, seconds(10)));
@@ -118,7 +118,7 @@
   }
 }
 
-TEST(LeaseSimulationTest, TermsGrowOverRestartOfAllGranters) {
+TEST(LeaseSimulationTest, TermsIncreaseAcrossARestartOfAllGranters) {
   LeaseFleet fleet(1);
   for (int round = 0; round < 5; ++round) {
     ASSERT_TRUE(fleet.runUntil([&] { return fleet.holder() != nullptr; }, seconds(10)));
@@ -137,7 +137,7 @@
 
 class LeaseRollingRestartTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(LeaseRollingRestartTest, HolderOutlivesRestartOfOneGranterAfterAnother) {
+TEST_P(LeaseRollingRestartTest, HolderKeepsTheLeaseDuringARollingRestartOfGranters) {
   LeaseFleet fleet(GetParam());
   ASSERT_TRUE(fleet.runUntil([&] { return fleet.holder() != nullptr; }, seconds(10)));
   fleet.run(seconds(4));
--- a/libraries/lease/test/memory_record_store.h
+++ b/libraries/lease/test/memory_record_store.h
@@ -12,7 +12,7 @@
 /** The records that outlive a simulated process. */
 using MemoryDisk = std::map<std::string, std::string>;
 
-/** A record store whose commits take a random time and are lost where the process is killed. */
+/** A record store whose commits take a random time and are lost when the process is killed. */
 class MemoryRecordStore : public storage::RecordStore {
  public:
   MemoryRecordStore(simulation::World& world, simulation::Process& process, MemoryDisk& disk)
