--- a/libraries/routing/include/switchsaddle/routing/chain_rate.h
+++ b/libraries/routing/include/switchsaddle/routing/chain_rate.h
@@ -9,19 +9,21 @@
 namespace switchsaddle::routing {
 
 /**
- * How often each prefix chain was placed here of late, for far more chains than it has counters: a
- * count-min sketch whose counts halve every HalfLife. May read too high, never too low.
+ * The recent placement rate of each prefix chain at this front, for far more chains than there are
+ * counters: a count-min sketch whose counts halve every HalfLifeSeconds. An estimate may be too
+ * high, never too low. Runs on the control strand.
  */
 class ChainRate {
  public:
   static constexpr double HalfLifeSeconds = 10.0;
 
   ChainRate();
+  /** Counts one placement. */
   void add(std::uint64_t chain, base::TimePoint now);
-  /** Placements each second. */
+  /** @return placements per second. */
   double perSecond(std::uint64_t chain, base::TimePoint now) const;
-  /** The same, less two standard deviations of the count: what a few placements prove. A front that
-   * placed a chain once says nothing of the fleet's rate. */
+  /** @return the rate less two standard deviations of the count: the lower bound that the counted
+   * placements support, since one placement at this front says nothing of the fleet's rate. */
   double provenPerSecond(std::uint64_t chain, base::TimePoint now) const;
 
  private:
@@ -29,8 +31,9 @@
   static constexpr std::size_t Columns = 4'096;
 
   static std::array<std::size_t, Rows> cellsOf(std::uint64_t chain);
-  /** What one placement counts now; grows in place of all counters shrinking. */
+  /** Count of one placement now: it grows over time instead of all counters being decayed. */
   double weightAt(base::TimePoint now) const;
+  /** Decays all counters and resets the weight to one. */
   void rescale(base::TimePoint now);
 
   std::vector<float> counts_;
--- a/libraries/routing/include/switchsaddle/routing/first_token_model.h
+++ b/libraries/routing/include/switchsaddle/routing/first_token_model.h
@@ -3,32 +3,40 @@
 namespace switchsaddle::routing {
 
 /**
- * How long the workers of a pool take to the first token of a prompt when nothing is read before
- * it: a time for any prompt and a time for each token read. Fitted by least squares over the last
- * few dozen answers; answers that took far longer than expected met load that was not known, and
- * count with a bound.
+ * Models the time to the first token of a pool's workers without backlog: a base time for each
+ * prompt and a time for each prefilled token. Fitted by weighted least squares over the last few
+ * dozen answers. Answers far slower than expected met load that was not known; their weight is
+ * limited by a cap on their time.
  */
 class FirstTokenModel {
  public:
   FirstTokenModel();
 
-  /** An answer to a prompt of which `tokens` had to be read, `seconds` after it was sent, less what
-   * was read before it. */
+  /**
+   * Adds an answer.
+   *
+   * @param tokens prompt tokens that were prefilled.
+   * @param seconds time to the first token, less the backlog before the prompt.
+   */
   void add(double tokens, double seconds);
   double secondsPerToken() const { return seconds_per_token_; }
-  /** For a prompt of which nothing is to be read. */
+  /** Expected time of a prompt without tokens to prefill. */
   double baseSeconds() const { return base_seconds_; }
-  double expect(double tokens) const { return base_seconds_ + tokens * seconds_per_token_; }
+  double expectedSeconds(double tokens) const {
+    return base_seconds_ + tokens * seconds_per_token_;
+  }
 
  private:
-  void count(double tokens, double seconds, double weight);
+  void accumulate(double tokens, double seconds, double weight);
   void fit();
 
+  /** Weighted sums of the samples. */
   double weight_ = 0;
   double tokens_ = 0;
   double seconds_ = 0;
   double tokens_squared_ = 0;
   double products_ = 0;
+  /** The fit. */
   double seconds_per_token_ = 0;
   double base_seconds_ = 0;
 };
--- a/libraries/routing/include/switchsaddle/routing/peer_load.h
+++ b/libraries/routing/include/switchsaddle/routing/peer_load.h
@@ -9,28 +9,36 @@
 namespace switchsaddle::routing {
 
 /**
- * What the other fronts have under way at workers, as the cores last told. Prompts that were being
- * read then are taken to have been read on since. A view that is not told anew in time says nothing
- * any more: the front then goes by its own load alone. Runs on the control strand.
+ * The requests of the other fronts at each worker, as last reported by the cores. Prefill is
+ * assumed to have progressed since the report. A report expires after Lifetime; the front then uses
+ * its own load alone. Runs on the control strand.
  */
 class PeerLoad {
  public:
-  /** How long a view is used. */
+  /** How long a report is used. */
   static constexpr base::Duration Lifetime = std::chrono::seconds(2);
 
+  /** The other fronts' load at one worker. */
   struct Load {
     double requests = 0;
-    /** Seconds of prompts still to be read. */
+    /** Prefill backlog in seconds. */
     double prefill_s = 0;
   };
 
+  /** Replaces the report; ignored if the core does not know the fronts' loads. */
   void set(const wire::FleetLoad& load, base::TimePoint now);
-  /** Of the worker with this workers::loadKey(); of one that was not told of, the mean of these. */
+  /**
+   * @param worker workers::loadKey() of the instance.
+   * @return the worker's load; for a worker that the report does not list, the report's mean of
+   * those; nothing after the report has expired.
+   */
   Load of(std::uint32_t worker, base::TimePoint now) const;
+  /** Whether there is a report that has not expired. */
   bool known(base::TimePoint now) const { return reported_ && now - reported_at_ < Lifetime; }
 
  private:
   std::unordered_map<std::uint32_t, wire::WorkerLoad> loads_;
+  /** Mean of the workers that are not listed. */
   double rest_requests_ = 0;
   double rest_prefill_ms_ = 0;
   base::TimePoint reported_at_{};
--- a/libraries/routing/include/switchsaddle/routing/placement_cost.h
+++ b/libraries/routing/include/switchsaddle/routing/placement_cost.h
@@ -2,35 +2,35 @@
 
 namespace switchsaddle::routing {
 
-/** What sending a prompt to one worker is expected to come to. */
+/** The expected effects of placing a prompt on one worker. */
 struct ExpectedPlacement {
   double first_token_s = 0;
-  /** Within this time the first token is in time. */
+  /** Latency target of the first token. */
   double goal_s = 1;
-  /** The prompt's size over the mean of its kind; a late large prompt weighs more. */
-  double size = 1;
-  /** Tokens of shared parts that this worker does not hold and others do. */
-  double read_again = 0;
-  /** Seconds of reading that the worker will have before it with this prompt: whoever comes next
-   * waits for it. */
+  /** The prompt's tokens over the mean of its kind; a late large prompt costs more. */
+  double relative_size = 1;
+  /** Tokens of the shared prefix that this worker does not have in its cache. */
+  double cache_miss_tokens = 0;
+  /** Prefill backlog of the worker including this prompt, which later prompts wait for. */
   double backlog_s = 0;
-  /** Streams that run there, and the longest pause that they may have; zero: none is set. */
+  /** Streams that run on the worker. */
   double streams = 0;
+  /** Longest acceptable gap between events of a stream; zero: no target. */
   double gap_goal_s = 0;
-  /** Seconds of reading before this prompt. */
+  /** Prefill backlog before this prompt. */
   double queue_s = 0;
   /** This front has no open connection to the worker. */
-  bool connects = false;
+  bool opens_connection = false;
 };
 
 /**
- * The cost of a placement, in tokens of shared parts read again: the one unit that lateness,
- * reading again, connections and time are weighed in. A prompt stays with the worker that holds its
- * shared part until it would be late there; small ones go where a connection is open.
+ * The cost of a placement in tokens of shared prefix prefilled again: the common unit of lateness,
+ * cache misses, connections and latency. A prompt stays with the worker that has its prefix cached
+ * until it would be late there; short prompts go where a connection is open.
  */
 double placementCost(const ExpectedPlacement& expected);
 
-/** How sure it is that a first token expected after `first_token_s` comes late; 0 to 1. */
+/** Estimated risk, 0 to 1, that a first token expected after `first_token_s` misses its target. */
 double lateness(double first_token_s, double goal_s);
 
 }  // namespace switchsaddle::routing
--- a/libraries/routing/include/switchsaddle/routing/prefix_chains.h
+++ b/libraries/routing/include/switchsaddle/routing/prefix_chains.h
@@ -9,8 +9,8 @@
 namespace switchsaddle::routing {
 
 /**
- * Hashes of a prompt's leading prefix parts, one for each depth, kept without allocation. Parts
- * beyond MaximumDepth are not told apart.
+ * Hashes of a prompt's leading prefix segments, one for each depth, stored without allocation.
+ * Segments beyond MaximumDepth are ignored.
  */
 class PrefixChains {
  public:
@@ -19,13 +19,13 @@
   explicit PrefixChains(const Prompt& prompt);
   bool empty() const { return depth_ == 0; }
   std::size_t depth() const { return depth_; }
-  /** Hash of the first `depth` parts; `depth` counts from 1. */
+  /** @return the hash of the first `depth` segments; `depth` counts from 1. */
   std::uint64_t at(std::size_t depth) const { return hashes_[depth - 1]; }
   std::span<const std::uint64_t> all() const { return {hashes_.data(), depth_}; }
-  /** The depth that ends with the longest shared part, the one most worth finding in a cache; zero
-   * where none is shared. */
+  /** @return the depth that ends with the longest shared segment, which saves the most prefill when
+   * cached; zero if no segment is shared. */
   std::size_t homeDepth() const { return home_depth_; }
-  /** Tokens of all shared parts told apart. */
+  /** @return the tokens of all shared segments up to MaximumDepth. */
   std::uint32_t sharedTokens() const { return shared_tokens_; }
 
  private:
--- a/libraries/routing/include/switchsaddle/routing/prefix_index.h
+++ b/libraries/routing/include/switchsaddle/routing/prefix_index.h
@@ -6,26 +6,27 @@
 
 namespace switchsaddle::routing {
 
-/** Names a worker within one router by a small number. */
+/** Identifies a worker within one router. */
 using WorkerNumber = std::uint16_t;
 inline constexpr WorkerNumber NoWorker = 0xffff;
 
 /**
- * Remembers which workers were last sent each chain of shared prefix parts. A fixed table of
- * 16-byte cells, four to a set, replaced least recently used first; no allocation after
- * construction. At 740,000 chains it takes 16 MB.
+ * Maps each prefix chain to the workers it was last sent to. A set-associative table of 16-byte
+ * cells, four to a set, with least-recently-used replacement; no allocation after construction. At
+ * 740,000 chains it takes 16 MB. Runs on the control strand.
  */
 class PrefixIndex {
  public:
   static constexpr std::size_t OwnersPerChain = 2;
   using Owners = std::array<WorkerNumber, OwnersPerChain>;
 
-  /** `chains` is rounded up to a power of two. */
+  /** @param chains capacity; rounded up to a power of two. */
   explicit PrefixIndex(std::size_t chains);
-  /** The workers last sent this chain, most recent first, NoWorker where there are fewer. */
+  /** @return the workers this chain was last sent to, most recent first, padded with NoWorker. */
   Owners find(std::uint64_t chain) const;
+  /** Records that the chain was sent to the worker. */
   void add(std::uint64_t chain, WorkerNumber worker);
-  /** Removes a worker whose cache is gone. */
+  /** Removes a worker that may have lost the chain from its cache. */
   void forget(std::uint64_t chain, WorkerNumber worker);
   std::size_t bytes() const { return cells_.size() * sizeof(Cell); }
 
@@ -39,7 +40,7 @@
 
   std::size_t setOf(std::uint64_t chain) const;
   const Cell* lookup(std::uint64_t chain) const;
-  /** The chain's cell, made in place of the least recently used one where there is none. */
+  /** @return the chain's cell; replaces the least recently used one of its set if there is none. */
   Cell& cellFor(std::uint64_t chain);
 
   std::vector<Cell> cells_;
--- a/libraries/routing/include/switchsaddle/routing/route_statistics.h
+++ b/libraries/routing/include/switchsaddle/routing/route_statistics.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::routing {
 
-/** How ADR-0021 classes an arm. Only proven arms are drawn from. */
+/** ADR-0021's classes of an arm. Only proven arms are drawn from. */
 enum class ArmStatus : std::uint8_t { Proven, Unsampled, Stale, Decayed };
 
 /** The name shown in the routing table. */
@@ -15,39 +15,41 @@
 /** Mass below which an arm leaves the exploit pool (ADR-0021). */
 inline constexpr double ProvenMass = 0.5;
 
-/** One finished completion, as scored. Rates that were not measured are zero. */
+/** The score of one completion. Rates that were not measured are zero. */
 struct SpeedSample {
   /** End-to-end output tokens per second, the source's score. */
   double tokens_per_second = 0;
-  /** Time to the first token for each uncached prompt token. */
+  /** Time to the first token per uncached prompt token. */
   double seconds_per_prefill_token = 0;
-  /** Time for each output token after the first. */
+  /** Time per output token after the first. */
   double seconds_per_output_token = 0;
-  /** How much the prefill rate counts against a full sample: a short prefill says little of it. */
+  /** Weight of the prefill rate, 0 to 1: a short prefill is a poor sample of it. */
   double prefill_weight = 1;
 };
 
 /**
  * An exponentially weighted mean whose mass halves every half-life. Adding a sample decays the
- * mass, then weighs the old value by it and the sample by one; the source names no smoothing
- * factor, and this form merges cleanly between nodes. Times are this node's own.
+ * mass, then weighs the old mean by it and the sample by one; the source specifies no smoothing
+ * factor, and this form can be merged between nodes. Times are of this node's clock.
  */
 class RouteStatistics {
  public:
   void add(const SpeedSample& sample, base::TimePoint now, double half_life_s);
   /**
-   * Merges another node's mean, last measured `age` ago: values are weighed by mass and the mass
-   * becomes the larger one, so that hearing one value twice does not count it twice. `mass` is
-   * decayed to now.
+   * Merges another node's mean. Means are weighted by mass, and the mass becomes the larger one, so
+   * that merging is idempotent in the mass. Ignores values that are not positive or not finite.
+   *
+   * @param mass the other node's mass, decayed to `now`.
+   * @param age time since the other node's last measurement.
    */
   void merge(const SpeedSample& mean, double mass, base::Duration age, base::TimePoint now,
              double half_life_s);
   double mass(base::TimePoint now, double half_life_s) const;
-  /** Status given when the model's present epoch began. */
+  /** @param epoch_start when the model's current epoch began. */
   ArmStatus status(base::TimePoint now, base::TimePoint epoch_start, double half_life_s) const;
   /** Demotes the arm until it is measured again; its mean stays as a prior. */
   void markStale() { forced_stale_ = true; }
-  /** The worker behind the arm is another instance: the mean stays as a prior, without mass. */
+  /** The arm's worker was replaced by another instance: the mean stays as a prior, without mass. */
   void startInstance() { mass_ = 0; }
   const SpeedSample& mean() const { return mean_; }
   std::uint64_t samples() const { return samples_; }
--- a/libraries/routing/include/switchsaddle/routing/router.h
+++ b/libraries/routing/include/switchsaddle/routing/router.h
@@ -13,35 +13,34 @@
 
 namespace switchsaddle::routing {
 
-/** One shared prefix part of a prompt, in order. */
+/** One segment of a prompt's prefix, in order. */
 struct PrefixSegment {
   std::string id;
   std::uint32_t tokens = 0;
 };
 
-/** What routing needs of a prompt. */
+/** The properties of a prompt that routing depends on. */
 struct Prompt {
   std::string model;
   std::vector<PrefixSegment> prefix_segments;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t maximum_tokens = 0;
-  /** Prompts of one kind of work, such as one route's, have the same; zero: not known. */
+  /** Kind of work, such as a hash of the route; zero: unknown. */
   std::uint64_t kind = 0;
-  /** Within this time the first token is in time. */
+  /** Latency target of the first token. */
   base::Duration first_token_goal = std::chrono::seconds(1);
-  /** Longest pause between two events of a stream that is in time; zero: none is set. */
+  /** Longest acceptable gap between two events of the stream; zero: no target. */
   base::Duration event_gap_goal{};
-  /** The last part is this prompt's own: no other has it, so that none can have left it anywhere.
-   */
+  /** The last segment belongs to this prompt alone, so that no worker can have it cached. */
   bool last_segment_private = false;
 };
 
-/** How a placement was chosen; ADR-0021's modes. */
-enum class Mode : std::uint8_t { Scout, Exploit, BestPrior };
+/** How a placement was selected; ADR-0021's modes. */
+enum class SelectionMode : std::uint8_t { Scout, Exploit, BestPrior };
 
 /** The worker, or prefill-to-decode pair, chosen for a prompt. */
 struct Placement {
-  Mode mode = Mode::BestPrior;
+  SelectionMode mode = SelectionMode::BestPrior;
   /** The arm's signature: "worker" or "prefill>decode". */
   std::string arm;
   workers::Worker prefill;
@@ -49,14 +48,15 @@
   std::optional<workers::Worker> decode;
   /** Estimated time to the first token. */
   base::Duration first_token_estimate{};
-  /** Prompt tokens that the worker is believed to hold already. */
+  /** Prompt tokens expected in the worker's prefix cache. */
   std::uint32_t cached_tokens = 0;
-  /** How long the worker is expected to read the others. */
+  /** Estimated prefill time of the remaining prompt tokens. */
   base::Duration prefill_estimate{};
+  /** Identifies the placement in complete() and noteFirstToken(). */
   std::uint64_t ticket = 0;
 };
 
-/** What the stream layer measured of one placement. */
+/** The outcome of one placement, as measured by the stream layer. */
 struct Completion {
   std::uint64_t ticket = 0;
   bool failed = false;
@@ -65,11 +65,12 @@
   std::uint32_t uncached_tokens = 0;
   base::Duration time_to_first_token{};
   base::Duration total{};
-  /** From the worker's Versions and Worker-Load headers, where sent. */
+  /** From the worker's Versions and Worker-Load headers; empty or zero if not sent. */
   std::string weights_version;
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
   std::uint32_t slots = 0;
+  /** Whether a Worker-Load header was sent. */
   bool has_load = false;
 };
 
@@ -93,7 +94,7 @@
 };
 
 /**
- * ADR-0021's policy on one front. choose() is on the ordinary path: in memory, no network call, no
+ * ADR-0021's policy on one front. choose() is on the request path: in memory, no network call, no
  * lock. Each placement is ended by exactly one complete(). Runs on the control strand.
  */
 class Router {
@@ -101,25 +102,30 @@
   virtual ~Router() = default;
   virtual void setConfiguration(std::shared_ptr<const configuration::View> view) = 0;
   virtual void setWorkers(workers::WorkerSnapshotPtr snapshot) = 0;
-  /** The fronts with live sessions, this one included, for the cold guard. */
+  /** Sets the fronts with live sessions, this one included, among which slow start is divided. */
   virtual void setFronts(const std::vector<base::NodeAddress>& fronts) = 0;
   /**
-   * Places a prompt within the route's pool. `excluded` names workers already tried for this
-   * prompt. Returns nothing where no usable worker remains, or where all that remain are cold and
-   * this front has used up what it may send them.
+   * Places a prompt within the route's pool.
+   *
+   * @param excluded ids of workers already attempted for this prompt.
+   * @return nothing if no usable worker remains, or if all that remain are warming up and this
+   * front's share of their limits is exhausted.
    */
   virtual std::optional<Placement> choose(const Prompt& prompt, const configuration::Route& route,
                                           const std::vector<std::string>& excluded) = 0;
+  /** Ends a placement; unknown tickets are ignored. */
   virtual void complete(const Completion& completion) = 0;
-  /** The first token of a placement has come. */
+  /** Reports that the first token of a placement was received. */
   virtual void noteFirstToken(std::uint64_t ticket) = 0;
-  /** What this front has under way at workers, and what the other fronts have. */
+  /** @return this front's requests in flight by worker, and the work it received by kind. */
   virtual wire::FrontLoad exportLoads() const = 0;
+  /** Sets the loads of the other fronts. */
   virtual void importLoads(const wire::FleetLoad& loads) = 0;
+  /** @param model limits the rows to one model; empty: all models. */
   virtual std::vector<RoutingRow> table(const std::string& model) const = 0;
-  /** Fresh scores of this front's own samples for dissemination, and those of others to be merged.
-   */
+  /** @return recently measured scores, for dissemination. */
   virtual std::vector<wire::RouteScore> exportScores() const = 0;
+  /** Merges scores of other fronts. */
   virtual void importScores(const std::vector<wire::RouteScore>& scores) = 0;
 };
 
--- /dev/null
+++ b/libraries/routing/include/switchsaddle/routing/router_options.h
@@ -0,0 +1,32 @@
+#pragma once
+
+#include <cstddef>
+
+#include "switchsaddle/routing/first_token_estimate.h"
+
+namespace switchsaddle::routing {
+
+/** Extensions of plain ADR-0021; docs/ROUTING.md gives a measurement of each. */
+struct RouterOptions {
+  /** Prefer workers that have a prompt's prefix in their cache. */
+  bool prefix_affinity = true;
+  /** Do not draw from arms whose estimated time to the first token is far above the best. */
+  bool load_estimates = true;
+  /** Limit the prompts sent to workers that are warming up. */
+  bool slow_start_limiter = true;
+  /** Weigh arms by speed corrected for prefix hits and lengths instead of end-to-end tokens/s. */
+  bool score_hygiene = true;
+  /** Serve kinds of work with long prompts and with short ones on different workers. */
+  bool work_lanes = false;
+  /** Place by the load of all fronts and an expected cost instead of by this front's own
+   * measurements. */
+  bool fleet_loads = false;
+  /** Capacity of the prefix index, in chains. */
+  std::size_t prefix_chains = 1U << 16U;
+  UnmeasuredPrior unmeasured_prior;
+
+  /** @return the source's policy without extensions, as a baseline. */
+  static RouterOptions plain();
+};
+
+}  // namespace switchsaddle::routing
--- a/libraries/routing/include/switchsaddle/routing/slow_start_limiter.h
+++ b/libraries/routing/include/switchsaddle/routing/slow_start_limiter.h
@@ -8,62 +8,71 @@
 
 namespace switchsaddle::routing {
 
-/** What the guard knows of one worker instance. */
+/** The slow-start state of one worker instance at one front. */
 struct SlowStartState {
+  /** Hash of the worker instance; the same on all fronts. */
   std::uint64_t instance = 0;
   base::TimePoint first_seen{};
-  /** Samples of this instance known here, own and merged. */
+  /** Samples of this instance, this front's own and merged ones. */
   double samples = 0;
-  /** This front's placements on the worker under way. */
+  /** This front's requests in flight on the worker. */
   std::uint32_t in_flight = 0;
-  /** This front's last placement on the instance; only meaningful where there was one. */
+  /** This front's last placement on the instance; only meaningful if `placed`. */
   base::TimePoint last_placed{};
   bool placed = false;
-  /** Present from the first list this front ever got: the fleet, not the worker, is new. */
+  /** Listed in the first snapshot this front received: the front, not the worker, is new. */
   bool present_at_start = false;
-  /** Requests a second that the worker bears from all fronts while cold; zero: not known, so that
-   * its cold time is judged by its age and samples. */
+  /** Requests per second that a worker which is warming up sustains from all fronts; zero:
+   * unknown, so that slow start ends by age and samples. */
   double bearable_per_s = 0;
-  /** The platform lists it as cold. */
+  /** The platform lists the worker as warming up. */
   bool listed_warming_up = false;
-  /** Taken for cold until then whatever the list says. */
+  /** Treated as warming up until then, whatever the platform lists. */
   base::TimePoint warming_up_until{};
 };
 
 /**
- * Bounds how many prompts a worker which has just returned receives from all fronts together,
- * without a call between them: of all fronts only those ranked first by rendezvous hashing of the
- * worker instance may try it, one prompt at a time each and one each PlacementInterval. One front
- * is let in during the first second and two during the next, hence at most
- * MostInFirstTwoSeconds prompts come from all fronts; afterwards as many fronts as the worker has
- * slots, until WarmSamples are known or MaximumSlowStart has passed.
+ * Slow start over all fronts: limits how many prompts a worker that has just returned receives from
+ * the whole fleet, without communication between fronts. Only the fronts ranked first by rendezvous
+ * hashing of the worker instance may use it, each with one prompt in flight and one for each
+ * PlacementInterval. One front is admitted during the first second and two during the next, so that
+ * at most MaximumInFirstTwoSeconds prompts arrive from all fronts; afterwards as many fronts as the
+ * worker has slots, until WarmSamples are known or MaximumSlowStart has passed.
  *
- * A worker whose bearable rate is known is cold for as long as the platform says; its rate is
- * shared by so many fronts, ranked the same way, that each may place once each PlacementInterval.
- * Fronts whose views of each other differ may so let in more, by the rate of the fronts they miss.
+ * A worker with a configured rate limit warms up for as long as the platform lists it so; its rate
+ * is divided among so many fronts, ranked in the same way, that each may place once for each
+ * PlacementInterval. Fronts with different views of the fleet may exceed the limit by the share of
+ * the fronts they do not see. Runs on the control strand.
  */
 class SlowStartLimiter {
  public:
   static constexpr double WarmSamples = 8.0;
+  /** The number of admitted fronts doubles at this interval. */
   static constexpr base::Duration DoublingTime = std::chrono::seconds(1);
   static constexpr base::Duration PlacementInterval = std::chrono::milliseconds(500);
-  /** Before this time no number of samples makes a worker warm. */
+  /** A worker is warming up for at least this long, whatever its number of samples. */
   static constexpr base::Duration MinimumSlowStart = std::chrono::seconds(2);
-  /** After this time the guard no longer holds a worker back. */
+  /** Slow start ends after this time, whatever the number of samples. */
   static constexpr base::Duration MaximumSlowStart = std::chrono::seconds(8);
-  /** Two a second from the first front for two seconds, and from the second for one. */
-  static constexpr int MostInFirstTwoSeconds = 6;
+  /** Two per second from the first front for two seconds, and from the second for one. */
+  static constexpr int MaximumInFirstTwoSeconds = 6;
 
+  /** @param fronts all fronts with live sessions; may include `self`. */
   void setFronts(const base::NodeAddress& self, const std::vector<base::NodeAddress>& fronts);
   bool isWarmingUp(const SlowStartState& state, base::TimePoint now) const;
-  /** Whether this front may send the worker a request now. Always true for warm workers. */
+  /** @return whether this front may send the worker a request now; always true for warm workers. */
   bool mayPlace(const SlowStartState& state, std::uint32_t slots, base::TimePoint now) const;
 
  private:
+  /** Whether this front is among those that share the worker's configured rate limit. */
+  bool sharesRateLimit(const SlowStartState& state) const;
+  /** Fronts admitted to a worker of this age. */
+  static std::size_t admittedFronts(base::Duration age, std::uint32_t slots);
+  /** Number of fronts that rank before this one for the instance. */
   std::size_t rankOfSelf(std::uint64_t instance) const;
 
   std::uint64_t self_hash_ = 0;
-  std::vector<std::uint64_t> other_hashes_;
+  std::vector<std::uint64_t> peer_hashes_;
 };
 
 }  // namespace switchsaddle::routing
--- a/libraries/routing/include/switchsaddle/routing/work_lanes.h
+++ b/libraries/routing/include/switchsaddle/routing/work_lanes.h
@@ -11,15 +11,14 @@
 namespace switchsaddle::routing {
 
 /**
- * Divides the workers between kinds of work with long prompts and kinds with short ones. While a
- * worker reads a long prompt, every token of the streams beside it comes late, and a short prompt
- * that queues behind it is late whole. A kind goes as one, whatever the length of a single prompt,
- * since its prompts share parts that ought to be read once. The kinds are parted where the mean
- * lengths of two neighbours lie furthest apart, if they do so by LeastRatio; the long ones get a
- * part of the workers like their part of all tokens that workers read, within bounds and in steps.
- * While the cores tell what work all fronts get, lanes follow that, so that all fronts have the
- * same ones; otherwise this front's own work.
- * Strand of its owner.
+ * Divides a pool's workers into a lane for kinds of work with long prompts and one for kinds with
+ * short prompts: while a worker prefills a long prompt, its streams decode slowly and short prompts
+ * wait. A kind is assigned as a unit, whatever the length of a single prompt, since its prompts
+ * share prefixes that should be prefilled once. Kinds are divided at the largest ratio between
+ * neighbouring mean lengths, if it is at least MinimumLengthRatio; the long lane's share of the
+ * workers follows its share of the prefilled tokens, within bounds and in steps. Uses the work of
+ * all fronts while the cores report it, so that fronts agree on the lanes; otherwise this front's
+ * own. Runs on its owner's strand.
  */
 class WorkLanes {
  public:
@@ -27,67 +26,69 @@
   WorkLanes(const WorkLanes&) = delete;
   WorkLanes& operator=(const WorkLanes&) = delete;
 
-  /** Means closer than this share their workers. */
-  static constexpr double LeastRatio = 2.5;
-  /** Bounds of the long lane's part of the workers. */
+  /** Kinds whose mean lengths differ by less share their workers. */
+  static constexpr double MinimumLengthRatio = 2.5;
+  /** Bounds of the long lane's share of the workers. */
   static constexpr double MinimumLongShare = 0.25;
   static constexpr double MaximumLongShare = 0.7;
-  /** Fewer workers are not divided. */
-  static constexpr std::size_t FewestWorkers = 4;
-  /** Fewer prompts of a kind say nothing of its length. */
-  static constexpr double FewestPrompts = 5;
+  /** Smaller pools are not divided. */
+  static constexpr std::size_t MinimumWorkers = 4;
+  /** Kinds with fewer prompts are not considered. */
+  static constexpr double MinimumPrompts = 5;
   static constexpr base::Duration HalfLife = std::chrono::seconds(60);
 
-  /** How long the cores' word holds. */
+  /** How long a report of the fleet's work is used. */
   static constexpr base::Duration FleetLifetime = std::chrono::seconds(5);
-  /** Parts of the workers are multiples of this, so that fronts agree on them. */
+  /** Shares of the workers are multiples of this, so that fronts agree on them. */
   static constexpr double ShareStep = 0.05;
 
+  /** Counts a prompt; divides the lanes anew at intervals. */
   void add(std::uint64_t kind, std::uint32_t prompt_tokens, base::TimePoint now);
-  /** Of a prompt that add() has counted, so many tokens are to be read. */
-  void addRead(std::uint64_t kind, std::uint32_t tokens);
-  /** The work that this front got. */
-  std::vector<wire::WorkKindCounts> kinds() const;
-  /** The work that all fronts got. */
-  void setFleet(const std::vector<wire::WorkKindCounts>& kinds, base::TimePoint now);
-  /** Whether the kinds known are parted into two lanes. */
-  bool divided() const { return divided_; }
-  /** Mean prompt tokens of a kind; zero where it is not known. */
+  /** Counts the tokens to be prefilled of a prompt that add() has counted. */
+  void addPrefill(std::uint64_t kind, std::uint32_t tokens);
+  /** @return this front's own work by kind. */
+  std::vector<wire::WorkKindCounts> counts() const;
+  /** Sets the work of all fronts by kind. */
+  void setFleetCounts(const std::vector<wire::WorkKindCounts>& counts, base::TimePoint now);
+  /** Whether the known kinds are divided into two lanes. */
+  bool isDivided() const { return is_divided_; }
+  /** @return the mean prompt tokens of a kind; zero for an unknown kind. */
   double meanTokens(std::uint64_t kind) const;
-  /** Whether the kind has long prompts; false for a kind not known. */
+  /** Whether the kind belongs to the long lane; false for an unknown kind. */
   bool isLong(std::uint64_t kind) const;
-  /** Of so many workers, how many serve the short kinds; all where there is no division. */
+  /** @return how many of the workers serve the short lane; all without a division. */
   std::size_t shortWorkers(std::size_t workers) const;
 
  private:
   struct Kind {
     double prompts = 0;
     double tokens = 0;
-    double read = 0;
+    double prefill_tokens = 0;
 
     double mean() const { return tokens / prompts; }
+    /** Tokens that workers prefill for the kind. */
+    double work() const;
   };
   using Kinds = std::map<std::uint64_t, Kind>;
 
   void decay(base::TimePoint now);
   void divide();
-  /** Tokens that workers read for the kind. */
-  static double workOf(const Kind& kind);
-  /** Gives the long kinds a part of the workers like `wanted`. */
-  void adjustLongShare(double wanted);
+  /** @return the kinds with enough prompts, by mean length. */
+  std::vector<Kind> kindsByLength() const;
+  void adjustLongShare(double target);
 
   /** This front's own work. */
-  Kinds kinds_;
+  Kinds own_kinds_;
   base::TimePoint decayed_at_{};
-  /** All fronts' work, while it is known. */
-  Kinds fleet_;
-  base::TimePoint fleet_at_{};
-  /** What the lanes follow: one of the two. */
-  const Kinds* followed_ = &kinds_;
-  bool divided_ = false;
+  /** The work of all fronts, while it is known. */
+  Kinds fleet_kinds_;
+  base::TimePoint fleet_reported_at_{};
+  /** The kinds that the lanes follow: one of the two. */
+  const Kinds* active_kinds_ = &own_kinds_;
+  bool is_divided_ = false;
   /** Mean length from which on a kind is long. */
-  double long_from_ = 0;
-  /** Part of the workers for the long kinds; kept while the work asks for nearly the same. */
+  double minimum_long_tokens_ = 0;
+  /** The long lane's share of the workers; kept until its target moves far enough. */
   double long_share_ = 0;
 };
 
--- a/libraries/routing/source/arm_index.cc
+++ b/libraries/routing/source/arm_index.cc
@@ -34,7 +34,7 @@
     return;
   }
   const std::size_t even = std::bit_floor(std::max<std::size_t>(1, RingSize / workers));
-  const std::size_t points = std::clamp(even, FewestPoints, MostPoints);
+  const std::size_t points = std::clamp(even, MinimumPoints, MaximumPoints);
   ring_.reserve(workers * points);
   for (const Range& range : ranges_) {
     if (range.count > 0) {
--- a/libraries/routing/source/chain_rate.cc
+++ b/libraries/routing/source/chain_rate.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Counters are brought down again before their weight leaves the range of a float. */
-constexpr double LargestWeight = 1e6;
+/** Counters are rescaled before the weight exceeds the precision of a float. */
+constexpr double MaximumWeight = 1e6;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
 }
 
 void ChainRate::add(std::uint64_t chain, base::TimePoint now) {
-  if (weightAt(now) > LargestWeight) {
+  if (weightAt(now) > MaximumWeight) {
     rescale(now);
   }
   const auto weight = static_cast<float>(weightAt(now));
--- a/libraries/routing/source/model_pool.cc
+++ b/libraries/routing/source/first_token_estimate.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/routing/model_pool.h"
+#include "switchsaddle/routing/first_token_estimate.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,10 +7,11 @@
 
 namespace {
 
-/** A reported load older than this says nothing any more. */
+/** Reported loads older than this are ignored. */
 constexpr base::Duration LoadReportLifetime = std::chrono::seconds(5);
 
-/** How soon a worker whose slots fill up counts as one with a queue; higher is later. */
+/** Exponent of the wait that slots in use predict; the higher, the later a filling worker counts as
+ * queueing. */
 constexpr double NearlyFullExponent = 4.0;
 
 double orPrior(double measured, double prior) {
@@ -19,9 +20,9 @@
 
 }  // namespace
 
-std::uint32_t believedLoad(const WorkerRecord& record, base::TimePoint now) {
-  const bool fresh = now - record.load_at < LoadReportLifetime;
-  return record.cold.in_flight + (fresh ? record.peer_load : 0);
+std::uint32_t estimatedLoad(const WorkerRecord& record, base::TimePoint now) {
+  const bool fresh = now - record.load_reported_at < LoadReportLifetime;
+  return record.slow_start.in_flight + (fresh ? record.peer_load : 0);
 }
 
 double prefillRate(const Arm& arm, const UnmeasuredPrior& prior, double pool_rate) {
@@ -39,12 +40,12 @@
   const double service_s = prefill_s + output_tokens * output_rate;
   const WorkerRecord& worker = *arm.prefill;
   const double slots = std::max(1U, worker.slots);
-  const double load = believedLoad(worker, now);
-  // Loads are believed, not known: slots that are nearly full may be full by now.
+  const double load = estimatedLoad(worker, now);
+  // Loads are estimates: slots that are nearly full may be full by now.
   const double nearly_full = std::pow(std::min(1.0, load / slots), NearlyFullExponent);
   const double waiting = std::max(nearly_full, load + 1.0 - slots);
   const double queue_s = waiting / slots * service_s;
-  // Running requests share the processor with a new prefill; spread load before slots run out.
+  // Running requests share the processor with a new prefill; spreads load before slots run out.
   const double sharing_s = prefill_s * std::min(1.0, load / slots);
   return prior.base_seconds + queue_s + prefill_s + sharing_s;
 }
--- a/libraries/routing/source/peer_load.cc
+++ b/libraries/routing/source/peer_load.cc
@@ -24,9 +24,9 @@
   }
   constexpr double SecondsPerMs = 1e-3;
   const auto found = loads_.find(worker);
-  const bool told = found != loads_.end();
-  const double requests = told ? found->second.requests : rest_requests_;
-  const double prefill_ms = told ? found->second.prefill_ms : rest_prefill_ms_;
+  const bool is_listed = found != loads_.end();
+  const double requests = is_listed ? found->second.requests : rest_requests_;
+  const double prefill_ms = is_listed ? found->second.prefill_ms : rest_prefill_ms_;
   const double age_s = std::chrono::duration<double>(now - reported_at_).count();
   return {requests, std::max(0.0, prefill_ms * SecondsPerMs - age_s)};
 }
--- a/libraries/routing/source/pool_builder.cc
+++ b/libraries/routing/source/pool_builder.cc
@@ -1,137 +1,44 @@
+#include "pool_builder.h"
+
 #include <algorithm>
+#include <utility>
+#include <vector>
 
 #include "switchsaddle/base/hash.h"
-#include "switchsaddle/routing/learned_router.h"
 
 namespace switchsaddle::routing {
 
-namespace {
-
-bool serves(const WorkerRecord& record, const ModelPool& pool) {
-  const wire::WorkerEntry& entry = record.worker.entry;
-  const bool in_pool = entry.service == pool.pool;
-  return in_pool &&
-         std::find(entry.models.begin(), entry.models.end(), pool.model) != entry.models.end();
-}
-
-}  // namespace
-
-void LearnedRouter::setConfiguration(std::shared_ptr<const configuration::View> view) {
-  view_ = std::move(view);
-  tuning_ = view_->tuning;
-  updateColdLimits();
-  rebuildPools();
-}
-
-void LearnedRouter::setWorkers(workers::WorkerSnapshotPtr snapshot) {
-  snapshot_ = std::move(snapshot);
-  updateWorkerRecords();
-  rebuildPools();
+void PoolBuilder::build(const WorkerRecords::Records& records) {
+  takeFormerArms();
+  buildArms(records);
+  rankArms();
+  pool_.index.rebuild(pool_.arms);
+  pool_.scouts.arms.clear();
+  pool_.scouts.epoch = 0;
+  retireFormerArms();
 }
 
-void LearnedRouter::setFronts(const std::vector<base::NodeAddress>& fronts) {
-  slow_start_limiter_.setFronts(self_, fronts);
-  fronts_ = std::max<std::size_t>(1, fronts.size());
-}
-
-void LearnedRouter::updateWorkerRecords() {
-  const base::TimePoint now = dispatcher_.now();
-  for (const auto& [id, worker] : snapshot_->workers) {
-    WorkerRecordPtr& record = workers_[id];
-    const bool same_instance = record && record->worker.entry.instance == worker.entry.instance;
-    if (!same_instance) {
-      record = std::make_shared<WorkerRecord>();
-      record->number = freeNumber();
-      record->hash = base::hashBytes(id);
-      record->load_key = workers::loadKey(worker.entry);
-      record->cold.instance = base::combineHashes(record->hash, worker.entry.instance);
-      record->cold.first_seen = now;
-      record->cold.present_at_start = !first_list_taken_;
-    }
-    record->worker = worker;
-    record->cold.listed_warming_up = worker.entry.cold;
-    record->slots = std::max(1U, worker.entry.slots);
+void PoolBuilder::takeFormerArms() {
+  for (const ArmPtr& arm : pool_.arms) {
+    former_[arm->signature] = arm;
   }
-  std::erase_if(workers_,
-                [this](const auto& item) { return !snapshot_->workers.contains(item.first); });
-  first_list_taken_ = first_list_taken_ || !snapshot_->workers.empty();
-  updateColdLimits();
-}
-
-void LearnedRouter::updateColdLimits() {
-  if (!view_) {
-    return;
-  }
-  for (const auto& [id, record] : workers_) {
-    const configuration::ForwardPool* pool =
-        view_->forwarding.findPool(record->worker.entry.service);
-    record->cold.bearable_per_s = pool == nullptr ? 0 : pool->slow_start_per_s;
-    const bool evacuated = !view_->allowsWorker(record->worker.entry);
-    if (record->evacuated && !evacuated && pool != nullptr) {
-      // A worker that was empty may come back cold, which the list tells later.
-      record->cold.warming_up_until =
-          dispatcher_.now() + std::chrono::milliseconds(pool->slow_start_ms);
-    }
-    record->evacuated = evacuated;
+  for (const ArmPtr& arm : pool_.retired) {
+    former_.emplace(arm->signature, arm);
   }
+  pool_.arms.clear();
+  pool_.retired.clear();
 }
 
-/** Numbers are used again only after all others, when no chain is remembered under them. */
-WorkerNumber LearnedRouter::freeNumber() {
-  const auto taken = [this](WorkerNumber number) {
-    return std::any_of(workers_.begin(), workers_.end(), [number](const auto& item) {
-      return item.second && item.second->number == number;
-    });
-  };
-  while (next_number_ == NoWorker || (numbers_reused_ && taken(next_number_))) {
-    numbers_reused_ = true;
-    ++next_number_;
-  }
-  return next_number_++;
-}
-
-void LearnedRouter::rebuildPools() {
-  if (!view_ || !snapshot_) {
-    return;
-  }
-  for (const auto& [name, route] : view_->routes) {
-    for (const std::string& model : route.models) {
-      rebuildPool(route.pool, model);
-    }
-  }
-  for (const auto& [name, pool] : view_->forwarding.pools) {
-    for (const std::string& model : pool.models) {
-      rebuildPool(name, model);
-    }
-  }
-}
-
-void LearnedRouter::rebuildPool(const std::string& pool_name, const std::string& model) {
-  ModelPool& pool = pools_[PoolKey{model, pool_name}];
-  pool.model = model;
-  pool.pool = pool_name;
-  buildPool(pool);
-}
-
-void LearnedRouter::buildPool(ModelPool& pool) {
-  const std::string topology_before = topologyOf(pool);
-  std::map<std::string, ArmPtr> former;
-  for (const ArmPtr& arm : pool.arms) {
-    former[arm->signature] = arm;
-  }
-  for (const ArmPtr& arm : pool.retired) {
-    former.emplace(arm->signature, arm);
-  }
-  pool.arms.clear();
+void PoolBuilder::buildArms(const WorkerRecords::Records& records) {
   std::vector<WorkerRecordPtr> prefill_workers;
   std::vector<WorkerRecordPtr> decode_workers;
-  for (const auto& [id, record] : workers_) {
-    if (!record->usable() || !serves(*record, pool)) {
+  for (const auto& [id, record] : records) {
+    if (!record->usable() || !serves(*record)) {
       continue;
     }
     switch (record->worker.entry.stage) {
       case wire::WorkerStage::Both:
-        addArm(pool, former, record, nullptr);
+        addArm(record, nullptr);
         break;
       case wire::WorkerStage::Prefill:
         prefill_workers.push_back(record);
@@ -143,28 +50,49 @@
   }
   for (const WorkerRecordPtr& prefill : prefill_workers) {
     for (const WorkerRecordPtr& decode : decode_workers) {
-      addArm(pool, former, prefill, decode);
+      addArm(prefill, decode);
     }
   }
-  rankArms(pool);
-  pool.index.rebuild(pool.arms);
-  pool.scouts.clear();
-  pool.scouts_epoch = 0;
-  pool.retired.clear();
-  for (auto& [signature, arm] : former) {
-    pool.retired.push_back(std::move(arm));
+}
+
+bool PoolBuilder::serves(const WorkerRecord& record) const {
+  const wire::WorkerEntry& entry = record.worker.entry;
+  return entry.service == pool_.pool && std::ranges::count(entry.models, pool_.model) > 0;
+}
+
+void PoolBuilder::addArm(const WorkerRecordPtr& prefill, const WorkerRecordPtr& decode) {
+  std::string signature = prefill->worker.entry.id;
+  if (decode) {
+    signature += ">" + decode->worker.entry.id;
   }
-  pruneRetired(pool);
-  if (topologyOf(pool) != topology_before) {
-    bumpEpoch(pool);
+  ArmPtr arm = takeArm(signature);
+  const bool is_new = arm->prefill == nullptr;
+  const bool other_instance = arm->prefill != prefill || arm->decode != decode;
+  if (!is_new && other_instance) {
+    arm->statistics.startInstance();
   }
+  arm->prefill = prefill;
+  arm->decode = decode;
+  pool_.arms.push_back(std::move(arm));
+}
+
+ArmPtr PoolBuilder::takeArm(const std::string& signature) {
+  const auto known = former_.find(signature);
+  if (known != former_.end()) {
+    ArmPtr arm = std::move(known->second);
+    former_.erase(known);
+    return arm;
+  }
+  auto arm = std::make_shared<Arm>();
+  arm->signature = signature;
+  arm->hash = base::hashBytes(signature);
+  return arm;
 }
 
-void LearnedRouter::rankArms(ModelPool& pool) {
-  // By hash, so that all fronts agree, and zones are spread over the lanes.
+void PoolBuilder::rankArms() {
   std::vector<Arm*> ranked;
-  ranked.reserve(pool.arms.size());
-  for (const ArmPtr& arm : pool.arms) {
+  ranked.reserve(pool_.arms.size());
+  for (const ArmPtr& arm : pool_.arms) {
     ranked.push_back(arm.get());
   }
   std::sort(ranked.begin(), ranked.end(),
@@ -174,32 +102,13 @@
   }
 }
 
-void LearnedRouter::addArm(ModelPool& pool, std::map<std::string, ArmPtr>& former,
-                           const WorkerRecordPtr& prefill, const WorkerRecordPtr& decode) {
-  std::string signature = prefill->worker.entry.id;
-  if (decode) {
-    signature += ">" + decode->worker.entry.id;
-  }
-  const auto known = former.find(signature);
-  ArmPtr arm;
-  if (known != former.end()) {
-    arm = known->second;
-    former.erase(known);
-  } else {
-    arm = std::make_shared<Arm>();
-    arm->signature = signature;
-    arm->hash = base::hashBytes(signature);
-  }
-  const bool other_instance = arm->prefill != prefill || arm->decode != decode;
-  if (arm->prefill != nullptr && other_instance) {
-    arm->statistics.startInstance();
+void PoolBuilder::retireFormerArms() {
+  for (auto& [signature, arm] : former_) {
+    pool_.retired.push_back(std::move(arm));
   }
-  arm->prefill = prefill;
-  arm->decode = decode;
-  pool.arms.push_back(std::move(arm));
 }
 
-std::string LearnedRouter::topologyOf(const ModelPool& pool) const {
+std::string topologyOf(const ModelPool& pool) {
   std::string topology;
   for (const ArmPtr& arm : pool.arms) {
     const wire::WorkerEntry& entry = arm->prefill->worker.entry;
@@ -213,18 +122,4 @@
   return topology;
 }
 
-void LearnedRouter::bumpEpoch(ModelPool& pool) {
-  ++pool.epoch;
-  pool.epoch_start = dispatcher_.now();
-}
-
-void LearnedRouter::pruneRetired(ModelPool& pool) {
-  const auto limit = std::chrono::duration_cast<base::Duration>(
-      std::chrono::duration<double>(tuning_.route_prune_after_s));
-  const base::TimePoint now = dispatcher_.now();
-  std::erase_if(pool.retired, [now, limit](const ArmPtr& arm) {
-    return !arm->statistics.measured() || now - arm->statistics.measuredAt() > limit;
-  });
-}
-
 }  // namespace switchsaddle::routing
--- a/libraries/routing/source/route_statistics.cc
+++ b/libraries/routing/source/route_statistics.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Most weight the old mean has against a new sample, so that it follows a worker that changes; the
- * mass itself has no such bound. */
+/** Maximum weight of the old mean against a new sample, so that the mean follows a worker that
+ * changes; the mass itself is not bounded. */
 constexpr double MaximumWeight = 16.0;
 
 double secondsOf(base::Duration duration) {
--- a/libraries/routing/source/slow_start_limiter.cc
+++ b/libraries/routing/source/slow_start_limiter.cc
@@ -9,10 +9,10 @@
 void SlowStartLimiter::setFronts(const base::NodeAddress& self,
                                  const std::vector<base::NodeAddress>& fronts) {
   self_hash_ = base::hashBytes(self.toString());
-  other_hashes_.clear();
+  peer_hashes_.clear();
   for (const base::NodeAddress& front : fronts) {
     if (front != self) {
-      other_hashes_.push_back(base::hashBytes(front.toString()));
+      peer_hashes_.push_back(base::hashBytes(front.toString()));
     }
   }
 }
@@ -34,24 +34,30 @@
     return true;
   }
   const bool too_soon = state.placed && now - state.last_placed < PlacementInterval;
-  if (state.bearable_per_s > 0) {
-    const double placements_per_s = 1.0 / std::chrono::duration<double>(PlacementInterval).count();
-    const auto admitted = static_cast<std::size_t>(state.bearable_per_s / placements_per_s);
-    return !too_soon && rankOfSelf(state.instance) < std::max<std::size_t>(1, admitted);
-  }
-  if (state.in_flight > 0 || too_soon) {
+  if (too_soon) {
     return false;
   }
-  const base::Duration age = now - state.first_seen;
-  const std::size_t admitted =
-      age >= MinimumSlowStart ? std::max(1U, slots) : std::size_t{1} << (age / DoublingTime);
-  return rankOfSelf(state.instance) < admitted;
+  if (state.bearable_per_s > 0) {
+    return sharesRateLimit(state);
+  }
+  return state.in_flight == 0 &&
+         rankOfSelf(state.instance) < admittedFronts(now - state.first_seen, slots);
+}
+
+bool SlowStartLimiter::sharesRateLimit(const SlowStartState& state) const {
+  const double placements_per_s = 1.0 / std::chrono::duration<double>(PlacementInterval).count();
+  const auto admitted = static_cast<std::size_t>(state.bearable_per_s / placements_per_s);
+  return rankOfSelf(state.instance) < std::max<std::size_t>(1, admitted);
+}
+
+std::size_t SlowStartLimiter::admittedFronts(base::Duration age, std::uint32_t slots) {
+  return age >= MinimumSlowStart ? std::max(1U, slots) : std::size_t{1} << (age / DoublingTime);
 }
 
 std::size_t SlowStartLimiter::rankOfSelf(std::uint64_t instance) const {
   const std::uint64_t own = base::combineHashes(self_hash_, instance);
   return static_cast<std::size_t>(std::count_if(
-      other_hashes_.begin(), other_hashes_.end(),
+      peer_hashes_.begin(), peer_hashes_.end(),
       [own, instance](std::uint64_t hash) { return base::combineHashes(hash, instance) > own; }));
 }
 
--- a/libraries/routing/test/arm_selection_test.cc
+++ b/libraries/routing/test/arm_selection_test.cc
@@ -23,7 +23,7 @@
   int first = 0;
   for (int draw = 0; draw < Draws; ++draw) {
     const Selection selection = selectArm(candidates, 0.3, 1.0, random);
-    EXPECT_EQ(selection.mode, Mode::Exploit);
+    EXPECT_EQ(selection.mode, SelectionMode::Exploit);
     first += selection.index == 0 ? 1 : 0;
   }
   EXPECT_NEAR(first / static_cast<double>(Draws), 0.6, 0.03);
@@ -44,7 +44,7 @@
   const std::array candidates{proven(60), unproven(0.2, 0)};
   int scouted = 0;
   for (int draw = 0; draw < Draws; ++draw) {
-    scouted += selectArm(candidates, 0.3, 1.0, random).mode == Mode::Scout ? 1 : 0;
+    scouted += selectArm(candidates, 0.3, 1.0, random).mode == SelectionMode::Scout ? 1 : 0;
   }
   EXPECT_NEAR(scouted / static_cast<double>(Draws), 0.3, 0.03);
 }
@@ -55,22 +55,22 @@
   EXPECT_EQ(selectArm(candidates, 1.0, 1.0, random).index, 3U);
 }
 
-TEST(ArmSelectionTest, TakesTheBestPriorWhereNothingIsProven) {
+TEST(ArmSelectionTest, ChoosesTheBestPriorIfNoArmIsProven) {
   base::RandomSource random(5);
   const std::array candidates{unproven(0, 1), unproven(0, 3), unproven(0.4, 2)};
   for (int draw = 0; draw < 100; ++draw) {
     const Selection selection = selectArm(candidates, 0.3, 1.0, random);
     EXPECT_EQ(selection.index, 1U);
-    EXPECT_EQ(selection.mode, Mode::BestPrior);
+    EXPECT_EQ(selection.mode, SelectionMode::BestPrior);
   }
 }
 
-TEST(ArmSelectionTest, HeldBackArmsAreNeitherScoutedNorTakenOnTheirPrior) {
+TEST(ArmSelectionTest, ArmsNotAdmittedBySlowStartAreNeitherScoutedNorChosenByPrior) {
   base::RandomSource random(6);
-  SelectionCandidate cold = unproven(0, 9);
-  cold.may_scout = false;
-  const std::array with_proven{proven(60), cold};
-  const std::array without_proven{unproven(0.1, 1), cold};
+  SelectionCandidate warming_up = unproven(0, 9);
+  warming_up.may_scout = false;
+  const std::array with_proven{proven(60), warming_up};
+  const std::array without_proven{unproven(0.1, 1), warming_up};
   for (int draw = 0; draw < 200; ++draw) {
     EXPECT_EQ(selectArm(with_proven, 1.0, 1.0, random).index, 0U);
     EXPECT_EQ(selectArm(without_proven, 0.3, 1.0, random).index, 0U);
--- a/libraries/routing/test/first_token_model_test.cc
+++ b/libraries/routing/test/first_token_model_test.cc
@@ -10,39 +10,39 @@
 constexpr double Base = 0.03;
 constexpr double PerToken = 2e-5;
 
-/** Answers of an engine with the rates above: prompts of 200 to 12,000 tokens, `busy` of ten of
- * them delayed by half a second that the front does not know of. */
+/** A model fitted to answers of an engine with the rates above: prompts of 200 to 12,000 tokens, of
+ * which `busy` in ten are delayed by half a second of unknown load. */
 FirstTokenModel trained(int answers, int busy) {
   std::mt19937 random(3);
   std::uniform_real_distribution<double> tokens(200, 12'000);
   std::uniform_int_distribution<int> in_ten(0, 9);
   FirstTokenModel model;
   for (int answer = 0; answer < answers; ++answer) {
-    const double read = tokens(random);
+    const double prefill_tokens = tokens(random);
     const double delay = in_ten(random) < busy ? 0.5 : 0;
-    model.add(read, Base + read * PerToken + delay);
+    model.add(prefill_tokens, Base + prefill_tokens * PerToken + delay);
   }
   return model;
 }
 
-TEST(FirstTokenModelTest, FindsTheRates) {
+TEST(FirstTokenModelTest, FitsBaseTimeAndTimePerToken) {
   const FirstTokenModel model = trained(200, 0);
   EXPECT_NEAR(model.secondsPerToken(), PerToken, PerToken * 0.02);
   EXPECT_NEAR(model.baseSeconds(), Base, 0.002);
 }
 
-TEST(FirstTokenModelTest, AFewAnswersAreEnough) {
+TEST(FirstTokenModelTest, FitsFromFiveAnswers) {
   const FirstTokenModel model = trained(5, 0);
-  EXPECT_NEAR(model.expect(10'000), Base + 10'000 * PerToken, 0.05);
+  EXPECT_NEAR(model.expectedSeconds(10'000), Base + 10'000 * PerToken, 0.05);
 }
 
-TEST(FirstTokenModelTest, DelaysThatWereNotKnownMoveItWithinABound) {
+TEST(FirstTokenModelTest, CapsTheEffectOfUnknownDelays) {
   const FirstTokenModel model = trained(400, 2);
-  EXPECT_GT(model.expect(10'000), 0.2);
-  EXPECT_LT(model.expect(10'000), 0.4);
+  EXPECT_GT(model.expectedSeconds(10'000), 0.2);
+  EXPECT_LT(model.expectedSeconds(10'000), 0.4);
 }
 
-TEST(FirstTokenModelTest, BelievesNoRateBelowZero) {
+TEST(FirstTokenModelTest, NeverFitsANegativeRate) {
   FirstTokenModel model;
   for (int answer = 0; answer < 50; ++answer) {
     model.add(100, 0.2);
--- a/libraries/routing/test/fleet_loads_router_test.cc
+++ b/libraries/routing/test/fleet_loads_router_test.cc
@@ -1,4 +1,4 @@
-// The router where it places by what all fronts have under way.
+// The router with the loads of all fronts.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 constexpr int Workers = 24;
 constexpr std::uint32_t SharedTokens = 5'000;
 constexpr std::uint32_t PromptTokens = 6'000;
-/** More than a prompt can wait for. */
+/** A backlog that no prompt can wait for. */
 constexpr std::uint16_t LongQueueMs = 3'000;
 
 /** One front's router over a pool of workers w0..w23. */
@@ -66,7 +66,7 @@
     completion.total = seconds(1);
     router.complete(completion);
   }
-  /** Places and ends one prompt; returns its worker. */
+  /** Places and completes one prompt; returns its worker. */
   std::string run(const std::string& subject) {
     const Placement placement = place(subject);
     world_.runFor(milliseconds(100));
@@ -95,7 +95,7 @@
   LearnedRouter router{process_, world_.random(), {"127.0.0.1", 1}, optionsOf()};
 };
 
-TEST(FleetLoadsRouterTest, AllFrontsSendASubjectToOneWorker) {
+TEST(FleetLoadsRouterTest, AllFrontsSendAPrefixToOneWorker) {
   std::set<std::string> arms;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     RoutedFront front(seed);
@@ -105,14 +105,14 @@
   EXPECT_EQ(arms.size(), 1U);
 }
 
-TEST(FleetLoadsRouterTest, ASubjectStaysWhereItIsHeldWhileItWouldBeInTime) {
+TEST(FleetLoadsRouterTest, APrefixStaysAtItsHomeWhileItMeetsTheTarget) {
   RoutedFront front(1);
   const std::string home = front.run("subject");
   front.reportPeers(home, 3, 300);
   EXPECT_EQ(front.run("subject"), home);
 }
 
-TEST(FleetLoadsRouterTest, WhatWouldBeLateGoesToTheSameNextWorkerFromAllFronts) {
+TEST(FleetLoadsRouterTest, AllFrontsOverflowToTheSameWorker) {
   std::set<std::string> next;
   std::string home;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -125,7 +125,7 @@
   EXPECT_THAT(next, testing::Not(testing::Contains(home)));
 }
 
-TEST(FleetLoadsRouterTest, AViewThatStopsLeavesTheOrderOfHomes) {
+TEST(FleetLoadsRouterTest, AnExpiredReportLeavesTheHome) {
   RoutedFront front(1);
   const std::string home = front.run("subject");
   front.reportPeers(home, 3, LongQueueMs);
@@ -133,7 +133,7 @@
   EXPECT_EQ(front.run("subject"), home);
 }
 
-TEST(FleetLoadsRouterTest, TellsWhatItHasUnderWayUntilItEnds) {
+TEST(FleetLoadsRouterTest, ExportsItsRequestsUntilTheyEnd) {
   RoutedFront front(1);
   EXPECT_THAT(front.router.exportLoads().workers, testing::IsEmpty());
   const Placement placement = front.place("subject");
@@ -148,16 +148,16 @@
   EXPECT_THAT(front.router.exportLoads().workers, testing::IsEmpty());
 }
 
-TEST(FleetLoadsRouterTest, ItsOwnPromptsCountAtOnce) {
+TEST(FleetLoadsRouterTest, ItsOwnPromptsCountImmediately) {
   RoutedFront front(1);
   std::map<std::string, int> counts;
   for (int prompt = 0; prompt < 60; ++prompt) {
     ++counts[front.place("subject").arm];
   }
-  EXPECT_GT(counts.size(), 2U) << "prompts sent in one moment do not all wait for one worker";
+  EXPECT_GT(counts.size(), 2U) << "prompts sent at the same time do not all wait for one worker";
 }
 
-TEST(FleetLoadsRouterTest, FullSlotsAreAQueue) {
+TEST(FleetLoadsRouterTest, FullSlotsCauseOverflow) {
   RoutedFront front(1);
   const std::string home = front.run("subject");
   front.reportPeers(home, 100, 0);
--- a/libraries/routing/test/learned_router_test.cc
+++ b/libraries/routing/test/learned_router_test.cc
@@ -99,7 +99,7 @@
   EXPECT_FALSE(place().has_value());
 }
 
-TEST_F(LearnedRouterTest, NeverPlacesOnDrainingGoneEvacuatedOrForeignWorkers) {
+TEST_F(LearnedRouterTest, NeverPlacesOnDrainingRemovedEvacuatedOrForeignWorkers) {
   addWorkers(4);
   workers_["w0"].draining = true;
   workers_["w1"].gone = true;
@@ -117,7 +117,7 @@
   }
 }
 
-TEST_F(LearnedRouterTest, PlacesNothingWhereEveryWorkerIsExcluded) {
+TEST_F(LearnedRouterTest, PlacesNothingIfEveryWorkerIsExcluded) {
   addWorkers(2);
   EXPECT_FALSE(place({"w0", "w1"}).has_value());
   EXPECT_EQ(place({"w0"})->arm, "w1");
@@ -131,7 +131,7 @@
   EXPECT_EQ(rowOf("w0")->samples, 1U);
 }
 
-TEST_F(LearnedRouterTest, AJoinBumpsTheEpochAndMakesScoresStale) {
+TEST_F(LearnedRouterTest, AJoinStartsAnEpochAndMakesScoresStale) {
   addWorkers(2);
   finish(*place({"w1"}), 50);
   finish(*place({"w0"}), 50);
@@ -145,7 +145,7 @@
   EXPECT_EQ(rowOf("w2")->status, "unsampled");
 }
 
-TEST_F(LearnedRouterTest, AnUnchangedListKeepsTheEpoch) {
+TEST_F(LearnedRouterTest, AnUnchangedSnapshotKeepsTheEpoch) {
   addWorkers(2);
   const std::uint64_t before = router_.epochOf("m");
   publish();
@@ -166,7 +166,7 @@
   EXPECT_EQ(placement->arm, "p>" + placement->decode->entry.id);
 }
 
-TEST_F(LearnedRouterTest, ReturnsRepeatedPrefixesToTheWorkerThatHasThem) {
+TEST_F(LearnedRouterTest, SendsRepeatedPrefixesToTheWorkerThatCachedThem) {
   addWorkers(6);
   for (int index = 0; index < 60; ++index) {
     finish(*place(), 50);
@@ -177,7 +177,7 @@
   finish(*first, 50);
   int returned = 0;
   for (int index = 0; index < 50; ++index) {
-    // One prompt a second: a chain that comes faster is spread over further homes.
+    // One prompt a second: a chain with a higher rate is spread over further homes.
     world_.runFor(seconds(1));
     const std::optional<Placement> next = router_.choose(prompt, route_, {});
     returned += next->arm == first->arm ? 1 : 0;
@@ -186,7 +186,7 @@
   EXPECT_GE(returned, 45);
 }
 
-TEST_F(LearnedRouterTest, SpreadsAChainThatWouldFillItsHome) {
+TEST_F(LearnedRouterTest, SpreadsAChainThatWouldOverloadItsHome) {
   addWorkers(6);
   for (int index = 0; index < 60; ++index) {
     finish(*place(), 50);
@@ -199,7 +199,7 @@
     ++placed[placement->arm];
     finish(*placement, 50);
   }
-  // Ten prompts a second of two seconds each need more than one worker of eight slots.
+  // Ten prompts a second of two seconds each exceed the share of one worker of eight slots.
   const auto shared = std::count_if(placed.begin(), placed.end(),
                                     [](const auto& item) { return item.second >= 20; });
   EXPECT_GE(shared, 2);
@@ -247,7 +247,7 @@
   EXPECT_NEAR(rowOf("w0")->tokens_per_second, 30, 1e-6);
 }
 
-TEST_F(LearnedRouterTest, ExportsABoundedNumberOfScoresThoseOfColdWorkersFirst) {
+TEST_F(LearnedRouterTest, ExportsABoundedNumberOfScoresWorkersWarmingUpFirst) {
   constexpr int Many = 80;
   addWorkers(Many);
   std::vector<std::string> others;
@@ -255,18 +255,18 @@
     others.push_back("w" + std::to_string(index));
   }
   addWorkers(Many + 1);
-  const std::string cold = "w" + std::to_string(Many);
+  const std::string warming_up = "w" + std::to_string(Many);
   finish(*place(others), 50);
   for (int index = 0; index < Many; ++index) {
     std::vector<std::string> excluded = others;
     excluded.erase(excluded.begin() + index);
-    excluded.push_back(cold);
+    excluded.push_back(warming_up);
     world_.runFor(milliseconds(1));
     finish(*place(excluded), 50);
   }
   const std::vector<wire::RouteScore> scores = router_.exportScores();
-  ASSERT_EQ(scores.size(), LearnedRouter::MaximumExportedScores);
-  EXPECT_EQ(scores[0].arm, cold);
+  ASSERT_EQ(scores.size(), ScoreExchange::MaximumScores);
+  EXPECT_EQ(scores[0].arm, warming_up);
   EXPECT_EQ(scores[1].arm, "w" + std::to_string(Many - 1));
 }
 
@@ -282,18 +282,18 @@
   EXPECT_EQ(rowOf("w0")->in_flight, 0U);
 }
 
-TEST_F(LearnedRouterTest, AColdWorkerGetsOnePromptAtATimeFromTheFrontsRankedFirst) {
+TEST_F(LearnedRouterTest, AWorkerWarmingUpGetsOnePromptAtATimeFromTheFrontsRankedFirst) {
   router_.setFronts({base::NodeAddress{"127.0.0.1", 1}});
   addWorkers(2);
   world_.runFor(seconds(20));
   finish(*place({"w1"}), 50);
   finish(*place({"w0"}), 50);
   addWorkers(3);
-  int on_cold = 0;
+  int on_warming_up = 0;
   for (int index = 0; index < 200; ++index) {
-    on_cold += place()->arm == "w2" ? 1 : 0;
+    on_warming_up += place()->arm == "w2" ? 1 : 0;
   }
-  EXPECT_LE(on_cold, 1);
+  EXPECT_LE(on_warming_up, 1);
 }
 
 class WorkLanesRouterTest : public LearnedRouterTest {
@@ -322,7 +322,7 @@
   std::unique_ptr<LearnedRouter> router;
 };
 
-TEST_F(WorkLanesRouterTest, KindsOfLongAndShortPromptsMeetNoWorkerInCommon) {
+TEST_F(WorkLanesRouterTest, KindsOfLongAndShortPromptsUseDisjointWorkers) {
   addWorkers(9);
   auto snapshot = std::make_shared<workers::WorkerSnapshot>();
   snapshot->revision = 1;
@@ -330,8 +330,8 @@
   router->setWorkers(snapshot);
   std::set<std::string> for_short;
   std::set<std::string> for_long;
-  for (int round = 0; round < 400; ++round) {
-    const bool counted = round >= 100;
+  for (int step = 0; step < 400; ++step) {
+    const bool counted = step >= 100;
     for (int prompt = 0; prompt < 20; ++prompt) {
       const auto arm = placeKind(1'000);
       world_.runFor(milliseconds(5));
@@ -347,14 +347,14 @@
   for (const std::string& arm : for_long) {
     EXPECT_FALSE(for_short.contains(arm)) << arm;
   }
-  // With its whole lane gone a prompt goes to any other worker.
+  // Without usable workers in its lane a prompt goes to any other worker.
   const std::vector<std::string> excluded(for_long.begin(), for_long.end());
   EXPECT_TRUE(placeKind(20'000, excluded).has_value());
 }
 
-class KnownColdRateTest : public LearnedRouterTest {
+class SlowStartRateLimitTest : public LearnedRouterTest {
  protected:
-  /** Placements on cold workers that fronts which see each other make in one second. */
+  /** Placements that fronts with equal views make in one second on a worker that is warming up. */
   int placedInASecond(std::size_t fronts, double per_s) {
     std::vector<base::NodeAddress> addresses;
     for (std::size_t index = 0; index < fronts; ++index) {
@@ -366,9 +366,9 @@
     pool.slow_start_per_s = per_s;
     auto snapshot = std::make_shared<workers::WorkerSnapshot>();
     snapshot->revision = 1;
-    workers::Worker cold{entry("w0"), false, false};
-    cold.entry.cold = true;
-    snapshot->workers["w0"] = cold;
+    workers::Worker warming_up{entry("w0"), false, false};
+    warming_up.entry.cold = true;
+    snapshot->workers["w0"] = warming_up;
     std::vector<std::unique_ptr<LearnedRouter>> routers;
     for (const base::NodeAddress& address : addresses) {
       routers.push_back(
@@ -389,7 +389,7 @@
   }
 };
 
-TEST_F(KnownColdRateTest, AllFrontsTogetherStayWithinIt) {
+TEST_F(SlowStartRateLimitTest, AllFrontsTogetherStayWithinTheLimit) {
   for (const std::size_t fronts : {1U, 6U, 87U}) {
     const int placed = placedInASecond(fronts, 10);
     EXPECT_LE(placed, 10) << fronts;
--- a/libraries/routing/test/placement_property_test.cc
+++ b/libraries/routing/test/placement_property_test.cc
@@ -16,7 +16,7 @@
 constexpr int PromptsPerChange = 20;
 constexpr std::size_t Workers = 14;
 
-/** Random worker lists, evacuations, failures and prompts on one router. */
+/** Random snapshots, evacuations, failures and prompts on one router. */
 class RandomFleet {
  public:
   explicit RandomFleet(std::uint64_t seed) : world_(seed), random_(seed) {
@@ -27,7 +27,7 @@
     route_ = configuration::Route{"chat", configuration::CompletionsService, {"m"}, "llm"};
   }
 
-  /** Draws a new list and new evacuations; instances change now and then. */
+  /** Draws a new snapshot, with new instances of some workers, and new evacuations. */
   void change() {
     world_.runFor(milliseconds(world_.random().below(3'000)));
     auto view = std::make_shared<configuration::View>();
@@ -48,8 +48,8 @@
     router_->setWorkers(snapshot);
   }
 
-  /** Places one prompt and checks the choice; returns its mode where there was one. */
-  std::optional<Mode> place() {
+  /** Places one prompt and checks the placement; returns its mode if there was one. */
+  std::optional<SelectionMode> place() {
     std::vector<std::string> excluded;
     if (world_.random().chance(0.3)) {
       excluded.push_back("worker-" + std::to_string(world_.random().below(Workers)));
@@ -121,7 +121,7 @@
 };
 
 TEST(PlacementPropertyTest, NoModeChoosesAWorkerThatIsNotUsable) {
-  std::set<Mode> seen;
+  std::set<SelectionMode> seen;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     SCOPED_TRACE(seed);
     RandomFleet fleet(seed);
@@ -134,7 +134,7 @@
       }
     }
   }
-  EXPECT_EQ(seen.size(), 3U) << "a mode was never tried";
+  EXPECT_EQ(seen.size(), 3U) << "a mode was never chosen";
 }
 
 }  // namespace
--- a/libraries/routing/test/prefill_queue_test.cc
+++ b/libraries/routing/test/prefill_queue_test.cc
@@ -9,31 +9,31 @@
 
 const base::TimePoint Start{std::chrono::seconds(100)};
 
-TEST(PrefillQueueTest, DrainsWithTime) {
+TEST(PrefillQueueTest, DrainsOverTime) {
   PrefillQueue queue;
   queue.add(0.4, Start);
-  EXPECT_DOUBLE_EQ(queue.left(Start), 0.4);
-  EXPECT_NEAR(queue.left(Start + milliseconds(100)), 0.3, 1e-9);
+  EXPECT_DOUBLE_EQ(queue.remainingSeconds(Start), 0.4);
+  EXPECT_NEAR(queue.remainingSeconds(Start + milliseconds(100)), 0.3, 1e-9);
   queue.add(0.2, Start + milliseconds(100));
-  EXPECT_NEAR(queue.left(Start + milliseconds(100)), 0.5, 1e-9);
+  EXPECT_NEAR(queue.remainingSeconds(Start + milliseconds(100)), 0.5, 1e-9);
 }
 
-TEST(PrefillQueueTest, WhatIsNotAnsweredCountsInPartHoweverLongItTakes) {
+TEST(PrefillQueueTest, AShareOfUnansweredPromptsRemainsHoweverLongTheyTake) {
   PrefillQueue queue;
   queue.add(0.4, Start);
-  EXPECT_NEAR(queue.left(Start + std::chrono::seconds(9)), 0.1, 1e-9);
+  EXPECT_NEAR(queue.remainingSeconds(Start + std::chrono::seconds(9)), 0.1, 1e-9);
   queue.remove(0.4, Start + std::chrono::seconds(9));
-  EXPECT_DOUBLE_EQ(queue.left(Start + std::chrono::seconds(9)), 0);
+  EXPECT_DOUBLE_EQ(queue.remainingSeconds(Start + std::chrono::seconds(9)), 0);
 }
 
-TEST(PrefillQueueTest, AnAnswerLeavesNoMoreThanTheOthers) {
+TEST(PrefillQueueTest, AnAnswerLeavesAtMostTheUnansweredPrompts) {
   PrefillQueue queue;
   queue.add(0.4, Start);
   queue.add(0.1, Start);
   queue.remove(0.4, Start + milliseconds(10));
-  EXPECT_NEAR(queue.left(Start + milliseconds(10)), 0.1, 1e-9);
+  EXPECT_NEAR(queue.remainingSeconds(Start + milliseconds(10)), 0.1, 1e-9);
   queue.remove(0.1, Start + milliseconds(20));
-  EXPECT_DOUBLE_EQ(queue.left(Start + milliseconds(20)), 0);
+  EXPECT_DOUBLE_EQ(queue.remainingSeconds(Start + milliseconds(20)), 0);
 }
 
 }  // namespace
--- a/libraries/routing/test/route_statistics_test.cc
+++ b/libraries/routing/test/route_statistics_test.cc
@@ -55,7 +55,7 @@
   EXPECT_DOUBLE_EQ(statistics.mean().tokens_per_second, 80);
 }
 
-TEST(RouteStatisticsTest, MergingWeighsByMassAndKeepsTheLaterMeasurement) {
+TEST(RouteStatisticsTest, MergingWeightsByMassAndKeepsTheLaterMeasurement) {
   RouteStatistics statistics;
   const base::TimePoint start{};
   statistics.add(speed(30), start, 600);
@@ -68,7 +68,7 @@
   EXPECT_EQ(statistics.measuredAt(), start + std::chrono::seconds(1));
 }
 
-TEST(RouteStatisticsTest, AShortPrefillSaysLittleOfThePrefillRate) {
+TEST(RouteStatisticsTest, AShortPrefillHasLittleWeightInThePrefillRate) {
   RouteStatistics statistics;
   SpeedSample sample = speed(50);
   sample.seconds_per_prefill_token = 0.001;
@@ -82,7 +82,7 @@
   EXPECT_NEAR(statistics.mean().seconds_per_prefill_token, 0.003, 1e-9);
 }
 
-TEST(RouteStatisticsTest, IgnoresMeaninglessValuesFromPeers) {
+TEST(RouteStatisticsTest, IgnoresInvalidValuesFromPeers) {
   RouteStatistics statistics;
   statistics.merge(speed(0), 3.0, {}, at(10), HalfLife);
   statistics.merge(speed(80), -1.0, {}, at(10), HalfLife);
--- a/libraries/routing/test/slow_start_limiter_fleet_test.cc
+++ b/libraries/routing/test/slow_start_limiter_fleet_test.cc
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr const char* WarmingUpWorker = "cold";
+constexpr const char* ReturnedWorker = "cold";
 constexpr base::Duration StreamTime = milliseconds(50);
 constexpr base::Duration SlowStartWindow = seconds(2);
 
@@ -21,7 +21,7 @@
   std::size_t fronts = 0;
   std::size_t workers = 0;
   double streams_per_s = 0;
-  /** Whether any arm was measured before the worker returns: else the best prior decides. */
+  /** Whether any arm was measured before the worker returns; if not, the best prior is chosen. */
   bool measured = true;
 
   friend void PrintTo(const FleetSize& size, std::ostream* out) {
@@ -31,8 +31,8 @@
 };
 
 /**
- * Fronts which hear nothing of each other, on one model, with streams that end at once: the worst
- * case for a bound that counts streams under way.
+ * Fronts that do not communicate, on one model, with streams that end at once: the worst case for a
+ * limit on streams in flight.
  */
 class SlowStartLimiterFleetTest : public testing::TestWithParam<FleetSize> {
  protected:
@@ -98,7 +98,7 @@
     const Prompt prompt{"m", {{"family-" + family, 3'000}}, 3'200, 100};
     const auto placement = front.router.choose(prompt, route_, {});
     ASSERT_TRUE(placement);
-    on_warming_up_ += placement->arm == placed_on_ ? 1 : 0;
+    placed_on_watched_ += placement->arm == watched_worker_ ? 1 : 0;
     world_.schedule(StreamTime, [&front, ticket = placement->ticket] {
       Completion completion;
       completion.ticket = ticket;
@@ -130,26 +130,26 @@
   configuration::Route route_;
   workers::WorkerSnapshot snapshot_;
   std::vector<std::unique_ptr<Front>> fronts_;
-  std::string placed_on_ = WarmingUpWorker;
-  int on_warming_up_ = 0;
+  std::string watched_worker_ = ReturnedWorker;
+  int placed_on_watched_ = 0;
 };
 
-TEST_P(SlowStartLimiterFleetTest, AWorkerReturnedColdGetsAtMostItsFairShareFromAllFronts) {
+TEST_P(SlowStartLimiterFleetTest, AReturnedWorkerGetsAtMostItsFairShareFromAllFronts) {
   startFleet();
   world_.runFor(seconds(20));
   if (GetParam().measured) {
     loadFor(seconds(4));
   }
-  addWorker(WarmingUpWorker);
+  addWorker(ReturnedWorker);
   publish();
   loadFor(SlowStartWindow);
-  EXPECT_LE(on_warming_up_, fairShare());
-  EXPECT_LE(on_warming_up_, SlowStartLimiter::MostInFirstTwoSeconds);
+  EXPECT_LE(placed_on_watched_, fairShare());
+  EXPECT_LE(placed_on_watched_, SlowStartLimiter::MaximumInFirstTwoSeconds);
   loadFor(seconds(10));
-  EXPECT_GE(on_warming_up_, 8) << "the worker was never tried";
+  EXPECT_GE(placed_on_watched_, 8) << "the worker was never used";
 }
 
-TEST_P(SlowStartLimiterFleetTest, ScoresOfAFormerInstanceDoNotOpenTheGuard) {
+TEST_P(SlowStartLimiterFleetTest, ScoresOfAFormerInstanceDoNotEndSlowStart) {
   startFleet();
   world_.runFor(seconds(20));
   loadFor(seconds(4));
@@ -160,16 +160,16 @@
   addWorker(returning);
   snapshot_.workers[returning].entry.instance = 2;
   publish();
-  placed_on_ = returning;
-  on_warming_up_ = 0;
-  // Each front hears every other one, the most that dissemination could bring.
+  watched_worker_ = returning;
+  placed_on_watched_ = 0;
+  // Each front receives the scores of the one before it, the most that dissemination could bring.
   for (int half_second = 0; half_second < 4; ++half_second) {
     loadFor(milliseconds(500));
     for (std::size_t front = 0; front + 1 < fronts_.size(); ++front) {
       fronts_[front + 1]->router.importScores(fronts_[front]->router.exportScores());
     }
   }
-  EXPECT_LE(on_warming_up_, fairShare());
+  EXPECT_LE(placed_on_watched_, fairShare());
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, SlowStartLimiterFleetTest,
