--- a/libraries/worker_health/include/switchsaddle/worker_health/decayed_counts.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/decayed_counts.h
@@ -5,18 +5,21 @@
 
 namespace switchsaddle::worker_health {
 
-/** How fast what was counted is forgotten. */
+/** Half-lives of the counts that ejection uses, and of those that ranking uses. */
 inline constexpr base::Duration RecentHalfLife = std::chrono::milliseconds(2'500);
 inline constexpr base::Duration LongHalfLife = std::chrono::seconds(120);
 
-/** Counts that halve each half-life: of late, and over minutes. */
+/** Exponentially decayed counts of dispatches, with a short and a long half-life. Runs on the
+ * control strand. */
 class DecayedCounts {
  public:
-  /** Adds to both; brings them up to now first. */
+  /** Decays the counts to `now`, then adds to both. */
   void add(const wire::HealthCounts& counts, base::TimePoint now);
-  /** As of now. */
+  /** @return the counts of LongHalfLife, decayed to `now`. */
   wire::HealthCounts counts(base::TimePoint now) const;
+  /** @return dispatches of RecentHalfLife, decayed to `now`. */
   double recentDispatched(base::TimePoint now) const;
+  /** @return failures of RecentHalfLife, decayed to `now`. */
   double recentFailed(base::TimePoint now) const;
 
  private:
@@ -28,10 +31,13 @@
   base::TimePoint decayed_at_{};
 };
 
-/** Seconds of a time that has just ended, each counted by how much of it is not yet forgotten. */
+/** Share of a count that remains after `elapsed`. */
+double decayFactor(base::Duration elapsed, base::Duration half_life);
+
+/** Length in seconds of a period that ends now, decayed by LongHalfLife. */
 double decayedSeconds(base::Duration elapsed);
 
-/** Adds `factor` times the second to the first. */
+/** Adds `factor` times `counts` to `sum`. */
 void addCounts(wire::HealthCounts& sum, const wire::HealthCounts& counts, double factor = 1);
 
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/include/switchsaddle/worker_health/dispatch_sample.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/dispatch_sample.h
@@ -10,19 +10,19 @@
 
 /** How a dispatch to a worker ended. */
 enum class DispatchEnd : std::uint8_t {
-  /** Whole and without a fault of the worker. */
+  /** Complete, without a fault of the worker. */
   Answered,
-  /** By an error of the worker, a broken answer or silence. */
+  /** Error of the worker, broken answer or time-out. */
   Failed,
   /** The worker proved that it did not run the request. */
   Refused,
-  /** It took no connection, which is judged elsewhere. */
+  /** No connection; handled by the front's circuit breaker. */
   Unreachable,
-  /** Given up by the caller or for its time limit: says nothing of the worker. */
+  /** Cancelled by the caller or by its time limit; no evidence about the worker. */
   Abandoned
 };
 
-/** What a front measured of one dispatch. Times of zero were not measured. */
+/** A front's measurements of one dispatch. Times of zero were not measured. */
 struct DispatchSample {
   DispatchEnd end = DispatchEnd::Answered;
   std::uint32_t events = 0;
@@ -30,13 +30,13 @@
   base::Duration longest_pause{};
   /** From the first event to the last. */
   base::Duration transfer{};
-  /** The front itself held the stream back, since its caller read slowly. */
+  /** The front applied backpressure, since the caller read slowly. */
   bool held_back = false;
 };
 
-/** Names a worker instance in statements. The same at every node. */
+/** Identifies a worker instance in reports; the same at every node. */
 std::uint64_t workerKey(const wire::WorkerEntry& entry);
-/** Names a pool in statements. */
+/** Identifies a pool in reports; the same at every node. */
 std::uint64_t poolKey(const std::string& pool);
 
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
@@ -12,7 +12,7 @@
 
 namespace switchsaddle::worker_health {
 
-/** The process that told something. */
+/** A front process that sends reports. */
 struct FrontKey {
   base::NodeAddress address;
   std::uint64_t instance = 0;
@@ -20,24 +20,28 @@
   auto operator<=>(const FrontKey&) const = default;
 };
 
-/** What all believed fronts saw, as of now. */
+/** What all reliable fronts observed of a worker or pool, decayed to now. */
 struct Evidence {
   double recent_dispatched = 0;
   double recent_failed = 0;
   wire::HealthCounts counts;
-  /** Fronts that saw a failure of late. */
-  std::size_t accusing_fronts = 0;
-  /** Fronts that told of it at all. */
+  /** Fronts with recent failures. */
+  std::size_t failing_fronts = 0;
+  /** Fronts that reported it at all. */
   std::size_t telling_fronts = 0;
   std::uint32_t in_flight = 0;
   /** Seconds over which the long counts were taken, decayed as they are. */
   double observed_s = 0;
 };
 
+/** Recent failures from which on a front counts as failing with a worker. */
+inline constexpr double MinimumRecentFailures = 0.25;
+
 /**
- * The fronts' last statements at a core, added up. A front to which most workers seem to fail while
- * the others find them well is not believed: it is its own link that fails. Bounded: each front
- * has at most MaximumWorkers rows, the oldest giving way. Runs on the control strand.
+ * The fronts' last health reports at a core, and their sums. A front at which most requests fail
+ * while those of the other fronts succeed is unreliable: its own link fails, and it is not counted.
+ * Bounded: each front has at most MaximumWorkers rows, of which the oldest are evicted. Runs on the
+ * control strand.
  */
 class EvidenceLedger {
  public:
@@ -45,19 +49,24 @@
 
   explicit EvidenceLedger(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
 
-  void update(const FrontKey& front, const std::string& zone, const wire::HealthReport& statement);
-  /** Forgets fronts that have been silent for long. */
+  /**
+   * Applies a report of a front; empty reports are ignored.
+   *
+   * @param zone the front's zone.
+   */
+  void update(const FrontKey& front, const std::string& zone, const wire::HealthReport& report);
+  /** Removes fronts whose last report is too old. */
   void forgetUnresponsive();
+  /** @return the number of fronts with a report. */
   std::size_t fronts() const { return fronts_.size(); }
 
-  /** Of one worker, as the fronts of all zones see it, or of one. */
+  /** @param zone limits the evidence to fronts of one zone. */
   Evidence ofWorker(std::uint64_t worker, const std::optional<std::string>& zone = {}) const;
   Evidence ofPool(std::uint64_t pool) const;
-  /** Of every worker that some front told of, in one pass over all rows. */
+  /** @return the evidence of every reported worker, computed in one pass over all rows. */
   std::map<std::uint64_t, Evidence> ofAllWorkers() const;
-  /** Every worker that some front told of, with the first time that one saw failures there that
-   * have not ended since. */
-  const std::map<std::uint64_t, base::TimePoint>& accusedSince() const { return accused_since_; }
+  /** @return every worker with recent failures, with the time when they began. */
+  const std::map<std::uint64_t, base::TimePoint>& failingSince() const { return failing_since_; }
 
  private:
   struct Row {
@@ -72,16 +81,18 @@
     std::map<std::uint64_t, Row> workers;
   };
 
-  bool isBelieved(const Front& front) const;
+  /** Whether the front's failures are not those of its own link. */
+  bool isReliable(const Front& front) const;
+  static bool failsMostly(const wire::PoolHealth& pool);
+  /** Whether the requests of the other fronts to the pool succeed. */
+  bool peersSucceed(const Front& front, std::uint64_t pool) const;
   static void addRow(Evidence& evidence, const Front& front, const Row& row, base::TimePoint now);
-  void noteAccused(const wire::WorkerHealth& health);
+  static void evictRows(Front& front, base::TimePoint now);
+  void recordFailures(const wire::WorkerHealth& health);
 
   base::Dispatcher& dispatcher_;
   std::map<FrontKey, Front> fronts_;
-  std::map<std::uint64_t, base::TimePoint> accused_since_;
+  std::map<std::uint64_t, base::TimePoint> failing_since_;
 };
 
-/** Failures of late from which a front accuses a worker. */
-inline constexpr double AccusedFrom = 0.25;
-
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
@@ -12,49 +12,52 @@
 
 namespace switchsaddle::worker_health {
 
-/** One request that goes to a worker. */
+/** One request sent to a worker. */
 struct Dispatch {
   std::uint64_t worker = 0;
   std::uint64_t pool = 0;
-  /** Requests of one kind of work are compared with each other. */
+  /** Requests of the same kind of work are compared with each other. */
   std::uint64_t kind = 0;
-  /** How long the worker is expected to read the prompt. */
+  /** Expected prefill time of the prompt. */
   base::Duration prefill{};
 };
 
 /**
- * Counts what a front's dispatches came to, by worker and by pool, and says what the cores are to
- * hear of it: workers with failures or stalls, those the cores ask about, and some others in turn,
- * so that in a healthy fleet little is told. Runs on the control strand.
+ * Counts the outcomes of a front's dispatches by worker and by pool, and selects what to report to
+ * the cores: outliers with failures or stalls, workers that the cores watch, and the rest in
+ * rotation, so that the report on a healthy fleet is small. Runs on the control strand.
  */
 class EvidenceRecorder {
  public:
-  /** Bounds of one statement. */
-  static constexpr std::size_t MaximumAccused = 6;
+  /** Limits of one report, in workers. */
+  static constexpr std::size_t MaximumOutliers = 6;
   static constexpr std::size_t MaximumWatched = 16;
-  static constexpr std::size_t ReportedInTurn = 1;
-  static constexpr base::Duration StatementInterval = std::chrono::milliseconds(450);
-  /** A dispatch without a head for so long counts as failed, whatever becomes of it. */
-  static constexpr base::Duration Overdue = std::chrono::milliseconds(2'500);
+  static constexpr std::size_t RotatedWorkers = 1;
+  static constexpr base::Duration ReportInterval = std::chrono::milliseconds(450);
+  /** A dispatch without a response head for this long counts as failed, whatever its outcome. */
+  static constexpr base::Duration HeadTimeout = std::chrono::milliseconds(2'500);
 
   explicit EvidenceRecorder(base::Dispatcher& dispatcher)
       : dispatcher_(dispatcher), started_at_(dispatcher.now()) {}
 
-  /** Returns a number to be given back with what follows. */
+  /** @return a number that identifies the dispatch in the calls that follow. */
   std::uint64_t onDispatch(const Dispatch& dispatch);
-  /** The worker began to answer. */
+  /** The response head of the dispatch was received. */
   void onHead(std::uint64_t number);
-  /** Once for each dispatch. */
+  /** Ends a dispatch; called once for each. Unknown numbers are ignored. */
   void onEnd(std::uint64_t number, const DispatchSample& sample);
+  /** Sets the workers that the cores watch. */
   void setWatched(const std::vector<std::uint64_t>& workers);
-  /** What is to be told now; empty where the last statement was a moment ago. */
+  /** @return what to report now; empty within ReportInterval of the last report. */
   wire::HealthReport statement();
+  /** @return this front's requests in flight on the worker. */
   std::uint32_t inFlight(std::uint64_t worker) const;
 
  private:
-  struct Open {
+  /** A dispatch that has not ended. */
+  struct Pending {
     Dispatch dispatch;
-    base::TimePoint at;
+    base::TimePoint dispatched_at;
     bool answered = false;
     bool counted_as_failed = false;
   };
@@ -66,24 +69,32 @@
   };
 
   void count(const Dispatch& dispatch, const wire::HealthCounts& counts);
-  void countOverdue();
+  /** Counts dispatches that exceeded HeadTimeout as failed. */
+  void countTimedOut();
   void forgetIdle();
-  /** How much worse than the pool the worker did here; zero or less where it did not. */
+  /** @return the worker's failed, stalled and slow requests beyond the rate of its pool; zero or
+   * less if it does no worse. */
   double excess(const Record& record, base::TimePoint now) const;
-  std::vector<std::uint64_t> accused(base::TimePoint now) const;
-  void tell(std::uint64_t worker, base::TimePoint now, wire::HealthReport& statement) const;
+  /** @return the workers that do worst, at most MaximumOutliers, worst first. */
+  std::vector<std::uint64_t> outliers(base::TimePoint now) const;
+  void reportPools(base::TimePoint now, wire::HealthReport& report) const;
+  void reportWatched(base::TimePoint now, wire::HealthReport& report) const;
+  void reportRotated(base::TimePoint now, wire::HealthReport& report);
+  /** Adds the worker's row unless it is unknown or already reported. */
+  void reportWorker(std::uint64_t worker, base::TimePoint now, wire::HealthReport& report) const;
 
   base::Dispatcher& dispatcher_;
   base::TimePoint started_at_;
   PeerComparison comparison_;
-  std::map<std::uint64_t, Open> open_;
+  /** By number, hence in the order of dispatch. */
+  std::map<std::uint64_t, Pending> pending_;
   std::uint64_t next_number_ = 1;
   std::map<std::uint64_t, Record> workers_;
   std::map<std::uint64_t, DecayedCounts> pools_;
   std::set<std::uint64_t> watched_;
   base::TimePoint reported_at_{};
-  /** The worker last told of in turn. */
-  std::uint64_t turn_ = 0;
+  /** The worker last reported in rotation. */
+  std::uint64_t last_rotated_ = 0;
 };
 
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
@@ -3,6 +3,7 @@
 #include <cstdint>
 #include <deque>
 #include <map>
+#include <set>
 #include <string>
 #include <vector>
 
@@ -11,72 +12,76 @@
 
 namespace switchsaddle::worker_health {
 
-/** What is known of a worker's health. */
+/** The health of a worker, as far as it is known. */
 enum class HealthState : std::uint8_t {
-  /** Too little was seen to say. */
+  /** Too few samples. */
   Unknown,
   Healthy,
-  /** It looks worse than its peers, which may yet be chance. */
+  /** Worse than its peers, but not significantly. */
   Suspect,
-  /** It is worse than its peers by more than chance and load explain. */
+  /** Worse than its peers by more than chance and load explain. */
   Unhealthy
 };
 
-/** What a sick worker does. */
+/** What an unhealthy worker does. */
 enum class Symptom : std::uint8_t { None, Stalls, SlowTransfers, Failures };
 
+/** @return the name shown in documents of the control interface. */
 const char* healthStateName(HealthState state);
 const char* symptomName(Symptom symptom);
 
-/** One worker in the ranking, with what was seen of it. */
+/** One worker in the ranking, with the evidence. */
 struct WorkerRank {
   std::string worker;
   std::string pool;
   std::string zone;
   HealthState state = HealthState::Unknown;
-  /** What decided. */
+  /** The symptom that decided the state. */
   Symptom symptom = Symptom::None;
-  /** How much more of its requests it spoils than explained, at least; 0 to 1. */
+  /** Lower bound of the share of its requests that it degrades beyond what is explained, 0 to 1. */
   double severity = 0;
   Evidence evidence;
   /** Shares that load and the rest of the pool explain. */
   double explained_stalls = 0;
   double explained_slow = 0;
   double explained_failures = 0;
-  /** For how long it has been in this state. */
+  /** Time in this state. */
   base::Duration since{};
 };
 
-/** A change of the worker at the top. */
+/** A change of the worker that is ranked first. */
 struct TopChange {
   base::TimePoint at;
-  /** Empty where no worker is sick any more. */
+  /** Empty if no worker is unhealthy any more. */
   std::string worker;
   std::string before;
 };
 
 /**
- * Ranks the workers of each pool by stalls between events, slow transfers and failures, as the
- * fronts saw them, the sickest first. A worker is compared with its pool without those found sick;
- * stalls that prompts read beside the streams explain are taken off. Ranks follow the lower bound
- * of what was seen, so that few samples make nobody sick or healthy. Runs on the control strand.
+ * Ranks the workers of each pool by stalls between events, slow transfers and failures, the most
+ * unhealthy first. A worker is compared with its pool without the unhealthy workers; stalls that
+ * the prefill of long prompts explains are subtracted. Decides by confidence bounds, so that few
+ * samples make no worker unhealthy or healthy. Runs on the control strand.
  */
 class HealthRanking {
  public:
   static constexpr std::size_t MaximumHistory = 64;
 
+  /** Both must outlive this object. */
   HealthRanking(base::Dispatcher& dispatcher, EvidenceLedger& ledger)
       : dispatcher_(dispatcher), ledger_(ledger) {}
 
   void setWorkers(workers::WorkerSnapshotPtr snapshot) { snapshot_ = std::move(snapshot); }
-  /** Works the ranking out anew; to be called each second or so. Returns whether the worker at the
-   * top has changed. */
+  /** Recomputes the ranking; called about once a second.
+   *
+   * @return whether the worker ranked first has changed. */
   bool refresh();
-  /** As of the last refresh; the sickest first, the healthy last. */
+  /** @return the ranking of the last refresh: the most unhealthy first, the healthy last. */
   const std::vector<WorkerRank>& ranks() const { return ranks_; }
+  /** @return changes of the worker ranked first, oldest first. */
   const std::deque<TopChange>& history() const { return history_; }
-  /** Workers of which all fronts should tell, as they may be sick. */
-  std::vector<std::uint64_t> questioned() const;
+  /** @return workers on which all fronts should report, as they may be unhealthy. */
+  const std::vector<std::uint64_t>& questioned() const { return watched_; }
 
  private:
   struct Known {
@@ -84,17 +89,25 @@
     base::TimePoint since;
   };
 
-  void rankPool(const std::string& pool, std::vector<WorkerRank>& ranks);
-  void noteStates();
-  bool noteTop();
+  /** @return a rank with its evidence for each listed worker, by pool. */
+  std::map<std::string, std::vector<WorkerRank>> collectEvidence() const;
+  void rankPool(const std::string& pool, std::vector<WorkerRank>& ranks) const;
+  /** Assesses each worker against the pool without the unhealthy workers and itself. */
+  static void assessPool(const Evidence& pool, const std::set<std::string>& unhealthy,
+                         std::vector<WorkerRank>& ranks);
+  void sortRanks();
+  void updateStates();
+  bool updateHistory();
 
   base::Dispatcher& dispatcher_;
   EvidenceLedger& ledger_;
   workers::WorkerSnapshotPtr snapshot_ = std::make_shared<workers::WorkerSnapshot>();
   std::vector<WorkerRank> ranks_;
-  std::vector<std::uint64_t> questioned_;
+  std::vector<std::uint64_t> watched_;
+  /** By worker id. */
   std::map<std::string, Known> known_;
   std::deque<TopChange> history_;
+  /** The unhealthy worker ranked first; empty if there is none. */
   std::string top_;
 };
 
--- a/libraries/worker_health/include/switchsaddle/worker_health/peer_comparison.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/peer_comparison.h
@@ -8,22 +8,22 @@
 
 namespace switchsaddle::worker_health {
 
-/** Nobody minds a shorter pause. */
-inline constexpr base::Duration ShortestStall = std::chrono::milliseconds(100);
+/** Shorter pauses are never stalls. */
+inline constexpr base::Duration MinimumStall = std::chrono::milliseconds(100);
 
-/** What comparing a stream with those of other workers told. */
+/** The result of comparing a stream with those of other workers. */
 struct PeerVerdict {
-  /** Whether it could be compared: it was long enough, and others like it are known. */
+  /** Whether the stream was long enough and enough others of its kind are known. */
   bool comparable = false;
   bool stalled = false;
   bool slow = false;
 };
 
 /**
- * Compares a stream with the others of the same kind of work that this front relayed: their median
- * is what the load, the length and this front's own link explain, since they meet all workers
- * alike. A stream stalled if its longest pause is far above the median of such pauses, and was slow
- * if its time for an event is. Medians are kept as histograms of bounded size that forget. Runs on
+ * Compares a stream with the others of the same kind of work that this front relayed. Their medians
+ * are explained by load, length and this front's own link, which affect all workers alike. A stream
+ * stalled if its longest pause is far above the median of longest pauses; it was slow if its time
+ * per event is far above the median. Medians come from decaying histograms of bounded size. Runs on
  * the control strand.
  */
 class PeerComparison {
@@ -38,6 +38,10 @@
 
  private:
   struct Kind;
+
+  /** @return the kind's distributions, or null if there are too many kinds. */
+  Kind* findOrCreate(std::uint64_t kind);
+
   std::map<std::uint64_t, std::unique_ptr<Kind>> kinds_;
 };
 
--- a/libraries/worker_health/include/switchsaddle/worker_health/share_bounds.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/share_bounds.h
@@ -2,18 +2,19 @@
 
 namespace switchsaddle::worker_health {
 
-/** Bounds of a share that was counted. */
+/** Confidence bounds of a share. */
 struct ShareBounds {
   double low = 0;
   double high = 1;
 };
 
-/** Standard deviations that the bounds lie apart from the share: 95 in 100 on either side. */
+/** Standard deviations of a one-sided confidence of 95 %. */
 inline constexpr double OneSided95 = 1.645;
 
 /**
- * Wilson's score interval of `bad` out of `counted`, which need not be whole numbers. With nothing
- * counted it is 0 to 1.
+ * Wilson's score interval of `bad` out of `counted`, which need not be integers.
+ *
+ * @return 0 to 1 if nothing was counted.
  */
 ShareBounds shareBounds(double bad, double counted, double deviations = OneSided95);
 
--- a/libraries/worker_health/include/switchsaddle/worker_health/suspicion.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/suspicion.h
@@ -2,9 +2,7 @@
 
 #include <cstdint>
 #include <map>
-#include <optional>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "switchsaddle/worker_health/evidence_ledger.h"
@@ -13,65 +11,75 @@
 namespace switchsaddle::worker_health {
 
 /**
- * Decides at a core which workers are to get no requests for now, since they fail much more of them
- * than the rest of their pool, whatever their own word is. Judged for each zone of fronts apart,
- * since a worker can fail some callers only.
+ * Outlier detection at a core: ejects workers that fail a much larger share of their requests than
+ * the rest of their pool, whatever their own health check says. Decided separately for each zone of
+ * fronts, since a worker may fail some callers only.
  *
- * Invariants: never more than a part of a pool is kept away from; the word of one front alone is
- * not enough, unless there is no other; a worker comes back after a while, and then has to fail
- * anew to be kept away from again, for longer each time. Runs on the control strand.
+ * Invariants: at most a fixed share of a pool is ejected; the reports of one front alone are not
+ * sufficient, unless it is the only one; a worker returns after its ejection time and is ejected
+ * again, for twice as long, only for new failures. Runs on the control strand.
  */
 class Suspicion {
  public:
-  explicit Suspicion(base::Dispatcher& dispatcher, EvidenceLedger& ledger)
+  /** Both must outlive this object. */
+  Suspicion(base::Dispatcher& dispatcher, EvidenceLedger& ledger)
       : dispatcher_(dispatcher), ledger_(ledger) {}
 
   void setWorkers(workers::WorkerSnapshotPtr snapshot) { snapshot_ = std::move(snapshot); }
-  /** What the fronts of a zone are to be told. */
+  /** @return the workers that fronts of the zone should report, and those that are ejected there.
+   */
   wire::HealthAdvice advice(const std::string& zone);
-  /** Whether the fronts of some zone are told to keep away from the worker. */
-  bool isAvoided(std::uint64_t worker) const;
 
  private:
-  struct Place {
+  /** A worker as the fronts of one zone see it. */
+  struct ZonedWorker {
     std::uint64_t worker = 0;
     std::string zone;
 
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const ZonedWorker&) const = default;
   };
   struct State {
     std::string pool;
-    bool avoided = false;
+    bool ejected = false;
+    /** When the worker was ejected or returned. */
     base::TimePoint since;
-    base::Duration hold{};
-    /** What had been seen when it came back, which does not count again. */
-    double old_dispatched = 0;
-    double old_failed = 0;
+    base::Duration ejection_time{};
+    /** Counts when the worker returned, which are not counted again. */
+    double former_dispatched = 0;
+    double former_failed = 0;
   };
-  /** A worker that may have to be avoided. */
+  /** A worker with sufficient evidence to be ejected. */
   struct Candidate {
     std::uint64_t worker = 0;
     Evidence evidence;
-    /** The least part of requests that it fails, for all that is known. */
-    double surely_failed = 0;
+    /** Lower bound of its share of failures. */
+    double minimum_failure_share = 0;
   };
 
+  /** Updates the ejections of a zone, at most once in an interval. */
   void refresh(const std::string& zone);
-  void release(const std::string& zone);
-  /** Of each pool, the workers of which enough is known, the worst first. */
+  /** Ends ejections whose time is over. */
+  void endEjections(const std::string& zone);
+  /** @return candidates by pool, the worst first. */
   std::map<std::string, std::vector<Candidate>> candidates(const std::string& zone) const;
-  bool isEnough(std::uint64_t worker, const Evidence& evidence) const;
-  void avoidWorst(const std::string& pool, const std::string& zone,
+  bool isSufficient(std::uint64_t worker, const Evidence& evidence) const;
+  /** Ejects the worst candidates of a pool as far as its limit permits. */
+  void ejectWorst(const std::string& pool, const std::string& zone,
                   const std::vector<Candidate>& worst_first);
-  Evidence newEvidence(const Place& place) const;
-  void avoid(const Place& place, const std::string& pool);
-  std::vector<std::uint64_t> avoidedIn(const std::string& pool, const std::string& zone) const;
-  std::size_t mayAvoid(const std::string& pool) const;
+  /** @return the share of failures of the pool's workers other than the given ones. */
+  double failureShareWithout(const std::string& pool,
+                             const std::vector<std::uint64_t>& workers) const;
+  /** @return the evidence since the worker last returned. */
+  Evidence newEvidence(const ZonedWorker& key) const;
+  void eject(const ZonedWorker& key, const std::string& pool);
+  std::vector<std::uint64_t> ejectedIn(const std::string& pool, const std::string& zone) const;
+  std::size_t maximumEjected(const std::string& pool) const;
 
   base::Dispatcher& dispatcher_;
   EvidenceLedger& ledger_;
   workers::WorkerSnapshotPtr snapshot_ = std::make_shared<workers::WorkerSnapshot>();
-  std::map<Place, State> states_;
+  std::map<ZonedWorker, State> states_;
+  /** By zone. */
   std::map<std::string, base::TimePoint> refreshed_at_;
 };
 
--- a/libraries/worker_health/source/decayed_counts.cc
+++ b/libraries/worker_health/source/decayed_counts.cc
@@ -11,12 +11,6 @@
 
 namespace {
 
-double decay(base::Duration elapsed, base::Duration half_life) {
-  const double half_lives =
-      std::chrono::duration<double>(elapsed) / std::chrono::duration<double>(half_life);
-  return std::exp2(-std::max(0.0, half_lives));
-}
-
 wire::HealthCounts scaled(const wire::HealthCounts& counts, double factor) {
   wire::HealthCounts result;
   addCounts(result, counts, factor);
@@ -25,6 +19,12 @@
 
 }  // namespace
 
+double decayFactor(base::Duration elapsed, base::Duration half_life) {
+  const double half_lives =
+      std::chrono::duration<double>(elapsed) / std::chrono::duration<double>(half_life);
+  return std::exp2(-std::max(0.0, half_lives));
+}
+
 std::uint64_t workerKey(const wire::WorkerEntry& entry) {
   return base::combineHashes(base::hashBytes(entry.id), entry.instance);
 }
@@ -34,23 +34,23 @@
 }
 
 void addCounts(wire::HealthCounts& sum, const wire::HealthCounts& counts, double factor) {
-  const auto part = static_cast<float>(factor);
-  sum.dispatched += counts.dispatched * part;
-  sum.failed += counts.failed * part;
-  sum.timed += counts.timed * part;
-  sum.stalled += counts.stalled * part;
-  sum.slow += counts.slow * part;
-  sum.long_prompts += counts.long_prompts * part;
-  sum.stream_s += counts.stream_s * part;
+  const auto scale = static_cast<float>(factor);
+  sum.dispatched += counts.dispatched * scale;
+  sum.failed += counts.failed * scale;
+  sum.timed += counts.timed * scale;
+  sum.stalled += counts.stalled * scale;
+  sum.slow += counts.slow * scale;
+  sum.long_prompts += counts.long_prompts * scale;
+  sum.stream_s += counts.stream_s * scale;
 }
 
 double decayedSeconds(base::Duration elapsed) {
   const double half_life_s = std::chrono::duration<double>(LongHalfLife).count();
-  return half_life_s / std::numbers::ln2 * (1 - decay(elapsed, LongHalfLife));
+  return half_life_s / std::numbers::ln2 * (1 - decayFactor(elapsed, LongHalfLife));
 }
 
 double DecayedCounts::recentFactor(base::TimePoint now) const {
-  return decay(now - decayed_at_, RecentHalfLife);
+  return decayFactor(now - decayed_at_, RecentHalfLife);
 }
 
 void DecayedCounts::add(const wire::HealthCounts& counts, base::TimePoint now) {
@@ -64,7 +64,7 @@
 }
 
 wire::HealthCounts DecayedCounts::counts(base::TimePoint now) const {
-  return scaled(counts_, decay(now - decayed_at_, LongHalfLife));
+  return scaled(counts_, decayFactor(now - decayed_at_, LongHalfLife));
 }
 
 double DecayedCounts::recentDispatched(base::TimePoint now) const {
--- a/libraries/worker_health/source/evidence_ledger.cc
+++ b/libraries/worker_health/source/evidence_ledger.cc
@@ -1,7 +1,6 @@
 #include "switchsaddle/worker_health/evidence_ledger.h"
 
 #include <algorithm>
-#include <cmath>
 
 #include "switchsaddle/worker_health/decayed_counts.h"
 
@@ -9,94 +8,97 @@
 
 namespace {
 
-constexpr base::Duration RowMemory = std::chrono::seconds(120);
-/** What a front had on a worker is worth nothing later. */
-constexpr base::Duration InFlightMemory = std::chrono::seconds(3);
-constexpr base::Duration FrontMemory = std::chrono::seconds(20);
-/** A front is judged by no fewer dispatches of late. */
+constexpr base::Duration RowLifetime = std::chrono::seconds(120);
+/** How long a front's number of requests in flight is used. */
+constexpr base::Duration InFlightLifetime = std::chrono::seconds(3);
+constexpr base::Duration FrontLifetime = std::chrono::seconds(20);
+/** Recent dispatches needed to assess a front, and needed of its peers. */
 constexpr double MinimumToAssessFront = 6;
-/** Part of its dispatches that fails from which a front is not believed, unless the others find so
- * large a part too. */
-constexpr double FailsEverywhere = 0.5;
-constexpr double OthersFail = 0.25;
-
-double factorOf(base::Duration age, base::Duration half_life) {
-  return std::exp2(-std::chrono::duration<double>(age) / std::chrono::duration<double>(half_life));
-}
+/** A front is unreliable if at least this share of its dispatches fails, unless its peers' share of
+ * failures reaches the second bound. */
+constexpr double UnreliableFailureShare = 0.5;
+constexpr double PeerFailureShare = 0.25;
 
 }  // namespace
 
 void EvidenceLedger::update(const FrontKey& key, const std::string& zone,
-                            const wire::HealthReport& statement) {
-  if (statement.empty()) {
+                            const wire::HealthReport& report) {
+  if (report.empty()) {
     return;
   }
   const base::TimePoint now = dispatcher_.now();
   Front& front = fronts_[key];
   front.zone = zone;
   front.last_seen = now;
-  front.observed_s = statement.observed_s;
+  front.observed_s = report.observed_s;
   front.pools.clear();
-  for (const wire::PoolHealth& pool : statement.pools) {
+  for (const wire::PoolHealth& pool : report.pools) {
     front.pools[pool.pool] = pool;
   }
-  for (const wire::WorkerHealth& health : statement.workers) {
+  for (const wire::WorkerHealth& health : report.workers) {
     front.workers[health.worker] = {health, now};
-    noteAccused(health);
+    recordFailures(health);
   }
+  evictRows(front, now);
+}
+
+void EvidenceLedger::evictRows(Front& front, base::TimePoint now) {
   std::erase_if(front.workers,
-                [now](const auto& item) { return now - item.second.last_seen > RowMemory; });
+                [now](const auto& item) { return now - item.second.last_seen > RowLifetime; });
   while (front.workers.size() > MaximumWorkers) {
     front.workers.erase(std::ranges::min_element(
         front.workers, {}, [](const auto& item) { return item.second.last_seen; }));
   }
 }
 
-void EvidenceLedger::noteAccused(const wire::WorkerHealth& health) {
-  if (health.recent_failed >= AccusedFrom) {
-    accused_since_.try_emplace(health.worker, dispatcher_.now());
+void EvidenceLedger::recordFailures(const wire::WorkerHealth& health) {
+  if (health.recent_failed >= MinimumRecentFailures) {
+    failing_since_.try_emplace(health.worker, dispatcher_.now());
   }
 }
 
 void EvidenceLedger::forgetUnresponsive() {
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(fronts_,
-                [now](const auto& item) { return now - item.second.last_seen > FrontMemory; });
-  std::erase_if(accused_since_,
-                [this](const auto& item) { return ofWorker(item.first).accusing_fronts == 0; });
+                [now](const auto& item) { return now - item.second.last_seen > FrontLifetime; });
+  std::erase_if(failing_since_,
+                [this](const auto& item) { return ofWorker(item.first).failing_fronts == 0; });
 }
 
-bool EvidenceLedger::isBelieved(const Front& front) const {
-  for (const auto& [key, pool] : front.pools) {
-    if (pool.recent_dispatched < MinimumToAssessFront ||
-        pool.recent_failed < FailsEverywhere * pool.recent_dispatched) {
-      continue;
-    }
-    double dispatched = 0;
-    double failed = 0;
-    for (const auto& [other_key, other] : fronts_) {
-      const auto found = other.pools.find(key);
-      if (&other != &front && found != other.pools.end()) {
-        dispatched += found->second.recent_dispatched;
-        failed += found->second.recent_failed;
-      }
-    }
-    if (dispatched >= MinimumToAssessFront && failed < OthersFail * dispatched) {
-      return false;
+bool EvidenceLedger::isReliable(const Front& front) const {
+  return std::ranges::none_of(front.pools, [&](const auto& item) {
+    return failsMostly(item.second) && peersSucceed(front, item.first);
+  });
+}
+
+bool EvidenceLedger::failsMostly(const wire::PoolHealth& pool) {
+  return pool.recent_dispatched >= MinimumToAssessFront &&
+         pool.recent_failed >= UnreliableFailureShare * pool.recent_dispatched;
+}
+
+bool EvidenceLedger::peersSucceed(const Front& front, std::uint64_t pool) const {
+  double dispatched = 0;
+  double failed = 0;
+  for (const auto& [key, peer] : fronts_) {
+    const auto found = peer.pools.find(pool);
+    if (&peer != &front && found != peer.pools.end()) {
+      dispatched += found->second.recent_dispatched;
+      failed += found->second.recent_failed;
     }
   }
-  return true;
+  return dispatched >= MinimumToAssessFront && failed < PeerFailureShare * dispatched;
 }
 
 void EvidenceLedger::addRow(Evidence& evidence, const Front& front, const Row& row,
                             base::TimePoint now) {
-  const double recent = factorOf(now - row.last_seen, RecentHalfLife);
+  const base::Duration age = now - row.last_seen;
+  const double recent = decayFactor(age, RecentHalfLife);
   evidence.recent_dispatched += row.health.recent_dispatched * recent;
   evidence.recent_failed += row.health.recent_failed * recent;
-  addCounts(evidence.counts, row.health.counts, factorOf(now - row.last_seen, LongHalfLife));
-  evidence.accusing_fronts += row.health.recent_failed * recent >= AccusedFrom ? 1 : 0;
+  addCounts(evidence.counts, row.health.counts, decayFactor(age, LongHalfLife));
+  evidence.failing_fronts += row.health.recent_failed * recent >= MinimumRecentFailures ? 1 : 0;
   evidence.telling_fronts += 1;
-  evidence.in_flight += now - row.last_seen <= InFlightMemory ? row.health.in_flight : 0;
+  evidence.in_flight += age <= InFlightLifetime ? row.health.in_flight : 0;
   evidence.observed_s = std::max(evidence.observed_s, front.observed_s);
 }
 
@@ -104,7 +106,7 @@
   const base::TimePoint now = dispatcher_.now();
   std::map<std::uint64_t, Evidence> workers;
   for (const auto& [key, front] : fronts_) {
-    if (!isBelieved(front)) {
+    if (!isReliable(front)) {
       continue;
     }
     for (const auto& [worker, row] : front.workers) {
@@ -119,12 +121,11 @@
   const base::TimePoint now = dispatcher_.now();
   Evidence evidence;
   for (const auto& [key, front] : fronts_) {
-    const auto found = front.workers.find(worker);
-    const bool counts = found != front.workers.end() && (!zone || *zone == front.zone);
-    if (!counts || !isBelieved(front)) {
-      continue;
+    const auto row = front.workers.find(worker);
+    const bool is_relevant = row != front.workers.end() && (!zone || *zone == front.zone);
+    if (is_relevant && isReliable(front)) {
+      addRow(evidence, front, row->second, now);
     }
-    addRow(evidence, front, found->second, now);
   }
   return evidence;
 }
@@ -134,13 +135,15 @@
   Evidence evidence;
   for (const auto& [key, front] : fronts_) {
     const auto found = front.pools.find(pool);
-    if (found == front.pools.end() || !isBelieved(front)) {
+    if (found == front.pools.end() || !isReliable(front)) {
       continue;
     }
-    const double recent = factorOf(now - front.last_seen, RecentHalfLife);
-    evidence.recent_dispatched += found->second.recent_dispatched * recent;
-    evidence.recent_failed += found->second.recent_failed * recent;
-    addCounts(evidence.counts, found->second.counts, factorOf(now - front.last_seen, LongHalfLife));
+    const wire::PoolHealth& health = found->second;
+    const base::Duration age = now - front.last_seen;
+    const double recent = decayFactor(age, RecentHalfLife);
+    evidence.recent_dispatched += health.recent_dispatched * recent;
+    evidence.recent_failed += health.recent_failed * recent;
+    addCounts(evidence.counts, health.counts, decayFactor(age, LongHalfLife));
     evidence.telling_fronts += 1;
     evidence.observed_s = std::max(evidence.observed_s, front.observed_s);
   }
--- a/libraries/worker_health/source/evidence_recorder.cc
+++ b/libraries/worker_health/source/evidence_recorder.cc
@@ -7,22 +7,37 @@
 
 namespace {
 
-/** A worker not used for so long is forgotten. */
-constexpr base::Duration IdleMemory = std::chrono::minutes(10);
-/** Bad dispatches beyond what the pool explains, from which a worker is accused. */
-constexpr double LeastExcess = 0.8;
-constexpr double LeastRecentFailed = 0.5;
+/** A worker that was not used for this long is removed. */
+constexpr base::Duration IdleLifetime = std::chrono::minutes(10);
+/** A worker is an outlier from this number of bad requests beyond the rate of its pool on, or from
+ * this number of recent failures on. */
+constexpr double MinimumExcess = 0.8;
+constexpr double MinimumRecentFailed = 0.5;
+/** Recent failures rank before what was worse over minutes. */
+constexpr double RecentFailureWeight = 4;
+
+/** Whether the outcome is evidence about the worker. */
+bool isConclusive(DispatchEnd end) {
+  return end != DispatchEnd::Abandoned && end != DispatchEnd::Unreachable;
+}
+
+/** Bad requests of a worker beyond the rate of the other workers of its pool. */
+double excessOf(double bad, double counted, double pool_bad, double pool_counted) {
+  const double peers_counted = pool_counted - counted;
+  const double peer_share = peers_counted > 0 ? std::max(0.0, pool_bad - bad) / peers_counted : 0;
+  return bad - counted * peer_share;
+}
 
 }  // namespace
 
 std::uint64_t EvidenceRecorder::onDispatch(const Dispatch& dispatch) {
   const std::uint64_t number = next_number_++;
-  open_.emplace(number, Open{dispatch, dispatcher_.now(), false, false});
+  pending_.emplace(number, Pending{dispatch, dispatcher_.now(), false, false});
   Record& record = workers_[dispatch.worker];
   record.pool = dispatch.pool;
   ++record.in_flight;
   record.last_used = dispatcher_.now();
-  if (dispatch.prefill >= ShortestStall) {
+  if (dispatch.prefill >= MinimumStall) {
     wire::HealthCounts counts;
     counts.long_prompts = 1;
     count(dispatch, counts);
@@ -31,35 +46,33 @@
 }
 
 void EvidenceRecorder::onHead(std::uint64_t number) {
-  const auto found = open_.find(number);
-  if (found != open_.end()) {
+  const auto found = pending_.find(number);
+  if (found != pending_.end()) {
     found->second.answered = true;
   }
 }
 
 void EvidenceRecorder::onEnd(std::uint64_t number, const DispatchSample& sample) {
-  const auto found = open_.find(number);
-  if (found == open_.end()) {
+  const auto found = pending_.find(number);
+  if (found == pending_.end()) {
     return;
   }
-  const Open open = found->second;
-  open_.erase(found);
-  --workers_[open.dispatch.worker].in_flight;
+  const Pending ended = found->second;
+  pending_.erase(found);
+  --workers_[ended.dispatch.worker].in_flight;
   wire::HealthCounts counts;
-  const bool told_already = open.counted_as_failed;
-  const bool tells = sample.end != DispatchEnd::Abandoned && sample.end != DispatchEnd::Unreachable;
-  if (tells && !told_already) {
+  if (isConclusive(sample.end) && !ended.counted_as_failed) {
     counts.dispatched = 1;
     counts.failed = sample.end == DispatchEnd::Failed ? 1 : 0;
   }
-  const PeerVerdict verdict = comparison_.compare(open.dispatch.kind, sample);
+  const PeerVerdict verdict = comparison_.compare(ended.dispatch.kind, sample);
   if (verdict.comparable) {
     counts.timed = 1;
     counts.stalled = verdict.stalled ? 1 : 0;
     counts.slow = verdict.slow ? 1 : 0;
     counts.stream_s = static_cast<float>(std::chrono::duration<double>(sample.transfer).count());
   }
-  count(open.dispatch, counts);
+  count(ended.dispatch, counts);
 }
 
 void EvidenceRecorder::count(const Dispatch& dispatch, const wire::HealthCounts& counts) {
@@ -68,19 +81,19 @@
   pools_[dispatch.pool].add(counts, now);
 }
 
-void EvidenceRecorder::countOverdue() {
+void EvidenceRecorder::countTimedOut() {
   const base::TimePoint now = dispatcher_.now();
-  for (auto& [number, open] : open_) {
-    if (now - open.at < Overdue) {
-      // Numbers follow time.
+  for (auto& [number, pending] : pending_) {
+    if (now - pending.dispatched_at < HeadTimeout) {
+      // All that follow were dispatched later.
       break;
     }
-    if (!open.answered && !open.counted_as_failed) {
-      open.counted_as_failed = true;
+    if (!pending.answered && !pending.counted_as_failed) {
+      pending.counted_as_failed = true;
       wire::HealthCounts counts;
       counts.dispatched = 1;
       counts.failed = 1;
-      count(open.dispatch, counts);
+      count(pending.dispatch, counts);
     }
   }
 }
@@ -88,7 +101,7 @@
 void EvidenceRecorder::forgetIdle() {
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(workers_, [now](const auto& item) {
-    return item.second.in_flight == 0 && now - item.second.last_used > IdleMemory;
+    return item.second.in_flight == 0 && now - item.second.last_used > IdleLifetime;
   });
 }
 
@@ -103,30 +116,24 @@
   }
   const wire::HealthCounts all = pool->second.counts(now);
   const wire::HealthCounts own = record.counts.counts(now);
-  const auto beyond = [](double bad, double counted, double all_bad, double all_counted) {
-    const double others = all_counted - counted;
-    const double share = others > 0 ? std::max(0.0, all_bad - bad) / others : 0;
-    return bad - counted * share;
-  };
-  return beyond(own.failed, own.dispatched, all.failed, all.dispatched) +
-         beyond(own.stalled, own.timed, all.stalled, all.timed) +
-         beyond(own.slow, own.timed, all.slow, all.timed);
+  return excessOf(own.failed, own.dispatched, all.failed, all.dispatched) +
+         excessOf(own.stalled, own.timed, all.stalled, all.timed) +
+         excessOf(own.slow, own.timed, all.slow, all.timed);
 }
 
-std::vector<std::uint64_t> EvidenceRecorder::accused(base::TimePoint now) const {
+std::vector<std::uint64_t> EvidenceRecorder::outliers(base::TimePoint now) const {
   std::vector<std::pair<double, std::uint64_t>> found;
   for (const auto& [worker, record] : workers_) {
     const double recent = record.counts.recentFailed(now);
     const double worse = excess(record, now);
-    if (recent >= LeastRecentFailed || worse >= LeastExcess) {
-      // What fails now goes before what was worse over minutes.
-      found.emplace_back(worse + 4 * recent, worker);
+    if (recent >= MinimumRecentFailed || worse >= MinimumExcess) {
+      found.emplace_back(worse + RecentFailureWeight * recent, worker);
     }
   }
   std::ranges::sort(found, std::greater<>());
   std::vector<std::uint64_t> chosen;
   for (const auto& [worse, worker] : found) {
-    if (chosen.size() == MaximumAccused) {
+    if (chosen.size() == MaximumOutliers) {
       break;
     }
     chosen.push_back(worker);
@@ -134,58 +141,70 @@
   return chosen;
 }
 
-void EvidenceRecorder::tell(std::uint64_t worker, base::TimePoint now,
-                            wire::HealthReport& statement) const {
-  const auto told = [worker](const wire::WorkerHealth& one) { return one.worker == worker; };
-  const auto found = workers_.find(worker);
-  if (found == workers_.end() || std::ranges::any_of(statement.workers, told)) {
-    return;
-  }
-  const Record& record = found->second;
-  wire::WorkerHealth health;
-  health.worker = worker;
-  health.recent_dispatched = static_cast<float>(record.counts.recentDispatched(now));
-  health.recent_failed = static_cast<float>(record.counts.recentFailed(now));
-  health.counts = record.counts.counts(now);
-  health.in_flight = record.in_flight;
-  statement.workers.push_back(health);
-}
-
 wire::HealthReport EvidenceRecorder::statement() {
   const base::TimePoint now = dispatcher_.now();
-  wire::HealthReport statement;
-  if (now - reported_at_ < StatementInterval) {
-    return statement;
+  wire::HealthReport report;
+  if (now - reported_at_ < ReportInterval) {
+    return report;
   }
   reported_at_ = now;
-  statement.observed_s = static_cast<float>(decayedSeconds(now - started_at_));
-  countOverdue();
+  report.observed_s = static_cast<float>(decayedSeconds(now - started_at_));
+  countTimedOut();
   forgetIdle();
+  reportPools(now, report);
+  for (const std::uint64_t worker : outliers(now)) {
+    reportWorker(worker, now, report);
+  }
+  reportWatched(now, report);
+  reportRotated(now, report);
+  return report;
+}
+
+void EvidenceRecorder::reportPools(base::TimePoint now, wire::HealthReport& report) const {
   for (const auto& [pool, counts] : pools_) {
     wire::PoolHealth health;
     health.pool = pool;
     health.recent_dispatched = static_cast<float>(counts.recentDispatched(now));
     health.recent_failed = static_cast<float>(counts.recentFailed(now));
     health.counts = counts.counts(now);
-    statement.pools.push_back(health);
+    report.pools.push_back(health);
   }
-  for (const std::uint64_t worker : accused(now)) {
-    tell(worker, now, statement);
-  }
-  std::size_t watched_told = 0;
+}
+
+void EvidenceRecorder::reportWatched(base::TimePoint now, wire::HealthReport& report) const {
+  std::size_t count = 0;
   for (const std::uint64_t worker : watched_) {
-    if (watched_told++ == MaximumWatched) {
+    if (count++ == MaximumWatched) {
       break;
     }
-    tell(worker, now, statement);
+    reportWorker(worker, now, report);
   }
-  for (std::size_t count = 0; count < ReportedInTurn && !workers_.empty(); ++count) {
-    auto next = workers_.upper_bound(turn_);
+}
+
+void EvidenceRecorder::reportRotated(base::TimePoint now, wire::HealthReport& report) {
+  for (std::size_t count = 0; count < RotatedWorkers && !workers_.empty(); ++count) {
+    auto next = workers_.upper_bound(last_rotated_);
     next = next == workers_.end() ? workers_.begin() : next;
-    turn_ = next->first;
-    tell(turn_, now, statement);
+    last_rotated_ = next->first;
+    reportWorker(last_rotated_, now, report);
   }
-  return statement;
+}
+
+void EvidenceRecorder::reportWorker(std::uint64_t worker, base::TimePoint now,
+                                    wire::HealthReport& report) const {
+  const auto found = workers_.find(worker);
+  const bool is_reported = std::ranges::count(report.workers, worker, &wire::WorkerHealth::worker);
+  if (found == workers_.end() || is_reported) {
+    return;
+  }
+  const Record& record = found->second;
+  wire::WorkerHealth health;
+  health.worker = worker;
+  health.recent_dispatched = static_cast<float>(record.counts.recentDispatched(now));
+  health.recent_failed = static_cast<float>(record.counts.recentFailed(now));
+  health.counts = record.counts.counts(now);
+  health.in_flight = record.in_flight;
+  report.workers.push_back(health);
 }
 
 std::uint32_t EvidenceRecorder::inFlight(std::uint64_t worker) const {
--- a/libraries/worker_health/source/peer_comparison.cc
+++ b/libraries/worker_health/source/peer_comparison.cc
@@ -9,20 +9,20 @@
 
 namespace histogram = boost::histogram;
 
-/** Streams with fewer events say nothing of pauses. */
-constexpr std::uint32_t FewestEvents = 4;
-/** Streams of a kind to be known before one is compared. */
-constexpr double FewestPeers = 12;
-/** Kinds of work that are told apart; of further ones nothing is compared. */
+/** Streams with fewer events are not compared. */
+constexpr std::uint32_t MinimumEvents = 4;
+/** Streams of a kind needed before one is compared. */
+constexpr double MinimumPeers = 12;
+/** Kinds of work with histograms; streams of further kinds are not compared. */
 constexpr std::size_t MaximumKinds = 256;
-/** With so many in a histogram, each counts half. */
+/** When a histogram has this many samples, their weights are halved. */
 constexpr double MaximumPeers = 512;
-/** How far above the median is sick. */
+/** Multiples of the median above which a stream stalled or was slow. */
 constexpr double StallFactor = 3;
 constexpr double SlowFactor = 1.7;
 /** The histograms' range, in seconds, and their resolution. */
-constexpr double LeastS = 0.000'1;
-constexpr double MostS = 100;
+constexpr double MinimumSeconds = 0.000'1;
+constexpr double MaximumSeconds = 100;
 constexpr unsigned Bins = 80;
 
 using LogAxis = histogram::axis::regular<double, histogram::axis::transform::log>;
@@ -31,11 +31,11 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-/** A distribution of times that forgets. */
+/** A decaying distribution of times. */
 class TimeDistribution {
  public:
   void add(double seconds) {
-    counts_(std::clamp(seconds, LeastS, MostS * 0.999));
+    counts_(std::clamp(seconds, MinimumSeconds, MaximumSeconds * 0.999));
     ++total_;
     if (total_ >= MaximumPeers) {
       counts_ *= 0.5;
@@ -43,7 +43,7 @@
     }
   }
   double total() const { return total_; }
-  /** In seconds; the middle of the bin it is in. */
+  /** @return the median in seconds, as the centre of its bin. */
   double median() const {
     double below = 0;
     for (const auto& bin : histogram::indexed(counts_)) {
@@ -52,14 +52,14 @@
         return bin.bin(0).center();
       }
     }
-    return MostS;
+    return MaximumSeconds;
   }
 
  private:
-  using Counts = decltype(histogram::make_histogram_with(histogram::dense_storage<double>(),
-                                                         LogAxis(Bins, LeastS, MostS)));
+  using Counts = decltype(histogram::make_histogram_with(
+      histogram::dense_storage<double>(), LogAxis(Bins, MinimumSeconds, MaximumSeconds)));
   Counts counts_ = histogram::make_histogram_with(histogram::dense_storage<double>(),
-                                                  LogAxis(Bins, LeastS, MostS));
+                                                  LogAxis(Bins, MinimumSeconds, MaximumSeconds));
   double total_ = 0;
 };
 
@@ -73,30 +73,37 @@
 PeerComparison::PeerComparison() = default;
 PeerComparison::~PeerComparison() = default;
 
-PeerVerdict PeerComparison::compare(std::uint64_t kind, const DispatchSample& sample) {
-  const bool whole = sample.end == DispatchEnd::Answered && !sample.held_back;
-  if (!whole || sample.events < FewestEvents) {
-    return {};
-  }
+PeerComparison::Kind* PeerComparison::findOrCreate(std::uint64_t kind) {
   auto found = kinds_.find(kind);
   if (found == kinds_.end()) {
     if (kinds_.size() >= MaximumKinds) {
-      return {};
+      return nullptr;
     }
     found = kinds_.emplace(kind, std::make_unique<Kind>()).first;
   }
-  Kind& peers = *found->second;
+  return found->second.get();
+}
+
+PeerVerdict PeerComparison::compare(std::uint64_t kind, const DispatchSample& sample) {
+  const bool is_complete = sample.end == DispatchEnd::Answered && !sample.held_back;
+  if (!is_complete || sample.events < MinimumEvents) {
+    return {};
+  }
+  Kind* peers = findOrCreate(kind);
+  if (peers == nullptr) {
+    return {};
+  }
   const double pause_s = secondsOf(sample.longest_pause);
   const double event_s = secondsOf(sample.transfer) / (sample.events - 1);
   PeerVerdict verdict;
-  verdict.comparable = peers.longest_pauses.total() >= FewestPeers;
+  verdict.comparable = peers->longest_pauses.total() >= MinimumPeers;
   if (verdict.comparable) {
     verdict.stalled =
-        pause_s > std::max(secondsOf(ShortestStall), StallFactor * peers.longest_pauses.median());
-    verdict.slow = event_s > SlowFactor * peers.event_times.median();
+        pause_s > std::max(secondsOf(MinimumStall), StallFactor * peers->longest_pauses.median());
+    verdict.slow = event_s > SlowFactor * peers->event_times.median();
   }
-  peers.longest_pauses.add(pause_s);
-  peers.event_times.add(event_s);
+  peers->longest_pauses.add(pause_s);
+  peers->event_times.add(event_s);
   return verdict;
 }
 
--- a/libraries/worker_health/source/suspicion.cc
+++ b/libraries/worker_health/source/suspicion.cc
@@ -1,7 +1,6 @@
 #include "switchsaddle/worker_health/suspicion.h"
 
 #include <algorithm>
-#include <cmath>
 
 #include "switchsaddle/worker_health/decayed_counts.h"
 #include "switchsaddle/worker_health/dispatch_sample.h"
@@ -12,54 +11,43 @@
 namespace {
 
 constexpr base::Duration RefreshInterval = std::chrono::milliseconds(100);
-/** Part of a pool that may be kept away from. */
-constexpr double AvoidedShare = 0.34;
-/** A part of failures that is borne, and how many times that of the rest of the pool is. */
-constexpr double BorneShare = 0.12;
-constexpr double BorneRatio = 3;
-/** Failures without which nothing is decided, and those that need not wait for all fronts' word. */
-constexpr double FewestFailures = 1.5;
-constexpr double ManyFailures = 4;
-/** What a zone's fronts saw decides alone from so many dispatches on. */
-constexpr double FewestOfZone = 3;
-/** Time for all fronts to tell of a worker that one accuses. */
+/** Share of a pool that may be ejected. */
+constexpr double MaximumEjectedShare = 0.34;
+/** Tolerated share of failures, and the tolerated multiple of that of the rest of the pool. */
+constexpr double ToleratedFailureShare = 0.12;
+constexpr double ToleratedRatio = 3;
+/** Failures needed to eject a worker, and those that suffice before all fronts have reported. */
+constexpr double MinimumFailures = 1.5;
+constexpr double SufficientFailures = 4;
+/** Dispatches from which on the evidence of one zone's fronts is used alone. */
+constexpr double MinimumZoneDispatches = 3;
+/** Time in which all fronts report on a worker that is watched. */
 constexpr base::Duration ReportingTime = std::chrono::milliseconds(600);
-constexpr base::Duration FirstHold = std::chrono::seconds(3);
-constexpr base::Duration LongestHold = std::chrono::seconds(24);
-/** A worker that did well for so long begins with the first hold again. */
-constexpr base::Duration Forgiven = std::chrono::seconds(60);
+constexpr base::Duration BaseEjectionTime = std::chrono::seconds(3);
+constexpr base::Duration MaximumEjectionTime = std::chrono::seconds(24);
+/** A worker that was not ejected for this long starts again with BaseEjectionTime. */
+constexpr base::Duration EjectionMemory = std::chrono::seconds(60);
 constexpr std::size_t MaximumWatched = 16;
 
-double decayOf(base::Duration age) {
-  return std::exp2(-std::chrono::duration<double>(age) /
-                   std::chrono::duration<double>(RecentHalfLife));
-}
-
 }  // namespace
 
 wire::HealthAdvice Suspicion::advice(const std::string& zone) {
   refresh(zone);
   wire::HealthAdvice advice;
   advice.known = true;
-  for (const auto& [worker, since] : ledger_.accusedSince()) {
+  for (const auto& [worker, since] : ledger_.failingSince()) {
     if (advice.watched.size() < MaximumWatched) {
       advice.watched.push_back(worker);
     }
   }
-  for (const auto& [place, state] : states_) {
-    if (state.avoided && place.zone == zone) {
-      advice.avoided.push_back(place.worker);
+  for (const auto& [key, state] : states_) {
+    if (state.ejected && key.zone == zone) {
+      advice.avoided.push_back(key.worker);
     }
   }
   return advice;
 }
 
-bool Suspicion::isAvoided(std::uint64_t worker) const {
-  return std::ranges::any_of(states_, [worker](const auto& item) {
-    return item.first.worker == worker && item.second.avoided;
-  });
-}
-
 void Suspicion::refresh(const std::string& zone) {
   const base::TimePoint now = dispatcher_.now();
   const auto refreshed = refreshed_at_.find(zone);
@@ -68,12 +56,12 @@
   }
   refreshed_at_[zone] = now;
   ledger_.forgetUnresponsive();
-  release(zone);
-  if (ledger_.accusedSince().empty()) {
+  endEjections(zone);
+  if (ledger_.failingSince().empty()) {
     return;
   }
   for (const auto& [pool, worst_first] : candidates(zone)) {
-    avoidWorst(pool, zone, worst_first);
+    ejectWorst(pool, zone, worst_first);
   }
 }
 
@@ -82,114 +70,121 @@
   std::map<std::string, std::vector<Candidate>> pools;
   for (const auto& [id, worker] : snapshot_->workers) {
     const std::uint64_t key = workerKey(worker.entry);
-    const auto state = states_.find(Place{key, zone});
-    const bool avoided = state != states_.end() && state->second.avoided;
-    if (avoided || !worker.usable() || !ledger_.accusedSince().contains(key)) {
+    const auto state = states_.find(ZonedWorker{key, zone});
+    const bool ejected = state != states_.end() && state->second.ejected;
+    if (ejected || !worker.usable() || !ledger_.failingSince().contains(key)) {
       continue;
     }
-    const Evidence evidence = newEvidence(Place{key, zone});
-    if (isEnough(key, evidence)) {
-      const double surely = shareBounds(evidence.recent_failed, evidence.recent_dispatched).low;
-      pools[worker.entry.service].push_back({key, evidence, surely});
+    const Evidence evidence = newEvidence(ZonedWorker{key, zone});
+    if (isSufficient(key, evidence)) {
+      const double share = shareBounds(evidence.recent_failed, evidence.recent_dispatched).low;
+      pools[worker.entry.service].push_back({key, evidence, share});
     }
   }
   for (auto& [pool, found] : pools) {
-    std::ranges::sort(found, std::greater<>(), &Candidate::surely_failed);
+    std::ranges::sort(found, std::greater<>(), &Candidate::minimum_failure_share);
   }
   return pools;
 }
 
-bool Suspicion::isEnough(std::uint64_t worker, const Evidence& evidence) const {
-  const base::TimePoint accused = ledger_.accusedSince().at(worker);
-  const bool all_told = dispatcher_.now() - accused >= ReportingTime;
-  const bool several = evidence.accusing_fronts >= std::min<std::size_t>(2, ledger_.fronts());
-  return several && evidence.recent_failed >= (all_told ? FewestFailures : ManyFailures);
+bool Suspicion::isSufficient(std::uint64_t worker, const Evidence& evidence) const {
+  const base::TimePoint failing_since = ledger_.failingSince().at(worker);
+  const bool all_reported = dispatcher_.now() - failing_since >= ReportingTime;
+  const bool several_fronts = evidence.failing_fronts >= std::min<std::size_t>(2, ledger_.fronts());
+  const double needed = all_reported ? MinimumFailures : SufficientFailures;
+  return several_fronts && evidence.recent_failed >= needed;
 }
 
-void Suspicion::avoidWorst(const std::string& pool, const std::string& zone,
+void Suspicion::ejectWorst(const std::string& pool, const std::string& zone,
                            const std::vector<Candidate>& worst_first) {
-  const std::size_t most = mayAvoid(pool);
-  const std::vector<std::uint64_t> avoided = avoidedIn(pool, zone);
-  // What the rest of the pool fails is usual; the worst, which may be avoided, are no measure.
-  const Evidence all = ledger_.ofPool(poolKey(pool));
-  double dispatched = all.recent_dispatched;
-  double failed = all.recent_failed;
-  const auto leave_out = [&](std::uint64_t worker) {
-    const Evidence everywhere = ledger_.ofWorker(worker);
-    dispatched -= everywhere.recent_dispatched;
-    failed -= everywhere.recent_failed;
-  };
-  std::ranges::for_each(avoided, leave_out);
-  std::size_t more = most - std::min(most, avoided.size());
-  for (std::size_t index = 0; index < std::min(more, worst_first.size()); ++index) {
-    leave_out(worst_first[index].worker);
+  // The baseline is the rest of the pool, without the worst, which may be ejected.
+  std::vector<std::uint64_t> left_out = ejectedIn(pool, zone);
+  const std::size_t maximum = maximumEjected(pool);
+  std::size_t remaining = maximum - std::min(maximum, left_out.size());
+  for (std::size_t index = 0; index < std::min(remaining, worst_first.size()); ++index) {
+    left_out.push_back(worst_first[index].worker);
   }
-  const double usual = dispatched > 0 ? std::max(0.0, failed) / dispatched : 0;
-  const double borne = std::max(BorneShare, BorneRatio * usual);
+  const double tolerated =
+      std::max(ToleratedFailureShare, ToleratedRatio * failureShareWithout(pool, left_out));
   for (const Candidate& candidate : worst_first) {
-    if (more == 0 || candidate.surely_failed <= borne) {
+    if (remaining == 0 || candidate.minimum_failure_share <= tolerated) {
       return;
     }
-    avoid(Place{candidate.worker, zone}, pool);
-    --more;
+    eject(ZonedWorker{candidate.worker, zone}, pool);
+    --remaining;
+  }
+}
+
+double Suspicion::failureShareWithout(const std::string& pool,
+                                      const std::vector<std::uint64_t>& workers) const {
+  const Evidence all = ledger_.ofPool(poolKey(pool));
+  double dispatched = all.recent_dispatched;
+  double failed = all.recent_failed;
+  for (const std::uint64_t worker : workers) {
+    const Evidence evidence = ledger_.ofWorker(worker);
+    dispatched -= evidence.recent_dispatched;
+    failed -= evidence.recent_failed;
   }
+  return dispatched > 0 ? std::max(0.0, failed) / dispatched : 0;
 }
 
-void Suspicion::release(const std::string& zone) {
+void Suspicion::endEjections(const std::string& zone) {
   const base::TimePoint now = dispatcher_.now();
-  for (auto& [place, state] : states_) {
-    if (place.zone == zone && state.avoided && now - state.since >= state.hold) {
-      const Evidence seen = ledger_.ofWorker(place.worker, zone);
-      state.avoided = false;
+  for (auto& [key, state] : states_) {
+    if (key.zone == zone && state.ejected && now - state.since >= state.ejection_time) {
+      const Evidence evidence = ledger_.ofWorker(key.worker, zone);
+      state.ejected = false;
       state.since = now;
-      state.old_dispatched = seen.recent_dispatched;
-      state.old_failed = seen.recent_failed;
+      state.former_dispatched = evidence.recent_dispatched;
+      state.former_failed = evidence.recent_failed;
     }
   }
   std::erase_if(states_, [now](const auto& item) {
-    return !item.second.avoided && now - item.second.since > Forgiven;
+    return !item.second.ejected && now - item.second.since > EjectionMemory;
   });
 }
 
-Evidence Suspicion::newEvidence(const Place& place) const {
-  Evidence evidence = ledger_.ofWorker(place.worker, place.zone);
-  if (evidence.recent_dispatched < FewestOfZone) {
-    evidence = ledger_.ofWorker(place.worker);
+Evidence Suspicion::newEvidence(const ZonedWorker& key) const {
+  Evidence evidence = ledger_.ofWorker(key.worker, key.zone);
+  if (evidence.recent_dispatched < MinimumZoneDispatches) {
+    evidence = ledger_.ofWorker(key.worker);
   }
-  const auto state = states_.find(place);
+  const auto state = states_.find(key);
   if (state != states_.end()) {
-    const double old = decayOf(dispatcher_.now() - state->second.since);
-    evidence.recent_dispatched -= state->second.old_dispatched * old;
-    evidence.recent_failed -= state->second.old_failed * old;
+    const double remaining = decayFactor(dispatcher_.now() - state->second.since, RecentHalfLife);
+    evidence.recent_dispatched -= state->second.former_dispatched * remaining;
+    evidence.recent_failed -= state->second.former_failed * remaining;
   }
   return evidence;
 }
 
-void Suspicion::avoid(const Place& place, const std::string& pool) {
-  const auto [found, is_new] = states_.try_emplace(place);
+void Suspicion::eject(const ZonedWorker& key, const std::string& pool) {
+  const auto [found, is_new] = states_.try_emplace(key);
   State& state = found->second;
-  state.hold = is_new ? FirstHold : std::min<base::Duration>(2 * state.hold, LongestHold);
+  state.ejection_time =
+      is_new ? BaseEjectionTime
+             : std::min<base::Duration>(2 * state.ejection_time, MaximumEjectionTime);
   state.pool = pool;
-  state.avoided = true;
+  state.ejected = true;
   state.since = dispatcher_.now();
 }
 
-std::vector<std::uint64_t> Suspicion::avoidedIn(const std::string& pool,
+std::vector<std::uint64_t> Suspicion::ejectedIn(const std::string& pool,
                                                 const std::string& zone) const {
-  std::vector<std::uint64_t> avoided;
-  for (const auto& [place, state] : states_) {
-    if (state.avoided && state.pool == pool && place.zone == zone) {
-      avoided.push_back(place.worker);
+  std::vector<std::uint64_t> ejected;
+  for (const auto& [key, state] : states_) {
+    if (state.ejected && state.pool == pool && key.zone == zone) {
+      ejected.push_back(key.worker);
     }
   }
-  return avoided;
+  return ejected;
 }
 
-std::size_t Suspicion::mayAvoid(const std::string& pool) const {
+std::size_t Suspicion::maximumEjected(const std::string& pool) const {
   const auto usable = std::ranges::count_if(snapshot_->workers, [&pool](const auto& item) {
     return item.second.entry.service == pool && item.second.usable();
   });
-  return static_cast<std::size_t>(static_cast<double>(usable) * AvoidedShare);
+  return static_cast<std::size_t>(static_cast<double>(usable) * MaximumEjectedShare);
 }
 
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/test/evidence_recorder_test.cc
+++ b/libraries/worker_health/test/evidence_recorder_test.cc
@@ -36,13 +36,13 @@
     sample.transfer = milliseconds(19 * 40) + longest_pause;
     recorder.onEnd(number, sample);
   }
-  wire::HealthReport statement() {
-    world.runFor(EvidenceRecorder::StatementInterval);
+  wire::HealthReport report() {
+    world.runFor(EvidenceRecorder::ReportInterval);
     return recorder.statement();
   }
-  static const wire::WorkerHealth* of(const wire::HealthReport& statement, std::uint64_t worker) {
-    const auto found = std::ranges::find(statement.workers, worker, &wire::WorkerHealth::worker);
-    return found == statement.workers.end() ? nullptr : &*found;
+  static const wire::WorkerHealth* of(const wire::HealthReport& report, std::uint64_t worker) {
+    const auto found = std::ranges::find(report.workers, worker, &wire::WorkerHealth::worker);
+    return found == report.workers.end() ? nullptr : &*found;
   }
 
   simulation::World world{1};
@@ -50,106 +50,106 @@
   EvidenceRecorder recorder{process};
 };
 
-TEST_F(EvidenceRecorderTest, TellsLittleOfAHealthyPool) {
+TEST_F(EvidenceRecorderTest, ReportsLittleOfAHealthyPool) {
   for (std::uint64_t worker = 1; worker <= 50; ++worker) {
     run(worker, DispatchEnd::Answered);
   }
-  const wire::HealthReport told = statement();
-  EXPECT_EQ(told.pools.size(), 1U);
-  EXPECT_EQ(told.workers.size(), EvidenceRecorder::ReportedInTurn);
+  const wire::HealthReport received = report();
+  EXPECT_EQ(received.pools.size(), 1U);
+  EXPECT_EQ(received.workers.size(), EvidenceRecorder::RotatedWorkers);
 }
 
-TEST_F(EvidenceRecorderTest, TellsOfAllWorkersInTurn) {
+TEST_F(EvidenceRecorderTest, ReportsAllWorkersInRotation) {
   for (std::uint64_t worker = 1; worker <= 5; ++worker) {
     run(worker, DispatchEnd::Answered);
   }
-  std::set<std::uint64_t> told;
-  for (int round = 0; round < 5; ++round) {
-    for (const wire::WorkerHealth& health : statement().workers) {
-      told.insert(health.worker);
+  std::set<std::uint64_t> reported;
+  for (int step = 0; step < 5; ++step) {
+    for (const wire::WorkerHealth& health : report().workers) {
+      reported.insert(health.worker);
     }
   }
-  EXPECT_EQ(told.size(), 5U);
+  EXPECT_EQ(reported.size(), 5U);
 }
 
-TEST_F(EvidenceRecorderTest, TellsAtOnceOfAWorkerThatFails) {
+TEST_F(EvidenceRecorderTest, ReportsAFailingWorkerImmediately) {
   for (std::uint64_t worker = 1; worker <= 50; ++worker) {
     run(worker, worker == 30 ? DispatchEnd::Failed : DispatchEnd::Answered);
   }
-  const wire::HealthReport told = statement();
-  ASSERT_NE(of(told, 30), nullptr);
-  EXPECT_GT(of(told, 30)->recent_failed, 0.8);
-  EXPECT_GT(of(told, 30)->counts.failed, 0.9);
+  const wire::HealthReport received = report();
+  ASSERT_NE(of(received, 30), nullptr);
+  EXPECT_GT(of(received, 30)->recent_failed, 0.8);
+  EXPECT_GT(of(received, 30)->counts.failed, 0.9);
 }
 
-TEST_F(EvidenceRecorderTest, TellsOfWorkersThatTheCoresAskAbout) {
+TEST_F(EvidenceRecorderTest, ReportsWorkersThatTheCoresWatch) {
   for (std::uint64_t worker = 1; worker <= 50; ++worker) {
     run(worker, DispatchEnd::Answered);
   }
   recorder.setWatched({7, 8, 900});
-  const wire::HealthReport told = statement();
-  EXPECT_NE(of(told, 7), nullptr);
-  EXPECT_NE(of(told, 8), nullptr);
-  EXPECT_EQ(of(told, 900), nullptr);
+  const wire::HealthReport received = report();
+  EXPECT_NE(of(received, 7), nullptr);
+  EXPECT_NE(of(received, 8), nullptr);
+  EXPECT_EQ(of(received, 900), nullptr);
 }
 
-TEST_F(EvidenceRecorderTest, NeitherRefusedConnectionsNorCallersThatLeaveCount) {
+TEST_F(EvidenceRecorderTest, DoesNotCountRefusedConnectionsAndCancelledRequests) {
   run(1, DispatchEnd::Unreachable);
   run(1, DispatchEnd::Abandoned);
   run(1, DispatchEnd::Refused);
-  const wire::HealthReport told = statement();
-  ASSERT_NE(of(told, 1), nullptr);
-  EXPECT_NEAR(of(told, 1)->counts.dispatched, 1, 0.1);
-  EXPECT_EQ(of(told, 1)->counts.failed, 0);
+  const wire::HealthReport received = report();
+  ASSERT_NE(of(received, 1), nullptr);
+  EXPECT_NEAR(of(received, 1)->counts.dispatched, 1, 0.1);
+  EXPECT_EQ(of(received, 1)->counts.failed, 0);
 }
 
-TEST_F(EvidenceRecorderTest, AWorkerThatSaysNothingFails) {
-  const std::uint64_t silent = dispatch(1);
+TEST_F(EvidenceRecorderTest, CountsAWorkerWithoutAResponseAsFailing) {
+  const std::uint64_t unanswered = dispatch(1);
   const std::uint64_t answering = dispatch(2);
   recorder.onHead(answering);
-  world.runFor(EvidenceRecorder::Overdue);
-  const wire::HealthReport told = statement();
-  ASSERT_NE(of(told, 1), nullptr);
-  EXPECT_GT(of(told, 1)->recent_failed, 0.8);
-  EXPECT_EQ(of(told, 1)->in_flight, 1U);
-  // Its end does not count once more.
+  world.runFor(EvidenceRecorder::HeadTimeout);
+  const wire::HealthReport received = report();
+  ASSERT_NE(of(received, 1), nullptr);
+  EXPECT_GT(of(received, 1)->recent_failed, 0.8);
+  EXPECT_EQ(of(received, 1)->in_flight, 1U);
+  // Its end is not counted again.
   DispatchSample sample;
   sample.end = DispatchEnd::Failed;
-  recorder.onEnd(silent, sample);
+  recorder.onEnd(unanswered, sample);
   recorder.onEnd(answering, {});
-  const wire::HealthReport later = statement();
+  const wire::HealthReport later = report();
   EXPECT_NEAR(of(later, 1)->counts.failed, 1, 0.1);
 }
 
-TEST_F(EvidenceRecorderTest, AStreamThatPausesWhereOthersDoNotHasStalled) {
-  for (int round = 0; round < 5; ++round) {
+TEST_F(EvidenceRecorderTest, CountsAStreamThatPausesUnlikeItsPeersAsStalled) {
+  for (int step = 0; step < 5; ++step) {
     for (std::uint64_t worker = 1; worker <= 10; ++worker) {
       stream(worker, worker == 4 ? milliseconds(900) : milliseconds(60));
     }
   }
-  const wire::HealthReport told = statement();
-  ASSERT_NE(of(told, 4), nullptr);
-  EXPECT_GT(of(told, 4)->counts.stalled, 3);
+  const wire::HealthReport received = report();
+  ASSERT_NE(of(received, 4), nullptr);
+  EXPECT_GT(of(received, 4)->counts.stalled, 3);
 }
 
-TEST_F(EvidenceRecorderTest, PausesThatAllWorkersHaveAreNoStalls) {
-  for (int round = 0; round < 5; ++round) {
+TEST_F(EvidenceRecorderTest, DoesNotCountPausesOfAllWorkersAsStalls) {
+  for (int step = 0; step < 5; ++step) {
     for (std::uint64_t worker = 1; worker <= 10; ++worker) {
       stream(worker, milliseconds(900));
     }
   }
-  EXPECT_EQ(statement().pools.front().counts.stalled, 0);
+  EXPECT_EQ(report().pools.front().counts.stalled, 0);
 }
 
-TEST_F(EvidenceRecorderTest, PromptsThatKeepAWorkerReadingAreCounted) {
+TEST_F(EvidenceRecorderTest, CountsPromptsWithALongPrefill) {
   recorder.onEnd(dispatch(1, milliseconds(400)), {});
   recorder.onEnd(dispatch(1, milliseconds(20)), {});
-  EXPECT_NEAR(of(statement(), 1)->counts.long_prompts, 1, 0.1);
+  EXPECT_NEAR(of(report(), 1)->counts.long_prompts, 1, 0.1);
 }
 
-TEST_F(EvidenceRecorderTest, SaysNothingAgainAtOnce) {
+TEST_F(EvidenceRecorderTest, SendsNoSecondReportWithinTheInterval) {
   run(1, DispatchEnd::Failed);
-  EXPECT_FALSE(statement().empty());
+  EXPECT_FALSE(report().empty());
   EXPECT_TRUE(recorder.statement().empty());
 }
 
--- a/libraries/worker_health/test/health_ranking_test.cc
+++ b/libraries/worker_health/test/health_ranking_test.cc
@@ -33,7 +33,7 @@
   EXPECT_EQ(unhealthyCount(fleet), 3U);
 }
 
-TEST(HealthRankingTest, TheSickestStandsFirst) {
+TEST(HealthRankingTest, RanksTheMostUnhealthyWorkerFirst) {
   FleetPlan plan;
   plan.unhealthy[2] = {.stalls = 0.3};
   plan.unhealthy[5] = {.stalls = 0.9};
@@ -43,13 +43,13 @@
   EXPECT_EQ(fleet.ranking().ranks()[1].worker, SimulatedFleet::nameOf(2));
 }
 
-TEST(HealthRankingTest, NobodyIsSickInAHealthyFleet) {
+TEST(HealthRankingTest, FindsNoUnhealthyWorkerInAHealthyFleet) {
   SimulatedFleet fleet(FleetPlan{}, 3);
   fleet.run();
   EXPECT_EQ(unhealthyCount(fleet), 0U);
 }
 
-TEST(HealthRankingTest, FewSamplesMakeNobodySickOrHealthy) {
+TEST(HealthRankingTest, DecidesNothingFromFewSamples) {
   FleetPlan plan = planWith(2, {.stalls = 0.9});
   plan.time = std::chrono::seconds(3);
   plan.requests_per_s = 20;
@@ -60,7 +60,7 @@
   }
 }
 
-TEST(HealthRankingTest, PromptsOfOneTenantMakeNoWorkerSick) {
+TEST(HealthRankingTest, LongPromptsOfOneTenantMakeNoWorkerUnhealthy) {
   FleetPlan plan;
   plan.decoy_worker = 4;
   SimulatedFleet fleet(plan, 5);
@@ -68,7 +68,7 @@
   EXPECT_NE(fleet.rankOf(4).state, HealthState::Unhealthy);
 }
 
-TEST(HealthRankingTest, AFrontThatIsSickItselfAccusesNobody) {
+TEST(HealthRankingTest, AnUnhealthyFrontMakesNoWorkerUnhealthy) {
   FleetPlan plan;
   plan.unhealthy_front = 1;
   SimulatedFleet fleet(plan, 6);
@@ -76,7 +76,7 @@
   EXPECT_EQ(unhealthyCount(fleet), 0U);
 }
 
-TEST(HealthRankingTest, TheHistoryTellsWhoWasAtTheTop) {
+TEST(HealthRankingTest, RecordsChangesOfTheWorkerRankedFirst) {
   SimulatedFleet fleet(planWith(2, {.stalls = 0.6}), 1);
   fleet.run();
   ASSERT_FALSE(fleet.ranking().history().empty());
@@ -84,16 +84,16 @@
   EXPECT_GT(fleet.rankOf(2).since.count(), 0);
 }
 
-/** Counts over many seeds, for one way to tell the sick from the healthy. */
+/** Counts over many seeds for one classifier of workers. */
 struct Tally {
-  int planted = 0;
+  int injected = 0;
   int found = 0;
-  int accused = 0;
-  int accused_rightly = 0;
+  int reported = 0;
+  int reported_correctly = 0;
 
-  double recall() const { return planted > 0 ? static_cast<double>(found) / planted : 1; }
+  double recall() const { return injected > 0 ? static_cast<double>(found) / injected : 1; }
   double precision() const {
-    return accused > 0 ? static_cast<double>(accused_rightly) / accused : 1;
+    return reported > 0 ? static_cast<double>(reported_correctly) / reported : 1;
   }
 };
 
@@ -115,10 +115,11 @@
   return values[values.size() / 2];
 }
 
-/** Fleets with one to three sick workers of one severity, a decoy tenant and a sick front. */
-class PlantedFleets {
+/** Fleets with one to three unhealthy workers of one severity, a decoy tenant and, in half of them,
+ * an unhealthy front. */
+class InjectedFleets {
  public:
-  explicit PlantedFleets(double severity) : severity_(severity) {}
+  explicit InjectedFleets(double severity) : severity_(severity) {}
 
   void play(std::uint64_t seed) {
     base::RandomSource random(seed * 7 + 1);
@@ -135,7 +136,7 @@
     }
     SimulatedFleet fleet(plan, seed);
     fleet.run();
-    checkHistory(fleet, plan);
+    countOutcomes(fleet, plan);
   }
 
   Tally ranking;
@@ -160,14 +161,14 @@
     return symptom;
   }
 
-  static void count(Tally& tally, bool planted, bool accused) {
-    tally.planted += planted ? 1 : 0;
-    tally.accused += accused ? 1 : 0;
-    tally.found += planted && accused ? 1 : 0;
-    tally.accused_rightly += planted && accused ? 1 : 0;
+  static void count(Tally& tally, bool injected, bool reported) {
+    tally.injected += injected ? 1 : 0;
+    tally.reported += reported ? 1 : 0;
+    tally.found += injected && reported ? 1 : 0;
+    tally.reported_correctly += injected && reported ? 1 : 0;
   }
 
-  void checkHistory(const SimulatedFleet& fleet, const FleetPlan& plan) {
+  void countOutcomes(const SimulatedFleet& fleet, const FleetPlan& plan) {
     std::vector<double> speeds;
     std::vector<double> tails;
     for (std::size_t worker = 0; worker < plan.workers; ++worker) {
@@ -175,12 +176,12 @@
       tails.push_back(percentile99(fleet.measuresOf(worker).longest_pauses_s));
     }
     for (std::size_t worker = 0; worker < plan.workers; ++worker) {
-      const bool planted = plan.unhealthy.contains(worker);
+      const bool injected = plan.unhealthy.contains(worker);
       const HealthState state = fleet.rankOf(worker).state;
-      count(ranking, planted, state == HealthState::Unhealthy);
-      count(mean_speed, planted, speeds[worker] < 0.7 * medianOf(speeds));
-      count(tail_alone, planted, tails[worker] > 2 * medianOf(tails));
-      kept_as_healthy += planted && state == HealthState::Healthy ? 1 : 0;
+      count(ranking, injected, state == HealthState::Unhealthy);
+      count(mean_speed, injected, speeds[worker] < 0.7 * medianOf(speeds));
+      count(tail_alone, injected, tails[worker] > 2 * medianOf(tails));
+      kept_as_healthy += injected && state == HealthState::Healthy ? 1 : 0;
     }
   }
 
@@ -194,9 +195,9 @@
          std::to_string(tally.recall());
 }
 
-TEST_P(InjectedSymptomTest, IsFoundWithoutAccusingOthers) {
+TEST_P(InjectedSymptomTest, IsFoundWithoutFalsePositives) {
   constexpr std::uint64_t Seeds = 334;
-  PlantedFleets fleets(GetParam());
+  InjectedFleets fleets(GetParam());
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     fleets.play(seed);
   }
@@ -206,14 +207,14 @@
   RecordProperty("kept_as_healthy", fleets.kept_as_healthy);
   std::cout << "severity " << GetParam() << ": ranking " << figures(fleets.ranking)
             << "; mean speed " << figures(fleets.mean_speed) << "; 99th percentile "
-            << figures(fleets.tail_alone) << "; sick kept as healthy " << fleets.kept_as_healthy
-            << " of " << fleets.ranking.planted << "\n";
+            << figures(fleets.tail_alone) << "; unhealthy ranked as healthy "
+            << fleets.kept_as_healthy << " of " << fleets.ranking.injected << "\n";
   EXPECT_GE(fleets.ranking.precision(), 0.98);
   EXPECT_GT(fleets.ranking.recall(), fleets.mean_speed.recall() + 0.3);
   EXPECT_GT(fleets.ranking.recall(), fleets.tail_alone.recall() + 0.3);
   const bool is_strong = GetParam() >= 0.5;
   EXPECT_GE(fleets.ranking.recall(), is_strong ? 0.99 : 0.9);
-  EXPECT_LE(fleets.kept_as_healthy, is_strong ? 0 : fleets.ranking.planted / 20);
+  EXPECT_LE(fleets.kept_as_healthy, is_strong ? 0 : fleets.ranking.injected / 20);
 }
 
 INSTANTIATE_TEST_SUITE_P(Severities, InjectedSymptomTest, testing::Values(0.25, 0.5, 0.8));
--- a/libraries/worker_health/test/simulated_fleet.cc
+++ b/libraries/worker_health/test/simulated_fleet.cc
@@ -8,13 +8,15 @@
 namespace {
 
 constexpr const char* Pool = "pool";
-constexpr double EventS = 0.04;
+constexpr double EventSeconds = 0.04;
 constexpr double Noise = 0.15;
-/** Part of the streams that come with a long prompt, and how long it is read. */
+/** Share of the streams with a long prompt, and its prefill time. */
 constexpr double LongPromptShare = 0.02;
-constexpr auto LongReading = std::chrono::milliseconds(400);
-/** Part of all streams that the decoy tenant sends. */
+constexpr base::Duration LongPrefill = std::chrono::milliseconds(400);
+constexpr base::Duration ShortPrefill = std::chrono::milliseconds(10);
+/** Share of all streams that the decoy tenant sends. */
 constexpr double DecoyShare = 0.06;
+/** Share of its streams that the unhealthy front stalls. */
 constexpr double UnhealthyFrontShare = 0.4;
 constexpr auto ReportInterval = std::chrono::milliseconds(500);
 
@@ -35,7 +37,7 @@
       process_(world_),
       ledger_(process_),
       ranking_(process_, ledger_),
-      readings_(plan_.workers),
+      prefills_(plan_.workers),
       measures_(plan_.workers) {
   for (std::size_t front = 0; front < plan_.fronts; ++front) {
     fronts_.push_back(std::make_unique<EvidenceRecorder>(process_));
@@ -59,20 +61,20 @@
   return *std::ranges::find(ranking_.ranks(), nameOf(worker), &WorkerRank::worker);
 }
 
-bool SimulatedFleet::isUnhealthyNow(const InjectedSymptom& symptom) const {
+bool SimulatedFleet::isActive(const InjectedSymptom& symptom) const {
   const auto now_s = static_cast<std::uint64_t>(
       std::chrono::duration<double>(process_.now().time_since_epoch()).count());
   return !symptom.intermittent || (now_s / 10) % 2 == 0;
 }
 
-base::Duration SimulatedFleet::longestReadingBeside(std::size_t worker,
+base::Duration SimulatedFleet::longestPrefillBeside(std::size_t worker,
                                                     base::Duration stream_time) const {
-  // What was read a moment ago at this pace is what a stream will meet.
+  // Approximates the prefills during the stream by those just before it.
   const base::TimePoint now = process_.now();
   base::Duration longest{};
-  for (const Reading& reading : readings_[worker]) {
-    if (now - reading.start < stream_time) {
-      longest = std::max(longest, reading.length);
+  for (const Prefill& prefill : prefills_[worker]) {
+    if (now - prefill.start < stream_time) {
+      longest = std::max(longest, prefill.length);
     }
   }
   return longest;
@@ -83,53 +85,59 @@
   const std::size_t worker = is_decoy ? *plan_.decoy_worker : random_.below(plan_.workers);
   const std::size_t front = random_.below(plan_.fronts);
   const bool long_prompt = is_decoy || random_.chance(LongPromptShare);
-  const base::Duration reading =
-      long_prompt ? base::Duration(LongReading) : base::Duration(std::chrono::milliseconds(10));
-  const auto planted = plan_.unhealthy.find(worker);
-  const InjectedSymptom symptom =
-      planted != plan_.unhealthy.end() && isUnhealthyNow(planted->second) ? planted->second
-                                                                          : InjectedSymptom{};
+  const base::Duration prefill = long_prompt ? LongPrefill : ShortPrefill;
+  const DispatchSample sample = drawSample(worker, front);
+  if (long_prompt) {
+    prefills_[worker].push_back({process_.now(), prefill});
+  }
+  measures_[worker].events_per_s.push_back(sample.events / secondsOf(sample.transfer));
+  measures_[worker].longest_pauses_s.push_back(secondsOf(sample.longest_pause));
+  Stream stream;
+  stream.front = front;
+  stream.number = fronts_[front]->onDispatch({keys_[worker], poolKey(Pool), 1, prefill});
+  stream.sample = sample;
+  stream.end = process_.now() + prefill + sample.transfer;
+  fronts_[front]->onHead(stream.number);
+  in_flight_.push(stream);
+}
+
+InjectedSymptom SimulatedFleet::activeSymptom(std::size_t worker) const {
+  const auto injected = plan_.unhealthy.find(worker);
+  const bool is_active = injected != plan_.unhealthy.end() && isActive(injected->second);
+  return is_active ? injected->second : InjectedSymptom{};
+}
+
+DispatchSample SimulatedFleet::drawSample(std::size_t worker, std::size_t front) {
+  const InjectedSymptom symptom = activeSymptom(worker);
   DispatchSample sample;
   sample.events = 20 + static_cast<std::uint32_t>(random_.below(20));
   const double noise = std::exp(Noise * (random_.uniform() + random_.uniform() - 1) * 2);
-  const double event_s = EventS * noise * symptom.slowness;
+  const double event_s = EventSeconds * noise * symptom.slowness;
   sample.longest_pause = fromSeconds(event_s * (1.2 + random_.uniform() * 0.5));
-  base::Duration transfer = fromSeconds(event_s * (sample.events - 1));
-  const auto pause = [&](base::Duration length) {
+  sample.transfer = fromSeconds(event_s * (sample.events - 1));
+  const auto pause = [&sample](base::Duration length) {
     sample.longest_pause = std::max(sample.longest_pause, length);
-    transfer += length;
+    sample.transfer += length;
   };
-  pause(longestReadingBeside(worker, transfer));
+  pause(longestPrefillBeside(worker, sample.transfer));
   if (random_.chance(symptom.stalls)) {
     pause(fromSeconds(0.6 + random_.uniform() * 2));
   }
   if (plan_.unhealthy_front == front && random_.chance(UnhealthyFrontShare)) {
     pause(fromSeconds(0.6 + random_.uniform()));
   }
-  sample.transfer = transfer;
   sample.end = random_.chance(symptom.failures) ? DispatchEnd::Failed : DispatchEnd::Answered;
-  if (long_prompt) {
-    readings_[worker].push_back({process_.now(), reading});
-  }
-  measures_[worker].events_per_s.push_back(sample.events / secondsOf(transfer));
-  measures_[worker].longest_pauses_s.push_back(secondsOf(sample.longest_pause));
-  Stream stream;
-  stream.front = front;
-  stream.number = fronts_[front]->onDispatch({keys_[worker], poolKey(Pool), 1, reading});
-  stream.sample = sample;
-  stream.end = process_.now() + reading + transfer;
-  fronts_[front]->onHead(stream.number);
-  under_way_.push(stream);
+  return sample;
 }
 
 void SimulatedFleet::finishUntil(base::TimePoint time) {
-  while (!under_way_.empty() && under_way_.top().end <= time) {
-    const Stream& stream = under_way_.top();
+  while (!in_flight_.empty() && in_flight_.top().end <= time) {
+    const Stream& stream = in_flight_.top();
     if (stream.end > process_.now()) {
       world_.runFor(stream.end - process_.now());
     }
     fronts_[stream.front]->onEnd(stream.number, stream.sample);
-    under_way_.pop();
+    in_flight_.pop();
   }
   world_.runFor(time - process_.now());
 }
@@ -142,23 +150,23 @@
   }
   ranking_.refresh();
   const base::TimePoint now = process_.now();
-  for (std::vector<Reading>& readings : readings_) {
-    std::erase_if(readings, [now](const Reading& reading) {
-      return now - reading.start > std::chrono::seconds(10);
+  for (std::vector<Prefill>& prefills : prefills_) {
+    std::erase_if(prefills, [now](const Prefill& prefill) {
+      return now - prefill.start > std::chrono::seconds(10);
     });
   }
 }
 
 void SimulatedFleet::run() {
   const base::TimePoint end = process_.now() + plan_.time;
-  base::TimePoint tell_at = process_.now() + ReportInterval;
+  base::TimePoint report_at = process_.now() + ReportInterval;
   while (process_.now() < end) {
     const double gap_s = -std::log(1 - random_.uniform()) / plan_.requests_per_s;
     const base::TimePoint next = process_.now() + fromSeconds(gap_s);
-    while (tell_at <= next) {
-      finishUntil(tell_at);
+    while (report_at <= next) {
+      finishUntil(report_at);
       reportToCores();
-      tell_at += ReportInterval;
+      report_at += ReportInterval;
     }
     finishUntil(next);
     start();
--- a/libraries/worker_health/test/simulated_fleet.h
+++ b/libraries/worker_health/test/simulated_fleet.h
@@ -13,40 +13,42 @@
 
 namespace switchsaddle::worker_health {
 
-/** What is wrong with a simulated worker. Parts of streams are 0 to 1. */
+/** The fault of a simulated worker. Shares of streams are 0 to 1. */
 struct InjectedSymptom {
   double stalls = 0;
   double failures = 0;
-  /** Times for an event are so many times as long. */
+  /** Factor of the time per event. */
   double slowness = 1;
-  /** Only in every other ten seconds. */
+  /** Present only in every other ten seconds. */
   bool intermittent = false;
 
   bool any() const { return stalls > 0 || failures > 0 || slowness > 1; }
 };
 
+/** The size, load and faults of a simulated fleet. */
 struct FleetPlan {
   std::size_t fronts = 6;
   std::size_t workers = 20;
   double requests_per_s = 60;
   base::Duration time = std::chrono::seconds(90);
-  /** By number of the worker. */
+  /** By index of the worker. */
   std::map<std::size_t, InjectedSymptom> unhealthy;
-  /** A tenant's long prompts all go to this worker, and its streams meet them there. */
+  /** A healthy worker that receives all long prompts of one tenant. */
   std::optional<std::size_t> decoy_worker;
-  /** This front holds up a part of its streams itself. */
+  /** This front itself stalls a share of its streams. */
   std::optional<std::size_t> unhealthy_front;
 };
 
-/** What else could be measured of a worker, for the baselines. */
-struct PlainMeasures {
+/** Plain measurements of a worker, for the baselines. */
+struct PlainMeasurements {
   std::vector<double> events_per_s;
   std::vector<double> longest_pauses_s;
 };
 
 /**
- * Fronts that send streams to workers of a simple model, and a core that ranks these. A stream's
- * events come at the same pace but for noise, for prompts read beside it, and for what is planted.
+ * Fronts that send streams to workers of a simple model, and a core that ranks the workers. Events
+ * of a stream have a constant interval but for noise, prefill on the same worker and injected
+ * symptoms.
  */
 class SimulatedFleet {
  public:
@@ -54,7 +56,7 @@
   void run();
   const HealthRanking& ranking() const { return ranking_; }
   const WorkerRank& rankOf(std::size_t worker) const;
-  const PlainMeasures& measuresOf(std::size_t worker) const { return measures_[worker]; }
+  const PlainMeasurements& measuresOf(std::size_t worker) const { return measures_[worker]; }
   static std::string nameOf(std::size_t worker);
 
  private:
@@ -66,16 +68,21 @@
 
     bool operator>(const Stream& other) const { return end > other.end; }
   };
-  struct Reading {
+  struct Prefill {
     base::TimePoint start;
     base::Duration length;
   };
 
+  /** Starts a stream of a random prompt. */
   void start();
+  /** @return the worker's symptom if it is present now. */
+  InjectedSymptom activeSymptom(std::size_t worker) const;
+  /** Draws the measurements of a stream that starts now. */
+  DispatchSample drawSample(std::size_t worker, std::size_t front);
   void finishUntil(base::TimePoint time);
   void reportToCores();
-  bool isUnhealthyNow(const InjectedSymptom& symptom) const;
-  base::Duration longestReadingBeside(std::size_t worker, base::Duration stream_time) const;
+  bool isActive(const InjectedSymptom& symptom) const;
+  base::Duration longestPrefillBeside(std::size_t worker, base::Duration stream_time) const;
 
   FleetPlan plan_;
   base::RandomSource random_;
@@ -85,9 +92,9 @@
   EvidenceLedger ledger_;
   HealthRanking ranking_;
   std::vector<std::uint64_t> keys_;
-  std::vector<std::vector<Reading>> readings_;
-  std::vector<PlainMeasures> measures_;
-  std::priority_queue<Stream, std::vector<Stream>, std::greater<>> under_way_;
+  std::vector<std::vector<Prefill>> prefills_;
+  std::vector<PlainMeasurements> measures_;
+  std::priority_queue<Stream, std::vector<Stream>, std::greater<>> in_flight_;
 };
 
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/test/suspicion_test.cc
+++ b/libraries/worker_health/test/suspicion_test.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t Workers = 12;
 constexpr std::size_t Fronts = 5;
 
-/** Fronts that tell of workers as the test says, at a core. */
+/** A core that receives the reports of five fronts in two zones. */
 class SuspicionTest : public testing::Test {
  protected:
   SuspicionTest() {
@@ -36,9 +36,9 @@
   }
   static std::string zoneOf(std::size_t index) { return index % 2 == 0 ? "north" : "south"; }
 
-  /** A front tells that of `dispatched` requests to each worker so many failed at some. */
-  void tell(std::size_t index, const std::map<std::size_t, float>& failed, float dispatched = 4) {
-    wire::HealthReport statement;
+  /** One front reports `dispatched` requests to each worker, of which so many failed by worker. */
+  void report(std::size_t index, const std::map<std::size_t, float>& failed, float dispatched = 4) {
+    wire::HealthReport health_report;
     wire::PoolHealth pool;
     pool.pool = poolKey(Pool);
     pool.recent_dispatched = dispatched * Workers;
@@ -48,25 +48,25 @@
       health.worker = keys[worker];
       health.recent_dispatched = dispatched;
       health.recent_failed = count;
-      statement.workers.push_back(health);
+      health_report.workers.push_back(health);
     }
-    statement.pools.push_back(pool);
-    ledger.update(front(index), zoneOf(index), statement);
+    health_report.pools.push_back(pool);
+    ledger.update(front(index), zoneOf(index), health_report);
   }
   void reportAll(const std::map<std::size_t, float>& failed) {
     for (std::size_t index = 0; index < Fronts; ++index) {
-      tell(index, failed);
+      report(index, failed);
     }
   }
-  std::vector<std::uint64_t> avoided(const std::string& zone = "north") {
+  std::vector<std::uint64_t> ejected(const std::string& zone = "north") {
     return suspicion.advice(zone).avoided;
   }
-  /** The fronts tell the same again and again. */
-  void runTelling(milliseconds time, const std::map<std::size_t, float>& failed) {
-    for (milliseconds passed{0}; passed < time; passed += milliseconds(500)) {
+  /** All fronts send the same report repeatedly. */
+  void runReporting(milliseconds time, const std::map<std::size_t, float>& failed) {
+    for (milliseconds elapsed{0}; elapsed < time; elapsed += milliseconds(500)) {
       reportAll(failed);
-      avoided("north");
-      avoided("south");
+      ejected("north");
+      ejected("south");
       world.runFor(milliseconds(500));
     }
   }
@@ -78,110 +78,110 @@
   std::vector<std::uint64_t> keys;
 };
 
-TEST_F(SuspicionTest, AWorkerThatFailsHalfOfItsRequestsIsAvoidedWithinASecond) {
-  runTelling(milliseconds(1'000), {{3, 2}});
-  EXPECT_EQ(avoided("north"), std::vector{keys[3]});
-  EXPECT_EQ(avoided("south"), std::vector{keys[3]});
+TEST_F(SuspicionTest, EjectsAWorkerThatFailsHalfOfItsRequestsWithinASecond) {
+  runReporting(milliseconds(1'000), {{3, 2}});
+  EXPECT_EQ(ejected("north"), std::vector{keys[3]});
+  EXPECT_EQ(ejected("south"), std::vector{keys[3]});
 }
 
-TEST_F(SuspicionTest, AFewFailuresAreBorne) {
-  runTelling(milliseconds(5'000), {{3, 0.3F}, {5, 0.2F}});
-  EXPECT_TRUE(avoided().empty());
+TEST_F(SuspicionTest, ToleratesAFewFailures) {
+  runReporting(milliseconds(5'000), {{3, 0.3F}, {5, 0.2F}});
+  EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, TheWordOfOneFrontIsNotEnough) {
-  tell(0, {{3, 4}});
+TEST_F(SuspicionTest, TheReportsOfOneFrontAreNotSufficient) {
+  report(0, {{3, 4}});
   for (std::size_t index = 1; index < Fronts; ++index) {
-    tell(index, {{3, 0}});
+    report(index, {{3, 0}});
   }
   world.runFor(milliseconds(700));
-  EXPECT_TRUE(avoided().empty());
+  EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, AnOnlyFrontIsBelieved) {
-  tell(0, {{3, 4}}, 6);
+TEST_F(SuspicionTest, TheReportsOfTheOnlyFrontAreSufficient) {
+  report(0, {{3, 4}}, 6);
   world.runFor(milliseconds(700));
-  EXPECT_EQ(avoided(), std::vector{keys[3]});
+  EXPECT_EQ(ejected(), std::vector{keys[3]});
 }
 
-TEST_F(SuspicionTest, FrontsToWhichEveryWorkerFailsAreNotBelieved) {
+TEST_F(SuspicionTest, IgnoresFrontsAtWhichEveryWorkerFails) {
   std::map<std::size_t, float> everything;
   for (std::size_t worker = 0; worker < Workers; ++worker) {
     everything[worker] = 3;
   }
-  for (int round = 0; round < 6; ++round) {
-    tell(0, everything);
-    tell(1, everything);
+  for (int step = 0; step < 6; ++step) {
+    report(0, everything);
+    report(1, everything);
     for (std::size_t index = 2; index < Fronts; ++index) {
-      tell(index, {{1, 0}});
+      report(index, {{1, 0}});
     }
-    EXPECT_TRUE(avoided("north").empty());
-    EXPECT_TRUE(avoided("south").empty());
+    EXPECT_TRUE(ejected("north").empty());
+    EXPECT_TRUE(ejected("south").empty());
     world.runFor(milliseconds(300));
   }
 }
 
-TEST_F(SuspicionTest, AWorkerThatFailsTheCallersOfOneZoneIsAvoidedThereAlone) {
-  for (int round = 0; round < 4; ++round) {
+TEST_F(SuspicionTest, EjectsAWorkerThatFailsTheCallersOfOneZoneInThatZoneOnly) {
+  for (int step = 0; step < 4; ++step) {
     for (std::size_t index = 0; index < Fronts; ++index) {
-      tell(index, {{3, zoneOf(index) == "north" ? 2.0F : 0.0F}});
+      report(index, {{3, zoneOf(index) == "north" ? 2.0F : 0.0F}});
     }
-    avoided("north");
-    avoided("south");
+    ejected("north");
+    ejected("south");
     world.runFor(milliseconds(400));
   }
-  EXPECT_EQ(avoided("north"), std::vector{keys[3]});
-  EXPECT_TRUE(avoided("south").empty());
+  EXPECT_EQ(ejected("north"), std::vector{keys[3]});
+  EXPECT_TRUE(ejected("south").empty());
 }
 
-TEST_F(SuspicionTest, NeverMoreThanAThirdOfAPoolIsAvoided) {
+TEST_F(SuspicionTest, EjectsAtMostAThirdOfAPool) {
   std::map<std::size_t, float> failed;
   for (std::size_t worker = 0; worker < Workers / 2; ++worker) {
     failed[worker] = 4;
   }
-  std::size_t most = 0;
-  for (int round = 0; round < 30; ++round) {
+  std::size_t maximum = 0;
+  for (int step = 0; step < 30; ++step) {
     reportAll(failed);
-    most = std::max(most, avoided().size());
+    maximum = std::max(maximum, ejected().size());
     world.runFor(milliseconds(300));
   }
-  EXPECT_EQ(most, Workers * 34 / 100);
+  EXPECT_EQ(maximum, Workers * 34 / 100);
 }
 
-TEST_F(SuspicionTest, WhatFailsEverywhereIsNoSuspicion) {
+TEST_F(SuspicionTest, EjectsNothingIfAllWorkersFailAlike) {
   std::map<std::size_t, float> failed;
   for (std::size_t worker = 0; worker < Workers; ++worker) {
     failed[worker] = 2;
   }
-  runTelling(milliseconds(3'000), failed);
-  EXPECT_TRUE(avoided().empty());
+  runReporting(milliseconds(3'000), failed);
+  EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, AWorkerComesBackAndMustFailAnew) {
-  runTelling(milliseconds(1'000), {{3, 2}});
-  ASSERT_FALSE(avoided().empty());
-  // Nobody uses it, and what was seen fades.
+TEST_F(SuspicionTest, AnEjectionEndsAndNeedsNewFailures) {
+  runReporting(milliseconds(1'000), {{3, 2}});
+  ASSERT_FALSE(ejected().empty());
+  // No requests are sent to it, and the evidence decays.
   world.runFor(milliseconds(3'500));
-  EXPECT_TRUE(avoided().empty());
+  EXPECT_TRUE(ejected().empty());
   world.runFor(milliseconds(500));
-  EXPECT_TRUE(avoided().empty());
+  EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, EachTimeItStaysAwayForLonger) {
-  runTelling(milliseconds(1'000), {{3, 2}});
-  ASSERT_FALSE(avoided().empty());
+TEST_F(SuspicionTest, EachEjectionLastsLonger) {
+  runReporting(milliseconds(1'000), {{3, 2}});
+  ASSERT_FALSE(ejected().empty());
   world.runFor(milliseconds(3'500));
-  ASSERT_TRUE(avoided().empty());
-  runTelling(milliseconds(1'500), {{3, 2}});
-  ASSERT_FALSE(avoided().empty());
+  ASSERT_TRUE(ejected().empty());
+  runReporting(milliseconds(1'500), {{3, 2}});
+  ASSERT_FALSE(ejected().empty());
   world.runFor(milliseconds(4'000));
-  EXPECT_FALSE(avoided().empty());
+  EXPECT_FALSE(ejected().empty());
   world.runFor(milliseconds(2'500));
-  EXPECT_TRUE(avoided().empty());
+  EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, AllFrontsAreAskedOfAWorkerThatOneAccuses) {
-  tell(2, {{7, 1}});
+TEST_F(SuspicionTest, WatchesAWorkerThatFailsAtOneFront) {
+  report(2, {{7, 1}});
   EXPECT_EQ(suspicion.advice("south").watched, std::vector{keys[7]});
 }
 
