--- a/libraries/front/include/switchsaddle/front/forward_flow.h
+++ b/libraries/front/include/switchsaddle/front/forward_flow.h
@@ -21,15 +21,16 @@
 
 namespace switchsaddle::front {
 
-/** Repeats that this front may send of a pool's requests. */
+/** Retries that this front may send of a pool's requests. */
 struct RetryAllowance {
-  /** Share of the first tries of the last seconds. */
+  /** Retries as a share of the first attempts in the window. */
   double share = 0.1;
-  /** Repeats beyond the share for the whole fleet; each front takes an equal part. */
+  /** Retries in a window beyond the share, for the complete fleet; each front gets an equal share.
+   */
   double fleet_extra = 0;
 };
 
-/** What forwarding needs; all outlive the flow. */
+/** Dependencies of ForwardFlow; all outlive it. */
 struct ForwardEnvironment {
   base::Dispatcher& dispatcher;
   base::RandomSource& random;
@@ -43,21 +44,22 @@
   Counters& counters;
   ForwardHeaders headers;
   RetryAllowance retry_allowance;
-  /** Where operators are told of losses; nowhere if left out. */
+  /** Receives reports of losses; may be null. */
   base::IncidentSink* incidents = nullptr;
 };
 
 class ForwardRun;
 
 /**
- * Carries forwarded requests: quota → place → dispatch → relay. A request that may have run is sent
- * again only where its kind allows that; the answer says 429 or 503 only where nothing ran; a
- * stream that broke goes on at another worker after its last whole event where its kind allows
- * that, and else ends visibly. Runs on the control strand.
+ * Forwards requests to workers: quota → place → dispatch → relay.
+ *
+ * Invariants: a request that may have run is retried only if its kind is idempotent; the response
+ * is 429 or 503 only if nothing ran; a broken stream continues at another worker after its last
+ * complete event if its kind allows that, and is aborted otherwise. Runs on the control strand.
  */
 class ForwardFlow {
  public:
-  /** Requests under way at one time. */
+  /** Limit of requests in flight. */
   static constexpr std::size_t MaximumRuns = 4'096;
 
   explicit ForwardFlow(ForwardEnvironment environment);
@@ -65,13 +67,16 @@
   ForwardFlow(const ForwardFlow&) = delete;
   ForwardFlow& operator=(const ForwardFlow&) = delete;
 
+  /** @throws base::Error with QueueFull if MaximumRuns requests are in flight. */
   void run(ForwardRequest request, http::ResponseWriterPtr writer);
+  /** Number of requests that have not ended. */
   std::size_t active() const { return runs_.size(); }
+  /** Sets the number of fronts in the fleet, which share the extra retries. */
   void setFronts(std::size_t fronts);
-  /** Streams that can go on elsewhere leave workers that are to be empty by the configuration; what
-   * else such workers have ends there. */
-  void leaveEmptied(const configuration::View& view);
-  /** Ends all requests at once; streams visibly, others without an answer of their own. */
+  /** Moves resumable streams away from workers that the configuration has put into maintenance;
+   * other requests at such workers run to their end there. */
+  void migrateFromMaintenance(const configuration::View& view);
+  /** Ends all requests at once, without responses. */
   void abandon();
 
  private:
--- a/libraries/front/include/switchsaddle/front/forward_losses.h
+++ b/libraries/front/include/switchsaddle/front/forward_losses.h
@@ -10,44 +10,43 @@
 
 namespace switchsaddle::front {
 
-/** Why a forwarded request was not answered, or not in time. */
+/** Why a forwarded request was not served, or missed its latency target. */
 enum class ForwardLoss : std::uint8_t {
-  /** Refused: its tenant's quota was spent. */
+  /** Rejected: its tenant's quota was exhausted. */
   QuotaSpent,
-  /** Refused: no worker could be used. */
+  /** Rejected: no worker was available. */
   NoWorker,
-  /** Refused: the workers that were asked said that they had no place. */
+  /** Rejected: the workers it was dispatched to had no capacity. */
   WorkersFull,
-  /** Ended without an answer: the time was up. */
+  /** Ended without a response at its deadline. */
   TimeLimit,
-  /** Ended without an answer, or a stream broken off: the worker was lost. */
+  /** Ended without a response, or with a truncated stream, since the worker was lost. */
   WorkerLost,
-  /** First event late, as expected when it was placed: its own prompt alone takes too long to read.
-   */
+  /** First event late, as estimated at placement: the prefill of its own prompt is too long. */
   LateOwnPrompt,
-  /** First event late, as expected when it was placed: what the worker reads before it. */
+  /** First event late, as estimated at placement: prefills queued at the worker before it. */
   LateQueue,
-  /** First event late, against what was expected when it was placed. */
+  /** First event late, in contrast to the estimate at placement. */
   LateUnforeseen,
-  /** In time, but with a pause between two events above the route's goal. */
+  /** First event in time, but a gap between two events was above the route's target. */
   LatePause,
 };
 
-/** The loss's name in the log. */
+/** @return the name of the loss in the log. */
 std::string_view forwardLossName(ForwardLoss loss);
 
 /**
- * Counts what forwarding loses, by route and cause, and tells operators of it in one line for each
- * route every few seconds, as long as there is something to tell. Runs on the control strand.
+ * Counts losses of forwarding by route and cause, and reports them to operators in one incident for
+ * each route every few seconds, as long as there are any. Runs on the control strand.
  */
 class ForwardLosses {
  public:
   ForwardLosses(base::Dispatcher& dispatcher, base::IncidentSink& incidents);
 
-  void note(const std::string& route, ForwardLoss loss);
+  void record(const std::string& route, ForwardLoss loss);
 
  private:
-  void tell();
+  void report();
 
   base::IncidentSink& incidents_;
   std::map<std::string, std::map<ForwardLoss, std::uint64_t>> counts_;
--- a/libraries/front/include/switchsaddle/front/forward_port.h
+++ b/libraries/front/include/switchsaddle/front/forward_port.h
@@ -1,6 +1,5 @@
 #pragma once
 
-#include <functional>
 #include <memory>
 #include <string>
 
@@ -11,37 +10,29 @@
 
 namespace switchsaddle::front {
 
-/** One forwarded request on its way to one worker. */
+/** One attempt of a forwarded request at one worker. */
 struct ForwardDispatch {
   base::NodeAddress worker;
-  /** As the worker is to get it. */
+  /** The message as it is sent to the worker. */
   http::Request message;
-  /** The answer's header that must repeat `request_id`; another answer belongs to nobody. */
+  /** The response header that must echo `request_id`; a response with another id is discarded. */
   std::string request_id_header;
   std::string request_id;
-  /** A connection that has lain idle for longer is not used. */
+  /** Idle connections older than this are not reused. */
   base::Duration reuse_within = std::chrono::seconds(30);
 };
 
-/** Hears of one dispatch's end, on the control strand. Nothing follows onComplete or onFailure. */
-class ForwardObserver {
- public:
-  virtual ~ForwardObserver() = default;
-  /** The status and headers; the body is empty. */
-  virtual void onHead(const http::Response& head) = 0;
-  /** Reading goes on only once `resume` has been called. */
-  virtual void onBytes(const std::string& bytes, std::function<void()> resume) = 0;
-  /** The whole body has come. */
-  virtual void onComplete() = 0;
-  /** `refused`: nothing listens at the worker's address. */
-  virtual void onFailure(WorkerFailure failure, bool refused) = 0;
-};
+/** Receives the response of one dispatch; the header is passed on with an empty body. */
+using ForwardObserver = ResponseObserver<http::Response>;
 
-/** Sends forwarded requests to workers. Never sends one twice by itself. */
+/** Sends forwarded requests to workers. Never retries by itself. */
 class ForwardPort {
  public:
   virtual ~ForwardPort() = default;
-  /** Never calls the observer before it has returned. */
+  /**
+   * Sends the dispatch. The observer is not called before this has returned.
+   * @return the call, to be kept for cancelling; it continues even if it is dropped.
+   */
   virtual WorkerCallPtr forward(ForwardDispatch dispatch,
                                 std::shared_ptr<ForwardObserver> observer) = 0;
 };
--- a/libraries/front/include/switchsaddle/front/http_forward_port.h
+++ b/libraries/front/include/switchsaddle/front/http_forward_port.h
@@ -6,7 +6,8 @@
 
 namespace switchsaddle::front {
 
-/** Forwards over an HTTP client. Its callbacks are posted to the control strand in order. */
+/** Forwards requests over an HTTP client. Posts the client's callbacks, which may come from any
+ * thread, to the control strand in order. */
 class HttpForwardPort : public ForwardPort {
  public:
   HttpForwardPort(base::Dispatcher& dispatcher, http::Client& client)
--- a/libraries/front/include/switchsaddle/front/http_worker_port.h
+++ b/libraries/front/include/switchsaddle/front/http_worker_port.h
@@ -9,16 +9,16 @@
 
 namespace switchsaddle::front {
 
-/** Reads the headers of a worker's answer; what is malformed counts as absent. */
+/** Parses the header of a worker's response; malformed fields count as absent. */
 WorkerHead parseWorkerHead(const http::Response& head);
 
 /**
- * Speaks docs/WORKERS.md over an HTTP client. Callbacks of the client, from whatever thread, are
- * posted to the control strand in order.
+ * Sends requests to workers by the protocol of docs/WORKERS.md over an HTTP client. Posts the
+ * client's callbacks, which may come from any thread, to the control strand in order.
  */
 class HttpWorkerPort : public WorkerPort {
  public:
-  /** `local_ip`: the address to connect from; empty for any. */
+  /** @param local_ip the local address to connect from; empty for any. */
   HttpWorkerPort(base::Dispatcher& dispatcher, http::Client& client, std::string local_ip = {});
   WorkerCallPtr send(const WorkerRequest& request,
                      std::shared_ptr<WorkerObserver> observer) override;
--- a/libraries/front/include/switchsaddle/front/one_shot_flow.h
+++ b/libraries/front/include/switchsaddle/front/one_shot_flow.h
@@ -4,10 +4,14 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
+#include <utility>
+#include <vector>
 
 #include "switchsaddle/admission/slot_broker.h"
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/base/result_code.h"
@@ -21,45 +25,45 @@
 
 namespace switchsaddle::front {
 
-/** A one-shot as parsed and authenticated. */
+/** A one-shot request after parsing and authentication. */
 struct OneShotRequest {
   std::string tenant;
-  /** Hash of the caller's key, which has to be in force still right before each dispatch. */
+  /** Hash of the caller's key, which must be in force at each dispatch. */
   std::string key_hash;
-  /** Share branch it counts against. */
+  /** Branch of the limits that the request counts against. */
   std::string branch;
   std::string service;
   std::string idempotency_key;
   /** The caller's Request-Id; may be empty. */
   std::string caller_request_id;
-  /** Hash of what the caller asked for. */
+  /** Hash of the request, by which a key reused for another request is detected. */
   std::uint64_t fingerprint = 0;
-  /** Body for the worker. */
+  /** Body of the request to the worker. */
   std::string body;
   base::Duration deadline = std::chrono::seconds(10);
 };
 
-/** What is known of a one-shot's run. */
+/** Whether a request has run at a worker, as far as is proven. */
 enum class Outcome : std::uint8_t { Ran, NotRun, Unknown };
 
-/** "ran", "not-run" or "unknown". */
+/** @return "ran", "not-run" or "unknown". */
 std::string_view outcomeName(Outcome outcome);
 
-/** The end of a one-shot. */
+/** The result of a one-shot. */
 struct OneShotAnswer {
   Outcome outcome = Outcome::Unknown;
-  /** The answer was recorded by an earlier attempt. */
+  /** The answer is the recorded one of an earlier request with the same key. */
   bool replayed = false;
-  /** The worker's answer body; only with outcome Ran. */
+  /** Body of the worker's response; set with outcome Ran only. */
   std::string answer;
-  /** Ok with outcome Ran, else why not. */
+  /** Ok with outcome Ran, else the reason. */
   base::ResultCode code = base::ResultCode::Ok;
   std::uint32_t retry_after_ms = 1'000;
 };
 
 using OneShotCallback = std::function<void(const OneShotAnswer&)>;
 
-/** What one-shots need; all outlive the flow. */
+/** Dependencies of OneShotFlow; all outlive it. */
 struct OneShotEnvironment {
   base::Dispatcher& dispatcher;
   base::RandomSource& random;
@@ -76,15 +80,16 @@
 class OneShotRun;
 
 /**
- * Runs one-shots at most once for each idempotency key. Each goes through: claim the key → take a
- * slot → check the session → dispatch on a fresh connection → record the end in the claim → answer.
+ * Runs one-shots at most once for each idempotency key. The steps of each: claim the key → acquire
+ * a slot → check the session → dispatch on a new connection → record the end in the claim → answer.
  *
- * Invariants: a byte goes to a worker only while this run holds the claim in flight, and only once
- * for each run; NotRun is recorded and told only where no byte was sent or the
- * worker refused this very attempt with Not-Run; whatever else may have been sent and has no
- * matching answer is Unknown for good. The slot is taken after the claim, so that a
- * refusal for want of slots can promise that the key has not run. Runs on the control strand; the
- * callback runs exactly once unless the flow is destroyed before.
+ * Invariants: a byte is sent to a worker only while this run owns the claim in flight, and only
+ * once for each run. NotRun is recorded and answered only if no byte was sent or the worker
+ * rejected this attempt with Not-Run. Any other attempt without a matching response is Unknown for
+ * good. The slot is acquired after the claim, so that a rejection for lack of slots proves that the
+ * key has not run.
+ *
+ * Runs on the control strand. Each callback runs exactly once unless the flow is destroyed before.
  */
 class OneShotFlow {
  public:
@@ -95,8 +100,8 @@
 
   void run(OneShotRequest request, OneShotCallback callback);
   /**
-   * Ends all one-shots at once: nothing more is done or told for them. Their slots come free as the
-   * returned runs go.
+   * Ends all one-shots at once, without answers.
+   * @return the runs; their slots are released when these are destroyed.
    */
   std::set<std::shared_ptr<OneShotRun>> abandon();
   /** One-shots not yet answered. */
@@ -105,19 +110,21 @@
  private:
   friend class OneShotRun;
 
-  /** The usable worker of the service's pool with the fewest one-shots of this front in flight. */
+  /** @return the usable worker of the service's pool with the fewest one-shots of this front in
+   * flight, or null. Ties are broken at random. */
   const workers::Worker* chooseWorker(const workers::WorkerSnapshot& snapshot,
                                       const OneShotRequest& request,
-                                      const std::set<std::string>& excluded) const;
+                                      const std::vector<std::string>& excluded) const;
   std::string newRunName();
-  /** Records an end of a run, again and again while the core can't be reached, within bounds. */
+  /** Records the end of a run, with `attempts_left` retries while the core can't be reached. */
   void record(const wire::ClaimFinish& finish, claims::ClaimCallback callback, int attempts_left);
 
   OneShotEnvironment environment_;
   std::set<std::shared_ptr<OneShotRun>> runs_;
+  /** One-shots in flight by worker id; without entries of zero. */
   std::map<std::string, std::uint32_t> in_flight_;
-  /** Expires with this object, so that answers do not outlive it. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  /** Never empty; replaced by abandon(), which ends the callbacks under way. */
+  std::optional<base::CallbackScope> callbacks_{std::in_place};
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/stream_flow.h
+++ b/libraries/front/include/switchsaddle/front/stream_flow.h
@@ -14,6 +14,7 @@
 #include "switchsaddle/configuration/view.h"
 #include "switchsaddle/front/counters.h"
 #include "switchsaddle/front/fleet_view.h"
+#include "switchsaddle/front/request/caller_connection.h"
 #include "switchsaddle/front/retry_budget.h"
 #include "switchsaddle/front/stage.h"
 #include "switchsaddle/front/worker_circuit.h"
@@ -23,51 +24,59 @@
 
 namespace switchsaddle::front {
 
-/** A stream as parsed and authenticated. */
+/** A streamed completion after parsing and authentication. */
 struct StreamRequest {
   std::string tenant;
-  /** Hash of the caller's key, which has to be in force still right before each dispatch. */
+  /** Hash of the caller's key, which must be in force at each dispatch. */
   std::string key_hash;
-  /** Share branch it counts against. */
+  /** Branch of the limits that the request counts against. */
   std::string branch;
   configuration::SessionShape shape;
   routing::Prompt prompt;
   /** The caller's Request-Id; may be empty. */
   std::string caller_request_id;
-  /** Body for the worker. */
+  /** Body of the request to the worker. */
   std::string body;
 };
 
-/** Why a stream was refused before its first event. */
+/** Why a stream was rejected before its first event. */
 struct StreamRefusal {
   base::ResultCode code = base::ResultCode::InternalError;
-  /** A worker may have taken the request. */
+  /** The request may have reached a worker. */
   bool sent = false;
   std::uint32_t retry_after_ms = 1'000;
 };
 
-/** The caller's side of one stream. Exactly one of refuse() and end() is called, last. */
+/**
+ * The caller's side of one stream. Exactly one of refuse() and end() is called, as the last call,
+ * unless the stream is cancelled. Runs on the control strand.
+ */
 class StreamSink {
  public:
   virtual ~StreamSink() = default;
-  /** Nothing was sent to the caller and nothing will be. */
+  /** Rejects the request; nothing has been sent to the caller. */
   virtual void refuse(const StreamRefusal& refusal) = 0;
-  /** Before the first event: the run it belongs to, and how much of its prompt was cached. */
+  /** Called before the first event.
+   * @param run the worker's id of the run.
+   * @param cached_tokens tokens of the prompt that were in the worker's prefix cache. */
   virtual void setRun(const std::string& run, std::uint32_t cached_tokens) = 0;
-  /** One event in the text of text/event-stream; `written` runs once the caller has taken it
-   * (true) or is gone (false). */
-  virtual void sendEvent(std::string event, std::function<void(bool)> written) = 0;
-  /** The last event has been handed over. Ok only after the run's own end. */
+  /**
+   * @param event one event in the format of text/event-stream.
+   * @param written runs once the event has been written or the caller has disconnected.
+   */
+  virtual void sendEvent(std::string event, WriteCallback written) = 0;
+  /** Ends the stream after the last event.
+   * @param code Ok only if the worker completed the run. */
   virtual void end(base::ResultCode code) = 0;
 };
 
-/** Bounded stages that streams pass; each full queue refuses at once. */
+/** Bounded stages that streams pass; a full queue rejects at once. */
 struct StreamStages {
   Stage admit{256, 256};
   Stage relay{4'096, 256};
 };
 
-/** What streams need; all outlive the flow. */
+/** Dependencies of StreamFlow; all outlive it. */
 struct StreamEnvironment {
   base::Dispatcher& dispatcher;
   base::RandomSource& random;
@@ -80,27 +89,29 @@
   WorkerCircuit& circuit;
   Counters& counters;
   StreamStages& stages;
-  /** Where broken streams are told; nowhere if left out. */
+  /** Receives reports of broken streams; may be null. */
   base::IncidentSink* incidents = nullptr;
-  /** False only in tests that show what the check prevents. */
+  /** Whether the sequence of events is checked; false only in tests that show what this prevents.
+   */
   bool check_sequence = true;
 };
 
 class StreamRun;
 
-/** Lets the caller's side tell that the caller has gone. */
+/** A stream in flight, as its caller's side sees it. */
 class StreamHandle {
  public:
   virtual ~StreamHandle() = default;
-  /** Closes the worker's connection and gives the slot back; the sink hears nothing more. */
+  /** Closes the worker's connection and releases the slot; the sink is not called afterwards. */
   virtual void cancel() = 0;
 };
 
 /**
- * Carries streams from workers to callers: admit → place → dispatch → relay → record. Each dispatch
- * checks the session right before. A worker that fails before the first piece is replaced by
- * another within the retry budget; afterwards the stream ends with an error event. Each placement
- * is completed once at the router. Runs on the control strand.
+ * Relays streams from workers to callers: admit → place → dispatch → relay → record.
+ *
+ * Invariants: the session is checked right before each dispatch; a worker that fails before the
+ * first chunk is replaced by another within the retry budget, and afterwards the stream ends with
+ * an error event; each placement is completed once at the router. Runs on the control strand.
  */
 class StreamFlow {
  public:
@@ -109,14 +120,17 @@
   StreamFlow(const StreamFlow&) = delete;
   StreamFlow& operator=(const StreamFlow&) = delete;
 
-  /** The sink may hear of a refusal before this returns. */
+  /**
+   * Starts a stream; the sink may be rejected before this returns.
+   * @return a handle for cancelling the stream.
+   */
   std::shared_ptr<StreamHandle> run(StreamRequest request, std::shared_ptr<StreamSink> sink);
   /**
-   * Ends all streams at once: nothing more is done or told for them. Their slots come free as the
-   * returned runs go.
+   * Ends all streams at once, without calling their sinks.
+   * @return the runs; their slots are released when these are destroyed.
    */
   std::set<std::shared_ptr<StreamRun>> abandon();
-  /** Streams not yet ended. */
+  /** Number of streams that have not ended. */
   std::size_t active() const { return runs_.size(); }
 
  private:
--- /dev/null
+++ b/libraries/front/source/attempt/attempt_list.h
@@ -0,0 +1,59 @@
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "switchsaddle/front/counters.h"
+#include "switchsaddle/front/retry_budget.h"
+
+namespace switchsaddle::front {
+
+/**
+ * The attempts of one request at workers: how many were dispatched, which workers the next one must
+ * not use, and what the retry budget has been charged for them.
+ *
+ * Invariant: the request counts once as a first attempt of its service, and each retry is charged
+ * to the budget before it is dispatched. Runs on the control strand.
+ */
+class AttemptList {
+ public:
+  /**
+   * @param budget shared by all requests of this front; outlives the list.
+   * @param counters outlive the list.
+   * @param service the service or pool whose budget the retries are charged to.
+   */
+  AttemptList(RetryBudget& budget, Counters& counters, std::string service);
+
+  /** Counts the first attempt in the budget; later calls have no effect. */
+  void countFirst();
+  /** Counts a dispatch, and the first attempt with it. To be called right before it is sent. */
+  void beginDispatch();
+  /** Dispatches so far. */
+  std::uint32_t dispatched() const { return dispatched_; }
+
+  /** @return whether acquireRetry() would succeed now; charges nothing. */
+  bool mayRetry(double share) const;
+  /**
+   * Charges one retry to the budget.
+   * @param share allowed retries as a share of the service's first attempts.
+   * @param extra retries allowed beyond the share in a window.
+   * @return whether the budget allows the retry; if not, nothing is charged.
+   */
+  bool acquireRetry(double share, double extra = 0);
+
+  /** Excludes the worker from the attempts that follow. */
+  void exclude(const std::string& worker) { excluded_.push_back(worker); }
+  /** Ids of the workers that the next attempt must not use. */
+  const std::vector<std::string>& excluded() const { return excluded_; }
+
+ private:
+  RetryBudget& budget_;
+  Counters& counters_;
+  std::string service_;
+  bool first_counted_ = false;
+  std::uint32_t dispatched_ = 0;
+  std::vector<std::string> excluded_;
+};
+
+}  // namespace switchsaddle::front
--- a/libraries/front/source/caller_service.cc
+++ b/libraries/front/source/caller_service.cc
@@ -223,14 +223,11 @@
   }
   const std::shared_ptr<StreamHandle> handle =
       dependencies_.streams.run(std::move(stream), std::move(sink));
-  writer->onClientDisconnected(
-      [&dispatcher = dependencies_.dispatcher, weak = std::weak_ptr(handle)] {
-        dispatcher.post([weak] {
-          if (const auto running = weak.lock()) {
-            running->cancel();
-          }
-        });
-      });
+  CallerConnection(dependencies_.dispatcher, writer).onDisconnected([weak = std::weak_ptr(handle)] {
+    if (const auto stream_in_flight = weak.lock()) {
+      stream_in_flight->cancel();
+    }
+  });
 }
 
 void CallerService::handleOneShot(const http::Request& request,
--- a/libraries/front/source/caller_sinks.cc
+++ b/libraries/front/source/caller_sinks.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Longest completion that is collected for one answer. */
+/** Longest completion that is collected for one response. */
 constexpr std::size_t MaximumCollectedBytes = 16U << 20U;
 constexpr std::string_view DataField = "data: ";
 
@@ -23,7 +23,7 @@
   return errorAnswer(refusal.code, details);
 }
 
-/** The JSON of an event's data, or nothing for "[DONE]". */
+/** @return the JSON of an event's data, or nothing for "[DONE]". */
 std::optional<configuration::JsonValue> eventData(const std::string& event) {
   const std::size_t start = event.find(DataField);
   if (start == std::string::npos) {
@@ -38,7 +38,7 @@
 }  // namespace
 
 void EventStreamSink::refuse(const StreamRefusal& refusal) {
-  writer_->respond(refusalAnswer(refusal));
+  caller_.respond(refusalAnswer(refusal));
 }
 
 void EventStreamSink::setRun(const std::string& run, std::uint32_t cached_tokens) {
@@ -46,21 +46,18 @@
   head_.headers.push_back({"Cached-Tokens", std::to_string(cached_tokens)});
 }
 
-void EventStreamSink::sendEvent(std::string event, std::function<void(bool)> written) {
+void EventStreamSink::sendEvent(std::string event, WriteCallback written) {
   if (!started_) {
     started_ = true;
     head_.headers.push_back({"Content-Type", "text/event-stream"});
     head_.headers.push_back({"Cache-Control", "no-cache"});
-    writer_->startStream(head_);
+    caller_.startStream(head_);
   }
-  writer_->writeChunk(std::move(event),
-                      [&dispatcher = dispatcher_, written = std::move(written)](bool taken) {
-                        dispatcher.post([written, taken] { written(taken); });
-                      });
+  caller_.writeChunk(std::move(event), std::move(written));
 }
 
 void EventStreamSink::end(base::ResultCode /*code*/) {
-  writer_->endStream();
+  caller_.endStream();
 }
 
 void CollectingSink::refuse(const StreamRefusal& refusal) {
@@ -71,18 +68,18 @@
   run_ = run;
 }
 
-void CollectingSink::sendEvent(std::string event, std::function<void(bool)> written) {
+void CollectingSink::sendEvent(std::string event, WriteCallback written) {
   const std::optional<configuration::JsonValue> data = eventData(event);
   if (data && data->kind == configuration::JsonKind::Object) {
     text_ += data->textOf("text");
     ++tokens_;
   }
   if (text_.size() <= MaximumCollectedBytes) {
-    written(true);
+    written(WriteOutcome::Written);
     return;
   }
   writer_->respond(refusalAnswer({base::ResultCode::StreamBroken, true, 0}));
-  written(false);
+  written(WriteOutcome::Disconnected);
 }
 
 void CollectingSink::end(base::ResultCode code) {
--- a/libraries/front/source/caller_sinks.h
+++ b/libraries/front/source/caller_sinks.h
@@ -4,37 +4,42 @@
 #include <string>
 
 #include "switchsaddle/base/dispatcher.h"
+#include "switchsaddle/front/request/caller_connection.h"
 #include "switchsaddle/front/stream_flow.h"
 #include "switchsaddle/http/server.h"
 
 namespace switchsaddle::front {
 
-/** Writes a stream's events to the caller as text/event-stream; the header goes out with the first
- * event. Callbacks of the writer are posted to the control strand. */
+/**
+ * Sends a stream's events to the caller as text/event-stream; the header is sent with the first
+ * event. Runs on the control strand.
+ */
 class EventStreamSink : public StreamSink {
  public:
   EventStreamSink(base::Dispatcher& dispatcher, http::ResponseWriterPtr writer)
-      : dispatcher_(dispatcher), writer_(std::move(writer)) {}
+      : caller_(dispatcher, std::move(writer)) {}
   void refuse(const StreamRefusal& refusal) override;
   void setRun(const std::string& run, std::uint32_t cached_tokens) override;
-  void sendEvent(std::string event, std::function<void(bool)> written) override;
+  void sendEvent(std::string event, WriteCallback written) override;
   void end(base::ResultCode code) override;
 
  private:
-  base::Dispatcher& dispatcher_;
-  http::ResponseWriterPtr writer_;
+  CallerConnection caller_;
   bool started_ = false;
   http::Response head_;
 };
 
-/** Collects a whole run and answers it as one JSON completion, or an error where it broke. */
+/**
+ * Collects a complete run and responds with one JSON completion, or with an error if the run broke.
+ * Runs on the control strand.
+ */
 class CollectingSink : public StreamSink {
  public:
   CollectingSink(std::string model, http::ResponseWriterPtr writer)
       : model_(std::move(model)), writer_(std::move(writer)) {}
   void refuse(const StreamRefusal& refusal) override;
   void setRun(const std::string& run, std::uint32_t cached_tokens) override;
-  void sendEvent(std::string event, std::function<void(bool)> written) override;
+  void sendEvent(std::string event, WriteCallback written) override;
   void end(base::ResultCode code) override;
 
  private:
--- a/libraries/front/source/forward_flow.cc
+++ b/libraries/front/source/forward_flow.cc
@@ -31,11 +31,11 @@
   fronts_ = std::max<std::size_t>(1, fronts);
 }
 
-void ForwardFlow::leaveEmptied(const configuration::View& view) {
-  // A run that ends takes itself out.
+void ForwardFlow::migrateFromMaintenance(const configuration::View& view) {
+  // A copy, since a run that ends removes itself from the set.
   const std::set<std::shared_ptr<ForwardRun>> runs = runs_;
   for (const std::shared_ptr<ForwardRun>& run : runs) {
-    run->leaveEmptied(view);
+    run->migrateFromMaintenance(view);
   }
 }
 
--- a/libraries/front/source/forward_losses.cc
+++ b/libraries/front/source/forward_losses.cc
@@ -35,16 +35,16 @@
 }
 
 ForwardLosses::ForwardLosses(base::Dispatcher& dispatcher, base::IncidentSink& incidents)
-    : incidents_(incidents), timer_(dispatcher.createTimer([this] { tell(); })) {}
+    : incidents_(incidents), timer_(dispatcher.createTimer([this] { report(); })) {}
 
-void ForwardLosses::note(const std::string& route, ForwardLoss loss) {
+void ForwardLosses::record(const std::string& route, ForwardLoss loss) {
   ++counts_[route][loss];
   if (!timer_->enabled()) {
     timer_->enable(ReportInterval);
   }
 }
 
-void ForwardLosses::tell() {
+void ForwardLosses::report() {
   for (const auto& [route, losses] : std::exchange(counts_, {})) {
     base::Incident incident;
     incident.event = "forwarding-losses";
--- a/libraries/front/source/forward_run.h
+++ b/libraries/front/source/forward_run.h
@@ -7,94 +7,122 @@
 #include <string>
 #include <vector>
 
+#include "attempt/active_call.h"
+#include "attempt/attempt_list.h"
+#include "attempt/request_deadline.h"
 #include "switchsaddle/front/forward_flow.h"
+#include "switchsaddle/front/request/caller_connection.h"
 #include "switchsaddle/streams/event_splitter.h"
 #include "switchsaddle/worker_health/dispatch_sample.h"
 
 namespace switchsaddle::front {
 
-/** One forwarded request on its way. Owned by its flow until it has ended; whatever it asked for
- * holds it weakly. Control strand. */
+/**
+ * One forwarded request from its quota decision to its end. Owned by its flow until it has ended;
+ * its callbacks hold it weakly.
+ *
+ * Invariants: events of a dispatch are used only while it is the current one; each placement is
+ * completed once; a rejection with a "not run" code is answered only if no worker may have run the
+ * request. Runs on the control strand.
+ */
 class ForwardRun : public std::enable_shared_from_this<ForwardRun> {
  public:
   ForwardRun(ForwardFlow& flow, ForwardRequest request, http::ResponseWriterPtr writer);
 
   void start();
-  /** The caller has left: its worker is freed and nothing is answered. */
+  /** The caller has disconnected: cancels the call to the worker and sends no response. */
   void cancel();
-  /** Goes on at another worker where the present one is in maintenance and the kind allows it. */
-  void leaveEmptied(const configuration::View& view);
-  /** The flow goes away. */
+  /** Continues a resumable stream at another worker if its worker is in maintenance. */
+  void migrateFromMaintenance(const configuration::View& view);
+  /** Ends the run without a response, since its flow is being destroyed. */
   void abandon();
 
-  // What one dispatch hears; ignored where another has begun since.
+  // Events of a dispatch, by its number; ignored unless it is the current one.
   void onHead(std::uint64_t dispatch, const http::Response& head);
   void onBytes(std::uint64_t dispatch, const std::string& bytes, std::function<void()> resume);
   void onComplete(std::uint64_t dispatch);
   void onFailure(std::uint64_t dispatch, WorkerFailure failure, bool refused);
 
  private:
-  const configuration::ForwardPool& choosePool();
-  /** Takes the request's units of its tenant's quota, which may take a while, and goes on. */
-  void takeQuota();
-  /** Returns whether the request goes on, or was answered. */
-  bool onQuota(const QuotaMeter::Decision& wait, double units);
+  // Admission, placement and dispatch.
+  /** Acquires the request's units of its tenant's quota, then places the request. */
+  void acquireQuota();
+  /** @return whether the units are used: the request goes on or has been rejected. */
+  bool onQuota(const QuotaMeter::Decision& retry_after, double units);
   void place();
   void send(ForwardPlacement placement);
-  /** The worker proved that it did not run the request. */
+  void resetDispatch(ForwardPlacement placement);
+  void reportDispatchToHealth();
+  ForwardDispatch dispatchMessage() const;
+  base::Duration timeLimit() const;
+
+  // Ends of dispatches and retries.
+  /** The worker has provably not run the request. */
   void onNotRun(base::ResultCode code);
-  /** The request may have run, and its answer is lost. */
+  /** The worker may have run the request, and its response is lost. */
   void onLost(base::ResultCode code);
-  bool mayTryAnother();
-  bool spendRetry();
-  void endAttempt(worker_health::DispatchEnd end);
+  bool mayRetryAfterLoss();
+  bool hasTimeForRetry() const;
+  bool canResumeElsewhere() const;
+  bool acquireRetry();
+  void endDispatch(worker_health::DispatchEnd end);
+  void reportEndToHealth(worker_health::DispatchEnd end);
 
+  // The response.
   bool isNotRun(const http::Response& head) const;
+  /** Whether the body is relayed event by event, in contrast to one that is collected. */
+  bool isRelayed() const;
+  void collect(const std::string& bytes);
   void beginStream();
   void relay(const std::vector<streams::RawEvent>& events);
-  /** Notes when an event came, for the worker's health. */
+  void onFirstEvent();
+  /** Measures the times of the events for the worker's health. */
   void measureEvent();
-  /** Notes why the first event is late, where it is. */
-  void noteLateness();
-  void noteLoss(ForwardLoss loss);
+  /** Records why the first event is late, if it is. */
+  void recordLateness();
+  void recordLoss(ForwardLoss loss);
   void writeEvents(std::string bytes);
-  void onWritten(bool taken);
-  void readOn();
+  void onWritten(WriteOutcome outcome);
+  void resumeReading();
   void finishStream();
-  void answerWhole();
-  void onTimeLimit();
+  void answerComplete();
+  void onDeadline();
 
-  void giveUp(base::ResultCode code);
+  // The end of the request.
+  /** Ends the request with the most precise result that its dispatches allow. */
+  void fail(base::ResultCode code);
+  void answerUnknown(base::ResultCode code);
   void refuse(base::ResultCode code, base::Duration retry_after);
   void answer(http::Response response, std::string_view outcome, base::ResultCode code);
-  void breakStream(base::ResultCode code);
+  void abortStream(base::ResultCode code);
   void release();
-  base::Duration timeLeft() const;
   bool isCurrent(std::uint64_t dispatch) const { return !over_ && dispatch == dispatch_; }
 
   ForwardFlow& flow_;
   ForwardEnvironment& environment_;
   ForwardRequest request_;
-  http::ResponseWriterPtr writer_;
-  const configuration::ForwardPool* pool_ = nullptr;
+  CallerConnection caller_;
+  const configuration::ForwardPool& pool_;
+  AttemptList attempts_;
+  RequestDeadline deadline_;
   base::TimePoint started_at_;
-  base::TimePoint limit_at_;
-  base::TimerPtr limit_timer_;
   bool over_ = false;
-  double quota_taken_ = 0;
+  double acquired_quota_units_ = 0;
 
-  /** Workers it was sent to, and numbers of those that may have run it. */
-  std::vector<std::string> tried_;
-  std::uint32_t sent_ = 0;
+  /** Dispatches that ended without having run. */
+  std::uint32_t not_run_ = 0;
+  /** Dispatches that may have run. */
   std::uint32_t may_have_run_ = 0;
-  std::uint32_t dispatches_ = 0;
-  /** A worker's own failure, for the caller should no other worker do better. */
-  std::optional<http::Response> worker_failure_;
+  /** Dispatches that count against the limit of a request: those that were not sent do not. */
+  std::uint32_t counted_dispatches_ = 0;
+  /** A worker's error response, which the caller gets if no other worker succeeds. */
+  std::optional<http::Response> worker_error_;
 
-  // The present dispatch.
+  // The current dispatch.
+  /** Number of the current dispatch; incremented with each and with the end of the run. */
   std::uint64_t dispatch_ = 0;
   std::optional<ForwardPlacement> placement_;
-  WorkerCallPtr call_;
+  ActiveCall call_;
   base::TimePoint dispatched_at_;
   std::optional<http::Response> head_;
   std::string body_;
@@ -105,11 +133,13 @@
   base::TimePoint first_event_at_;
   base::TimePoint last_event_at_;
 
-  // The caller's stream.
+  // The stream to the caller.
   bool stream_started_ = false;
   streams::EventSplitter splitter_;
   std::optional<std::uint64_t> last_event_id_;
+  /** Chunks that the caller's connection has not accepted yet. */
   std::size_t outstanding_ = 0;
+  /** Resumes reading from the worker; empty while reading continues. */
   std::function<void()> resume_;
 };
 
--- a/libraries/front/source/forward_run_answers.cc
+++ b/libraries/front/source/forward_run_answers.cc
@@ -5,7 +5,7 @@
 #include "caller_answers.h"
 #include "forward_run.h"
 
-// How a forwarded request ends: refused, answered, broken off, or left by its caller.
+// The ends of a forwarded request: rejected, answered, aborted, or cancelled by its caller.
 
 namespace switchsaddle::front {
 
@@ -13,17 +13,18 @@
 
 namespace {
 
-/** When a caller that found no worker is to come back. */
+/** Retry-After of a request for which no worker was available. */
 constexpr base::Duration NoWorkerRetryAfter = std::chrono::milliseconds(200);
 
-/** Whole seconds and thousandths, as a Retry-After with a fraction. */
+/** @return seconds with three decimal places, the format of Retry-After between fronts and callers.
+ */
 std::string secondsText(base::Duration duration) {
   const std::int64_t milliseconds = std::max<std::int64_t>(1, base::toMilliseconds(duration));
   const std::string fraction = std::to_string(1'000 + milliseconds % 1'000);
   return std::to_string(milliseconds / 1'000) + "." + fraction.substr(1);
 }
 
-ForwardLoss refusalOf(ResultCode code) {
+ForwardLoss lossOf(ResultCode code) {
   switch (code) {
     case ResultCode::QuotaSpent:
       return ForwardLoss::QuotaSpent;
@@ -38,27 +39,31 @@
 
 }  // namespace
 
-void ForwardRun::giveUp(ResultCode code) {
+void ForwardRun::fail(ResultCode code) {
   if (stream_started_) {
-    breakStream(code);
-  } else if (worker_failure_) {
-    answer(std::move(*worker_failure_), "ran", code);
+    abortStream(code);
+  } else if (worker_error_) {
+    answer(std::move(*worker_error_), "ran", code);
   } else if (may_have_run_ > 0) {
-    const bool late = code == ResultCode::TimeLimitPassed;
-    noteLoss(late ? ForwardLoss::TimeLimit : ForwardLoss::WorkerLost);
-    const ResultCode told = late ? code : ResultCode::OutcomeNotKnown;
-    answer(errorAnswer(told, {Outcome::Unknown, 0, {}, {}}), "unknown", told);
+    answerUnknown(code);
   } else {
     refuse(code == ResultCode::TimeLimitPassed ? ResultCode::NoWorkerAvailable : code,
            NoWorkerRetryAfter);
   }
 }
 
+void ForwardRun::answerUnknown(ResultCode code) {
+  const bool timed_out = code == ResultCode::TimeLimitPassed;
+  recordLoss(timed_out ? ForwardLoss::TimeLimit : ForwardLoss::WorkerLost);
+  const ResultCode answered = timed_out ? code : ResultCode::OutcomeNotKnown;
+  answer(errorAnswer(answered, {Outcome::Unknown, 0, {}, {}}), "unknown", answered);
+}
+
 void ForwardRun::refuse(ResultCode code, base::Duration retry_after) {
   ++environment_.counters.refusals[code];
-  noteLoss(refusalOf(code));
-  if (request_.tenant != nullptr && quota_taken_ > 0) {
-    environment_.quotas.refund(*request_.tenant, quota_taken_);
+  recordLoss(lossOf(code));
+  if (request_.tenant != nullptr && acquired_quota_units_ > 0) {
+    environment_.quotas.refund(*request_.tenant, acquired_quota_units_);
   }
   http::Response response = errorAnswer(code, {Outcome::NotRun, 0, {}, {}});
   response.headers.push_back({"Retry-After", secondsText(retry_after)});
@@ -69,39 +74,35 @@
   environment_.counters.countRequest("forwarded", outcome, code);
   const auto self = shared_from_this();
   release();
-  writer_->respond(std::move(response));
+  caller_.respond(std::move(response));
 }
 
-void ForwardRun::breakStream(ResultCode code) {
+void ForwardRun::abortStream(ResultCode code) {
   ++environment_.counters.streams_broken;
-  noteLoss(code == ResultCode::TimeLimitPassed ? ForwardLoss::TimeLimit : ForwardLoss::WorkerLost);
+  recordLoss(code == ResultCode::TimeLimitPassed ? ForwardLoss::TimeLimit
+                                                 : ForwardLoss::WorkerLost);
   environment_.counters.countRequest("forwarded-stream", "broken", code);
   const auto self = shared_from_this();
   release();
-  writer_->abort();
+  caller_.abort();
 }
 
 void ForwardRun::cancel() {
   if (over_) {
     return;
   }
-  endAttempt(worker_health::DispatchEnd::Abandoned);
+  endDispatch(worker_health::DispatchEnd::Abandoned);
   const auto self = shared_from_this();
   release();
-  writer_->abort();
+  caller_.abort();
 }
 
 void ForwardRun::abandon() {
   over_ = true;
   ++dispatch_;
   resume_ = nullptr;
-  if (limit_timer_) {
-    limit_timer_->disable();
-  }
-  if (call_) {
-    call_->cancel();
-    call_.reset();
-  }
+  deadline_.stop();
+  call_.cancel();
 }
 
 void ForwardRun::release() {
--- a/libraries/front/source/forward_run_events.cc
+++ b/libraries/front/source/forward_run_events.cc
@@ -3,7 +3,7 @@
 
 #include "forward_run.h"
 
-// How the events of a forwarded stream are checked, measured and passed on.
+// The relay of a forwarded stream: checks, measures and writes its events.
 
 namespace switchsaddle::front {
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Pieces of a stream that may wait for the caller before its worker is read no further. */
+/** Chunks that may be outstanding at the caller before reading from the worker pauses. */
 constexpr std::size_t MaximumOutstanding = 16;
 
 }  // namespace
@@ -30,10 +30,7 @@
     }
     measureEvent();
     if (events_of_dispatch_ == 0) {
-      completion_.time_to_first_token = environment_.dispatcher.now() - dispatched_at_;
-      environment_.placer.noteFirstToken(*placement_);
-      noteLateness();
-      environment_.counters.first_token.observe(completion_.time_to_first_token);
+      onFirstEvent();
     }
     ++events_of_dispatch_;
     last_event_id_ = event.id;
@@ -44,6 +41,13 @@
   }
 }
 
+void ForwardRun::onFirstEvent() {
+  completion_.time_to_first_token = environment_.dispatcher.now() - dispatched_at_;
+  environment_.placer.noteFirstToken(*placement_);
+  recordLateness();
+  environment_.counters.first_token.observe(completion_.time_to_first_token);
+}
+
 void ForwardRun::measureEvent() {
   const base::TimePoint now = environment_.dispatcher.now();
   if (events_of_dispatch_ == 0) {
@@ -54,11 +58,11 @@
   last_event_at_ = now;
 }
 
-void ForwardRun::noteLoss(ForwardLoss loss) {
-  flow_.losses_.note(request_.route->name, loss);
+void ForwardRun::recordLoss(ForwardLoss loss) {
+  flow_.losses_.record(request_.route->name, loss);
 }
 
-void ForwardRun::noteLateness() {
+void ForwardRun::recordLateness() {
   const base::Duration goal = std::chrono::milliseconds(request_.route->answer_goal_ms);
   const bool late = environment_.dispatcher.now() - started_at_ > goal;
   if (!late || stream_started_ || !placement_->learned) {
@@ -66,24 +70,21 @@
   }
   const routing::Placement& expected = *placement_->learned;
   if (expected.first_token_estimate <= goal) {
-    noteLoss(ForwardLoss::LateUnforeseen);
+    recordLoss(ForwardLoss::LateUnforeseen);
   } else {
-    noteLoss(expected.prefill_estimate > goal ? ForwardLoss::LateOwnPrompt
-                                              : ForwardLoss::LateQueue);
+    recordLoss(expected.prefill_estimate > goal ? ForwardLoss::LateOwnPrompt
+                                                : ForwardLoss::LateQueue);
   }
 }
 
 void ForwardRun::writeEvents(std::string bytes) {
   beginStream();
   ++outstanding_;
-  writer_->writeChunk(std::move(bytes),
-                      [&dispatcher = environment_.dispatcher, weak = weak_from_this()](bool taken) {
-                        dispatcher.post([weak, taken] {
-                          if (const auto run = weak.lock()) {
-                            run->onWritten(taken);
-                          }
-                        });
-                      });
+  caller_.writeChunk(std::move(bytes), [weak = weak_from_this()](WriteOutcome outcome) {
+    if (const auto run = weak.lock()) {
+      run->onWritten(outcome);
+    }
+  });
 }
 
 void ForwardRun::beginStream() {
@@ -92,22 +93,22 @@
   }
   stream_started_ = true;
   ++environment_.counters.streams_started;
-  writer_->startStream(callerMessage(*head_));
+  caller_.startStream(callerMessage(*head_));
 }
 
-void ForwardRun::onWritten(bool taken) {
+void ForwardRun::onWritten(WriteOutcome outcome) {
   if (over_) {
     return;
   }
   --outstanding_;
-  if (!taken) {
+  if (outcome == WriteOutcome::Disconnected) {
     cancel();
     return;
   }
-  readOn();
+  resumeReading();
 }
 
-void ForwardRun::readOn() {
+void ForwardRun::resumeReading() {
   if (resume_ && outstanding_ < MaximumOutstanding) {
     std::exchange(resume_, nullptr)();
   } else if (resume_) {
@@ -120,13 +121,13 @@
   ++environment_.counters.streams_finished;
   const base::Duration gap_goal = std::chrono::milliseconds(request_.route->event_gap_goal_ms);
   if (gap_goal > base::Duration::zero() && sample_.longest_pause > gap_goal) {
-    noteLoss(ForwardLoss::LatePause);
+    recordLoss(ForwardLoss::LatePause);
   }
   environment_.counters.countRequest("forwarded-stream", "ran", ResultCode::Ok);
-  endAttempt(DispatchEnd::Answered);
+  endDispatch(DispatchEnd::Answered);
   const auto self = shared_from_this();
   release();
-  writer_->endStream();
+  caller_.endStream();
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/front_node.cc
+++ b/libraries/front/source/front_node.cc
@@ -189,9 +189,9 @@
   router_.setConfiguration(view);
   session_.noteNewerVersionSeen(replica_.version());
   session_.setApplied(replica_.version(), replica_.digest());
-  const bool has_emptied_workers = !view->workers_in_maintenance.empty();
-  if (forwards_ && has_emptied_workers) {
-    forwards_->leaveEmptied(*view);
+  const bool has_workers_in_maintenance = !view->workers_in_maintenance.empty();
+  if (forwards_ && has_workers_in_maintenance) {
+    forwards_->migrateFromMaintenance(*view);
   }
 }
 
--- a/libraries/front/source/http_call.h
+++ b/libraries/front/source/http_call.h
@@ -12,20 +12,27 @@
 namespace switchsaddle::front {
 
 /**
- * One request's two sides: cancelled from the control strand, called on by the client from whatever
- * thread. Observers have onBytes(), onComplete() and onFailure(); how they hear of the header is
- * given.
+ * One request over the HTTP client: cancelled on the control strand, called back by the client on
+ * any thread. Posts the client's events to the control strand in order.
+ *
+ * Invariant: the observer is not called after cancel().
+ * @tparam Head the form in which the observer gets the response header.
  */
-template <class Observer>
+template <class Head>
 class HttpCall : public WorkerCall,
                  public http::ExchangeObserver,
-                 public std::enable_shared_from_this<HttpCall<Observer>> {
+                 public std::enable_shared_from_this<HttpCall<Head>> {
  public:
-  using TellHead = std::function<void(Observer&, const http::Response&)>;
+  using Observer = ResponseObserver<Head>;
+  using HeadParser = std::function<Head(const http::Response&)>;
 
-  HttpCall(base::Dispatcher& dispatcher, std::shared_ptr<Observer> observer, TellHead tell_head)
-      : dispatcher_(dispatcher), observer_(std::move(observer)), tell_head_(std::move(tell_head)) {}
+  /** @param parse_head converts the response header; runs on the control strand. */
+  HttpCall(base::Dispatcher& dispatcher, std::shared_ptr<Observer> observer, HeadParser parse_head)
+      : dispatcher_(dispatcher),
+        observer_(std::move(observer)),
+        parse_head_(std::move(parse_head)) {}
 
+  /** Sets the client's exchange that cancel() ends. */
   void setExchange(std::shared_ptr<http::Exchange> exchange) { exchange_ = std::move(exchange); }
 
   void cancel() override {
@@ -37,26 +44,26 @@
   }
 
   void onResponseHead(const http::Response& head) override {
-    tell([this, head](Observer& observer) { tell_head_(observer, head); });
+    postToObserver([this, head](Observer& observer) { observer.onHead(parse_head_(head)); });
   }
   void onBodyBytes(std::string bytes, std::function<void()> resume) override {
-    tell([bytes = std::move(bytes), resume = std::move(resume)](Observer& observer) {
+    postToObserver([bytes = std::move(bytes), resume = std::move(resume)](Observer& observer) {
       observer.onBytes(bytes, resume);
     });
   }
   void onComplete() override {
-    tell([](Observer& observer) { observer.onComplete(); });
+    postToObserver([](Observer& observer) { observer.onComplete(); });
   }
   void onFailure(http::ExchangeFailure failure, bool refused) override {
     const WorkerFailure kind = failure == http::ExchangeFailure::NotConnected
                                    ? WorkerFailure::NotSent
                                    : WorkerFailure::Lost;
-    tell([kind, refused](Observer& observer) { observer.onFailure(kind, refused); });
+    postToObserver([kind, refused](Observer& observer) { observer.onFailure(kind, refused); });
   }
 
  private:
   template <class Action>
-  void tell(Action action) {
+  void postToObserver(Action action) {
     dispatcher_.post([self = this->shared_from_this(), action = std::move(action)] {
       const std::shared_ptr<Observer> observer = self->observer_;
       if (!self->cancelled_ && observer) {
@@ -66,11 +73,11 @@
   }
 
   base::Dispatcher& dispatcher_;
-  // These three belong to the control strand.
+  // The following three are used on the control strand only.
   std::shared_ptr<Observer> observer_;
   std::shared_ptr<http::Exchange> exchange_;
   bool cancelled_ = false;
-  TellHead tell_head_;
+  HeadParser parse_head_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/http_forward_port.cc
+++ b/libraries/front/source/http_forward_port.cc
@@ -9,15 +9,15 @@
 namespace {
 
 constexpr base::Duration ConnectTimeout = std::chrono::milliseconds(500);
-/** Bytes that a worker's machine leaves unacknowledged for so long were sent to a dead one; a busy
- * worker's machine acknowledges them all the same. */
+/** A machine that does not acknowledge sent bytes within this time is considered dead: even the
+ * machine of a busy worker acknowledges them. */
 constexpr base::Duration UnacknowledgedLimit = std::chrono::milliseconds(1'000);
 constexpr std::uint16_t FirstFailureStatus = 400;
 
 http::ExchangeOptions optionsOf(const ForwardDispatch& dispatch) {
   http::ExchangeOptions options;
   options.connect_timeout = ConnectTimeout;
-  // The run's own time limit ends what takes too long.
+  // The run's deadline ends requests that take too long.
   options.response_timeout = {};
   options.idle_timeout = {};
   options.unacknowledged_limit = UnacknowledgedLimit;
@@ -26,7 +26,7 @@
   options.is_answer = [name = dispatch.request_id_header,
                        id = dispatch.request_id](const http::Response& head) {
     const std::string_view echoed = head.header(name);
-    // Refusals made before the request was read may name none.
+    // An error response that was sent before the request was read may carry no id.
     return echoed.empty() ? head.status >= FirstFailureStatus : echoed == id;
   };
   return options;
@@ -37,9 +37,8 @@
 WorkerCallPtr HttpForwardPort::forward(ForwardDispatch dispatch,
                                        std::shared_ptr<ForwardObserver> observer) {
   const http::ExchangeOptions options = optionsOf(dispatch);
-  auto call = std::make_shared<HttpCall<ForwardObserver>>(
-      dispatcher_, std::move(observer),
-      [](ForwardObserver& told, const http::Response& head) { told.onHead(head); });
+  auto call = std::make_shared<HttpCall<http::Response>>(
+      dispatcher_, std::move(observer), [](const http::Response& head) { return head; });
   call->setExchange(client_.start(dispatch.worker, std::move(dispatch.message), options, call));
   return call;
 }
--- a/libraries/front/source/http_worker_port.cc
+++ b/libraries/front/source/http_worker_port.cc
@@ -11,11 +11,11 @@
 
 std::uint32_t parseCount(std::string_view text) {
   std::uint32_t count = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), count);
-  return fault == std::errc() && end == text.data() + text.size() ? count : 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), count);
+  return error == std::errc() && end == text.data() + text.size() ? count : 0;
 }
 
-/** Parses "running=R,queued=Q,slots=S"; names it does not know are passed over. */
+/** Parses "running=R,queued=Q,slots=S"; ignores unknown names. */
 std::optional<WorkerLoad> parseLoad(std::string_view text) {
   if (text.empty()) {
     return std::nullopt;
@@ -23,14 +23,14 @@
   WorkerLoad load;
   while (!text.empty()) {
     const std::size_t comma = text.find(',');
-    const std::string_view part = text.substr(0, comma);
+    const std::string_view entry = text.substr(0, comma);
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
-    const std::size_t equals = part.find('=');
+    const std::size_t equals = entry.find('=');
     if (equals == std::string_view::npos) {
       continue;
     }
-    const std::string_view name = part.substr(0, equals);
-    const std::uint32_t count = parseCount(part.substr(equals + 1));
+    const std::string_view name = entry.substr(0, equals);
+    const std::uint32_t count = parseCount(entry.substr(equals + 1));
     if (name == "running") {
       load.running = count;
     } else if (name == "queued") {
@@ -87,9 +87,8 @@
   options.response_timeout = request.response_timeout;
   options.fresh_connection = request.fresh_connection;
   options.local_ip = local_ip_;
-  auto call = std::make_shared<HttpCall<WorkerObserver>>(
-      dispatcher_, std::move(observer),
-      [](WorkerObserver& told, const http::Response& head) { told.onHead(parseWorkerHead(head)); });
+  auto call =
+      std::make_shared<HttpCall<WorkerHead>>(dispatcher_, std::move(observer), parseWorkerHead);
   call->setExchange(client_.start(request.address, toHttpRequest(request), options, call));
   return call;
 }
--- a/libraries/front/source/one_shot_flow.cc
+++ b/libraries/front/source/one_shot_flow.cc
@@ -1,5 +1,6 @@
 #include "switchsaddle/front/one_shot_flow.h"
 
+#include <algorithm>
 #include <array>
 #include <cstdio>
 #include <utility>
@@ -27,8 +28,8 @@
 }
 
 std::set<std::shared_ptr<OneShotRun>> OneShotFlow::abandon() {
-  alive_ = std::make_shared<bool>(true);
-  // A run that goes gives its slot to one that waits, so all end before any goes.
+  callbacks_.emplace();
+  // Destroying a run passes its slot to a queued one, so all runs end before any is destroyed.
   std::set<std::shared_ptr<OneShotRun>> runs = std::exchange(runs_, {});
   for (const std::shared_ptr<OneShotRun>& run : runs) {
     run->abandon();
@@ -44,7 +45,7 @@
 
 const workers::Worker* OneShotFlow::chooseWorker(const workers::WorkerSnapshot& snapshot,
                                                  const OneShotRequest& request,
-                                                 const std::set<std::string>& excluded) const {
+                                                 const std::vector<std::string>& excluded) const {
   const std::shared_ptr<const configuration::View> view = environment_.fleet_view.configuration();
   const configuration::Route* route = nullptr;
   for (const auto& [name, candidate] : view->routes) {
@@ -56,7 +57,8 @@
   for (const auto& [id, worker] : snapshot.workers) {
     const bool eligible = route != nullptr && worker.entry.service == route->pool &&
                           worker.usable() && view->allowsWorker(worker.entry) &&
-                          !excluded.contains(id) && environment_.circuit.mayAttempt(worker);
+                          std::ranges::find(excluded, id) == excluded.end() &&
+                          environment_.circuit.mayAttempt(worker);
     if (!eligible) {
       continue;
     }
@@ -65,7 +67,7 @@
     const bool better = best == nullptr || in_flight < best_in_flight;
     const bool tie = !better && in_flight == best_in_flight;
     ties = better ? 1 : ties + (tie ? 1 : 0);
-    // Each of several equal workers is taken with the same chance.
+    // Reservoir sampling: each of several equal workers is chosen with the same probability.
     if (better || (tie && environment_.random.below(ties) == 0)) {
       best = &worker;
       best_in_flight = in_flight;
@@ -84,19 +86,19 @@
 
 void OneShotFlow::record(const wire::ClaimFinish& finish, claims::ClaimCallback callback,
                          int attempts_left) {
+  auto retry =
+      callbacks_->guard([this, finish, attempts_left] { record(finish, {}, attempts_left - 1); });
   environment_.claims.finish(
-      finish, [this, alive = std::weak_ptr(alive_), finish, callback = std::move(callback),
-               attempts_left](const wire::ClaimReply& reply) {
-        if (alive.expired()) {
-          return;
-        }
+      finish, callbacks_->guard([retry = std::move(retry), callback = std::move(callback),
+                                 attempts_left](const wire::ClaimReply& reply) mutable {
         if (callback) {
           callback(reply);
         }
-        if (!alive.expired() && !reply.available && attempts_left > 0) {
-          record(finish, {}, attempts_left - 1);
+        // The callback may have ended the flow, in which case the guarded retry does nothing.
+        if (!reply.available && attempts_left > 0) {
+          retry();
         }
-      });
+      }));
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/one_shot_run.cc
+++ b/libraries/front/source/one_shot_run.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "one_shot_observer.h"
+#include "attempt/attempt_observer.h"
 
 namespace switchsaddle::front {
 
@@ -11,16 +11,18 @@
 
 namespace {
 
-/** Between looks at a key that is in flight elsewhere. */
+/** Interval of polling a claim that is in flight at another front. */
 constexpr base::Duration PollInterval = std::chrono::milliseconds(100);
-/** For recording a not-run end once the caller's deadline has passed. */
+/** Time for recording a not-run end after the caller's deadline has passed. */
 constexpr base::Duration RecordGrace = std::chrono::milliseconds(500);
-/** Longest answer that is recorded. */
+/** Longest response that is recorded in the claim. */
 constexpr std::size_t MaximumAnswerBytes = 1U << 20U;
-/** Rounds of recording an end while the core can't be reached. */
+/** Attempts at recording an end while the core can't be reached. */
 constexpr int RecordAttempts = 10;
 constexpr std::uint16_t StatusOk = 200;
 
+using OneShotObserver = AttemptObserver<WorkerHead, OneShotRun, std::string>;
+
 OneShotAnswer notRun(ResultCode code, std::uint32_t retry_after_ms) {
   OneShotAnswer answer;
   answer.outcome = Outcome::NotRun;
@@ -42,22 +44,22 @@
     : flow_(flow),
       environment_(flow.environment_),
       request_(std::move(request)),
-      callback_(std::move(callback)) {}
+      callback_(std::move(callback)),
+      attempts_(environment_.retries, environment_.counters, request_.service),
+      guard_(environment_.session, environment_.fleet_view),
+      deadline_(environment_.dispatcher, [this] { onDeadline(); }),
+      poll_timer_(environment_.dispatcher.createTimer([this] { sendBegin(); })) {}
 
 void OneShotRun::start() {
-  deadline_timer_ = environment_.dispatcher.createTimer([this] { onDeadline(); });
-  poll_timer_ = environment_.dispatcher.createTimer([this] { sendBegin(); });
-  deadline_timer_->enable(request_.deadline);
+  deadline_.start(request_.deadline);
   claim();
 }
 
 void OneShotRun::abandon() {
-  state_ = State::Over;
-  deadline_timer_->disable();
+  state_ = State::Answered;
+  deadline_.stop();
   poll_timer_->disable();
-  if (call_) {
-    std::exchange(call_, nullptr)->cancel();
-  }
+  call_.cancel();
 }
 
 void OneShotRun::claim() {
@@ -69,27 +71,24 @@
 void OneShotRun::sendBegin() {
   const wire::ClaimBegin begin{request_.tenant, request_.idempotency_key, request_.fingerprint,
                                run_, wire::ClaimBegin{}.lifetime_s};
-  environment_.claims.begin(
-      begin, [flow = &flow_, alive = std::weak_ptr(flow_.alive_), weak = weak_from_this(),
-              withdrawal = finishOf(ClaimState::NotRun)](const wire::ClaimReply& reply) {
-        if (alive.expired()) {
-          return;
-        }
-        const auto run = weak.lock();
-        const bool awaited = run && run->state_ == State::Claiming && run->run_ == withdrawal.run;
-        if (!reply.available || (reply.won && !awaited)) {
-          // The key must not stay claimed by an attempt that will never dispatch.
-          flow->record(withdrawal, {}, RecordAttempts);
-        }
-        if (awaited) {
-          run->onClaim(reply);
-        }
-      });
+  auto on_reply = [flow = &flow_, weak = weak_from_this(),
+                   withdrawal = finishOf(ClaimState::NotRun)](const wire::ClaimReply& reply) {
+    const auto run = weak.lock();
+    const bool awaited = run && run->state_ == State::Claiming && run->run_ == withdrawal.run;
+    if (!reply.available || (reply.won && !awaited)) {
+      // The key must not remain claimed by an attempt that will never dispatch.
+      flow->record(withdrawal, {}, RecordAttempts);
+    }
+    if (awaited) {
+      run->onClaim(reply);
+    }
+  };
+  environment_.claims.begin(begin, flow_.callbacks_->guard(std::move(on_reply)));
 }
 
 void OneShotRun::onClaim(const wire::ClaimReply& reply) {
   if (!reply.available) {
-    // An earlier attempt under this key may have run, so "not run" can't be promised.
+    // An earlier attempt under this key may have run, so "not run" would be unproven.
     answer(unknown(ResultCode::ClaimsUnavailable));
     return;
   }
@@ -97,6 +96,10 @@
     acquireSlot();
     return;
   }
+  onExistingClaim(reply);
+}
+
+void OneShotRun::onExistingClaim(const wire::ClaimReply& reply) {
   if (reply.state != ClaimState::NotRun && reply.fingerprint != request_.fingerprint) {
     answer(unknown(ResultCode::KeyReusedForOtherRequest));
     return;
@@ -132,7 +135,7 @@
     return;
   }
   if (!outcome.hold) {
-    withhold(outcome.code, outcome.retry_after_ms);
+    reject(outcome.code, outcome.retry_after_ms);
     return;
   }
   slot_ = std::move(outcome.hold);
@@ -141,47 +144,44 @@
 
 void OneShotRun::dispatch() {
   const workers::WorkerSnapshotPtr snapshot = environment_.fleet_view.workers();
-  const workers::Worker* worker = flow_.chooseWorker(*snapshot, request_, excluded_);
+  const workers::Worker* worker = flow_.chooseWorker(*snapshot, request_, attempts_.excluded());
   if (worker == nullptr) {
-    withhold(ResultCode::NoWorkerAvailable, OneShotAnswer{}.retry_after_ms);
+    reject(ResultCode::NoWorkerAvailable, OneShotAnswer{}.retry_after_ms);
     return;
   }
-  if (!environment_.session.mayDispatch()) {
-    withhold(ResultCode::NotServing, OneShotAnswer{}.retry_after_ms);
+  if (const ResultCode code = guard_.checkSession(); code != ResultCode::Ok) {
+    reject(code, OneShotAnswer{}.retry_after_ms);
     return;
   }
-  if (!environment_.fleet_view.configuration()->keys.contains(request_.key_hash)) {
-    // Revoked since the request came in.
-    withhold(ResultCode::UnknownKey, 0);
+  if (const ResultCode code = guard_.checkKey(request_.key_hash); code != ResultCode::Ok) {
+    reject(code, 0);
     return;
   }
-  if (first_attempt_counted_ && !spendRetry()) {
-    withhold(ResultCode::RetryBudgetSpent, OneShotAnswer{}.retry_after_ms);
+  // Claiming again takes time: the budget that checkRetry() saw may be exhausted by now.
+  if (attempts_.dispatched() > 0 && !attempts_.acquireRetry(retryShare())) {
+    reject(ResultCode::RetryBudgetSpent, OneShotAnswer{}.retry_after_ms);
     return;
   }
   send(*worker);
 }
 
-bool OneShotRun::spendRetry() {
-  // Claiming anew may have taken long, so what was allowed then need not be now.
-  const double share = environment_.fleet_view.configuration()->tuning.retry_share;
-  const bool spent = environment_.retries.tryAcquire(request_.service, share);
-  environment_.counters.retries += spent ? 1 : 0;
-  return spent;
+double OneShotRun::retryShare() const {
+  return environment_.fleet_view.configuration()->tuning.retry_share;
 }
 
 void OneShotRun::send(const workers::Worker& worker) {
-  if (!first_attempt_counted_) {
-    first_attempt_counted_ = true;
-    environment_.retries.countFirstAttempt(request_.service);
-  }
+  attempts_.beginDispatch();
   state_ = State::Dispatched;
   worker_ = worker;
   head_matches_ = false;
   body_.clear();
   ++flow_.in_flight_[worker_.entry.id];
-  ++environment_.counters.dispatches;
   environment_.circuit.onDispatch(worker_);
+  call_.set(environment_.workers.send(workerRequest(),
+                                      std::make_shared<OneShotObserver>(weak_from_this(), run_)));
+}
+
+WorkerRequest OneShotRun::workerRequest() const {
   WorkerRequest request;
   request.address = worker_.entry.address;
   request.target = "/v1/one-shots";
@@ -192,8 +192,7 @@
   request.body = request_.body;
   request.fresh_connection = true;
   request.response_timeout = request_.deadline;
-  call_ =
-      environment_.workers.send(request, std::make_shared<OneShotObserver>(weak_from_this(), run_));
+  return request;
 }
 
 void OneShotRun::onHead(const std::string& attempt, const WorkerHead& head) {
@@ -209,16 +208,22 @@
   if (answers_this && head.not_run && head.status != StatusOk) {
     endNotRun();
   } else if (!head_matches_) {
-    // A worker that has refused runs nothing; after another's answer it may still be running.
+    // A worker that rejected this request runs nothing, so its slot is released; after a response
+    // to another request it may still be running this one.
     const admission::SlotPermitPtr used_slot = answers_this ? std::move(slot_) : nullptr;
     endUnknown();
   }
 }
 
-void OneShotRun::onBytes(const std::string& attempt, const std::string& bytes) {
-  if (!isDispatched(attempt)) {
-    return;
+void OneShotRun::onBytes(const std::string& attempt, const std::string& bytes,
+                         const std::function<void()>& resume) {
+  if (isDispatched(attempt)) {
+    appendToBody(bytes);
   }
+  resume();
+}
+
+void OneShotRun::appendToBody(const std::string& bytes) {
   if (body_.size() + bytes.size() > MaximumAnswerBytes) {
     endUnknown();
     return;
@@ -253,12 +258,12 @@
 }
 
 void OneShotRun::endNotRun() {
-  excluded_.insert(worker_.entry.id);
-  leaveWorker();
-  retryOrWithhold();
+  attempts_.exclude(worker_.entry.id);
+  endAttempt();
+  retryOrReject();
 }
 
-void OneShotRun::retryOrWithhold() {
+void OneShotRun::retryOrReject() {
   state_ = State::Recording;
   const admission::SlotPermitPtr unused_slot = std::move(slot_);
   flow_.record(
@@ -272,7 +277,7 @@
           run->answer(unknown(ResultCode::OutcomeUnknown));
           return;
         }
-        const ResultCode code = run->mayRetry();
+        const ResultCode code = run->checkRetry();
         if (code == ResultCode::Ok) {
           run->claim();
           return;
@@ -282,21 +287,19 @@
       RecordAttempts);
 }
 
-ResultCode OneShotRun::mayRetry() {
+ResultCode OneShotRun::checkRetry() {
   const workers::WorkerSnapshotPtr snapshot = environment_.fleet_view.workers();
-  const bool possible = !grace_given_ && environment_.session.mayDispatch() &&
-                        flow_.chooseWorker(*snapshot, request_, excluded_) != nullptr;
+  const bool possible = !deadline_extended_ && guard_.checkSession() == ResultCode::Ok &&
+                        flow_.chooseWorker(*snapshot, request_, attempts_.excluded()) != nullptr;
   if (!possible) {
     return ResultCode::NotRun;
   }
-  const double share = environment_.fleet_view.configuration()->tuning.retry_share;
-  const bool allowed = environment_.retries.mayAcquire(request_.service, share);
-  return allowed ? ResultCode::Ok : ResultCode::RetryBudgetSpent;
+  return attempts_.mayRetry(retryShare()) ? ResultCode::Ok : ResultCode::RetryBudgetSpent;
 }
 
-void OneShotRun::withhold(ResultCode code, std::uint32_t retry_after_ms) {
+void OneShotRun::reject(ResultCode code, std::uint32_t retry_after_ms) {
   state_ = State::Recording;
-  // Nothing runs and nothing will: the slot is not kept while the core can't be reached.
+  // Nothing runs, so the slot is released even while the core can't be reached.
   const admission::SlotPermitPtr unused_slot = std::move(slot_);
   flow_.record(
       finishOf(ClaimState::NotRun),
@@ -311,8 +314,8 @@
 }
 
 void OneShotRun::endRan() {
-  leaveWorker();
-  // The worker has finished: its slot is free for others while the end is being recorded.
+  endAttempt();
+  // The worker has finished, so its slot is released before the end is recorded.
   const admission::SlotPermitPtr used_slot = std::move(slot_);
   state_ = State::Recording;
   ran_ = true;
@@ -331,7 +334,7 @@
 }
 
 void OneShotRun::endUnknown() {
-  leaveWorker();
+  endAttempt();
   state_ = State::Recording;
   flow_.record(
       finishOf(ClaimState::Unknown),
@@ -344,15 +347,12 @@
       RecordAttempts);
 }
 
-void OneShotRun::leaveWorker() {
+void OneShotRun::endAttempt() {
   const auto found = flow_.in_flight_.find(worker_.entry.id);
   if (found != flow_.in_flight_.end() && --found->second == 0) {
     flow_.in_flight_.erase(found);
   }
-  if (call_) {
-    call_->cancel();
-    call_.reset();
-  }
+  call_.cancel();
 }
 
 void OneShotRun::onDeadline() {
@@ -364,22 +364,22 @@
                                                : ResultCode::ClaimsUnavailable));
       return;
     case State::AwaitingSlot:
-      grace_given_ = true;
-      deadline_timer_->enable(RecordGrace);
-      withhold(ResultCode::LimitsUnavailable, OneShotAnswer{}.retry_after_ms);
+      deadline_extended_ = true;
+      deadline_.start(RecordGrace);
+      reject(ResultCode::LimitsUnavailable, OneShotAnswer{}.retry_after_ms);
       return;
     case State::Dispatched:
       endUnknown();
       break;
     case State::Recording:
       break;
-    case State::Over:
+    case State::Answered:
       return;
   }
-  if (state_ == State::Over) {
+  if (state_ == State::Answered) {
     return;
   }
-  // The record goes on in the flow; the caller waits no longer.
+  // The flow continues recording the end; the caller is answered now.
   if (ran_) {
     answer(OneShotAnswer{Outcome::Ran, false, body_, ResultCode::Ok, 0});
   } else {
@@ -389,7 +389,7 @@
 
 void OneShotRun::answer(const OneShotAnswer& answer) {
   const auto self = shared_from_this();
-  state_ = State::Over;
+  state_ = State::Answered;
   Counters& counters = environment_.counters;
   counters.one_shots_ran += answer.outcome == Outcome::Ran && !answer.replayed ? 1 : 0;
   counters.one_shots_replayed += answer.replayed ? 1 : 0;
@@ -400,7 +400,7 @@
   }
   flow_.runs_.erase(self);
   slot_.reset();
-  deadline_timer_->disable();
+  deadline_.stop();
   poll_timer_->disable();
   callback_(answer);
 }
--- a/libraries/front/source/one_shot_run.h
+++ b/libraries/front/source/one_shot_run.h
@@ -1,49 +1,64 @@
 #pragma once
 
+#include <cstdint>
+#include <functional>
 #include <memory>
-#include <set>
 #include <string>
 
+#include "attempt/active_call.h"
+#include "attempt/attempt_list.h"
+#include "attempt/dispatch_guard.h"
+#include "attempt/request_deadline.h"
 #include "switchsaddle/front/one_shot_flow.h"
 
 namespace switchsaddle::front {
 
 /**
- * One one-shot on its way. Owned by its flow until it is answered; whatever it asked for holds it
- * weakly. The deadline's timer runs from start to answer.
+ * One one-shot request from its claim to its answer. Owned by its flow until it is answered; its
+ * callbacks hold it weakly.
+ *
+ * Invariants: the deadline runs from start() until the answer; a claim is won before each dispatch,
+ * and its end is recorded before the request is answered, unless the deadline passes. Runs on the
+ * control strand.
  */
 class OneShotRun : public std::enable_shared_from_this<OneShotRun> {
  public:
   OneShotRun(OneShotFlow& flow, OneShotRequest request, OneShotCallback callback);
   void start();
-  /** The flow ends: nothing is done or told any more, whatever slots come free. */
+  /** Ends the run without an answer, since its flow is being destroyed. */
   void abandon();
 
-  /** Ends of the dispatched attempt; ignored where another attempt or state has come since. */
+  // Events of an attempt, by its run id; ignored unless it is the current one.
   void onHead(const std::string& attempt, const WorkerHead& head);
-  void onBytes(const std::string& attempt, const std::string& bytes);
+  void onBytes(const std::string& attempt, const std::string& bytes,
+               const std::function<void()>& resume);
   void onComplete(const std::string& attempt);
   void onFailure(const std::string& attempt, WorkerFailure failure, bool refused);
 
  private:
-  enum class State : std::uint8_t { Claiming, AwaitingSlot, Dispatched, Recording, Over };
+  enum class State : std::uint8_t { Claiming, AwaitingSlot, Dispatched, Recording, Answered };
 
   void claim();
   void sendBegin();
   void onClaim(const wire::ClaimReply& reply);
+  void onExistingClaim(const wire::ClaimReply& reply);
   void acquireSlot();
   void onSlot(admission::SlotOutcome outcome);
   void dispatch();
   void send(const workers::Worker& worker);
-  void withhold(base::ResultCode code, std::uint32_t retry_after_ms);
-  void retryOrWithhold();
-  base::ResultCode mayRetry();
-  bool spendRetry();
-  /** The worker at hand has provably run nothing. */
+  WorkerRequest workerRequest() const;
+  /** Records that the request has not run, then answers it with the code. */
+  void reject(base::ResultCode code, std::uint32_t retry_after_ms);
+  void retryOrReject();
+  /** @return Ok if another attempt is allowed, else the code of the answer. */
+  base::ResultCode checkRetry();
+  double retryShare() const;
+  void appendToBody(const std::string& bytes);
+  /** The current attempt has provably not run. */
   void endNotRun();
   void endRan();
   void endUnknown();
-  void leaveWorker();
+  void endAttempt();
   void onDeadline();
   void answer(const OneShotAnswer& answer);
   bool isDispatched(const std::string& attempt) const;
@@ -53,22 +68,24 @@
   const OneShotEnvironment& environment_;
   OneShotRequest request_;
   OneShotCallback callback_;
+  AttemptList attempts_;
+  DispatchGuard guard_;
+  RequestDeadline deadline_;
+  base::TimerPtr poll_timer_;
   State state_ = State::Claiming;
-  /** Name of this attempt: the claim's run and the worker's Request-Id. */
+  /** Id of the current attempt: the claim's run and the worker's Request-Id. */
   std::string run_;
   bool seen_in_flight_elsewhere_ = false;
-  bool first_attempt_counted_ = false;
-  bool grace_given_ = false;
+  /** The deadline has passed and was extended for recording the end. */
+  bool deadline_extended_ = false;
   admission::SlotPermitPtr slot_;
   workers::Worker worker_;
-  std::set<std::string> excluded_;
-  WorkerCallPtr call_;
+  ActiveCall call_;
+  /** The response header is a success of the current attempt. */
   bool head_matches_ = false;
-  /** The matching answer has come whole. */
+  /** The complete response of the current attempt has been received. */
   bool ran_ = false;
   std::string body_;
-  base::TimerPtr deadline_timer_;
-  base::TimerPtr poll_timer_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/stream_flow.cc
+++ b/libraries/front/source/stream_flow.cc
@@ -13,7 +13,8 @@
 }
 
 std::set<std::shared_ptr<StreamRun>> StreamFlow::abandon() {
-  // A run that goes gives its slot and its place to one that waits, so all end before any goes.
+  // Destroying a run passes its slot and its stage to a queued one, so all runs end before any is
+  // destroyed.
   std::set<std::shared_ptr<StreamRun>> runs = std::exchange(runs_, {});
   for (const std::shared_ptr<StreamRun>& run : runs) {
     run->abandon();
--- a/libraries/front/source/stream_run.cc
+++ b/libraries/front/source/stream_run.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "switchsaddle/front/admission_gate.h"
+#include "attempt/attempt_observer.h"
 
 namespace switchsaddle::front {
 
@@ -13,40 +13,10 @@
 constexpr const char* CompletionsService = "completions";
 constexpr std::uint16_t StatusOk = 200;
 constexpr std::uint32_t DefaultRetryAfterMs = 1'000;
-/** Longest wait for a worker's response header. */
+/** Time-out of a worker's response header. */
 constexpr base::Duration ResponseTimeout = std::chrono::seconds(15);
 
-/** Passes a worker's answer on to the run while there is one. */
-class StreamObserver : public WorkerObserver {
- public:
-  StreamObserver(std::weak_ptr<StreamRun> run, std::string attempt)
-      : run_(std::move(run)), attempt_(std::move(attempt)) {}
-
-  void onHead(const WorkerHead& head) override {
-    if (const auto run = run_.lock()) {
-      run->onHead(attempt_, head);
-    }
-  }
-  void onBytes(std::string bytes, std::function<void()> resume) override {
-    if (const auto run = run_.lock()) {
-      run->onBytes(attempt_, bytes, std::move(resume));
-    }
-  }
-  void onComplete() override {
-    if (const auto run = run_.lock()) {
-      run->onComplete(attempt_);
-    }
-  }
-  void onFailure(WorkerFailure failure, bool refused) override {
-    if (const auto run = run_.lock()) {
-      run->onFailure(attempt_, failure, refused);
-    }
-  }
-
- private:
-  std::weak_ptr<StreamRun> run_;
-  std::string attempt_;
-};
+using StreamObserver = AttemptObserver<WorkerHead, StreamRun, std::string>;
 
 const configuration::Route* findRoute(const configuration::View& view, const std::string& model) {
   for (const auto& [name, route] : view.routes) {
@@ -69,20 +39,13 @@
       environment_(flow.environment_),
       request_(std::move(request)),
       sink_(std::move(sink)),
-      relay_(streams::RelayMachine::DefaultMaximumOutstanding, environment_.check_sequence) {}
+      relay_(streams::RelayMachine::DefaultMaximumOutstanding, environment_.check_sequence),
+      attempts_(environment_.retries, environment_.counters, CompletionsService),
+      guard_(environment_.session, environment_.fleet_view),
+      deadline_(environment_.dispatcher, [this] { onDeadline(); }) {}
 
 void StreamRun::start() {
-  deadline_timer_ = environment_.dispatcher.createTimer([this] {
-    const auto self = shared_from_this();
-    excluded_.clear();
-    last_failure_ = ResultCode::StreamBroken;
-    if (relay_.mayRetryElsewhere()) {
-      refuse(ResultCode::StreamBroken, DefaultRetryAfterMs);
-    } else {
-      attemptFailed(ResultCode::StreamBroken);
-    }
-  });
-  deadline_timer_->enable(std::chrono::milliseconds(request_.shape.stream_deadline_ms));
+  deadline_.start(std::chrono::milliseconds(request_.shape.stream_deadline_ms));
   const bool queued = environment_.stages.admit.submit([weak = weak_from_this()](auto ticket) {
     if (const auto run = weak.lock(); run && !run->over_) {
       run->admit(std::move(ticket));
@@ -93,6 +56,15 @@
   }
 }
 
+void StreamRun::onDeadline() {
+  const auto self = shared_from_this();
+  if (relay_.mayRetryElsewhere()) {
+    refuse(ResultCode::StreamBroken, DefaultRetryAfterMs);
+  } else {
+    onAttemptFailed(ResultCode::StreamBroken);
+  }
+}
+
 void StreamRun::admit(StageTicket ticket) {
   ticket_ = std::move(ticket);
   environment_.slots.acquire(request_.branch,
@@ -143,7 +115,7 @@
     return std::nullopt;
   }
   std::vector<std::string> excluded = environment_.circuit.openWorkers();
-  excluded.insert(excluded.end(), excluded_.begin(), excluded_.end());
+  excluded.insert(excluded.end(), attempts_.excluded().begin(), attempts_.excluded().end());
   std::optional<routing::Placement> placement =
       environment_.router.choose(request_.prompt, *route, excluded);
   if (!placement) {
@@ -153,24 +125,13 @@
 }
 
 bool StreamRun::mayDispatch(const routing::Placement& placement) {
-  if (!environment_.fleet_view.configuration()->keys.contains(request_.key_hash)) {
-    // Revoked since the request came in.
-    refuse(ResultCode::UnknownKey, 0);
+  if (const ResultCode code = guard_.checkKey(request_.key_hash); code != ResultCode::Ok) {
+    refuse(code, 0);
     return false;
   }
-  PlacementVerdict verdict;
-  verdict.retry_after_ms = DefaultRetryAfterMs;
-  if (attempts_ == 0) {
-    const PlacementVerdict judged = evaluatePlacement(placement, request_.shape);
-    verdict = judged.code == ResultCode::Ok ? verdict : judged;
-  } else {
-    const double share = environment_.fleet_view.configuration()->tuning.retry_share;
-    const bool spent = environment_.retries.tryAcquire(CompletionsService, share);
-    verdict.code = spent ? ResultCode::Ok : ResultCode::RetryBudgetSpent;
-    environment_.counters.retries += spent ? 1 : 0;
-  }
-  if (verdict.code == ResultCode::Ok && !environment_.session.mayDispatch()) {
-    verdict.code = ResultCode::NotServing;
+  PlacementVerdict verdict = evaluateAttempt(placement);
+  if (verdict.code == ResultCode::Ok) {
+    verdict.code = guard_.checkSession();
   }
   if (verdict.code != ResultCode::Ok) {
     refuse(verdict.code, verdict.retry_after_ms);
@@ -179,19 +140,32 @@
   return true;
 }
 
-void StreamRun::send(const routing::Placement& placement) {
-  if (attempts_ == 0) {
-    environment_.retries.countFirstAttempt(CompletionsService);
+PlacementVerdict StreamRun::evaluateAttempt(const routing::Placement& placement) {
+  if (attempts_.dispatched() == 0) {
+    const PlacementVerdict verdict = evaluatePlacement(placement, request_.shape);
+    return verdict.code == ResultCode::Ok ? PlacementVerdict{ResultCode::Ok, DefaultRetryAfterMs}
+                                          : verdict;
   }
-  ++attempts_;
+  const double share = environment_.fleet_view.configuration()->tuning.retry_share;
+  const bool allowed = attempts_.acquireRetry(share);
+  return {allowed ? ResultCode::Ok : ResultCode::RetryBudgetSpent, DefaultRetryAfterMs};
+}
+
+void StreamRun::send(const routing::Placement& placement) {
+  attempts_.beginDispatch();
   placement_sent_ = true;
-  ++environment_.counters.dispatches;
-  environment_.counters.streams_started += attempts_ == 1 ? 1 : 0;
+  environment_.counters.streams_started += attempts_.dispatched() == 1 ? 1 : 0;
   dispatched_at_ = environment_.dispatcher.now();
-  attempt_ = std::to_string(environment_.random.next()) + '-' + std::to_string(attempts_);
+  attempt_ =
+      std::to_string(environment_.random.next()) + '-' + std::to_string(attempts_.dispatched());
   sent_request_id_ = attempt_;
   resume_ = nullptr;
   environment_.circuit.onDispatch(placement.prefill);
+  call_.set(environment_.workers.send(
+      workerRequest(placement), std::make_shared<StreamObserver>(weak_from_this(), attempt_)));
+}
+
+WorkerRequest StreamRun::workerRequest(const routing::Placement& placement) const {
   WorkerRequest request;
   request.address = placement.prefill.entry.address;
   request.target = "/v1/chat/completions";
@@ -203,8 +177,7 @@
   if (placement.decode) {
     request.decode = placement.decode->entry.address;
   }
-  call_ = environment_.workers.send(request,
-                                    std::make_shared<StreamObserver>(weak_from_this(), attempt_));
+  return request;
 }
 
 void StreamRun::onHead(const std::string& attempt, const WorkerHead& head) {
@@ -217,6 +190,15 @@
   if (head.draining) {
     environment_.fleet_view.observeDraining(worker);
   }
+  recordHead(head);
+  if (head.status != StatusOk || head.request_id != attempt) {
+    onAttemptFailed(ResultCode::WorkerFailed);
+    return;
+  }
+  relay_.onHead(head.run);
+}
+
+void StreamRun::recordHead(const WorkerHead& head) {
   completion_.weights_version = head.weights_version;
   completion_.cached_tokens = head.cached_tokens;
   if (request_.prompt.prompt_tokens > head.cached_tokens) {
@@ -228,11 +210,6 @@
     completion_.queued = head.load->queued;
     completion_.slots = head.load->slots;
   }
-  if (head.status != StatusOk || head.request_id != attempt) {
-    attemptFailed(ResultCode::WorkerFailed);
-    return;
-  }
-  relay_.onHead(head.run);
 }
 
 void StreamRun::onBytes(const std::string& attempt, const std::string& bytes,
@@ -243,9 +220,7 @@
   const bool first = relay_.chunks() == 0;
   const streams::RelayStep step = relay_.onBytes(bytes);
   if (first && relay_.chunks() > 0) {
-    completion_.time_to_first_token = environment_.dispatcher.now() - dispatched_at_;
-    environment_.counters.first_token.observe(completion_.time_to_first_token);
-    sink_->setRun(relay_.run(), completion_.cached_tokens);
+    onFirstChunk();
   }
   sendEvents(step.events);
   if (over_) {
@@ -253,13 +228,23 @@
   }
   resume_ = std::move(resume);
   if (step.code != ResultCode::Ok) {
-    attemptFailed(step.code);
+    onAttemptFailed(step.code);
     return;
   }
   if (relay_.ended()) {
     finish(ResultCode::Ok);
     return;
   }
+  resumeReading();
+}
+
+void StreamRun::onFirstChunk() {
+  completion_.time_to_first_token = environment_.dispatcher.now() - dispatched_at_;
+  environment_.counters.first_token.observe(completion_.time_to_first_token);
+  sink_->setRun(relay_.run(), completion_.cached_tokens);
+}
+
+void StreamRun::resumeReading() {
   if (resume_ && relay_.mayRead()) {
     std::exchange(resume_, nullptr)();
   }
@@ -267,7 +252,7 @@
 
 void StreamRun::onComplete(const std::string& attempt) {
   if (isCurrent(attempt)) {
-    attemptFailed(relay_.onWorkerEnd());
+    onAttemptFailed(relay_.onWorkerEnd());
   }
 }
 
@@ -280,14 +265,11 @@
     environment_.fleet_view.observeRefused(placement_->prefill);
   }
   sent_ = sent_ || failure != WorkerFailure::NotSent;
-  attemptFailed(relay_.mayRetryElsewhere() ? ResultCode::WorkerFailed : ResultCode::StreamBroken);
+  onAttemptFailed(relay_.mayRetryElsewhere() ? ResultCode::WorkerFailed : ResultCode::StreamBroken);
 }
 
-void StreamRun::attemptFailed(ResultCode code) {
-  if (call_) {
-    call_->cancel();
-    call_.reset();
-  }
+void StreamRun::onAttemptFailed(ResultCode code) {
+  call_.cancel();
   attempt_.clear();
   last_failure_ = code;
   if (!relay_.mayRetryElsewhere()) {
@@ -297,9 +279,9 @@
     }
     return;
   }
-  excluded_.push_back(placement_->prefill.entry.id);
+  attempts_.exclude(placement_->prefill.entry.id);
   if (placement_->decode) {
-    excluded_.push_back(placement_->decode->entry.id);
+    attempts_.exclude(placement_->decode->entry.id);
   }
   completePlacement(true);
   relay_.beginAttempt();
@@ -308,9 +290,9 @@
 
 void StreamRun::sendEvents(const std::vector<std::string>& events) {
   for (const std::string& event : events) {
-    sink_->sendEvent(event, [weak = weak_from_this()](bool written) {
+    sink_->sendEvent(event, [weak = weak_from_this()](WriteOutcome outcome) {
       if (const auto run = weak.lock()) {
-        run->onWritten(written);
+        run->onWritten(outcome);
       }
     });
     if (over_) {
@@ -319,17 +301,17 @@
   }
 }
 
-void StreamRun::onWritten(bool written) {
+void StreamRun::onWritten(WriteOutcome outcome) {
   if (over_) {
     return;
   }
-  if (!written) {
+  if (outcome == WriteOutcome::Disconnected) {
     cancel();
     return;
   }
   relay_.onWritten();
-  if (resume_ && relay_.mayRead() && !relay_.ended()) {
-    std::exchange(resume_, nullptr)();
+  if (!relay_.ended()) {
+    resumeReading();
   }
 }
 
@@ -406,12 +388,9 @@
 void StreamRun::abandon() {
   over_ = true;
   attempt_.clear();
-  deadline_timer_->disable();
+  deadline_.stop();
   resume_ = nullptr;
-  if (call_) {
-    call_->cancel();
-    call_.reset();
-  }
+  call_.cancel();
 }
 
 bool StreamRun::isCurrent(const std::string& attempt) const {
--- a/libraries/front/source/stream_run.h
+++ b/libraries/front/source/stream_run.h
@@ -5,22 +5,33 @@
 #include <string>
 #include <vector>
 
+#include "attempt/active_call.h"
+#include "attempt/attempt_list.h"
+#include "attempt/dispatch_guard.h"
+#include "attempt/request_deadline.h"
+#include "switchsaddle/front/admission_gate.h"
 #include "switchsaddle/front/stream_flow.h"
 #include "switchsaddle/streams/relay_machine.h"
 
 namespace switchsaddle::front {
 
-/** One stream on its way. Owned by its flow until it has ended; whatever it asked for holds it
- * weakly. */
+/**
+ * One stream from its admission to its end. Owned by its flow until it has ended; its callbacks
+ * hold it weakly.
+ *
+ * Invariants: once over_ is set, the sink gets at most the one call that ends it, and the slot and
+ * the stage are released; a placement is completed at the router before the next one is chosen.
+ * Runs on the control strand.
+ */
 class StreamRun : public StreamHandle, public std::enable_shared_from_this<StreamRun> {
  public:
   StreamRun(StreamFlow& flow, StreamRequest request, std::shared_ptr<StreamSink> sink);
   void start();
-  /** The flow goes away: nothing is told to anyone any more. */
+  /** Ends the run without calling its sink, since its flow is being destroyed. */
   void abandon();
   void cancel() override;
 
-  /** Ends of one attempt; ignored where another attempt has begun since. */
+  // Events of an attempt, by its id; ignored unless it is the current one.
   void onHead(const std::string& attempt, const WorkerHead& head);
   void onBytes(const std::string& attempt, const std::string& bytes, std::function<void()> resume);
   void onComplete(const std::string& attempt);
@@ -31,11 +42,18 @@
   void onSlot(admission::SlotOutcome outcome);
   void place();
   std::optional<routing::Placement> choose();
+  /** Rejects the request unless it may be dispatched to the placement. */
   bool mayDispatch(const routing::Placement& placement);
+  PlacementVerdict evaluateAttempt(const routing::Placement& placement);
   void send(const routing::Placement& placement);
-  void attemptFailed(base::ResultCode code);
+  WorkerRequest workerRequest(const routing::Placement& placement) const;
+  void recordHead(const WorkerHead& head);
+  void onFirstChunk();
+  void onAttemptFailed(base::ResultCode code);
   void sendEvents(const std::vector<std::string>& events);
-  void onWritten(bool written);
+  void onWritten(WriteOutcome outcome);
+  void resumeReading();
+  void onDeadline();
   void finish(base::ResultCode code);
   void reportBroken(base::ResultCode code);
   void refuse(base::ResultCode code, std::uint32_t retry_after_ms);
@@ -49,23 +67,26 @@
   std::shared_ptr<StreamSink> sink_;
   streams::RelayMachine relay_;
   bool over_ = false;
-  std::uint32_t attempts_ = 0;
+  AttemptList attempts_;
+  DispatchGuard guard_;
+  RequestDeadline deadline_;
+  /** A worker may have received the request. */
   bool sent_ = false;
   base::ResultCode last_failure_ = base::ResultCode::NoWorkerAvailable;
   StageTicket ticket_;
   admission::SlotPermitPtr slot_;
-  std::vector<std::string> excluded_;
   std::optional<routing::Placement> placement_;
   routing::Completion completion_;
-  /** A request has gone out for the present placement. */
+  /** A request has been dispatched for the current placement. */
   bool placement_sent_ = false;
   base::TimePoint dispatched_at_;
+  /** Id of the current attempt; empty without one. */
   std::string attempt_;
   /** The request id of the last dispatch. */
   std::string sent_request_id_;
-  WorkerCallPtr call_;
+  ActiveCall call_;
+  /** Resumes reading from the worker; empty while reading continues. */
   std::function<void()> resume_;
-  base::TimerPtr deadline_timer_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/test/forward_flow_test.cc
+++ b/libraries/front/test/forward_flow_test.cc
@@ -211,7 +211,7 @@
   last().head(200, {{"Run", "first"}});
   last().bytes("id: 1\ndata: a\n\nid: 2\nda");
   beliefs.view.workers_in_maintenance = {left};
-  flow.leaveEmptied(beliefs.view);
+  flow.migrateFromMaintenance(beliefs.view);
   ASSERT_EQ(port.sent.size(), 2U);
   EXPECT_TRUE(port.sent.front().call->cancelled);
   EXPECT_NE(last().header("Expect-Instance"), left);
@@ -226,7 +226,7 @@
 TEST_F(ForwardFlowTest, WhatCannotGoOnEndsAtAWorkerInMaintenance) {
   const auto once = run("once");
   beliefs.view.workers_in_maintenance = {last().header("Expect-Instance")};
-  flow.leaveEmptied(beliefs.view);
+  flow.migrateFromMaintenance(beliefs.view);
   EXPECT_EQ(port.sent.size(), 1U);
   EXPECT_FALSE(last().call->cancelled);
   last().answer(200, "done");
--- a/libraries/front/test/stream_flow_test.cc
+++ b/libraries/front/test/stream_flow_test.cc
@@ -34,13 +34,13 @@
     EXPECT_TRUE(run.empty() && events.empty());
     run = value;
   }
-  void sendEvent(std::string event, std::function<void(bool)> written) override {
+  void sendEvent(std::string event, WriteCallback written) override {
     EXPECT_FALSE(refusal || ended);
     events.push_back(std::move(event));
     if (slow) {
       waiting.push_back(std::move(written));
     } else {
-      written(true);
+      written(WriteOutcome::Written);
     }
   }
   void end(ResultCode code) override {
@@ -53,7 +53,7 @@
   std::vector<std::string> events;
   std::string run;
   bool slow = false;
-  std::deque<std::function<void(bool)>> waiting;
+  std::deque<WriteCallback> waiting;
 };
 
 class StreamFlowTest : public testing::Test {
@@ -314,7 +314,7 @@
     ++index;
   }
   EXPECT_EQ(sink->waiting.size(), streams::RelayMachine::DefaultMaximumOutstanding);
-  sink->waiting.front()(true);
+  sink->waiting.front()(WriteOutcome::Written);
   EXPECT_TRUE(resumed);
 }
 
