--- a/libraries/wire/include/switchsaddle/wire/admission_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/admission_messages.h
@@ -8,22 +8,29 @@
 
 /**
  * @file
- * Fleet-wide slots of the share tree, granted to fronts by a limit ledger and recalled when needed.
- * A front numbers everything it tells of a branch; a grant counts only while nothing later was
- * told.
+ * Messages of the fleet-wide concurrency limits: slots of the share tree's branches, allocated to
+ * fronts by the limit ledger of a shard and recalled when the ledger needs them.
+ *
+ * Invariant: a front numbers its requests and reports of a branch with one rising sequence. A grant
+ * is valid only while its sequence is the last one that the front has sent for that branch.
  */
 
 namespace switchsaddle::wire {
 
-/** Front to ledger: what it holds of a branch now, and how many slots more it wants (0 to give
- * back). */
+/** Front to ledger: states the front's allocation of a branch and requests more slots. */
 struct SlotRequest {
+  /** Path of the branch in the share tree. */
   std::string branch;
+  /** Random instance id of the front process. */
   std::uint64_t front_instance = 0;
   base::NodeAddress front;
+  /** Rises with each request and report of the front for this branch. */
   std::uint64_t sequence = 0;
+  /** Slots allocated to the front, in use or idle. */
   std::uint32_t held = 0;
+  /** Allocated slots that admitted requests occupy. */
   std::uint32_t in_use = 0;
+  /** Additional slots requested; 0 only reports or releases. */
   std::uint32_t wanted = 0;
 
   template <class Archive>
@@ -32,16 +39,19 @@
   }
 };
 
-/** The ledger's answer. */
+/** Ledger to front: reply to SlotRequest. */
 struct SlotReply {
-  /** False where the asked node does not hold the ledger's lease; `ledger` may then name it. */
+  /** False if the addressed node does not hold the ledger's lease. */
   bool is_ledger = false;
+  /** Lease holder known to the answering node; unset if it knows none. */
   base::NodeAddress ledger;
+  /** Term of the ledger's lease. */
   std::uint64_t term = 0;
-  /** The last one the front told of the branch: the request's, or that of a report since. */
+  /** Last sequence received from the front for the branch: the request's, or a later report's. */
   std::uint64_t sequence = 0;
+  /** Slots added to the front's allocation. */
   std::uint32_t granted = 0;
-  /** Every slot of the branch is known to be in use. */
+  /** All slots of the branch are in use by admitted requests. */
   bool exhausted = false;
 
   template <class Archive>
@@ -50,11 +60,13 @@
   }
 };
 
-/** Ledger to front: give back idle slots and tell what is held; an empty branch means all of the
- * shard. */
+/** Ledger to front: requests the release of idle slots and a report of the allocation. */
 struct SlotRecall {
+  /** Term of the ledger's lease; a front rejects a recall of an older term. */
   std::uint64_t term = 0;
+  /** Shard of the limit ledger that sends the recall. */
   std::uint32_t shard = 0;
+  /** The branch to report; empty for all branches of the shard. */
   std::string branch;
 
   template <class Archive>
@@ -63,11 +75,14 @@
   }
 };
 
-/** What a front holds of one branch. */
+/** Slots of one branch allocated to one front. */
 struct SlotAllocation {
   std::string branch;
+  /** Sequence of this report; see SlotRequest::sequence. */
   std::uint64_t sequence = 0;
+  /** Slots allocated to the front, in use or idle. */
   std::uint32_t held = 0;
+  /** Allocated slots that admitted requests occupy. */
   std::uint32_t in_use = 0;
 
   template <class Archive>
@@ -76,11 +91,13 @@
   }
 };
 
-/** Answer to a recall. A branch that is not listed is not held. */
+/** Front to ledger: reply to SlotRecall. */
 struct SlotReport {
+  /** Random instance id of the front process. */
   std::uint64_t front_instance = 0;
-  /** False where the recall's term was older than one this front has heard of. */
+  /** False if the recall's term is older than the highest one the front has received. */
   bool term_accepted = false;
+  /** The front's allocations; it has no slots of a recalled branch that is not listed. */
   std::vector<SlotAllocation> allocations;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/bounded_archive.h
+++ b/libraries/wire/include/switchsaddle/wire/bounded_archive.h
@@ -8,13 +8,19 @@
 
 /**
  * @file
- * Readers that cereal prefers to its own for this archive; every decoder of bytes from a peer or a
- * disk includes them. They let memory grow only as bytes are read, so that a forged length cannot
- * make the decoder allocate far more than it was given, and they take no bool but 0 and 1. The
- * written form is cereal's own.
+ * Overloads of cereal's load functions for PortableBinaryInputArchive. Every decoder of bytes from
+ * a peer or a disk must include this header.
+ *
+ * The overloads allocate memory only as bytes are read, so that a forged length cannot make the
+ * decoder allocate far more than the size of its input, and reject booleans other than 0 and 1. The
+ * encoded form is cereal's own.
  */
 namespace cereal {
 
+/**
+ * Reads one boolean.
+ * @throws cereal::Exception if the byte is neither 0 nor 1.
+ */
 inline void load(PortableBinaryInputArchive& archive, bool& value) {
   std::uint8_t byte = 0;
   archive(byte);
@@ -24,6 +30,10 @@
   value = byte == 1;
 }
 
+/**
+ * Reads a string chunk by chunk.
+ * @throws cereal::Exception if the input ends before the announced length.
+ */
 inline void load(PortableBinaryInputArchive& archive, std::string& text) {
   constexpr size_type ChunkBytes = 64U << 10U;
   size_type remaining = 0;
@@ -38,6 +48,10 @@
   }
 }
 
+/**
+ * Reads a vector element by element.
+ * @throws cereal::Exception if the input ends before the announced count.
+ */
 template <class Element, class Allocator>
 requires(!std::is_same_v<Element, bool>) void load(PortableBinaryInputArchive& archive,
                                                    std::vector<Element, Allocator>& elements) {
--- a/libraries/wire/include/switchsaddle/wire/claim_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/claim_messages.h
@@ -9,22 +9,24 @@
 
 /**
  * @file
- * Claims of one-shot keys. A claim is a register; any core node proposes for a front.
+ * Messages of idempotency-key claims, which let a one-shot request run at most once. A claim is
+ * stored in a replicated register; any core node proposes on behalf of a front.
  */
 
 namespace switchsaddle::wire {
 
-/** The state of a claim. NotRun may be claimed anew; Ran and Unknown are final. */
+/** State of a claim. A key in state NotRun may be claimed again; Ran and Unknown are final. */
 enum class ClaimState : std::uint8_t { InFlight, NotRun, Ran, Unknown };
 
-/** Front to core: claim the key before any byte goes to a worker. */
+/** Front to core: claims a key before the first byte of the request is sent to a worker. */
 struct ClaimBegin {
   std::string tenant;
   std::string idempotency_key;
-  /** Hash of the request; another request under the same key is refused. */
+  /** Hash of the request; a request with another hash under the same key is rejected. */
   std::uint64_t fingerprint = 0;
-  /** Unique name of this attempt. */
+  /** Unique id of this attempt. */
   std::string run;
+  /** Time for which the claim is stored. */
   std::uint32_t lifetime_s = 86400;
 
   template <class Archive>
@@ -33,14 +35,15 @@
   }
 };
 
-/** Front to core: records how the attempt ended. */
+/** Front to core: records the outcome of an attempt. */
 struct ClaimFinish {
   std::string tenant;
   std::string idempotency_key;
+  /** Id of the attempt, as in ClaimBegin. */
   std::string run;
   ClaimState state = ClaimState::Unknown;
   std::uint16_t http_status = 0;
-  /** The recorded answer body for resends; only with state Ran. */
+  /** Response body, replayed to clients that repeat the request; only with state Ran. */
   std::string answer;
 
   template <class Archive>
@@ -49,11 +52,11 @@
   }
 };
 
-/** The claim as it now stands. */
+/** Core to front: the claim after ClaimBegin or ClaimFinish. */
 struct ClaimReply {
-  /** False where no quorum answered; the attempt may or may not be recorded. */
+  /** False if no quorum answered; the claim or outcome may or may not have been recorded. */
   bool available = false;
-  /** The claim or the finish of this very run is recorded. */
+  /** The claim or the outcome of the requesting attempt is recorded. */
   bool won = false;
   ClaimState state = ClaimState::Unknown;
   std::uint64_t fingerprint = 0;
--- a/libraries/wire/include/switchsaddle/wire/control_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/control_messages.h
@@ -10,15 +10,18 @@
 
 /**
  * @file
- * Control requests passed between nodes, and the introduction of core nodes.
+ * Control API requests forwarded between nodes, and announcements of core nodes.
  */
 
 namespace switchsaddle::wire {
 
-/** An operator's request of the control API, forwarded by a front or a core node. */
+/** A request to the control API, forwarded by a front or a core node. */
 struct ControlRequest {
+  /** HTTP method. */
   std::string method;
+  /** HTTP request target: path and query. */
   std::string target;
+  /** Value of the Authorization header. */
   std::string authorization;
   std::string body;
 
@@ -28,8 +31,9 @@
   }
 };
 
-/** The answer of the control API. */
+/** The response of the control API. */
 struct ControlReply {
+  /** HTTP status. */
   std::uint16_t status = 0;
   std::string body;
 
@@ -39,9 +43,10 @@
   }
 };
 
-/** A core process introduces its instance; an empty one asks to be admitted. */
+/** Core to core: announces a core process. One without state requests admission to the set. */
 struct CoreAnnounce {
   AcceptorMember member;
+  /** The process has a data folder with stored registers. */
   bool holds_state = false;
   std::string zone;
 
@@ -51,11 +56,13 @@
   }
 };
 
-/** The acceptor set the answering node knows. */
+/** Reply to CoreAnnounce. */
 struct CoreAnnounceReply {
+  /** Newest acceptor set known to the answering node. */
   AcceptorSet acceptor_set;
   /** The answering core process. */
   AcceptorMember member;
+  /** The process has a data folder with stored registers. */
   bool holds_state = false;
   std::string zone;
 
--- a/libraries/wire/include/switchsaddle/wire/dissemination_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/dissemination_messages.h
@@ -9,25 +9,27 @@
 
 /**
  * @file
- * Epidemic dissemination of the configuration, the worker view, worker observations and route
- * scores.
+ * Messages of the gossip protocol, which disseminates the configuration, the worker view, worker
+ * observations and route scores to every node.
  */
 
 namespace switchsaddle::wire {
 
-/** Which stage of a completion a worker serves. */
+/** Stage of a completion that a worker serves. */
 enum class WorkerStage : std::uint8_t { Both, Prefill, Decode };
 
-/** The state of a worker in the platform's list. */
+/** State of a worker in the platform's endpoint list. */
 enum class WorkerState : std::uint8_t { Ready, Draining };
 
-/** One entry of the configuration. A removal leaves a tombstone. */
+/** One entry of the configuration. A removed entry remains as a tombstone. */
 struct ConfigurationEntry {
+  /** Path of the value in the configuration document. */
   std::string path;
   /** Canonical JSON text of the value; empty for a tombstone. */
   std::string json;
-  /** The configuration version that last changed it. */
+  /** Configuration version that last changed the entry. */
   std::uint64_t version = 0;
+  /** The entry is a tombstone. */
   bool removed = false;
 
   template <class Archive>
@@ -36,11 +38,14 @@
   }
 };
 
-/** All entries changed after `from_version` up to `to_version`. From version 0 it is the whole. */
+/**
+ * All entries changed after `from_version` up to `to_version`. A delta from version 0 is a complete
+ * snapshot.
+ */
 struct ConfigurationDelta {
   std::uint64_t from_version = 0;
   std::uint64_t to_version = 0;
-  /** Digest of the whole configuration at to_version. */
+  /** Digest of the complete configuration at to_version. */
   std::uint64_t digest = 0;
   std::vector<ConfigurationEntry> entries;
 
@@ -50,7 +55,7 @@
   }
 };
 
-/** Asks a peer for the delta since a version. */
+/** Requests a ConfigurationDelta from `since_version` on. */
 struct ConfigurationFetch {
   std::uint64_t since_version = 0;
 
@@ -60,20 +65,23 @@
   }
 };
 
-/** One worker as the platform lists it. */
+/** One worker of the platform's endpoint list. */
 struct WorkerEntry {
   std::string id;
   base::NodeAddress address;
   std::string zone;
+  /** Names of the models that the worker serves. */
   std::vector<std::string> models;
+  /** Name of the worker's pool. */
   std::string service;
   WorkerStage stage = WorkerStage::Both;
   WorkerState state = WorkerState::Ready;
   std::string weights_version;
+  /** Requests that the worker runs at once; 0 if the platform does not state it. */
   std::uint32_t slots = 0;
-  /** Changes when the worker leaves and comes back, as the watcher saw it. */
+  /** Incarnation of the worker, assigned by the platform watcher; rises with each restart. */
   std::uint64_t instance = 0;
-  /** The platform says that the worker bears little for now, as after its start. */
+  /** The platform reports the worker as warming up: it takes a reduced load (slow start). */
   bool cold = false;
 
   bool operator==(const WorkerEntry&) const = default;
@@ -85,9 +93,14 @@
   }
 };
 
-/** The whole worker list, published by the holder of the platform-watcher lease. */
+/**
+ * The complete worker list, published by the holder of the platform-watcher lease. Views are
+ * ordered by (term, sequence).
+ */
 struct WorkerView {
+  /** Term of the platform-watcher lease. */
   std::uint64_t term = 0;
+  /** Counts the views of the term from 1. */
   std::uint64_t sequence = 0;
   std::vector<WorkerEntry> workers;
 
@@ -97,15 +110,15 @@
   }
 };
 
-/** What leads from one worker list to a newer one. */
+/** Difference between the worker view (base_term, base_sequence) and the newer (term, sequence). */
 struct WorkerViewChange {
   std::uint64_t base_term = 0;
   std::uint64_t base_sequence = 0;
   std::uint64_t term = 0;
   std::uint64_t sequence = 0;
-  /** Entries that are new or differ. */
+  /** Entries added or modified. */
   std::vector<WorkerEntry> changed;
-  /** Ids that the newer list lacks. */
+  /** Ids of the workers that the newer view no longer lists. */
   std::vector<std::string> removed;
 
   template <class Archive>
@@ -114,12 +127,18 @@
   }
 };
 
-/** What a front saw itself: the worker instance is draining or gone. Never withdrawn for an
- * instance. */
+/**
+ * A front's own observation that a worker instance is draining or unreachable. Invariant: flags are
+ * never reset within one instance.
+ */
 struct WorkerObservation {
+  /** WorkerEntry::id. */
   std::string worker;
+  /** WorkerEntry::instance. */
   std::uint64_t instance = 0;
+  /** The worker answered that it is draining. */
   bool draining = false;
+  /** The worker is unreachable. */
   bool gone = false;
 
   template <class Archive>
@@ -128,7 +147,7 @@
   }
 };
 
-/** One arm's learned score on one front, to be merged by decayed mass. */
+/** Learned score of one arm on one front; peers merge scores weighted by their decayed mass. */
 struct RouteScore {
   std::string model;
   std::string arm;
@@ -136,8 +155,9 @@
   double tokens_per_second = 0;
   double seconds_per_prefill_token = 0;
   double seconds_per_output_token = 0;
+  /** Decayed number of observations behind the score. */
   double mass = 0;
-  /** Time since the mass was last decayed, at the sender. */
+  /** Time since the sender last decayed the mass. */
   std::uint32_t age_ms = 0;
 
   template <class Archive>
@@ -147,7 +167,7 @@
   }
 };
 
-/** What a node has, sent to a random peer each second. */
+/** Versions and digests of a node's state, sent to a random peer each second. */
 struct GossipDigest {
   std::uint64_t configuration_version = 0;
   std::uint64_t configuration_digest = 0;
@@ -162,7 +182,7 @@
   }
 };
 
-/** What the peer lacks, and this node's fresh scores. */
+/** Reply to GossipDigest: the state that the peer lacks, and the sender's recent scores. */
 struct GossipDelta {
   ConfigurationDelta configuration;
   WorkerView workers;
--- a/libraries/wire/include/switchsaddle/wire/health_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/health_messages.h
@@ -5,26 +5,27 @@
 
 /**
  * @file
- * What fronts tell the cores of the workers they sent requests to. All counts decay, so that a
- * statement says what has been seen of late; one that is lost or comes twice does no harm.
+ * Passive health data: outcomes of the requests that fronts dispatched to workers, reported to the
+ * cores, and the cores' advice in return. All counts decay exponentially. Each report replaces the
+ * previous one, so that processing is idempotent and a lost report does no harm.
  */
 
 namespace switchsaddle::wire {
 
-/** What dispatches to a worker, or to all of a pool, came to. */
+/** Decayed outcome counts of the requests dispatched to one worker or to all workers of a pool. */
 struct HealthCounts {
   float dispatched = 0;
-  /** Ended in an error of the worker, a broken answer or silence. */
+  /** Requests that ended in a worker error, a malformed response or a time-out. */
   float failed = 0;
   /** Streams long enough to be compared with those of other workers. */
   float timed = 0;
-  /** Of these, with a pause between events that those of others do not have. */
+  /** Timed streams with a gap between events that is an outlier among the pool's workers. */
   float stalled = 0;
-  /** Of these, with much more time for each event than those of others. */
+  /** Timed streams whose time per event is an outlier among the pool's workers. */
   float slow = 0;
-  /** Prompts sent whose reading alone stalls the streams beside them. */
+  /** Prompts so long that their prefill alone stalls concurrent streams of the worker. */
   float long_prompts = 0;
-  /** Seconds that the timed streams took. */
+  /** Total duration of the timed streams, in seconds. */
   float stream_s = 0;
 
   template <class Archive>
@@ -33,16 +34,17 @@
   }
 };
 
-/** Of one worker instance. */
+/** Health data of one worker instance. */
 struct WorkerHealth {
   /** worker_health::workerKey() of the instance. */
   std::uint64_t worker = 0;
-  /** Decays within seconds. */
+  /** Requests dispatched, decayed within seconds. */
   float recent_dispatched = 0;
+  /** Requests failed, decayed within seconds. */
   float recent_failed = 0;
-  /** Decays within minutes. */
+  /** Counts decayed within minutes. */
   HealthCounts counts;
-  /** Requests of the front that are on the worker now. */
+  /** Requests of the front in flight at the worker. */
   std::uint32_t in_flight = 0;
 
   template <class Archive>
@@ -51,12 +53,15 @@
   }
 };
 
-/** Of all workers of one pool together. */
+/** Health data summed over all workers of one pool. */
 struct PoolHealth {
   /** Hash of the pool's name. */
   std::uint64_t pool = 0;
+  /** Requests dispatched, decayed within seconds. */
   float recent_dispatched = 0;
+  /** Requests failed, decayed within seconds. */
   float recent_failed = 0;
+  /** Counts decayed within minutes. */
   HealthCounts counts;
 
   template <class Archive>
@@ -65,12 +70,12 @@
   }
 };
 
-/** What one front tells. Empty where it has nothing new to tell. */
+/** Front to core: health report of one front. Empty if nothing has changed. */
 struct HealthReport {
   std::vector<PoolHealth> pools;
-  /** Seconds over which the front's long counts were taken, decayed as they are. */
+  /** Observation time of the front's long-term counts in seconds, decayed like the counts. */
   float observed_s = 0;
-  /** Workers that it finds worse than others, those the cores asked about, and a few in turn. */
+  /** Workers worse than their peers, those that the cores watch, and a few others in rotation. */
   std::vector<WorkerHealth> workers;
 
   bool empty() const { return pools.empty() && workers.empty(); }
@@ -81,13 +86,13 @@
   }
 };
 
-/** What a core tells a front in return. */
+/** Core to front: the cores' fleet-wide conclusions. */
 struct HealthAdvice {
-  /** Whether the core has heard the fronts; where it has not, the rest is to be passed over. */
+  /** The core has received reports from the fronts; if false, the other fields are ignored. */
   bool known = false;
-  /** Workers that every front is to tell of. */
+  /** Workers that every front must include in its reports. */
   std::vector<std::uint64_t> watched;
-  /** Workers that are to get no request while others can take it. */
+  /** Ejected workers: they receive no request while other workers have capacity. */
   std::vector<std::uint64_t> avoided;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/lease_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/lease_messages.h
@@ -9,18 +9,21 @@
 
 /**
  * @file
- * Leases for singleton roles, granted by a majority of core nodes. The holder counts from the
- * moment of asking, the granter from receipt.
+ * Messages of leases for singleton roles, granted by a majority of core nodes. The holder counts
+ * the duration from the moment it sends the request, the granter from receipt; the holder's lease
+ * thus ends first, whatever the delay.
  */
 
 namespace switchsaddle::wire {
 
-/** Asks one granter for, or renews, a lease. */
+/** Candidate or holder to granter: acquires or renews a lease. */
 struct LeaseRequest {
+  /** Name of the singleton role. */
   std::string name;
   base::NodeAddress holder;
+  /** Random instance id of the holder's process. */
   std::uint64_t holder_instance = 0;
-  /** The candidate's term: above every term it has heard of; unchanged on renewal. */
+  /** Fencing token: above every term that the candidate has seen; unchanged on renewal. */
   std::uint64_t term = 0;
   std::uint32_t duration_ms = 0;
 
@@ -30,11 +33,12 @@
   }
 };
 
-/** A granter's answer with the term and holder it knows. */
+/** Granter to candidate: the vote, and the lease as the granter records it. */
 struct LeaseReply {
   bool granted = false;
   std::uint64_t term = 0;
   base::NodeAddress holder;
+  /** Time until the recorded lease expires at the granter. */
   std::uint32_t remaining_ms = 0;
 
   template <class Archive>
@@ -43,7 +47,7 @@
   }
 };
 
-/** The holder gives the lease back early. */
+/** Holder to granter: releases the lease before it expires. */
 struct LeaseRelease {
   std::string name;
   std::uint64_t holder_instance = 0;
--- a/libraries/wire/include/switchsaddle/wire/load_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/load_messages.h
@@ -5,19 +5,23 @@
 
 /**
  * @file
- * What the fronts have under way at workers, told with each renewal of a session, added up by the
- * cores and told back. Whole each time, so that one that is lost or comes twice does no harm.
+ * Load reports: the requests that fronts have in flight at workers, sent with each session renewal,
+ * summed by the cores and returned to the fronts. Each report is complete and replaces the previous
+ * one, so that processing is idempotent and a lost report does no harm.
  */
 
 namespace switchsaddle::wire {
 
-/** What one front, or several together, have under way at one worker. Eight bytes, since a core
- * tells every front of every worker that has work. */
+/**
+ * Load that one or several fronts have placed on one worker. Encoded in eight bytes, since a core
+ * sends an entry for every loaded worker to every front.
+ */
 struct WorkerLoad {
   /** workers::loadKey() of the instance. */
   std::uint32_t worker = 0;
+  /** Requests in flight. */
   std::uint16_t requests = 0;
-  /** Milliseconds that the worker is expected to read prompts which it has not answered. */
+  /** Predicted prefill time of the prompts that the worker has not answered yet. */
   std::uint16_t prefill_ms = 0;
 
   template <class Archive>
@@ -26,12 +30,13 @@
   }
 };
 
-/** Prompts of one kind of work, such as one route's, counted with a half life. */
+/** Exponentially decayed prompt counts of one kind of work, such as one route. */
 struct WorkKindCounts {
+  /** Hash that identifies the kind. */
   std::uint64_t kind = 0;
   float prompts = 0;
   float prompt_tokens = 0;
-  /** Of these, those that a worker had to read. */
+  /** Prompt tokens that missed the worker's prefix cache and were prefilled. */
   float read_tokens = 0;
 
   template <class Archive>
@@ -40,7 +45,7 @@
   }
 };
 
-/** What one front has under way, and what work it got of late. */
+/** Front to core: the front's requests in flight and its recent work by kind. */
 struct FrontLoad {
   std::vector<WorkerLoad> workers;
   std::vector<WorkKindCounts> kinds;
@@ -51,16 +56,17 @@
   }
 };
 
-/** What all fronts but the one that is told have under way. */
+/** Core to front: the load placed by all other fronts. */
 struct FleetLoad {
-  /** Whether the core has heard the fronts; where it has not, the rest is to be passed over. */
+  /** The core has received reports from the fronts; if false, the other fields are ignored. */
   bool known = false;
-  /** The workers with the most under way, a bounded number. */
+  /** The most loaded workers, a bounded number, without the receiving front's own load. */
   std::vector<WorkerLoad> others;
-  /** Of all fronts, that one included. */
+  /** Work of all fronts, including the receiving one. */
   std::vector<WorkKindCounts> kinds;
-  /** The mean of the workers that have something under way and are not told by themselves. */
+  /** Mean number of requests of the loaded workers that `others` does not list. */
   float rest_requests = 0;
+  /** Mean predicted prefill time of the loaded workers that `others` does not list. */
   float rest_prefill_ms = 0;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/message.h
+++ b/libraries/wire/include/switchsaddle/wire/message.h
@@ -15,15 +15,15 @@
 
 namespace switchsaddle::wire {
 
-/** An empty acknowledgement. */
+/** Reply without content. */
 struct Acknowledgement {
   template <class Archive>
   void serialize(Archive& /*archive*/) {}
 };
 
 /**
- * Every message between nodes. The order is the wire format: new kinds are added at the end and
- * bump ProtocolVersion.
+ * Any message between nodes. The index of an alternative is part of the wire format: new messages
+ * are appended, and adding one increments ProtocolVersion.
  */
 using Message =
     std::variant<Acknowledgement, PrepareRequest, AcceptRequest, RegisterReply, RegisterScanRequest,
@@ -36,25 +36,30 @@
                  ClaimReply, ControlRequest, ControlReply, CoreAnnounce, CoreAnnounceReply,
                  WorkerViewChange, QuotaRequest, QuotaReply>;
 
+/** Version in the header of each encoded envelope; decode() rejects any other. */
 inline constexpr std::uint16_t ProtocolVersion = 2;
 
-/** How an envelope belongs to a request and reply pair. */
+/** Whether an envelope expects a reply, is one, or neither. */
 enum class EnvelopeKind : std::uint8_t { Notification, Request, Reply };
 
-/** A message on its way between two nodes. */
+/** A message with its addressing, as exchanged between two nodes. */
 struct Envelope {
-  /** Where the sender listens; replies go there. */
+  /** Listening address of the sender, to which replies are sent. */
   base::NodeAddress sender;
   EnvelopeKind kind = EnvelopeKind::Notification;
-  /** Chosen by the requester, unique in its process; repeated in the reply; 0 for notifications. */
+  /** Chosen by the requester, unique in its process; copied to the reply; 0 for notifications. */
   std::uint64_t request_id = 0;
   Message message;
 };
 
-/** Serialises an envelope: protocol version, checksum, body. */
+/** Encodes an envelope: protocol version, checksum of the body, body. */
 std::string encode(const Envelope& envelope);
 
-/** Reverses encode(). Throws base::Error with MalformedMessage; never reads past the bytes. */
+/**
+ * Decodes an envelope. Accepts arbitrary bytes and never reads past their end.
+ * @throws base::Error with MalformedMessage if the bytes are not the output of encode() of this
+ *     protocol version.
+ */
 Envelope decode(std::string_view bytes);
 
 }  // namespace switchsaddle::wire
--- a/libraries/wire/include/switchsaddle/wire/quota_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/quota_messages.h
@@ -7,22 +7,23 @@
 
 /**
  * @file
- * What is left of a tenant's quota, taken from the quota ledger request by request where it is
- * little.
+ * Messages by which a front draws on a tenant's quota at the quota ledger, request by request,
+ * while little of the quota remains.
  */
 
 namespace switchsaddle::wire {
 
-/** Front to ledger: may this request be let in? */
+/** Front to ledger: requests the admission of one request. */
 struct QuotaRequest {
   std::string tenant;
+  /** Cost of the request in units of the quota. */
   float units = 0;
-  /** Of the request's route; 0 is the most urgent. */
+  /** Urgency class of the request's route; 0 is the most urgent. */
   std::uint8_t urgency = 0;
   base::NodeAddress front;
-  /** The front process's random instance id. */
+  /** Random instance id of the front process. */
   std::uint64_t instance = 0;
-  /** Rises with each ask of the front; its records tell up to which all are settled. */
+  /** Rises with each request of the front; see SessionRecord::settled_requests. */
   std::uint64_t number = 0;
 
   template <class Archive>
@@ -31,14 +32,14 @@
   }
 };
 
-/** The ledger's answer. */
+/** Ledger to front: reply to QuotaRequest. */
 struct QuotaReply {
-  /** False where the asked node does not hold the lease of the tenant's ledger. */
+  /** False if the addressed node does not hold the lease of the tenant's ledger. */
   bool is_ledger = false;
-  /** False where the ledger can't tell, since it does not know what all fronts let in. */
+  /** False if the ledger can't decide, since it does not know the admissions of all fronts. */
   bool known = false;
   bool granted = false;
-  /** When asking again is worthwhile; only of a refusal. */
+  /** Delay before a new request may succeed; only in a rejection. */
   std::uint32_t retry_after_ms = 0;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/register_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/register_messages.h
@@ -10,18 +10,19 @@
 
 /**
  * @file
- * Messages of the replicated compare-and-swap registers: two quorum rounds, prepare and accept, on
+ * Messages of the replicated compare-and-swap registers: two quorum phases, prepare and accept, on
  * the acceptors of the acceptor set. Source: single-decree Paxos used as a register (CASPaxos).
  */
 
 namespace switchsaddle::wire {
 
-/** How an acceptor answers a round. */
+/** Answer of an acceptor to a prepare or accept request. */
 enum class RegisterVerdict : std::uint8_t { Granted, Refused, Unavailable, OtherAcceptorSet };
 
-/** Orders proposals: by round, then by the proposer's instance. The zero ballot precedes all. */
+/** Proposal number, ordered by round, then by the proposer's instance. Zero precedes all others. */
 struct Ballot {
   std::uint64_t round = 0;
+  /** Instance id of the proposing process. */
   std::uint64_t proposer = 0;
 
   auto operator<=>(const Ballot&) const = default;
@@ -33,7 +34,7 @@
   }
 };
 
-/** One acceptor: a core process and the instance id of its data folder. */
+/** One acceptor: the address of a core process and the instance id of its data folder. */
 struct AcceptorMember {
   base::NodeAddress address;
   std::uint64_t instance = 0;
@@ -46,11 +47,15 @@
   }
 };
 
-/** The acceptors in force. While a change is under way `previous` is not empty and each quorum
- * needs a majority of both lists. */
+/**
+ * Membership of the acceptors. During a membership change `previous` is not empty, and each quorum
+ * needs a majority of both lists (joint consensus).
+ */
 struct AcceptorSet {
+  /** Rises with each change. */
   std::uint64_t epoch = 0;
   std::vector<AcceptorMember> members;
+  /** Members before the change in progress. */
   std::vector<AcceptorMember> previous;
 
   template <class Archive>
@@ -59,11 +64,12 @@
   }
 };
 
-/** First round: asks an acceptor to promise the ballot and to tell what it has accepted. */
+/** Phase 1: requests the acceptor's promise for the ballot and the value it has accepted. */
 struct PrepareRequest {
+  /** Key of the register. */
   std::string key;
   Ballot ballot;
-  /** Epoch of the acceptor set the proposer counts in. */
+  /** Epoch of the acceptor set in which the proposer counts its quorum. */
   std::uint64_t set_epoch = 0;
 
   template <class Archive>
@@ -72,10 +78,12 @@
   }
 };
 
-/** Second round: asks an acceptor to accept the value at the ballot. */
+/** Phase 2: requests that the acceptor accept the value at the ballot. */
 struct AcceptRequest {
+  /** Key of the register. */
   std::string key;
   Ballot ballot;
+  /** Epoch of the acceptor set in which the proposer counts its quorum. */
   std::uint64_t set_epoch = 0;
   std::string value;
   /** Ballots of the newest proposals that the value was built on, oldest first. */
@@ -87,20 +95,20 @@
   }
 };
 
-/** Answer to both rounds. */
+/** Acceptor to proposer: reply to PrepareRequest and AcceptRequest. */
 struct RegisterReply {
   RegisterVerdict verdict = RegisterVerdict::Unavailable;
-  /** Highest ballot this acceptor has promised. */
+  /** Highest ballot that the acceptor has promised. */
   Ballot promised;
-  /** Ballot of the accepted value; zero where none. */
+  /** Ballot of the accepted value; zero if there is none. */
   Ballot accepted;
-  /** The accepted value; only in answers to a prepare. */
+  /** The accepted value; only in replies to PrepareRequest. */
   std::string value;
-  /** Ballots of the newest proposals that the value was built on; only in answers to a prepare. */
+  /** AcceptRequest::lineage of the accepted value; only in replies to PrepareRequest. */
   std::vector<Ballot> lineage;
-  /** The answering acceptor's set; not set with verdicts Granted and Refused. */
+  /** The acceptor's own set; unset with verdicts Granted and Refused. */
   AcceptorSet newer_set;
-  /** The answering acceptor's instance; a vote counts only for the member of this instance. */
+  /** The acceptor's instance; a vote counts only for the member with this instance. */
   std::uint64_t instance = 0;
 
   template <class Archive>
@@ -109,10 +117,11 @@
   }
 };
 
-/** Asks an acceptor for a page of its keys after `after`, for repair, scrub and the copy to a new
- * member. */
+/** Requests a page of an acceptor's registers, for repair, scrubbing and state transfer. */
 struct RegisterScanRequest {
+  /** Exclusive lower bound of the keys; empty for the first page. */
   std::string after;
+  /** Maximum number of entries in the page. */
   std::uint32_t limit = 0;
 
   template <class Archive>
@@ -121,7 +130,7 @@
   }
 };
 
-/** One register as an acceptor holds it. */
+/** State of one register at one acceptor. */
 struct RegisterScanEntry {
   std::string key;
   Ballot promised;
@@ -135,17 +144,18 @@
   }
 };
 
-/** A page of registers in key order; `done` marks the last. */
+/** A page of registers in key order. */
 struct RegisterScanReply {
   std::vector<RegisterScanEntry> entries;
+  /** This is the last page. */
   bool done = false;
-  /** The answering acceptor's instance. */
+  /** The acceptor's instance. */
   std::uint64_t instance = 0;
-  /** False where the acceptor may not vote or knows of damaged registers, so that keys may lack. */
+  /** False if the acceptor may not vote or has corrupt registers, so that keys may be missing. */
   bool complete = false;
-  /** Epoch of the acceptor set it held when it made the page. */
+  /** Epoch of the acceptor's set when it produced the page. */
   std::uint64_t set_epoch = 0;
-  /** No register that expired and was removed there had a promise above this ballot. */
+  /** Upper bound of the ballots promised by registers that expired and were removed. */
   Ballot removed_floor{};
 
   template <class Archive>
@@ -154,11 +164,12 @@
   }
 };
 
-/** Copies registers into an acceptor; each is taken only where its accepted ballot is higher. */
+/** Installs registers in an acceptor; an entry applies only if its accepted ballot is higher. */
 struct RegisterInstallRequest {
   std::vector<RegisterScanEntry> entries;
+  /** Epoch of the acceptor set known to the sender. */
   std::uint64_t set_epoch = 0;
-  /** What the registers removed elsewhere ask of a new member; zero in repairs. */
+  /** RegisterScanReply::removed_floor that a new member must adopt; zero in repairs. */
   Ballot removed_floor{};
 
   template <class Archive>
@@ -167,10 +178,11 @@
   }
 };
 
-/** Whether the copied registers are synced. */
+/** Reply to RegisterInstallRequest. */
 struct RegisterInstallReply {
+  /** The installed registers are durable. */
   bool synced = false;
-  /** The answering acceptor's instance. */
+  /** The acceptor's instance. */
   std::uint64_t instance = 0;
 
   template <class Archive>
@@ -179,7 +191,7 @@
   }
 };
 
-/** Makes an acceptor take a newer acceptor set. */
+/** Installs an acceptor set in an acceptor, which applies it if it is newer than its own. */
 struct AcceptorSetInstallRequest {
   AcceptorSet acceptor_set;
 
@@ -189,10 +201,13 @@
   }
 };
 
-/** The set the acceptor now holds, synced. */
+/** Reply to AcceptorSetInstallRequest. */
 struct AcceptorSetInstallReply {
+  /** The acceptor's set is durable. */
   bool synced = false;
+  /** The acceptor's set after the request. */
   AcceptorSet acceptor_set;
+  /** The acceptor's instance. */
   std::uint64_t instance = 0;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/session_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/session_messages.h
@@ -11,18 +11,18 @@
 
 /**
  * @file
- * Sessions of front nodes with core nodes. A session is granted, and each renewal counts, once a
- * majority of core nodes has recorded it.
+ * Messages of the sessions between front nodes and core nodes. A session is granted, and a renewal
+ * takes effect, once a majority of core nodes has recorded it.
  */
 
 namespace switchsaddle::wire {
 
-/** What a tenant asks of one front and has got from it, in units of its quota. */
+/** Demand and admissions of one tenant at one front, in units of its quota. */
 struct TenantDemand {
   std::string tenant;
-  /** Asked for lately. */
+  /** Recent demand. */
   float units_per_s = 0;
-  /** Let in within the quota's window. */
+  /** Units admitted within the quota's window. */
   float admitted = 0;
 
   template <class Archive>
@@ -31,14 +31,14 @@
   }
 };
 
-/** What the fleet does for a tenant, and one front's part of it. */
+/** Fleet-wide demand and admissions of one tenant, and one front's quota share. */
 struct TenantAllocation {
   std::string tenant;
-  /** The front's part of what is left of the quota; 0 to 1. */
+  /** The front's share of the remaining quota; 0 to 1. */
   float share = 0;
-  /** Asked for of all fronts lately. */
+  /** Recent demand at all fronts. */
   float fleet_units_per_s = 0;
-  /** Let in by all fronts within the quota's window. */
+  /** Units admitted by all fronts within the quota's window. */
   float fleet_admitted = 0;
 
   template <class Archive>
@@ -47,11 +47,11 @@
   }
 };
 
-/** How far back a front's knowledge of the fleet goes: for cores that have lost theirs. */
+/** Extent of a front's knowledge of the fleet, from which restarted cores recover theirs. */
 struct FleetKnowledge {
-  /** Milliseconds since the front's process started. */
+  /** Time since the front's process started. */
   std::uint32_t age_ms = 0;
-  /** sessions::digestOfFronts() of all fronts that it has known of late, itself included. */
+  /** sessions::digestOfFronts() of the fronts recently known to this front, itself included. */
   std::uint64_t fronts_digest = 0;
 
   template <class Archive>
@@ -60,26 +60,32 @@
   }
 };
 
-/** One front's session as a core node records it. Durations only; each core counts from receipt. */
+/**
+ * Session of one front as recorded by a core node. Contains durations only, no points in time: each
+ * core counts them from receipt.
+ */
 struct SessionRecord {
   base::NodeAddress front;
-  /** The front process's random instance id. */
+  /** Random instance id of the front process. */
   std::uint64_t instance = 0;
-  /** Counts the front's renewals; older ones are ignored. */
+  /** Counts the front's renewals; a record with a lower sequence is ignored. */
   std::uint64_t sequence = 0;
-  /** Configuration version the front has in force. */
+  /** Configuration version that the front has applied. */
   std::uint64_t applied_version = 0;
+  /** Digest of the configuration at applied_version. */
   std::uint64_t applied_digest = 0;
   std::string zone;
-  /** The front has ended its session; it does no more work. */
+  /** The front has ended its session and serves no requests. */
   bool closed = false;
-  /** Tenants with a quota that asked the front for something lately. */
+  /** Tenants with a quota that recently sent requests to the front. */
   std::vector<TenantDemand> demand = {};
-  /** What the front has seen of workers. */
+  /** Health data of the workers that the front dispatched requests to. */
   HealthReport health = {};
   FrontLoad load = {};
   FleetKnowledge fleet_knowledge = {};
-  /** Asks of the quota ledger up to this number are settled: granted ones stand in `demand`. */
+  /**
+   * Quota requests up to QuotaRequest::number are complete: `demand` includes the granted ones.
+   */
   std::uint64_t settled_requests = 0;
 
   template <class Archive>
@@ -92,7 +98,7 @@
 /** Front to core: opens or renews the session. */
 struct SessionOpenRequest {
   SessionRecord record;
-  /** The digest of the addresses the front has from earlier replies; 0 where it has none. */
+  /** SessionOpenReply::members_digest of the front's address lists; 0 if it has none. */
   std::uint64_t members_digest = 0;
 
   template <class Archive>
@@ -101,21 +107,22 @@
   }
 };
 
-/** Core to front, once a majority has recorded the request. */
+/** Core to front: reply to SessionOpenRequest, sent once a majority has recorded the session. */
 struct SessionOpenReply {
   bool granted = false;
+  /** SessionRecord::sequence of the request. */
   std::uint64_t sequence = 0;
-  /** The front serves only once it has this version in force. */
+  /** The front must apply this configuration version before it serves requests. */
   std::uint64_t committed_version = 0;
-  /** The present acceptor set, so that a front finds replaced cores. */
+  /** Members of the current acceptor set, from which a front learns of replaced cores. */
   std::vector<base::NodeAddress> core_addresses;
-  /** Fronts with live sessions, as dissemination peers. */
+  /** Fronts with live sessions: the gossip peers. */
   std::vector<base::NodeAddress> front_addresses;
-  /** Digest of both lists; where the request names the same one, both are left empty. */
+  /** Digest of both lists; if the request states the same digest, both are left empty. */
   std::uint64_t members_digest = 0;
-  /** Whether the core knows what all fronts let in. */
+  /** The core knows the admissions of all fronts. */
   bool quotas_known = false;
-  /** Of tenants that have used much of their quota; where quotas_known, no other has. */
+  /** Tenants that have used much of their quota; complete if quotas_known is set. */
   std::vector<TenantAllocation> allocations = {};
   HealthAdvice health = {};
   FleetLoad load = {};
@@ -127,10 +134,10 @@
   }
 };
 
-/** Core to core: records to be kept. */
+/** Core to core: replicates session records. */
 struct SessionRecordBatch {
   std::vector<SessionRecord> records;
-  /** Epoch of the acceptor set whose majority the sender counts. */
+  /** Epoch of the acceptor set in which the sender counts a majority. */
   std::uint64_t set_epoch = 0;
 
   template <class Archive>
@@ -139,11 +146,14 @@
   }
 };
 
-/** Acknowledges a batch with the accepted configuration version of the answering acceptor. */
+/** Acknowledgement of a SessionRecordBatch. */
 struct SessionRecordBatchReply {
-  /** False while the node may not vote or holds a set of another epoch. A recovering node does
-   * record. */
+  /**
+   * False if the node may not vote or its acceptor set has another epoch. A recovering node does
+   * record sessions.
+   */
   bool recorded = false;
+  /** Configuration version accepted by the answering acceptor. */
   std::uint64_t accepted_version = 0;
 
   template <class Archive>
@@ -152,11 +162,11 @@
   }
 };
 
-/** Asks a core node for the live sessions it knows. */
+/** Core to core: requests the live sessions recorded by the receiver. */
 struct SessionTableRequest {
-  /** Epoch of the acceptor set whose majority the reader counts. */
+  /** Epoch of the acceptor set in which the reader counts a majority. */
   std::uint64_t set_epoch = 0;
-  /** Only sessions of fronts that have an older version in force are asked for. */
+  /** Restricts the reply to fronts whose applied configuration version is below this one. */
   std::uint64_t below_version = UINT64_MAX;
 
   template <class Archive>
@@ -165,9 +175,10 @@
   }
 };
 
-/** A live session and the time it has left at the answering node. */
+/** A live session and its remaining time. */
 struct SessionTableEntry {
   SessionRecord record;
+  /** Time until the session expires at the answering node. */
   std::uint32_t remaining_ms = 0;
 
   template <class Archive>
@@ -176,8 +187,9 @@
   }
 };
 
-/** The table. `recovering` is set while less than one session length has passed since start. */
+/** Reply to SessionTableRequest. */
 struct SessionTableReply {
+  /** Less than one session length has passed since the node's start, so sessions may be missing. */
   bool recovering = false;
   std::vector<SessionTableEntry> sessions;
 
--- a/libraries/wire/include/switchsaddle/wire/stored_record.h
+++ b/libraries/wire/include/switchsaddle/wire/stored_record.h
@@ -6,12 +6,17 @@
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/wire/bounded_archive.h"
 
+/**
+ * @file
+ * Encoding of the records that stores and registers persist.
+ */
+
 namespace switchsaddle::wire {
 
-/** The first byte of a record: the order of bytes in its numbers, which is always the same. */
+/** First byte of each record: the byte order of its numbers, which is always little-endian. */
 inline constexpr char LittleEndianTag = 1;
 
-/** The fields one after the other, in the portable form that stores and registers keep. */
+/** @return the fields in order, in cereal's portable binary encoding. */
 template <class... Fields>
 std::string writeRecord(const Fields&... fields) {
   std::ostringstream stream;
@@ -24,14 +29,16 @@
 }
 
 /**
- * Reverses writeRecord(). Throws base::Error with RecordCorrupt where the bytes end early, go on
- * after the last field, claim another order of bytes, or hold what no field can; the fields are
- * then unspecified.
+ * Decodes the output of writeRecord() into the fields.
+ * @throws base::Error with RecordCorrupt if the bytes are truncated, continue after the last field,
+ *     announce another byte order, or contain a value that a field can't have. The fields are then
+ *     unspecified.
  */
 template <class... Fields>
 void readRecord(const std::string& bytes, Fields&... fields) {
   if (bytes.empty() || bytes.front() != LittleEndianTag) {
-    throw base::Error(base::ResultCode::RecordCorrupt, "the record has no order of bytes");
+    throw base::Error(base::ResultCode::RecordCorrupt,
+                      "the record does not start with the byte order tag");
   }
   std::istringstream stream(bytes);
   try {
--- a/libraries/wire/source/codec.cc
+++ b/libraries/wire/source/codec.cc
@@ -10,11 +10,13 @@
 
 namespace {
 
-/** Bytes before the body: protocol version (2) and checksum of the body (8), little-endian. */
-constexpr std::size_t HeaderSize = 10;
+// The header precedes the body: protocol version, then checksum of the body, both little-endian.
+constexpr std::size_t VersionBytes = 2;
+constexpr std::size_t ChecksumBytes = 8;
+constexpr std::size_t HeaderBytes = VersionBytes + ChecksumBytes;
 
-void appendLittleEndian(std::string& out, std::uint64_t value, int bytes) {
-  for (int index = 0; index < bytes; ++index) {
+void appendLittleEndian(std::string& out, std::uint64_t value, std::size_t bytes) {
+  for (std::size_t index = 0; index < bytes; ++index) {
     out.push_back(static_cast<char>((value >> (8 * index)) & 0xffU));
   }
 }
@@ -27,6 +29,28 @@
   return value;
 }
 
+base::Error malformed(const std::string& message) {
+  return {base::ResultCode::MalformedMessage, message};
+}
+
+/** @return the body; throws MalformedMessage unless the header matches it. */
+std::string_view checkedBody(std::string_view bytes) {
+  if (bytes.size() < HeaderBytes) {
+    throw malformed("message of " + std::to_string(bytes.size()) +
+                    " bytes is shorter than its header");
+  }
+  const std::uint64_t version = readLittleEndian(bytes.substr(0, VersionBytes));
+  if (version != ProtocolVersion) {
+    throw malformed("message has protocol version " + std::to_string(version) + " instead of " +
+                    std::to_string(ProtocolVersion));
+  }
+  const std::string_view body = bytes.substr(HeaderBytes);
+  if (readLittleEndian(bytes.substr(VersionBytes, ChecksumBytes)) != base::hashBytes(body)) {
+    throw malformed("message does not match its checksum");
+  }
+  return body;
+}
+
 }  // namespace
 
 std::string encode(const Envelope& envelope) {
@@ -37,24 +61,15 @@
   }
   const std::string body = std::move(stream).str();
   std::string bytes;
-  bytes.reserve(HeaderSize + body.size());
-  appendLittleEndian(bytes, ProtocolVersion, 2);
-  appendLittleEndian(bytes, base::hashBytes(body), 8);
+  bytes.reserve(HeaderBytes + body.size());
+  appendLittleEndian(bytes, ProtocolVersion, VersionBytes);
+  appendLittleEndian(bytes, base::hashBytes(body), ChecksumBytes);
   bytes += body;
   return bytes;
 }
 
 Envelope decode(std::string_view bytes) {
-  if (bytes.size() < HeaderSize) {
-    throw base::Error(base::ResultCode::MalformedMessage, "message is shorter than its header");
-  }
-  if (readLittleEndian(bytes.substr(0, 2)) != ProtocolVersion) {
-    throw base::Error(base::ResultCode::MalformedMessage, "message is of another protocol version");
-  }
-  const std::string_view body = bytes.substr(HeaderSize);
-  if (readLittleEndian(bytes.substr(2, 8)) != base::hashBytes(body)) {
-    throw base::Error(base::ResultCode::MalformedMessage, "message fails its checksum");
-  }
+  const std::string_view body = checkedBody(bytes);
   Envelope envelope;
   bool at_end = false;
   try {
@@ -63,10 +78,14 @@
     archive(envelope.sender, envelope.kind, envelope.request_id, envelope.message);
     at_end = stream.peek() == std::istringstream::traits_type::eof();
   } catch (const std::exception& exception) {
-    throw base::Error(base::ResultCode::MalformedMessage, exception.what());
+    throw malformed(exception.what());
+  }
+  if (!at_end) {
+    throw malformed("bytes follow the envelope");
   }
-  if (!at_end || envelope.kind > EnvelopeKind::Reply) {
-    throw base::Error(base::ResultCode::MalformedMessage, "message is not an envelope");
+  if (envelope.kind > EnvelopeKind::Reply) {
+    throw malformed("unknown envelope kind " +
+                    std::to_string(static_cast<unsigned>(envelope.kind)));
   }
   return envelope;
 }
--- a/libraries/wire/test/codec_test.cc
+++ b/libraries/wire/test/codec_test.cc
@@ -15,7 +15,7 @@
 constexpr std::uint64_t Seed = 20'261'202;
 constexpr int Mutations = 20'000;
 
-/** Walks a message's serialize() and fills each field at random. */
+/** Archive that fills each field of a message with a random value. */
 class RandomFiller {
  public:
   explicit RandomFiller(base::RandomSource& random) : random_(random) {}
@@ -88,7 +88,7 @@
   }
 }
 
-/** True where the bytes decode; anything but MalformedMessage fails the test. */
+/** @return whether the bytes decode; an exception other than MalformedMessage fails the test. */
 bool decodes(std::string_view bytes) {
   try {
     decode(bytes);
@@ -96,19 +96,19 @@
   } catch (const base::Error& error) {
     EXPECT_EQ(error.code(), base::ResultCode::MalformedMessage);
   } catch (...) {
-    ADD_FAILURE() << "decode() threw something else";
+    ADD_FAILURE() << "decode() threw an unexpected type";
   }
   return false;
 }
 
-void damage(std::string& bytes, base::RandomSource& random) {
+void corrupt(std::string& bytes, base::RandomSource& random) {
   const std::uint64_t flips = 1 + random.below(4);
   for (std::uint64_t flip = 0; flip < flips; ++flip) {
     bytes[random.below(bytes.size())] ^= static_cast<char>(1 + random.below(255));
   }
 }
 
-TEST(CodecTest, EveryKindComesBackAsItWas) {
+TEST(CodecTest, EveryMessageRoundTrips) {
   base::RandomSource random(Seed);
   for (std::size_t index = 0; index < std::variant_size_v<Message>; ++index) {
     for (int repeat = 0; repeat < 50; ++repeat) {
@@ -124,57 +124,57 @@
   }
 }
 
-TEST(CodecTest, DamagedBytesAreAlwaysRefused) {
+TEST(CodecTest, CorruptedBytesAreRejected) {
   base::RandomSource random(Seed);
   for (int count = 0; count < Mutations; ++count) {
-    const std::string whole =
+    const std::string original =
         encode(randomEnvelope(random.below(std::variant_size_v<Message>), random));
-    std::string bytes = whole;
+    std::string bytes = original;
     if (random.chance(0.5)) {
-      damage(bytes, random);
+      corrupt(bytes, random);
     } else {
       bytes.resize(random.below(bytes.size()));
     }
-    EXPECT_TRUE(bytes == whole || !decodes(bytes));
+    EXPECT_TRUE(bytes == original || !decodes(bytes));
   }
 }
 
-TEST(CodecTest, ForgedBytesThrowNothingElse) {
+TEST(CodecTest, ForgedBytesThrowOnlyMalformedMessage) {
   base::RandomSource random(Seed);
-  int refused = 0;
+  int rejected = 0;
   for (int count = 0; count < Mutations; ++count) {
     std::string bytes = encode(randomEnvelope(random.below(std::variant_size_v<Message>), random));
     if (random.chance(0.5)) {
-      damage(bytes, random);
+      corrupt(bytes, random);
     } else {
       bytes.resize(HeaderBytes + random.below(bytes.size() - HeaderBytes));
     }
     repairChecksum(bytes);
-    refused += decodes(bytes) ? 0 : 1;
+    rejected += decodes(bytes) ? 0 : 1;
   }
-  EXPECT_GT(refused, Mutations / 4);
+  EXPECT_GT(rejected, Mutations / 4);
 }
 
-TEST(CodecTest, ForgedLengthsAllocateNoMoreThanAPiece) {
+TEST(CodecTest, ForgedLengthsAllocateAtMostOneChunk) {
   constexpr std::size_t AllocationLimit = 1U << 20U;
   // Eight gigabytes, as a little-endian size.
   const std::string forged("\0\0\0\0\2\0\0\0", 8);
   base::RandomSource random(Seed);
   for (std::size_t index = 0; index < std::variant_size_v<Message>; ++index) {
-    const std::string whole = encode(randomEnvelope(index, random));
-    for (std::size_t place = HeaderBytes; place + forged.size() <= whole.size(); ++place) {
-      std::string bytes = whole;
-      bytes.replace(place, forged.size(), forged);
+    const std::string original = encode(randomEnvelope(index, random));
+    for (std::size_t offset = HeaderBytes; offset + forged.size() <= original.size(); ++offset) {
+      std::string bytes = original;
+      bytes.replace(offset, forged.size(), forged);
       repairChecksum(bytes);
       allocation_tracker::resetLargestAllocation();
       decodes(bytes);
       ASSERT_LT(allocation_tracker::largestAllocation(), AllocationLimit)
-          << "kind " << index << " at " << place;
+          << "kind " << index << " at " << offset;
     }
   }
 }
 
-TEST(CodecTest, RefusesTrailingBytesAndOtherVersions) {
+TEST(CodecTest, RejectsTrailingBytesAndOtherVersions) {
   std::string bytes = encode(Envelope{});
   std::string longer = bytes + "x";
   repairChecksum(longer);
--- a/libraries/wire/test/stored_record_test.cc
+++ b/libraries/wire/test/stored_record_test.cc
@@ -9,7 +9,7 @@
 
 using Names = std::vector<std::string>;
 
-TEST(StoredRecordTest, ReadsWhatItWrote) {
+TEST(StoredRecordTest, RecordRoundTrips) {
   const Names names{"a", std::string(100'000, 'b'), ""};
   Names read;
   std::uint64_t number = 0;
@@ -18,7 +18,7 @@
   EXPECT_EQ(number, 7U);
 }
 
-TEST(StoredRecordTest, RefusesEveryCutAndAnythingAfterTheLastField) {
+TEST(StoredRecordTest, RejectsEveryTruncationAndTrailingBytes) {
   const std::string bytes = writeRecord(Names{"a", "b"});
   Names read;
   for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -27,7 +27,7 @@
   EXPECT_THROW(readRecord(bytes + "x", read), base::Error);
 }
 
-TEST(StoredRecordTest, RefusesAnotherOrderOfBytes) {
+TEST(StoredRecordTest, RejectsAnotherByteOrder) {
   std::string bytes = writeRecord(Names{});
   ASSERT_EQ(bytes.front(), LittleEndianTag);
   bytes.front() = 0;
@@ -35,7 +35,7 @@
   EXPECT_THROW(readRecord(bytes, read), base::Error);
 }
 
-TEST(StoredRecordTest, AForgedLengthTakesNoMemory) {
+TEST(StoredRecordTest, AForgedLengthAllocatesNoMemory) {
   constexpr std::uint64_t Forged = 1ULL << 32U;
   constexpr std::size_t SmallBlock = 1U << 20U;
   Names names;
