--- a/libraries/workers/include/switchsaddle/workers/platform_list.h
+++ b/libraries/workers/include/switchsaddle/workers/platform_list.h
@@ -7,10 +7,11 @@
 namespace switchsaddle::workers {
 
 /**
- * Reads the body of the platform's GET /v1/workers. Fields that are not known are passed over. One
- * malformed worker makes the whole reading malformed, with `fault` naming the place, so that half a
- * list is never taken for a whole one. `WorkerEntry::instance` holds the platform's own generation
- * of the worker, zero where it gives none. Never throws.
+ * Parses the response body of the platform's GET /v1/workers. Unknown fields are ignored. A single
+ * malformed worker makes the reading malformed, so that a partial list is never taken for a
+ * complete one; `fault` then names the JSON path. Does not throw.
+ * @return the reading; WorkerEntry::instance holds the platform's generation of the worker, zero if
+ *     it states none.
  */
 PlatformReading parsePlatformList(const std::string& text);
 
--- a/libraries/workers/include/switchsaddle/workers/platform_source.h
+++ b/libraries/workers/include/switchsaddle/workers/platform_source.h
@@ -10,18 +10,23 @@
 
 namespace switchsaddle::workers {
 
-/** One reading of the platform's list; `code` is not Ok where it could not be had or read. */
+/** Result of reading the platform's worker list once. */
 struct PlatformReading {
+  /** Ok, or why the list could not be fetched or parsed; the other fields but `fault` are unset. */
   base::ResultCode code = base::ResultCode::PeerTimeout;
+  /** Generation of the list; rises with each change, zero if the platform states none. */
   std::uint64_t generation = 0;
   std::vector<wire::WorkerEntry> workers;
+  /** Description of the error. */
   std::string fault;
 };
 
-/** Reads the platform's worker list: over HTTP, or a simulated platform. */
+/** Source of the platform's worker list: an HTTP client or a simulation. Runs on the control
+ * strand. */
 class PlatformSource {
  public:
   virtual ~PlatformSource() = default;
+  /** Reads the list once. The callback runs at most once, possibly within the call. */
   virtual void read(std::function<void(PlatformReading)> callback) = 0;
 };
 
--- a/libraries/workers/include/switchsaddle/workers/worker_directory.h
+++ b/libraries/workers/include/switchsaddle/workers/worker_directory.h
@@ -11,64 +11,82 @@
 
 namespace switchsaddle::workers {
 
-/** A worker as this node believes it: the platform's entry with what fronts observed laid over it.
- */
+/** State of one worker at this node: the platform's entry merged with the fronts' observations. */
 struct Worker {
   wire::WorkerEntry entry;
-  /** Listed as draining, or observed draining. Never returns to false within one instance. */
+  /** Listed as draining or observed to be. Not reset within one instance. */
   bool draining = false;
-  /** Vanished from the list, or observed gone. */
+  /** Removed from the list or observed to be unreachable. Not reset within one instance. */
   bool gone = false;
 
+  /** @return whether the worker accepts new requests. */
   bool usable() const { return !draining && !gone; }
 };
 
-/** An immutable snapshot of all workers, for readers on the data plane. */
+/** Immutable snapshot of all workers, shared with readers on the data plane. */
 struct WorkerSnapshot {
-  /** Increases with every change. */
+  /** Increases with each change. */
   std::uint64_t revision = 0;
+  /** Order of the worker view that the snapshot is based on; see wire::WorkerView. */
   std::uint64_t term = 0;
   std::uint64_t sequence = 0;
+  /** By id. */
   std::map<std::string, Worker> workers;
 };
 
-/** Names a worker instance where loads are told; the same at every node. Of two that had the same,
- * each would count with the other's load too. */
+/**
+ * @return the key of a worker instance in load reports: a hash of id and instance, equal at every
+ *     node. If two keys collide, each worker is counted with the load of both.
+ */
 std::uint32_t loadKey(const wire::WorkerEntry& entry);
 
 using WorkerSnapshotPtr = std::shared_ptr<const WorkerSnapshot>;
 
 /**
- * This node's belief about workers. Views are taken in order of (term, sequence), older ones being
- * ignored; observations are never withdrawn within one worker instance, so that the lagging list
- * cannot bring a draining or vanished worker back. Runs on the control strand.
+ * The workers known to this node. Merges the worker view of the platform watcher with the fronts'
+ * observations.
+ *
+ * Invariants: views are applied in order of (term, sequence); observations are never reset within
+ * one worker instance, so that a stale list cannot make a draining or unreachable worker usable
+ * again. Runs on the control strand.
  */
 class WorkerDirectory {
  public:
   using ChangeListener =
       std::function<void(const WorkerSnapshotPtr& before, const WorkerSnapshotPtr& after)>;
 
-  /** Returns false where the view is not newer than the one held. */
+  /** @return whether the view is newer than the current one and was applied. */
   bool applyView(const wire::WorkerView& view);
-  /** Returns false where nothing new was learned. */
+  /** @return whether the observation added information. */
   bool applyObservation(const wire::WorkerObservation& observation);
+  /** @return the current state; never null. */
   WorkerSnapshotPtr snapshot() const { return snapshot_; }
+  /** @return the last view applied. */
   const wire::WorkerView& view() const { return view_; }
+  /** @return all observations, ordered by worker id. */
   std::vector<wire::WorkerObservation> observations() const;
-  /** Digest of all observations, for gossip. */
+  /** @return a digest of all observations, by which gossip peers compare them. */
   std::uint64_t observationsDigest() const;
+  /** The listener is called after each change, in order of registration. */
   void addListener(ChangeListener listener) { listeners_.push_back(std::move(listener)); }
 
  private:
-  /** Merges one observation; returns whether anything was new. */
-  bool note(const wire::WorkerObservation& observation);
-  /** Drops observations of earlier instances, and bounds those of workers not listed. */
-  void prune();
-  void rebuild();
-  /** Workers that left the list stay in the snapshot, as gone, while that is remembered. */
-  void keepVanished(WorkerSnapshot& next) const;
+  /** Observes what an applied view implies: workers listed as draining or no longer listed. */
+  void observeChanges(const wire::WorkerView& before);
+  /** @return whether the observation added information. */
+  bool mergeObservation(const wire::WorkerObservation& observation);
+  /** @return the instance of each listed worker, by id. */
+  std::map<std::string, std::uint64_t> listedInstances() const;
+  /** Drops observations of earlier instances and limits those of unlisted workers. */
+  void pruneObservations();
+  /** Builds the next snapshot and notifies the listeners. */
+  void rebuildSnapshot();
+  Worker mergedWorker(const wire::WorkerEntry& entry) const;
+  /** Adds the workers that left the list, as unreachable, while their observation is stored. */
+  void retainUnlisted(WorkerSnapshot& next) const;
 
   wire::WorkerView view_;
+  /** By worker id. */
   std::map<std::string, wire::WorkerObservation> observations_;
   WorkerSnapshotPtr snapshot_ = std::make_shared<WorkerSnapshot>();
   std::vector<ChangeListener> listeners_;
--- a/libraries/workers/include/switchsaddle/workers/worker_journal.h
+++ b/libraries/workers/include/switchsaddle/workers/worker_journal.h
@@ -6,10 +6,10 @@
 namespace switchsaddle::workers {
 
 /**
- * Journals every change of what the directory believes: each worker's instance, zone and state, the
- * view's sequence, and the term of the watcher that made it. All nodes write the same text for the
- * same belief, so that beliefs can be compared. The directory outlives nothing: the journal must
- * outlive it.
+ * Appends an event to the journal for each change of the directory: instance, zone and state of a
+ * worker, the sequence of the view, and the term of its watcher. All nodes write the same text for
+ * the same state, so that their journals can be compared.
+ * @param journal must outlive the directory.
  */
 void journalChanges(WorkerDirectory& directory, journal::Journal& journal);
 
--- a/libraries/workers/include/switchsaddle/workers/worker_view_change.h
+++ b/libraries/workers/include/switchsaddle/workers/worker_view_change.h
@@ -6,11 +6,12 @@
 
 namespace switchsaddle::workers {
 
-/** What leads from one view to another. */
+/** @return the difference between two views. */
 wire::WorkerViewChange changeBetween(const wire::WorkerView& before, const wire::WorkerView& after);
 
-/** The view that the change leads to, by id; nothing where it does not start from `held`. */
-std::optional<wire::WorkerView> applyChange(const wire::WorkerView& held,
+/** @return `base` with the change applied, ordered by id; nothing if the change has another base.
+ */
+std::optional<wire::WorkerView> applyChange(const wire::WorkerView& base,
                                             const wire::WorkerViewChange& change);
 
 }  // namespace switchsaddle::workers
--- a/libraries/workers/source/platform_list.cc
+++ b/libraries/workers/source/platform_list.cc
@@ -14,7 +14,9 @@
 using base::Error;
 using base::ResultCode;
 
-const json::value& member(const json::object& object, const char* name, const std::string& path) {
+/** @throws Error with MissingField. */
+const json::value& requiredMember(const json::object& object, const char* name,
+                                  const std::string& path) {
   const json::value* found = object.if_contains(name);
   if (found == nullptr) {
     throw Error(ResultCode::MissingField, "missing", path + "." + name);
@@ -22,8 +24,8 @@
   return *found;
 }
 
-std::string text(const json::object& object, const char* name, const std::string& path) {
-  const json::value& value = member(object, name, path);
+std::string requiredText(const json::object& object, const char* name, const std::string& path) {
+  const json::value& value = requiredMember(object, name, path);
   if (!value.is_string()) {
     throw Error(ResultCode::InvalidValue, "must be a string", path + "." + name);
   }
@@ -31,10 +33,12 @@
 }
 
 std::string optionalText(const json::object& object, const char* name, const std::string& path) {
-  return object.contains(name) ? text(object, name, path) : std::string();
+  return object.contains(name) ? requiredText(object, name, path) : std::string();
 }
 
-std::uint64_t number(const json::object& object, const char* name, const std::string& path) {
+/** @return the value; zero if it is missing. */
+std::uint64_t optionalNumber(const json::object& object, const char* name,
+                             const std::string& path) {
   const json::value* value = object.if_contains(name);
   if (value == nullptr) {
     return 0;
@@ -47,7 +51,7 @@
   return result;
 }
 
-std::vector<std::string> models(const json::object& object, const std::string& path) {
+std::vector<std::string> parseModels(const json::object& object, const std::string& path) {
   std::vector<std::string> names;
   const json::value* value = object.if_contains("models");
   if (value == nullptr) {
@@ -65,7 +69,7 @@
   return names;
 }
 
-wire::WorkerStage stage(const json::object& object, const std::string& path) {
+wire::WorkerStage parseStage(const json::object& object, const std::string& path) {
   const std::string name = optionalText(object, "stage", path);
   if (name.empty() || name == "both") {
     return wire::WorkerStage::Both;
@@ -79,8 +83,8 @@
   throw Error(ResultCode::InvalidValue, "must be both, prefill or decode", path + ".stage");
 }
 
-wire::WorkerState state(const json::object& object, const std::string& path) {
-  const std::string name = text(object, "state", path);
+wire::WorkerState parseState(const json::object& object, const std::string& path) {
+  const std::string name = requiredText(object, "state", path);
   if (name == "ready") {
     return wire::WorkerState::Ready;
   }
@@ -90,45 +94,45 @@
   throw Error(ResultCode::InvalidValue, "must be ready or draining", path + ".state");
 }
 
-wire::WorkerEntry worker(const json::value& value, const std::string& path) {
+wire::WorkerEntry parseWorker(const json::value& value, const std::string& path) {
   if (!value.is_object()) {
     throw Error(ResultCode::InvalidValue, "must be an object", path);
   }
   const json::object& object = value.get_object();
   wire::WorkerEntry entry;
-  entry.id = text(object, "id", path);
+  entry.id = requiredText(object, "id", path);
   if (entry.id.empty()) {
     throw Error(ResultCode::InvalidValue, "must not be empty", path + ".id");
   }
-  entry.address = base::NodeAddress::parse(text(object, "address", path));
-  entry.zone = text(object, "zone", path);
-  entry.models = models(object, path);
-  entry.service = text(object, "service", path);
-  entry.stage = stage(object, path);
-  entry.state = state(object, path);
+  entry.address = base::NodeAddress::parse(requiredText(object, "address", path));
+  entry.zone = requiredText(object, "zone", path);
+  entry.models = parseModels(object, path);
+  entry.service = requiredText(object, "service", path);
+  entry.stage = parseStage(object, path);
+  entry.state = parseState(object, path);
   entry.weights_version = optionalText(object, "weights_version", path);
-  entry.slots = static_cast<std::uint32_t>(number(object, "slots", path));
-  entry.instance = number(object, "generation", path);
+  entry.slots = static_cast<std::uint32_t>(optionalNumber(object, "slots", path));
+  entry.instance = optionalNumber(object, "generation", path);
   return entry;
 }
 
-PlatformReading read(const json::value& value) {
+PlatformReading parseReading(const json::value& value) {
   if (!value.is_object()) {
     throw Error(ResultCode::InvalidValue, "must be an object", "$");
   }
   const json::object& object = value.get_object();
   PlatformReading reading;
-  reading.generation = number(object, "generation", "$");
-  const json::value& list = member(object, "workers", "$");
+  reading.generation = optionalNumber(object, "generation", "$");
+  const json::value& list = requiredMember(object, "workers", "$");
   if (!list.is_array()) {
     throw Error(ResultCode::InvalidValue, "must be a list", "$.workers");
   }
-  std::set<std::string> seen;
+  std::set<std::string> ids;
   std::size_t index = 0;
   for (const json::value& item : list.get_array()) {
     const std::string path = "$.workers[" + std::to_string(index++) + "]";
-    wire::WorkerEntry entry = worker(item, path);
-    if (!seen.insert(entry.id).second) {
+    wire::WorkerEntry entry = parseWorker(item, path);
+    if (!ids.insert(entry.id).second) {
       throw Error(ResultCode::InvalidValue, "is listed twice", path + ".id");
     }
     reading.workers.push_back(std::move(entry));
@@ -137,7 +141,7 @@
   return reading;
 }
 
-PlatformReading malformed(ResultCode code, std::string fault) {
+PlatformReading malformedReading(ResultCode code, std::string fault) {
   PlatformReading reading;
   reading.code = code;
   reading.fault = std::move(fault);
@@ -150,12 +154,12 @@
   boost::system::error_code failure;
   const json::value value = json::parse(text, failure);
   if (failure) {
-    return malformed(ResultCode::MalformedJson, failure.message());
+    return malformedReading(ResultCode::MalformedJson, failure.message());
   }
   try {
-    return read(value);
+    return parseReading(value);
   } catch (const Error& error) {
-    return malformed(error.code(), error.path() + ": " + error.what());
+    return malformedReading(error.code(), error.path() + ": " + error.what());
   }
 }
 
--- a/libraries/workers/source/worker_directory.cc
+++ b/libraries/workers/source/worker_directory.cc
@@ -1,6 +1,7 @@
 #include "switchsaddle/workers/worker_directory.h"
 
 #include <algorithm>
+#include <tuple>
 #include <utility>
 
 #include "switchsaddle/base/hash.h"
@@ -9,29 +10,27 @@
 
 namespace {
 
-/** Most observations kept of workers that the view does not list. */
-constexpr std::size_t MaximumAbsentObservations = 1'024;
+/** Maximum number of observations stored of workers that the view does not list. */
+constexpr std::size_t MaximumUnlistedObservations = 1'024;
 
-bool isNewer(const wire::WorkerView& view, const wire::WorkerView& held) {
-  if (view.term != held.term) {
-    return view.term > held.term;
-  }
-  return view.sequence > held.sequence;
+bool isNewer(const wire::WorkerView& view, const wire::WorkerView& current) {
+  return std::tie(view.term, view.sequence) > std::tie(current.term, current.sequence);
 }
 
-/** Lays one observation over another of the same worker; returns whether anything was new. */
-bool merge(wire::WorkerObservation& held, const wire::WorkerObservation& observation) {
-  if (observation.instance < held.instance) {
+/** Merges an observation into the stored one of the same worker; @return whether it changed. */
+bool merge(wire::WorkerObservation& stored, const wire::WorkerObservation& observation) {
+  if (observation.instance < stored.instance) {
     return false;
   }
-  if (observation.instance > held.instance) {
-    held = observation;
+  if (observation.instance > stored.instance) {
+    stored = observation;
     return true;
   }
-  const bool is_new = (observation.draining && !held.draining) || (observation.gone && !held.gone);
-  held.draining = held.draining || observation.draining;
-  held.gone = held.gone || observation.gone;
-  return is_new;
+  const bool changed =
+      (observation.draining && !stored.draining) || (observation.gone && !stored.gone);
+  stored.draining = stored.draining || observation.draining;
+  stored.gone = stored.gone || observation.gone;
+  return changed;
 }
 
 std::uint64_t hashObservation(const wire::WorkerObservation& observation) {
@@ -53,21 +52,24 @@
     return false;
   }
   const wire::WorkerView before = std::exchange(view_, view);
-  std::map<std::string, std::uint64_t> listed;
+  observeChanges(before);
+  pruneObservations();
+  rebuildSnapshot();
+  return true;
+}
+
+void WorkerDirectory::observeChanges(const wire::WorkerView& before) {
   for (const wire::WorkerEntry& entry : view_.workers) {
-    listed[entry.id] = entry.instance;
     if (entry.state == wire::WorkerState::Draining) {
-      note({entry.id, entry.instance, true, false});
+      mergeObservation({.worker = entry.id, .instance = entry.instance, .draining = true});
     }
   }
+  const auto listed = listedInstances();
   for (const wire::WorkerEntry& entry : before.workers) {
     if (!listed.contains(entry.id)) {
-      note({entry.id, entry.instance, false, true});
+      mergeObservation({.worker = entry.id, .instance = entry.instance, .gone = true});
     }
   }
-  prune();
-  rebuild();
-  return true;
 }
 
 bool WorkerDirectory::applyObservation(const wire::WorkerObservation& observation) {
@@ -77,16 +79,15 @@
   const auto listed = snapshot_->workers.find(observation.worker);
   const bool outdated =
       listed != snapshot_->workers.end() && observation.instance < listed->second.entry.instance;
-  if (outdated || !note(observation)) {
+  if (outdated || !mergeObservation(observation)) {
     return false;
   }
-  prune();
-  const auto kept = observations_.find(observation.worker);
-  if (kept == observations_.end()) {
-    return false;
+  pruneObservations();
+  const bool retained = observations_.contains(observation.worker);
+  if (retained) {
+    rebuildSnapshot();
   }
-  rebuild();
-  return true;
+  return retained;
 }
 
 std::vector<wire::WorkerObservation> WorkerDirectory::observations() const {
@@ -106,68 +107,77 @@
   return digest;
 }
 
-bool WorkerDirectory::note(const wire::WorkerObservation& observation) {
-  const auto [held, inserted] = observations_.try_emplace(observation.worker, observation);
-  return inserted || merge(held->second, observation);
+bool WorkerDirectory::mergeObservation(const wire::WorkerObservation& observation) {
+  const auto [stored, inserted] = observations_.try_emplace(observation.worker, observation);
+  return inserted || merge(stored->second, observation);
 }
 
-void WorkerDirectory::prune() {
-  std::map<std::string, std::uint64_t> listed;
+std::map<std::string, std::uint64_t> WorkerDirectory::listedInstances() const {
+  std::map<std::string, std::uint64_t> instances;
   for (const wire::WorkerEntry& entry : view_.workers) {
-    listed[entry.id] = entry.instance;
-  }
-  std::vector<std::pair<std::uint64_t, std::string>> absent;
-  for (auto held = observations_.begin(); held != observations_.end();) {
-    const auto entry = listed.find(held->first);
-    if (entry == listed.end()) {
-      absent.emplace_back(held->second.instance, held->first);
-    } else if (held->second.instance < entry->second) {
-      held = observations_.erase(held);
-      continue;
+    instances[entry.id] = entry.instance;
+  }
+  return instances;
+}
+
+void WorkerDirectory::pruneObservations() {
+  const auto listed = listedInstances();
+  std::erase_if(observations_, [&](const auto& item) {
+    const auto current = listed.find(item.first);
+    return current != listed.end() && item.second.instance < current->second;
+  });
+  std::vector<std::pair<std::uint64_t, std::string>> unlisted;
+  for (const auto& [worker, observation] : observations_) {
+    if (!listed.contains(worker)) {
+      unlisted.emplace_back(observation.instance, worker);
     }
-    ++held;
   }
-  if (absent.size() <= MaximumAbsentObservations) {
+  if (unlisted.size() <= MaximumUnlistedObservations) {
     return;
   }
-  std::sort(absent.begin(), absent.end());
-  absent.resize(absent.size() - MaximumAbsentObservations);
-  for (const auto& [instance, worker] : absent) {
+  std::sort(unlisted.begin(), unlisted.end());
+  unlisted.resize(unlisted.size() - MaximumUnlistedObservations);
+  for (const auto& [instance, worker] : unlisted) {
     observations_.erase(worker);
   }
 }
 
-void WorkerDirectory::rebuild() {
+Worker WorkerDirectory::mergedWorker(const wire::WorkerEntry& entry) const {
+  Worker worker;
+  worker.entry = entry;
+  worker.draining = entry.state == wire::WorkerState::Draining;
+  const auto observed = observations_.find(entry.id);
+  if (observed != observations_.end() && observed->second.instance == entry.instance) {
+    worker.draining = worker.draining || observed->second.draining;
+    worker.gone = observed->second.gone;
+  }
+  return worker;
+}
+
+void WorkerDirectory::rebuildSnapshot() {
   auto next = std::make_shared<WorkerSnapshot>();
   next->revision = snapshot_->revision + 1;
   next->term = view_.term;
   next->sequence = view_.sequence;
   for (const wire::WorkerEntry& entry : view_.workers) {
-    Worker worker;
-    worker.entry = entry;
-    worker.draining = entry.state == wire::WorkerState::Draining;
-    const auto observed = observations_.find(entry.id);
-    if (observed != observations_.end() && observed->second.instance == entry.instance) {
-      worker.draining = worker.draining || observed->second.draining;
-      worker.gone = observed->second.gone;
-    }
-    next->workers[entry.id] = std::move(worker);
+    next->workers[entry.id] = mergedWorker(entry);
   }
-  keepVanished(*next);
+  retainUnlisted(*next);
   const WorkerSnapshotPtr before = std::exchange(snapshot_, std::move(next));
+  // A listener may register another one.
   const std::vector<ChangeListener> listeners = listeners_;
   for (const ChangeListener& listener : listeners) {
     listener(before, snapshot_);
   }
 }
 
-void WorkerDirectory::keepVanished(WorkerSnapshot& next) const {
+void WorkerDirectory::retainUnlisted(WorkerSnapshot& next) const {
   for (const auto& [id, worker] : snapshot_->workers) {
-    const bool vanished = !next.workers.contains(id) && observations_.contains(id);
-    if (vanished) {
-      Worker gone = worker;
-      gone.gone = true;
-      next.workers.emplace(id, std::move(gone));
+    const bool left_list = !next.workers.contains(id) && observations_.contains(id);
+    if (left_list) {
+      Worker unlisted = worker;
+      unlisted.gone = true;
+      next.workers.emplace(id, std::move(unlisted));
     }
   }
 }
--- a/libraries/workers/source/worker_journal.cc
+++ b/libraries/workers/source/worker_journal.cc
@@ -23,11 +23,11 @@
 void journalWorkers(const WorkerSnapshot& before, const WorkerSnapshot& after,
                     journal::Journal& journal) {
   for (const auto& [id, worker] : after.workers) {
-    const auto known = before.workers.find(id);
-    const bool same = known != before.workers.end() &&
-                      known->second.entry.instance == worker.entry.instance &&
-                      describe(known->second) == describe(worker);
-    if (!same) {
+    const auto previous = before.workers.find(id);
+    const bool unchanged = previous != before.workers.end() &&
+                           previous->second.entry.instance == worker.entry.instance &&
+                           describe(previous->second) == describe(worker);
+    if (!unchanged) {
       journal.append(Subject::Workers, id, describe(worker), worker.entry.instance);
     }
   }
--- a/libraries/workers/source/worker_view_change.cc
+++ b/libraries/workers/source/worker_view_change.cc
@@ -25,28 +25,28 @@
   change.base_sequence = before.sequence;
   change.term = after.term;
   change.sequence = after.sequence;
-  const auto held = byId(before.workers);
-  const auto next = byId(after.workers);
-  for (const auto& [id, worker] : next) {
-    const auto known = held.find(id);
-    if (known == held.end() || !(*known->second == *worker)) {
+  const auto entries_before = byId(before.workers);
+  const auto entries_after = byId(after.workers);
+  for (const auto& [id, worker] : entries_after) {
+    const auto previous = entries_before.find(id);
+    if (previous == entries_before.end() || !(*previous->second == *worker)) {
       change.changed.push_back(*worker);
     }
   }
-  for (const auto& [id, worker] : held) {
-    if (!next.contains(id)) {
+  for (const auto& [id, worker] : entries_before) {
+    if (!entries_after.contains(id)) {
       change.removed.push_back(id);
     }
   }
   return change;
 }
 
-std::optional<wire::WorkerView> applyChange(const wire::WorkerView& held,
+std::optional<wire::WorkerView> applyChange(const wire::WorkerView& base,
                                             const wire::WorkerViewChange& change) {
-  if (held.term != change.base_term || held.sequence != change.base_sequence) {
+  if (base.term != change.base_term || base.sequence != change.base_sequence) {
     return std::nullopt;
   }
-  auto entries = byId(held.workers);
+  auto entries = byId(base.workers);
   for (const wire::WorkerEntry& worker : change.changed) {
     entries[worker.id] = &worker;
   }
--- a/libraries/workers/test/platform_list_test.cc
+++ b/libraries/workers/test/platform_list_test.cc
@@ -32,15 +32,15 @@
 struct MalformedList {
   const char* text;
   ResultCode code;
-  const char* place;
+  const char* path;
 };
 
 class MalformedListTest : public testing::TestWithParam<MalformedList> {};
 
-TEST_P(MalformedListTest, IsRefusedWithItsPlace) {
+TEST_P(MalformedListTest, IsRejectedWithItsPath) {
   const PlatformReading reading = parsePlatformList(GetParam().text);
   EXPECT_EQ(reading.code, GetParam().code);
-  EXPECT_NE(reading.fault.find(GetParam().place), std::string::npos) << reading.fault;
+  EXPECT_NE(reading.fault.find(GetParam().path), std::string::npos) << reading.fault;
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/libraries/workers/test/platform_watcher_test.cc
+++ b/libraries/workers/test/platform_watcher_test.cc
@@ -14,13 +14,13 @@
  public:
   void read(std::function<void(PlatformReading)> callback) override {
     ++reads;
-    if (!silent) {
+    if (responds) {
       callback(reading);
     }
   }
 
   PlatformReading reading;
-  bool silent = false;
+  bool responds = true;
   int reads = 0;
 };
 
@@ -44,7 +44,7 @@
 
   void list(std::vector<wire::WorkerEntry> workers) { platform_.reading.workers = workers; }
 
-  /** Lets the watcher read the list `readings` times more. */
+  /** Runs the simulation until the watcher has read the list `readings` more times. */
   void poll(int readings = 1) { world_.runFor(milliseconds(500) * readings); }
 
   std::uint64_t instanceOf(const std::string& id) const {
@@ -78,7 +78,7 @@
                            }};
 };
 
-TEST_F(PlatformWatcherTest, PublishesOnlyWhatChanged) {
+TEST_F(PlatformWatcherTest, PublishesOnlyChanges) {
   watcher_.start(3);
   poll(5);
   EXPECT_EQ(published_, 1);
@@ -90,7 +90,7 @@
   EXPECT_EQ(instanceOf("c"), workerInstance(3, 2));
 }
 
-TEST_F(PlatformWatcherTest, IsSilentWithoutTheLease) {
+TEST_F(PlatformWatcherTest, DoesNotPollWithoutTheLease) {
   poll(3);
   EXPECT_EQ(platform_.reads, 0);
   watcher_.start(1);
@@ -100,7 +100,7 @@
   EXPECT_EQ(published_, 1);
 }
 
-TEST_F(PlatformWatcherTest, AReadingWhichEndsAfterTheLeaseIsDropped) {
+TEST_F(PlatformWatcherTest, AReadingThatEndsAfterTheLeaseIsIgnored) {
   std::function<void(PlatformReading)> pending;
   class SlowPlatform : public PlatformSource {
    public:
@@ -120,7 +120,7 @@
   EXPECT_EQ(published, 0);
 }
 
-TEST_F(PlatformWatcherTest, AReturnedWorkerGetsANewInstance) {
+TEST_F(PlatformWatcherTest, AWorkerThatReturnsStartsANewInstance) {
   watcher_.start(1);
   const std::uint64_t first = instanceOf("a");
   list({entry("b")});
@@ -132,7 +132,7 @@
   EXPECT_TRUE(usable("a"));
 }
 
-TEST_F(PlatformWatcherTest, AnotherGenerationIsANewInstance) {
+TEST_F(PlatformWatcherTest, AnotherGenerationStartsANewInstance) {
   list({entry("a", wire::WorkerState::Ready, 5)});
   watcher_.start(1);
   const std::uint64_t first = instanceOf("a");
@@ -141,22 +141,22 @@
   EXPECT_GT(instanceOf("a"), first);
 }
 
-TEST_F(PlatformWatcherTest, InstancesGrowOverAChangeOfWatchers) {
+TEST_F(PlatformWatcherTest, InstancesIncreaseAcrossAChangeOfWatchers) {
   watcher_.start(1);
   poll(3);
-  const std::uint64_t kept = instanceOf("a");
+  const std::uint64_t before = instanceOf("a");
   PlatformWatcher next(process_, platform_, directory_, journal_, PlatformWatcherOptions{},
                        [&](const wire::WorkerView& view) { directory_.applyView(view); });
   watcher_.stop();
   list({entry("a")});
   next.start(2);
-  EXPECT_EQ(instanceOf("a"), kept) << "a worker listed all along keeps its instance";
+  EXPECT_EQ(instanceOf("a"), before) << "a worker that stayed listed keeps its instance";
   list({entry("a"), entry("b")});
   poll();
   EXPECT_GE(instanceOf("b"), workerInstance(2, 1));
 }
 
-TEST_F(PlatformWatcherTest, KeepsTheLastListWhereTheNextIsUnreadableOrEmpty) {
+TEST_F(PlatformWatcherTest, KeepsTheLastListIfTheNextIsUnreadableOrEmpty) {
   watcher_.start(1);
   platform_.reading.code = base::ResultCode::MalformedJson;
   platform_.reading.fault = "broken";
@@ -166,14 +166,14 @@
   poll(4);
   EXPECT_EQ(published_, 1);
   EXPECT_TRUE(usable("a"));
-  int told = 0;
+  int events = 0;
   for (const journal::Event& event : journal_.events()) {
-    told += event.key == "platform" && event.value.find("stays in force") != std::string::npos;
+    events += event.key == "platform" && event.value.find("stays in force") != std::string::npos;
   }
-  EXPECT_EQ(told, 2) << "each fault is journalled once, not at each reading";
+  EXPECT_EQ(events, 2) << "each fault is journalled once, not at each reading";
 }
 
-TEST_F(PlatformWatcherTest, DrainingIsWithdrawnOnlyAfterSteadyReadingsAndAsANewInstance) {
+TEST_F(PlatformWatcherTest, DrainingIsWithdrawnAfterConsecutiveReadingsAndAsANewInstance) {
   watcher_.start(1);
   const std::uint64_t first = instanceOf("a");
   list({entry("a", wire::WorkerState::Draining), entry("b")});
@@ -188,7 +188,7 @@
   EXPECT_GT(instanceOf("a"), first);
 }
 
-TEST_F(PlatformWatcherTest, AFlappingWorkerIsHeldBackEverLonger) {
+TEST_F(PlatformWatcherTest, AFlappingWorkerIsSuppressedEverLonger) {
   watcher_.start(1);
   int usable_readings = 0;
   for (int round = 0; round < 40; ++round) {
@@ -203,7 +203,7 @@
   EXPECT_TRUE(usable("a"));
 }
 
-TEST_F(PlatformWatcherTest, AWorkerSeenGoneButListedIsTriedAgainAfterAGrowingWhile) {
+TEST_F(PlatformWatcherTest, AnUnreachableListedWorkerIsReinstatedAfterABackoff) {
   watcher_.start(1);
   const std::uint64_t first = instanceOf("a");
   directory_.applyObservation({"a", first, false, true});
@@ -219,14 +219,14 @@
   EXPECT_TRUE(usable("a"));
 }
 
-TEST_F(PlatformWatcherTest, AWorkerSeenDrainingIsNotTriedAgainByTime) {
+TEST_F(PlatformWatcherTest, AWorkerObservedDrainingIsNotReinstated) {
   watcher_.start(1);
   directory_.applyObservation({"a", instanceOf("a"), true, false});
   world_.runFor(seconds(300));
   EXPECT_FALSE(usable("a"));
 }
 
-TEST_F(PlatformWatcherTest, AnOlderListIsPassedOverAsLagging) {
+TEST_F(PlatformWatcherTest, AnOlderListIsIgnoredAsStale) {
   platform_.reading.generation = 10;
   watcher_.start(1);
   platform_.reading.generation = 9;
@@ -234,25 +234,25 @@
   poll(3);
   EXPECT_TRUE(usable("b"));
   poll(30);
-  EXPECT_FALSE(usable("b")) << "a platform which started anew is believed in the end";
+  EXPECT_FALSE(usable("b")) << "the list of a restarted platform is accepted eventually";
 }
 
-TEST_F(PlatformWatcherTest, TellsWhenTheListHasBeenUnreadableForItsBound) {
-  int told = 0;
-  watcher_.setUnreadableListener([&told] { ++told; });
+TEST_F(PlatformWatcherTest, NotifiesWhenTheListHasBeenUnreadableForTheBound) {
+  int notifications = 0;
+  watcher_.setUnreadableListener([&notifications] { ++notifications; });
   watcher_.start(1);
   platform_.reading.code = base::ResultCode::PeerTimeout;
   poll(2);
-  EXPECT_EQ(told, 0);
+  EXPECT_EQ(notifications, 0);
   poll(2);
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(notifications, 1);
   platform_.reading.code = base::ResultCode::Ok;
   poll(4);
-  EXPECT_EQ(told, 1);
+  EXPECT_EQ(notifications, 1);
 }
 
-TEST_F(PlatformWatcherTest, ReadsOneListAtATimeUntilItIsGivenUp) {
-  platform_.silent = true;
+TEST_F(PlatformWatcherTest, ReadsOneListAtATimeUntilItTimesOut) {
+  platform_.responds = false;
   watcher_.start(1);
   poll(4);
   EXPECT_EQ(platform_.reads, 1);
@@ -260,10 +260,10 @@
   EXPECT_EQ(platform_.reads, 2);
 }
 
-TEST_F(PlatformWatcherTest, PublishesThatAWorkerIsColdNoMore) {
-  wire::WorkerEntry cold = entry("a");
-  cold.cold = true;
-  list({cold});
+TEST_F(PlatformWatcherTest, PublishesThatAWorkerHasWarmedUp) {
+  wire::WorkerEntry warming_up = entry("a");
+  warming_up.cold = true;
+  list({warming_up});
   watcher_.start(1);
   EXPECT_TRUE(directory_.snapshot()->workers.at("a").entry.cold);
   list({entry("a")});
--- a/libraries/workers/test/worker_directory_test.cc
+++ b/libraries/workers/test/worker_directory_test.cc
@@ -20,7 +20,7 @@
   return {term, sequence, std::move(workers)};
 }
 
-TEST(WorkerDirectoryTest, TakesViewsOnlyInOrderOfTermAndSequence) {
+TEST(WorkerDirectoryTest, AppliesViewsOnlyInOrderOfTermAndSequence) {
   WorkerDirectory directory;
   EXPECT_TRUE(directory.applyView(view(2, 5, {entry("a", 1)})));
   EXPECT_FALSE(directory.applyView(view(2, 5, {})));
@@ -39,7 +39,7 @@
   EXPECT_TRUE(directory.snapshot()->workers.at("a").usable());
 }
 
-TEST(WorkerDirectoryTest, AVanishedInstanceDoesNotComeBack) {
+TEST(WorkerDirectoryTest, AnInstanceRemovedFromTheListStaysUnusable) {
   WorkerDirectory directory;
   directory.applyView(view(1, 1, {entry("a", 1), entry("b", 1)}));
   directory.applyView(view(1, 2, {entry("b", 1)}));
@@ -50,7 +50,7 @@
   EXPECT_TRUE(directory.snapshot()->workers.at("a").usable());
 }
 
-TEST(WorkerDirectoryTest, ObservationsLieOverTheViewOfTheirInstance) {
+TEST(WorkerDirectoryTest, ObservationsOverrideTheViewOfTheirInstance) {
   WorkerDirectory directory;
   directory.applyView(view(1, 1, {entry("a", 4)}));
   EXPECT_FALSE(directory.applyObservation({"a", 3, true, false}));
@@ -64,7 +64,7 @@
   EXPECT_TRUE(directory.observations().empty());
 }
 
-TEST(WorkerDirectoryTest, AnObservationMayComeBeforeItsView) {
+TEST(WorkerDirectoryTest, AnObservationMayArriveBeforeItsView) {
   WorkerDirectory directory;
   EXPECT_TRUE(directory.applyObservation({"a", 4, false, true}));
   directory.applyView(view(1, 1, {entry("a", 4)}));
@@ -82,20 +82,20 @@
   EXPECT_EQ(first.observationsDigest(), second.observationsDigest());
 }
 
-TEST(WorkerDirectoryTest, ListenersSeeTheSnapshotsBeforeAndAfter) {
+TEST(WorkerDirectoryTest, ListenersReceiveTheSnapshotsBeforeAndAfter) {
   WorkerDirectory directory;
   std::uint64_t before_revision = 99;
-  WorkerSnapshotPtr seen;
+  WorkerSnapshotPtr received;
   directory.addListener([&](const WorkerSnapshotPtr& before, const WorkerSnapshotPtr& after) {
     before_revision = before->revision;
-    seen = after;
+    received = after;
   });
   directory.applyView(view(1, 1, {entry("a", 1)}));
   EXPECT_EQ(before_revision, 0U);
-  EXPECT_EQ(seen, directory.snapshot());
+  EXPECT_EQ(received, directory.snapshot());
 }
 
-TEST(WorkerDirectoryTest, ObservationsOfAbsentWorkersAreBounded) {
+TEST(WorkerDirectoryTest, ObservationsOfUnlistedWorkersAreBounded) {
   WorkerDirectory directory;
   for (std::uint64_t index = 1; index <= 3'000; ++index) {
     directory.applyObservation({"worker" + std::to_string(index), index, false, true});
--- a/libraries/workers/test/worker_view_change_test.cc
+++ b/libraries/workers/test/worker_view_change_test.cc
@@ -25,21 +25,21 @@
       .size();
 }
 
-TEST(WorkerViewChangeTest, LeadsFromOneViewToTheOther) {
+TEST(WorkerViewChangeTest, TransformsOneViewIntoTheOther) {
   const wire::WorkerView before = viewOf(1, {"a", "b", "c"});
   wire::WorkerView after = viewOf(2, {"b", "c", "d"});
   after.workers[1].state = wire::WorkerState::Draining;
   const wire::WorkerViewChange change = changeBetween(before, after);
   EXPECT_EQ(change.changed.size(), 2U);
   EXPECT_EQ(change.removed, std::vector<std::string>{"a"});
-  const auto reached = applyChange(before, change);
-  ASSERT_TRUE(reached);
-  EXPECT_EQ(reached->term, after.term);
-  EXPECT_EQ(reached->sequence, after.sequence);
-  EXPECT_EQ(reached->workers, after.workers);
+  const auto result = applyChange(before, change);
+  ASSERT_TRUE(result);
+  EXPECT_EQ(result->term, after.term);
+  EXPECT_EQ(result->sequence, after.sequence);
+  EXPECT_EQ(result->workers, after.workers);
 }
 
-TEST(WorkerViewChangeTest, DoesNotFitAnotherBase) {
+TEST(WorkerViewChangeTest, DoesNotApplyToAnotherBase) {
   const wire::WorkerViewChange change = changeBetween(viewOf(2, {"a"}), viewOf(3, {"a", "b"}));
   EXPECT_FALSE(applyChange(viewOf(1, {"a"}), change));
   wire::WorkerView other_term = viewOf(2, {"a"});
@@ -47,7 +47,7 @@
   EXPECT_FALSE(applyChange(other_term, change));
 }
 
-TEST(WorkerViewChangeTest, OneWorkersChangeDoesNotGrowWithTheList) {
+TEST(WorkerViewChangeTest, SizeOfAChangeDoesNotGrowWithTheList) {
   std::vector<std::string> ids;
   for (int index = 0; index < 2'100; ++index) {
     ids.push_back("worker-" + std::to_string(1'000 + index));
