--- a/libraries/experiments/source/fleet_settings.h
+++ b/libraries/experiments/source/fleet_settings.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/testbed/worker_speed.h"
+#include "switchsaddle/testbed/workers/worker_speed.h"
 
 namespace switchsaddle::experiments {
 
--- a/libraries/experiments/source/modelled_worker.h
+++ b/libraries/experiments/source/modelled_worker.h
@@ -9,8 +9,8 @@
 #include "fleet_settings.h"
 #include "prompt_source.h"
 #include "switchsaddle/simulation/world.h"
-#include "switchsaddle/testbed/kv_cache.h"
-#include "switchsaddle/testbed/slot_queue.h"
+#include "switchsaddle/testbed/workers/kv_cache.h"
+#include "switchsaddle/testbed/workers/slot_queue.h"
 
 namespace switchsaddle::experiments {
 
--- a/libraries/experiments/source/prompt_source.h
+++ b/libraries/experiments/source/prompt_source.h
@@ -5,7 +5,7 @@
 #include "fleet_settings.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/routing/router.h"
-#include "switchsaddle/testbed/kv_cache.h"
+#include "switchsaddle/testbed/workers/kv_cache.h"
 
 namespace switchsaddle::experiments {
 
--- a/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
@@ -8,7 +8,7 @@
 
 #include "switchsaddle/scenarios/fleet.h"
 #include "switchsaddle/scenarios/simulated_front.h"
-#include "switchsaddle/testbed/branch_limit_checker.h"
+#include "switchsaddle/testbed/checks/branch_limit_checker.h"
 
 namespace switchsaddle::scenarios {
 
--- a/libraries/testbed/include/switchsaddle/testbed/branch_limit_checker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/checks/branch_limit_checker.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/testbed/history_checker.h"
+#include "switchsaddle/testbed/checks/history_checker.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/include/switchsaddle/testbed/fleet_layout.h
+++ b/libraries/testbed/include/switchsaddle/testbed/fleet/fleet_layout.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/testbed/platform_list.h"
+#include "switchsaddle/testbed/workers/platform_list.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/include/switchsaddle/testbed/call_exchange.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/call_exchange.h
@@ -6,9 +6,9 @@
 
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/testbed/call_event.h"
-#include "switchsaddle/testbed/event_stream_reader.h"
-#include "switchsaddle/testbed/line_file.h"
+#include "switchsaddle/testbed/load/event_stream_reader.h"
+#include "switchsaddle/testbed/records/call_event.h"
+#include "switchsaddle/testbed/records/line_file.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/include/switchsaddle/testbed/load_plan.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/load_plan.h
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/testbed/kv_cache.h"
+#include "switchsaddle/testbed/workers/kv_cache.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/include/switchsaddle/testbed/load_runner.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/load_runner.h
@@ -8,9 +8,9 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/testbed/call_exchange.h"
-#include "switchsaddle/testbed/load_plan.h"
-#include "switchsaddle/testbed/platform_list.h"
+#include "switchsaddle/testbed/load/call_exchange.h"
+#include "switchsaddle/testbed/load/load_plan.h"
+#include "switchsaddle/testbed/workers/platform_list.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/include/switchsaddle/testbed/worker_event.h
+++ b/libraries/testbed/include/switchsaddle/testbed/records/worker_event.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/testbed/line_file.h"
+#include "switchsaddle/testbed/records/line_file.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/include/switchsaddle/testbed/stand_in_worker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/stand_in_worker.h
@@ -9,8 +9,8 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
-#include "switchsaddle/testbed/worker_event.h"
-#include "switchsaddle/testbed/worker_speed.h"
+#include "switchsaddle/testbed/records/worker_event.h"
+#include "switchsaddle/testbed/workers/worker_speed.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/branch_limit_checker.cc
+++ b/libraries/testbed/source/checks/branch_limit_checker.cc
@@ -1,11 +1,11 @@
-#include "switchsaddle/testbed/branch_limit_checker.h"
+#include "switchsaddle/testbed/checks/branch_limit_checker.h"
 
 #include <algorithm>
 #include <optional>
 #include <set>
 
-#include "call_history.h"
-#include "retry_rules.h"
+#include "checks/call_history.h"
+#include "checks/retry_rules.h"
 #include "switchsaddle/base/result_code.h"
 
 namespace switchsaddle::testbed {
--- a/libraries/testbed/source/branch_limit_report_text.cc
+++ b/libraries/testbed/source/checks/branch_limit_report_text.cc
@@ -1,6 +1,6 @@
 #include <sstream>
 
-#include "switchsaddle/testbed/branch_limit_checker.h"
+#include "switchsaddle/testbed/checks/branch_limit_checker.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/call_history.cc
+++ b/libraries/testbed/source/checks/call_history.cc
@@ -1,4 +1,4 @@
-#include "call_history.h"
+#include "checks/call_history.h"
 
 #include <set>
 
--- a/libraries/testbed/source/call_history.h
+++ b/libraries/testbed/source/checks/call_history.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/testbed/call_event.h"
-#include "switchsaddle/testbed/history_checker.h"
-#include "switchsaddle/testbed/worker_event.h"
+#include "switchsaddle/testbed/checks/history_checker.h"
+#include "switchsaddle/testbed/records/call_event.h"
+#include "switchsaddle/testbed/records/worker_event.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/history_checker.cc
+++ b/libraries/testbed/source/checks/history_checker.cc
@@ -1,12 +1,12 @@
-#include "switchsaddle/testbed/history_checker.h"
+#include "switchsaddle/testbed/checks/history_checker.h"
 
 #include <algorithm>
 #include <set>
 #include <sstream>
 
-#include "call_history.h"
-#include "order_rules.h"
-#include "retry_rules.h"
+#include "checks/call_history.h"
+#include "checks/order_rules.h"
+#include "checks/retry_rules.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/order_rules.cc
+++ b/libraries/testbed/source/checks/order_rules.cc
@@ -1,4 +1,4 @@
-#include "order_rules.h"
+#include "checks/order_rules.h"
 
 #include <algorithm>
 #include <array>
--- a/libraries/testbed/source/order_rules.h
+++ b/libraries/testbed/source/checks/order_rules.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "switchsaddle/testbed/history_checker.h"
+#include "switchsaddle/testbed/checks/history_checker.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/retry_rules.cc
+++ b/libraries/testbed/source/checks/retry_rules.cc
@@ -1,4 +1,4 @@
-#include "retry_rules.h"
+#include "checks/retry_rules.h"
 
 #include <deque>
 #include <set>
--- a/libraries/testbed/source/fleet_layout.cc
+++ b/libraries/testbed/source/fleet/fleet_layout.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/fleet_plan.cc
+++ b/libraries/testbed/source/fleet/fleet_plan.cc
@@ -2,7 +2,7 @@
 #include <boost/json.hpp>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/fleet_state.cc
+++ b/libraries/testbed/source/fleet/fleet_state.cc
@@ -2,8 +2,8 @@
 #include <boost/json.hpp>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/fleet_layout.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/call_exchange.cc
+++ b/libraries/testbed/source/load/call_exchange.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/testbed/call_exchange.h"
+#include "switchsaddle/testbed/load/call_exchange.h"
 
 #include <charconv>
 #include <utility>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/event_stream_reader.cc
+++ b/libraries/testbed/source/load/event_stream_reader.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/event_stream_reader.h"
+#include "switchsaddle/testbed/load/event_stream_reader.h"
 
 #include <utility>
 
--- a/libraries/testbed/source/load_plan.cc
+++ b/libraries/testbed/source/load/load_plan.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/load_plan.h"
+#include "switchsaddle/testbed/load/load_plan.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/plan_sizes.cc
+++ b/libraries/testbed/source/load/plan_sizes.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/plan_sizes.h"
+#include "switchsaddle/testbed/load/plan_sizes.h"
 
 #include <string>
 
--- a/libraries/testbed/source/json_fields.cc
+++ b/libraries/testbed/source/records/json_fields.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 #include <boost/json.hpp>
 #include <fstream>
--- a/libraries/testbed/source/line_file.cc
+++ b/libraries/testbed/source/records/line_file.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/line_file.h"
+#include "switchsaddle/testbed/records/line_file.h"
 
 #include <fcntl.h>
 #include <unistd.h>
--- a/libraries/testbed/source/order_event.cc
+++ b/libraries/testbed/source/records/order_event.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/testbed/order_event.h"
+#include "switchsaddle/testbed/records/order_event.h"
 
 #include <boost/json.hpp>
 
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/worker_event.cc
+++ b/libraries/testbed/source/records/worker_event.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/testbed/worker_event.h"
+#include "switchsaddle/testbed/records/worker_event.h"
 
 #include <boost/json.hpp>
 
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/decode_relay.cc
+++ b/libraries/testbed/source/workers/decode_relay.cc
@@ -1,4 +1,4 @@
-#include "decode_relay.h"
+#include "workers/decode_relay.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/decode_relay.h
+++ b/libraries/testbed/source/workers/decode_relay.h
@@ -3,10 +3,10 @@
 #include <memory>
 #include <string>
 
-#include "stream_run.h"
 #include "switchsaddle/base/node_address.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
+#include "workers/stream_run.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/kv_cache.cc
+++ b/libraries/testbed/source/workers/kv_cache.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/kv_cache.h"
+#include "switchsaddle/testbed/workers/kv_cache.h"
 
 #include "switchsaddle/base/hash.h"
 
--- a/libraries/testbed/source/one_shot_run.cc
+++ b/libraries/testbed/source/workers/one_shot_run.cc
@@ -1,4 +1,4 @@
-#include "one_shot_run.h"
+#include "workers/one_shot_run.h"
 
 #include <boost/json.hpp>
 
--- a/libraries/testbed/source/one_shot_run.h
+++ b/libraries/testbed/source/workers/one_shot_run.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "switchsaddle/http/server.h"
-#include "worker_state.h"
+#include "workers/worker_state.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/platform_list.cc
+++ b/libraries/testbed/source/workers/platform_list.cc
@@ -1,9 +1,9 @@
-#include "switchsaddle/testbed/platform_list.h"
+#include "switchsaddle/testbed/workers/platform_list.h"
 
 #include <boost/json.hpp>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/stand_in_worker.cc
+++ b/libraries/testbed/source/workers/stand_in_worker.cc
@@ -1,15 +1,15 @@
-#include "switchsaddle/testbed/stand_in_worker.h"
+#include "switchsaddle/testbed/workers/stand_in_worker.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cmath>
 
-#include "decode_relay.h"
-#include "one_shot_run.h"
-#include "stream_run.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
-#include "worker_state.h"
+#include "switchsaddle/testbed/records/json_fields.h"
+#include "workers/decode_relay.h"
+#include "workers/one_shot_run.h"
+#include "workers/stream_run.h"
+#include "workers/worker_state.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/stream_run.cc
+++ b/libraries/testbed/source/workers/stream_run.cc
@@ -1,4 +1,4 @@
-#include "stream_run.h"
+#include "workers/stream_run.h"
 
 #include <boost/json.hpp>
 #include <functional>
--- a/libraries/testbed/source/stream_run.h
+++ b/libraries/testbed/source/workers/stream_run.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "switchsaddle/http/server.h"
-#include "worker_state.h"
+#include "workers/worker_state.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/source/worker_fault.cc
+++ b/libraries/testbed/source/workers/worker_fault.cc
@@ -1,10 +1,10 @@
-#include "switchsaddle/testbed/worker_fault.h"
+#include "switchsaddle/testbed/workers/worker_fault.h"
 
 #include <array>
 #include <string_view>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/source/worker_speed.cc
+++ b/libraries/testbed/source/workers/worker_speed.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/worker_speed.h"
+#include "switchsaddle/testbed/workers/worker_speed.h"
 
 #include <algorithm>
 
--- a/libraries/testbed/source/worker_state.cc
+++ b/libraries/testbed/source/workers/worker_state.cc
@@ -1,4 +1,4 @@
-#include "worker_state.h"
+#include "workers/worker_state.h"
 
 #include <boost/json.hpp>
 
--- a/libraries/testbed/source/worker_state.h
+++ b/libraries/testbed/source/workers/worker_state.h
@@ -9,11 +9,11 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/testbed/kv_cache.h"
-#include "switchsaddle/testbed/slot_queue.h"
-#include "switchsaddle/testbed/stand_in_worker.h"
-#include "switchsaddle/testbed/worker_event.h"
-#include "switchsaddle/testbed/worker_fault.h"
+#include "switchsaddle/testbed/records/worker_event.h"
+#include "switchsaddle/testbed/workers/kv_cache.h"
+#include "switchsaddle/testbed/workers/slot_queue.h"
+#include "switchsaddle/testbed/workers/stand_in_worker.h"
+#include "switchsaddle/testbed/workers/worker_fault.h"
 
 namespace switchsaddle::testbed {
 
--- a/libraries/testbed/test/branch_limit_checker_test.cc
+++ b/libraries/testbed/test/checks/branch_limit_checker_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/branch_limit_checker.h"
+#include "switchsaddle/testbed/checks/branch_limit_checker.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/testbed/test/history_checker_test.cc
+++ b/libraries/testbed/test/checks/history_checker_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/history_checker.h"
+#include "switchsaddle/testbed/checks/history_checker.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/testbed/test/examples_test.cc
+++ b/libraries/testbed/test/fleet/examples_test.cc
@@ -4,9 +4,9 @@
 
 #include "source_directory.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/testbed/fleet_layout.h"
-#include "switchsaddle/testbed/json_fields.h"
-#include "switchsaddle/testbed/load_plan.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
+#include "switchsaddle/testbed/load/load_plan.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/test/fleet_layout_test.cc
+++ b/libraries/testbed/test/fleet/fleet_layout_test.cc
@@ -1,11 +1,11 @@
-#include "switchsaddle/testbed/fleet_layout.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
 
 #include <gtest/gtest.h>
 
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/settings.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/test/process_control_test.cc
+++ b/libraries/testbed/test/fleet/process_control_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/process_control.h"
+#include "switchsaddle/testbed/fleet/process_control.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/testbed/test/event_stream_reader_test.cc
+++ b/libraries/testbed/test/load/event_stream_reader_test.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/testbed/event_stream_reader.h"
+#include "switchsaddle/testbed/load/event_stream_reader.h"
 
 #include <gtest/gtest.h>
 
-#include "switchsaddle/testbed/call_event.h"
+#include "switchsaddle/testbed/records/call_event.h"
 
 namespace switchsaddle::testbed {
 namespace {
--- a/libraries/testbed/test/load_plan_test.cc
+++ b/libraries/testbed/test/load/load_plan_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/load_plan.h"
+#include "switchsaddle/testbed/load/load_plan.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/testbed/test/load_runner_test.cc
+++ b/libraries/testbed/test/load/load_runner_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/load_runner.h"
+#include "switchsaddle/testbed/load/load_runner.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/testbed/test/slot_queue_test.cc
+++ b/libraries/testbed/test/workers/slot_queue_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/slot_queue.h"
+#include "switchsaddle/testbed/workers/slot_queue.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/testbed/test/stand_in_worker_test.cc
+++ b/libraries/testbed/test/workers/stand_in_worker_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/stand_in_worker.h"
+#include "switchsaddle/testbed/workers/stand_in_worker.h"
 
 #include <gtest/gtest.h>
 
--- a/programs/testbed/changes_command.cc
+++ b/programs/testbed/changes_command.cc
@@ -10,8 +10,8 @@
 #include "commands.h"
 #include "http_probe.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/fleet_layout.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 #include "switchsaddle/transport/system_boot_clock.h"
 
 namespace switchsaddle::testbed_commands {
--- a/programs/testbed/check_history_command.cc
+++ b/programs/testbed/check_history_command.cc
@@ -9,10 +9,10 @@
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/document.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/testbed/branch_limit_checker.h"
-#include "switchsaddle/testbed/history_checker.h"
-#include "switchsaddle/testbed/json_fields.h"
-#include "switchsaddle/testbed/load_plan.h"
+#include "switchsaddle/testbed/checks/branch_limit_checker.h"
+#include "switchsaddle/testbed/checks/history_checker.h"
+#include "switchsaddle/testbed/load/load_plan.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed_commands {
 namespace {
--- a/programs/testbed/evidence_files.h
+++ b/programs/testbed/evidence_files.h
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "switchsaddle/testbed/history_checker.h"
+#include "switchsaddle/testbed/checks/history_checker.h"
 
 namespace switchsaddle::testbed_commands {
 
--- a/programs/testbed/failure_run.cc
+++ b/programs/testbed/failure_run.cc
@@ -9,7 +9,7 @@
 #include "http_probe.h"
 #include "operator_orders.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/order_event.h"
+#include "switchsaddle/testbed/records/order_event.h"
 
 namespace switchsaddle::testbed_commands {
 namespace {
--- a/programs/testbed/failures_command.cc
+++ b/programs/testbed/failures_command.cc
@@ -12,8 +12,8 @@
 #include "fleet_up.h"
 #include "load_run.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
-#include "switchsaddle/testbed/load_plan.h"
+#include "switchsaddle/testbed/load/load_plan.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed_commands {
 namespace {
--- a/programs/testbed/fleet.cc
+++ b/programs/testbed/fleet.cc
@@ -14,7 +14,7 @@
 #include "http_probe.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed_commands {
 namespace {
--- a/programs/testbed/fleet.h
+++ b/programs/testbed/fleet.h
@@ -4,8 +4,8 @@
 #include <vector>
 
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/testbed/fleet_layout.h"
-#include "switchsaddle/testbed/process_control.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
+#include "switchsaddle/testbed/fleet/process_control.h"
 
 namespace switchsaddle::testbed_commands {
 
--- a/programs/testbed/fleet_up.cc
+++ b/programs/testbed/fleet_up.cc
@@ -6,7 +6,7 @@
 #include <fstream>
 
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/testbed/json_fields.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed_commands {
 namespace {
--- a/programs/testbed/load_command.cc
+++ b/programs/testbed/load_command.cc
@@ -5,9 +5,9 @@
 
 #include "commands.h"
 #include "load_run.h"
-#include "switchsaddle/testbed/fleet_layout.h"
-#include "switchsaddle/testbed/json_fields.h"
-#include "switchsaddle/testbed/process_control.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
+#include "switchsaddle/testbed/fleet/process_control.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 
 namespace switchsaddle::testbed_commands {
 namespace {
--- a/programs/testbed/load_run.cc
+++ b/programs/testbed/load_run.cc
@@ -5,9 +5,9 @@
 
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/http/client.h"
-#include "switchsaddle/testbed/fleet_layout.h"
-#include "switchsaddle/testbed/json_fields.h"
-#include "switchsaddle/testbed/load_runner.h"
+#include "switchsaddle/testbed/fleet/fleet_layout.h"
+#include "switchsaddle/testbed/load/load_runner.h"
+#include "switchsaddle/testbed/records/json_fields.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 
 namespace switchsaddle::testbed_commands {
--- a/programs/testbed/operator_orders.cc
+++ b/programs/testbed/operator_orders.cc
@@ -5,7 +5,7 @@
 
 #include "http_probe.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/testbed/order_event.h"
+#include "switchsaddle/testbed/records/order_event.h"
 
 namespace switchsaddle::testbed_commands {
 namespace {
--- a/programs/testbed/order_record.cc
+++ b/programs/testbed/order_record.cc
@@ -1,7 +1,7 @@
 #include "order_record.h"
 
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/testbed/order_event.h"
+#include "switchsaddle/testbed/records/order_event.h"
 #include "switchsaddle/transport/system_boot_clock.h"
 
 namespace switchsaddle::testbed_commands {
--- a/programs/testbed/order_record.h
+++ b/programs/testbed/order_record.h
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "switchsaddle/testbed/line_file.h"
+#include "switchsaddle/testbed/records/line_file.h"
 
 namespace switchsaddle::testbed_commands {
 
--- a/programs/testbed/platform_command.cc
+++ b/programs/testbed/platform_command.cc
@@ -9,8 +9,8 @@
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
-#include "switchsaddle/testbed/json_fields.h"
-#include "switchsaddle/testbed/platform_list.h"
+#include "switchsaddle/testbed/records/json_fields.h"
+#include "switchsaddle/testbed/workers/platform_list.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 
 namespace switchsaddle::testbed_commands {
--- a/programs/testbed/slopes_command.cc
+++ b/programs/testbed/slopes_command.cc
@@ -10,7 +10,7 @@
 #include "commands.h"
 #include "switchsaddle/configuration/register_value.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/testbed/plan_sizes.h"
+#include "switchsaddle/testbed/load/plan_sizes.h"
 #include "switchsaddle/wire/message.h"
 
 namespace switchsaddle::testbed_commands {
--- a/programs/testbed/worker_command.cc
+++ b/programs/testbed/worker_command.cc
@@ -10,7 +10,7 @@
 #include "commands.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
-#include "switchsaddle/testbed/stand_in_worker.h"
+#include "switchsaddle/testbed/workers/stand_in_worker.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 
 namespace switchsaddle::testbed_commands {
