--- a/libraries/admission/test/slot_fleet.h
+++ b/libraries/admission/test/slot_fleet.h
@@ -145,7 +145,7 @@
   int used = 0;
   bool over_limit = false;
   int rejections = 0;
-  /** Rejections although a slot was free at some time since the caller's arrival. */
+  /** Rejections although a slot was free at every instant since the caller's arrival. */
   int rejections_within_limit = 0;
   base::Duration longest_rejection{};
 
--- a/libraries/core/include/switchsaddle/core/candidate_table.h
+++ b/libraries/core/include/switchsaddle/core/candidate_table.h
@@ -12,7 +12,7 @@
 namespace switchsaddle::core {
 
 /**
- * The cores that could join the acceptor set: those that announced themselves lately and are no
+ * The cores that could join the acceptor set: those that announced themselves recently and are no
  * members. Runs on the control strand.
  */
 class CandidateTable {
--- a/libraries/core/include/switchsaddle/core/change_coordinator.h
+++ b/libraries/core/include/switchsaddle/core/change_coordinator.h
@@ -25,8 +25,7 @@
   bool repeated = false;
 };
 
-/** Commits changes of the configuration and waits until they are in force. Idempotent by change_id.
- */
+/** Commits changes of the configuration, idempotently, and waits until they are in force. */
 class ChangeCoordinator {
  public:
   virtual ~ChangeCoordinator() = default;
--- a/libraries/core/include/switchsaddle/core/core_node.h
+++ b/libraries/core/include/switchsaddle/core/core_node.h
@@ -46,7 +46,7 @@
    */
   void stop(std::function<void()> stopped);
 
-  /** Sets the cores that are asked for the acceptor set where this one is no member. */
+  /** Sets the cores to query for the acceptor set while this node is no member. */
   void setSeeds(std::vector<base::NodeAddress> seeds) {
     registers_.bootstrap.setSeeds(std::move(seeds));
   }
--- a/libraries/core/include/switchsaddle/core/quota_pacer.h
+++ b/libraries/core/include/switchsaddle/core/quota_pacer.h
@@ -16,7 +16,7 @@
  */
 class QuotaPacer {
  public:
-  /** Urgencies that are told apart; 0 is the most urgent. */
+  /** Number of distinct urgencies; 0 is the most urgent. */
   static constexpr std::size_t Urgencies = 10;
 
   /** Advances the averages and the bucket to `now`. */
--- a/libraries/core/source/control_requests.h
+++ b/libraries/core/source/control_requests.h
@@ -33,7 +33,8 @@
 
 /**
  * @param faults not empty.
- * @return MalformedJson or ConfigurationInvalid, the code to reject a body with these faults by.
+ * @return MalformedJson or ConfigurationInvalid, the code by which a body with these faults is
+ * rejected.
  */
 base::ResultCode codeOf(const std::vector<configuration::Fault>& faults);
 
--- a/libraries/core/test/in_force_tracker_test.cc
+++ b/libraries/core/test/in_force_tracker_test.cc
@@ -12,7 +12,7 @@
  protected:
   InForceTrackerTest() : ChangeFixture(1) {}
 
-  /** Counts the readings in two seconds for a version that never is in force, each this long. */
+  /** @return the readings in two seconds for a version that is never in force. */
   int readings(base::Duration each) {
     directory_.setSession({"127.0.0.2", 7000}, 0);
     directory_.local_table_empty = true;
--- a/libraries/core/test/load_ledger_test.cc
+++ b/libraries/core/test/load_ledger_test.cc
@@ -107,7 +107,7 @@
   second.load.kinds = {{7, 5, 500, 100}, {9, 1, 20, 20}};
   ledger.update(first);
   ledger.update(second);
-  // They are summed five times a second.
+  // The sums are refreshed five times a second.
   world.runFor(milliseconds(200));
   const std::vector<wire::WorkKindCounts> kinds = ledger.loadFor(first).kinds;
   ASSERT_EQ(kinds.size(), 2U);
--- a/libraries/core/test/member_spread_test.cc
+++ b/libraries/core/test/member_spread_test.cc
@@ -59,7 +59,7 @@
   return zones;
 }
 
-/** The most members that the loss of so many zones can take. */
+/** The most members that the loss of `zones` zones can affect. */
 std::size_t worstZoneLoss(const std::vector<PlacedCore>& members, std::size_t zones) {
   std::vector<std::size_t> sizes;
   for (const auto& [zone, count] : zonesOf(members)) {
@@ -86,7 +86,7 @@
   if (tolerated.zones == 0) {
     return true;
   }
-  // Zones filled evenly, as far as they go: no choice has a smaller largest zone.
+  // Zones filled evenly up to their sizes: no choice has a smaller largest zone.
   Layout chosen(layout.size(), 0);
   for (std::size_t left = required; left > 0; --left) {
     std::size_t best = layout.size();
@@ -139,8 +139,8 @@
   EXPECT_EQ(shortfallOf(three, {0, 0}), SpreadShortfall::None);
 }
 
-/** Every layout of up to four zones with up to three cores each, every tolerance, initial_members
- * drawn: wherever some set tolerates the losses, the set converged to does. */
+/** Every layout of up to four zones with up to three cores each, every tolerance, random initial
+ * members: wherever some set tolerates the losses, the set converged to does. */
 TEST(MemberSpreadTest, ToleratesTheLossesWhereverSomeSetDoes) {
   std::mt19937 random(1);
   std::size_t tolerated_layouts = 0;
