--- a/libraries/node_options/include/switchsaddle/node_options/node_options.h
+++ b/libraries/node_options/include/switchsaddle/node_options/node_options.h
@@ -6,8 +6,8 @@
 
 /**
  * @file
- * Conversion of the settings into options that fronts and cores have in common. All nodes of a fleet
- * must use the same values.
+ * Conversion of the settings into options that fronts and cores have in common. All nodes of a
+ * fleet must use the same values.
  */
 
 namespace switchsaddle::node_options {
