--- a/libraries/base/include/switchsaddle/base/crash_dump.h
+++ b/libraries/base/include/switchsaddle/base/crash_dump.h
@@ -6,14 +6,16 @@
 
 namespace switchsaddle::base {
 
-/** The file in the folder that the last crash is written to. */
+/** Name of the file with the log ring of the last crash. */
 inline constexpr const char* CrashFileName = "ring-crash.log";
 
 /**
- * From now on a fatal signal (SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT) or std::terminate writes
- * the ring to `ring-crash.log` in the folder before the process ends by that signal. The file's
- * path is settled now, and the handler only opens and writes, without allocating memory. The ring
- * outlives the process's work. Without a folder nothing is installed.
+ * Installs handlers that write the ring to CrashFileName in the folder when the process ends by a
+ * fatal signal (SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT) or std::terminate. The process then ends
+ * by that signal. The signal handler is async-signal-safe: the path is composed in advance, and the
+ * handler allocates no memory.
+ * @param ring must live as long as the process.
+ * @param folder created if missing; empty installs nothing.
  */
 void installCrashDump(const LogRing& ring, const std::filesystem::path& folder);
 
--- a/libraries/base/include/switchsaddle/base/dispatcher.h
+++ b/libraries/base/include/switchsaddle/base/dispatcher.h
@@ -8,31 +8,34 @@
 namespace switchsaddle::base {
 
 /**
- * A one-shot timer. The callback runs on the dispatcher's strand. Destroying or disabling the timer
- * guarantees that the callback does not run afterwards.
+ * A one-shot timer. The callback runs on the dispatcher's strand. Invariant: the callback does not
+ * run after the timer has been destroyed or disabled.
  */
 class Timer {
  public:
   virtual ~Timer() = default;
-  /** Arms the timer; an armed timer is moved to the new delay. */
+  /** Arms the timer, or re-arms an armed one with the new delay. */
   virtual void enable(Duration delay) = 0;
   virtual void disable() = 0;
+  /** @return whether the timer is armed. */
   virtual bool enabled() const = 0;
 };
 
 using TimerPtr = std::unique_ptr<Timer>;
 
 /**
- * The strand a state machine runs on, with its clock. Real processes implement it on Boost.Asio,
- * the simulation on its event queue. All methods except post() must be called on the strand itself.
+ * Event loop and clock of a state machine: a strand on which its callbacks run one at a time.
+ * Implemented on Boost.Asio for processes and on an event queue for simulations. All methods but
+ * post() must be called on the strand.
  */
 class Dispatcher {
  public:
   virtual ~Dispatcher() = default;
+  /** @return the time of base::BootClock, or the simulated time. */
   virtual TimePoint now() const = 0;
-  /** Creates a disabled timer. */
+  /** Creates a timer, initially disabled. */
   virtual TimerPtr createTimer(std::function<void()> callback) = 0;
-  /** Runs the callback on the strand after the current one returns. Callable from any thread. */
+  /** Runs the callback on the strand after the current one returns. Thread-safe. */
   virtual void post(std::function<void()> callback) = 0;
 };
 
--- a/libraries/base/include/switchsaddle/base/incident.h
+++ b/libraries/base/include/switchsaddle/base/incident.h
@@ -9,28 +9,29 @@
 
 namespace switchsaddle::base {
 
-/** Something an operator must see; docs/OPERATIONS.md lists the events. */
+/** An event that requires an operator's attention; docs/OPERATIONS.md lists all events. */
 struct Incident {
-  /** The event's name, of a fixed set. */
+  /** Name of the event; a string literal. */
   std::string_view event;
   Severity severity = Severity::Notice;
+  /** Ok if no result code applies. */
   ResultCode code = ResultCode::Ok;
-  /** The request concerned; empty where there is none. */
+  /** Id of the affected request; empty if none. */
   std::string request_id;
-  /** Further values; those left empty are not written. */
+  /** Additional values; empty ones are not logged. */
   std::vector<LogField> fields;
-  /** Whether the log ring is to be written out, so that what led to it can be read. */
+  /** Requests a dump of the log ring, which holds the events that led to the incident. */
   bool dumps_ring = false;
 };
 
-/** Takes what an operator must see. Nodes report to it; tests collect, daemons log. */
+/** Receiver of incidents. Runs on the control strand of the reporting node. */
 class IncidentSink {
  public:
   virtual ~IncidentSink() = default;
   virtual void report(const Incident& incident) = 0;
 };
 
-/** Passes everything over; for nodes that nobody listens to. */
+/** @return a sink that ignores all incidents. */
 IncidentSink& ignoredIncidents();
 
 }  // namespace switchsaddle::base
--- a/libraries/base/include/switchsaddle/base/incident_log.h
+++ b/libraries/base/include/switchsaddle/base/incident_log.h
@@ -11,51 +11,55 @@
 
 namespace switchsaddle::base {
 
-/** Bounds of an IncidentLog. */
+/** Rate limits of an IncidentLog. */
 struct IncidentLogOptions {
-  /** Least time between two dumps for one event. */
-  Duration dump_pause = std::chrono::minutes(1);
-  /** Most lines of one event in one second; the next line after that says how many were left out.
-   */
+  /** Minimum time between two dumps caused by the same event. */
+  Duration dump_interval = std::chrono::minutes(1);
+  /** Maximum lines per second of one event; the next line states how many were suppressed. */
   std::uint64_t lines_per_second = 5;
-  /** Dump files kept; the oldest is replaced. */
+  /** Maximum number of dump files; the oldest is replaced. */
   std::size_t files = LogRing::DefaultFiles;
 };
 
 /**
- * Writes incidents as key=value lines, a bounded number in each second, and, for those that ask for
- * it, the log ring into a folder: at most once in each pause for one event, into a bounded number
- * of files. Without a folder says once that the ring stays in memory. A folder that can't be
- * written is told and never fatal. Runs on the control strand.
+ * Logs incidents as key=value lines and dumps the log ring into a folder for those that request it,
+ * both rate-limited by event. Without a folder it logs once that the ring stays in memory. Failure
+ * to write a dump is logged and never fatal. Runs on the control strand.
  */
 class IncidentLog : public IncidentSink {
  public:
-  /** An empty folder means none. */
+  /**
+   * @param ring must outlive this.
+   * @param folder receives the dumps; empty for none.
+   */
   IncidentLog(Dispatcher& dispatcher, const LogRing& ring, std::filesystem::path folder,
               IncidentLogOptions options = {});
 
   void report(const Incident& incident) override;
+  /** @return the number of dumps written. */
   std::uint64_t dumps() const { return dumps_; }
 
  private:
-  /** What has been written of one event. */
-  struct Written {
-    TimePoint second_began;
-    std::uint64_t lines = 0;
-    std::uint64_t left_out = 0;
+  /** Rate limiter state of one event. */
+  struct EventState {
+    TimePoint window_start;
+    std::uint64_t lines_in_window = 0;
+    /** Lines suppressed since the last one written. */
+    std::uint64_t suppressed_lines = 0;
     std::optional<TimePoint> dumped_at;
   };
 
-  /** Whether one more line may be written now. */
-  bool mayWrite(Written& written);
-  static void writeLine(const Incident& incident, std::uint64_t left_out);
-  void dump(std::string_view event, Written& written);
+  /** Counts a line against the rate limit; @return whether it may be written. */
+  bool admitLine(EventState& state);
+  static void writeLine(const Incident& incident, std::uint64_t suppressed_lines);
+  void dump(std::string_view event, EventState& state);
+  void reportMissingFolder();
 
   Dispatcher& dispatcher_;
   const LogRing& ring_;
   std::filesystem::path folder_;
   IncidentLogOptions options_;
-  std::map<std::string, Written, std::less<>> written_;
+  std::map<std::string, EventState, std::less<>> events_;
   std::uint64_t dumps_ = 0;
   bool reported_missing_folder_ = false;
 };
--- a/libraries/base/include/switchsaddle/base/log.h
+++ b/libraries/base/include/switchsaddle/base/log.h
@@ -14,44 +14,50 @@
 namespace switchsaddle::base {
 
 /**
- * How serious a logged event is. Notices, which an operator must see though nothing is wrong, and
- * what is above them also go to the process's log.
+ * Severity of a logged event. Events from Notice on are also written to the process's log; a notice
+ * informs operators of normal operation.
  */
 enum class Severity : std::uint8_t { Debug, Info, Notice, Warning, Error };
 
-/** One named value of an event. */
+/** A key and value of a logged event. */
 struct LogField {
   std::string_view key;
   std::string value;
 };
 
 /**
- * The last events of a process as key=value lines in memory, oldest first, bounded in lines and in
- * the bytes of each line. Thread-safe.
+ * Ring buffer of the process's most recent log lines. Limited in the number of lines and the length
+ * of each. Thread-safe.
  */
 class LogRing {
  public:
   static constexpr std::size_t DefaultLines = 10'000;
-  static constexpr std::size_t LongestLine = 2048;
+  /** Longer lines are truncated. */
+  static constexpr std::size_t MaximumLineBytes = 2048;
   static constexpr std::size_t DefaultFiles = 8;
 
+  /** @param lines maximum number of lines. */
   explicit LogRing(std::size_t lines = DefaultLines) : capacity_(lines) {}
 
+  /** Appends a line; the oldest is dropped if the ring is full. */
   void append(std::string line);
+  /** @return the lines, oldest first. */
   std::vector<std::string> lines() const;
   /**
-   * Writes the lines to an open file without allocating memory, for a signal's handler. Where
-   * another thread holds the ring, or this one was stopped within it, says so in place of them.
+   * Writes the lines to an open file; async-signal-safe. If the ring is locked, by another thread
+   * or the interrupted one, a message to this effect is written instead.
    */
   void writeFromSignal(int file) const;
-  /** Lines appended since the ring was made, with those that have fallen out. */
+  /** @return the number of lines ever appended, including those dropped. */
   std::uint64_t appended() const;
 
   /**
-   * Writes the ring to `ring-N.log` in the folder, which is made where it is missing, and returns
-   * the file. N goes round from 0 to files - 1, so that the oldest file is replaced; a process that
-   * starts again goes on after the newest. The first line names the reason. Throws Error with
-   * StorageFailed where the file cannot be written.
+   * Writes the ring to `ring-N.log`, with N from 0 to files - 1. Uses a number without a file, else
+   * replaces the file modified longest ago.
+   * @param folder created if missing.
+   * @param reason stated in the first line.
+   * @return the path of the file.
+   * @throws Error with StorageFailed if the file cannot be written.
    */
   std::filesystem::path dumpTo(const std::filesystem::path& folder, std::string_view reason,
                                std::size_t files = DefaultFiles) const;
@@ -63,21 +69,23 @@
   std::uint64_t appended_ = 0;
 };
 
-/** The ring that logEvent() writes to. */
+/** @return the ring that logEvent() writes to. */
 LogRing& processLogRing();
 
 /**
- * One line, `time=… severity=… event=NAME key=value …`, to the process's ring and, for notices and
- * above, to glog. Values with spaces, quotes or control characters are quoted and escaped.
+ * Logs one event as the line `time=… severity=… event=NAME key=value …` to the process's ring and,
+ * from Severity::Notice on, to glog. Values with spaces, quotes or control characters are quoted
+ * and escaped. Thread-safe.
  */
 void logEvent(Severity severity, std::string_view event,
               std::initializer_list<LogField> fields = {});
-/** The same with fields put together at run time; those without a value are left out. */
+/** Overload for fields composed at run time; those with an empty value are omitted. */
 void logEvent(Severity severity, std::string_view event, const std::vector<LogField>& fields);
 
-/** The line without its time, for logEvent() and for tests. */
+/** @return the line of an event without its time. */
 std::string formatEvent(Severity severity, std::string_view event,
                         std::span<const LogField> fields);
+/** @return the line of an event without its time. */
 std::string formatEvent(Severity severity, std::string_view event,
                         std::initializer_list<LogField> fields);
 
--- a/libraries/base/include/switchsaddle/base/node_address.h
+++ b/libraries/base/include/switchsaddle/base/node_address.h
@@ -8,16 +8,20 @@
 
 namespace switchsaddle::base {
 
-/** An IP address in numbers and a port: where a process listens. */
+/** Numeric IP address and port on which a process listens. */
 struct NodeAddress {
+  /** IPv4 or IPv6 address; empty if unset. */
   std::string ip;
   std::uint16_t port = 0;
 
   auto operator<=>(const NodeAddress&) const = default;
   bool empty() const { return ip.empty(); }
-  /** "IP:PORT". */
+  /** @return "IP:PORT". */
   std::string toString() const;
-  /** Parses "IP:PORT". Throws Error with InvalidAddress. */
+  /**
+   * Parses "IP:PORT".
+   * @throws Error with InvalidAddress.
+   */
   static NodeAddress parse(std::string_view text);
 
   template <class Archive>
--- a/libraries/base/include/switchsaddle/base/result_code.h
+++ b/libraries/base/include/switchsaddle/base/result_code.h
@@ -7,12 +7,13 @@
 namespace switchsaddle::base {
 
 /**
- * Every result a caller, operator or peer can be told. The numbers are part of the public interface
- * and never change meaning; docs/RESULT_CODES.md holds the same table and a test compares both.
+ * Results reported to callers, operators and peers. The numbers are part of the public interface
+ * and never change their meaning. docs/RESULT_CODES.md contains the same table; a test compares
+ * them.
  */
 enum class ResultCode : std::uint16_t {
   Ok = 0,
-  // 1000: requests that cannot be understood.
+  // 1000: malformed requests.
   MalformedJson = 1001,
   UnknownField = 1002,
   MissingField = 1003,
@@ -22,11 +23,11 @@
   MethodNotAllowed = 1007,
   InvalidAddress = 1008,
   MalformedHttp = 1009,
-  // 2000: identity.
+  // 2000: authentication and authorization.
   MissingKey = 2001,
   UnknownKey = 2002,
   NotAnOperator = 2003,
-  // 3000: refusals of admission; the request has not run.
+  // 3000: rejected at admission; the request has not run.
   OverBranchLimit = 3001,
   FirstTokenTooLate = 3002,
   QueueFull = 3003,
@@ -39,7 +40,7 @@
   RetryBudgetSpent = 3010,
   UnknownRoute = 3011,
   QuotaSpent = 3012,
-  // 4000: one-shots.
+  // 4000: one-shot requests.
   OutcomeUnknown = 4001,
   KeyReusedForOtherRequest = 4002,
   ClaimsUnavailable = 4003,
@@ -81,24 +82,29 @@
   StorageFull = 8002,
   StorageSlow = 8003,
   RecordCorrupt = 8004,
-  // 9000: faults of this program.
+  // 9000: defects of this program.
   InternalError = 9001,
 };
 
-/** What is fixed about one result code. */
+/** Fixed properties of a result code. */
 struct ResultCodeInfo {
   ResultCode code;
   std::string_view name;
+  /** HTTP status of a response with this code. */
   std::uint16_t http_status;
-  /** Whether sending the very same request again is safe and may succeed. */
+  /** Retrying the identical request is safe and may succeed. */
   bool retry_is_safe;
+  /** Description for people; the default message of an error response. */
   std::string_view meaning;
 };
 
-/** All codes in numeric order. */
+/** @return all codes in numeric order. */
 std::span<const ResultCodeInfo> resultCodeTable();
 
-/** The row of a code; throws std::out_of_range for a number which is not in the table. */
+/**
+ * @return the properties of a code.
+ * @throws std::out_of_range if the number is not in the table.
+ */
 const ResultCodeInfo& describe(ResultCode code);
 
 }  // namespace switchsaddle::base
--- a/libraries/base/include/switchsaddle/base/time.h
+++ b/libraries/base/include/switchsaddle/base/time.h
@@ -5,9 +5,8 @@
 namespace switchsaddle::base {
 
 /**
- * The machine's boot clock (CLOCK_BOOTTIME): monotonic, and it goes on while the machine is
- * suspended. Its time points are never sent to or compared with those of another machine; only
- * durations are.
+ * The machine's boot clock (CLOCK_BOOTTIME): monotonic, and advancing while the machine is
+ * suspended. Time points of different machines are not comparable; messages contain durations only.
  */
 struct BootClock {
   using duration = std::chrono::nanoseconds;
@@ -20,7 +19,7 @@
 using Duration = BootClock::duration;
 using TimePoint = BootClock::time_point;
 
-/** Whole milliseconds in a duration, rounded towards zero. */
+/** @return the duration in milliseconds, rounded towards zero. */
 constexpr std::int64_t toMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
--- a/libraries/base/source/crash_dump.cc
+++ b/libraries/base/source/crash_dump.cc
@@ -16,7 +16,7 @@
 constexpr std::array FatalSignals{SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT};
 constexpr mode_t FileMode = 0640;
 
-/** What the handler reads; set once, before the handlers are installed. */
+/** State of the signal handler; set once, before the handlers are installed. */
 const LogRing* crash_ring = nullptr;
 std::string* crash_path = nullptr;
 std::atomic<bool> crash_written{false};
@@ -37,11 +37,11 @@
 }
 
 void writeText(int file, std::string_view text) {
-  // Nothing can be done about a failure here.
+  // A signal handler cannot report a failure.
   [[maybe_unused]] const ssize_t written = ::write(file, text.data(), text.size());
 }
 
-/** The default action of the signal follows, since the handler is reset on entry. */
+/** Writes the ring and raises the signal again; SA_RESETHAND has restored its default action. */
 void onFatalSignal(int signal) {
   if (!crash_written.exchange(true)) {
     const int file =
@@ -57,18 +57,23 @@
   ::raise(signal);
 }
 
-[[noreturn]] void onTerminate() {
-  std::string reason = "terminate was called without an exception";
-  if (const std::exception_ptr present = std::current_exception()) {
-    try {
-      std::rethrow_exception(present);
-    } catch (const std::exception& exception) {
-      reason = exception.what();
-    } catch (...) {
-      reason = "an exception of an unknown type";
-    }
+std::string terminationReason() {
+  const std::exception_ptr current = std::current_exception();
+  if (!current) {
+    return "terminate was called without an exception";
+  }
+  try {
+    std::rethrow_exception(current);
+  } catch (const std::exception& exception) {
+    return exception.what();
+  } catch (...) {
+    return "an exception of an unknown type";
   }
-  logEvent(Severity::Error, "terminating", {{"reason", reason}});
+}
+
+/** Logs the reason, so that the dump written on SIGABRT contains it. */
+[[noreturn]] void onTerminate() {
+  logEvent(Severity::Error, "terminating", {{"reason", terminationReason()}});
   std::abort();
 }
 
@@ -81,7 +86,7 @@
   std::error_code ignored;
   std::filesystem::create_directories(folder, ignored);
   crash_ring = &ring;
-  // Never freed: the handler may run while the process's statics are being destroyed.
+  // Never freed: the handler may run while static objects are destroyed.
   crash_path = new std::string((folder / CrashFileName).string());
   struct sigaction action {};
   action.sa_handler = onFatalSignal;
--- a/libraries/base/source/incident_log.cc
+++ b/libraries/base/source/incident_log.cc
@@ -8,7 +8,9 @@
 
 namespace {
 
-/** Takes reports and does nothing. */
+/** Window of IncidentLogOptions::lines_per_second. */
+constexpr Duration RateWindow = std::chrono::seconds(1);
+
 class IgnoringSink : public IncidentSink {
  public:
   void report(const Incident& /*incident*/) override {}
@@ -26,18 +28,18 @@
     : dispatcher_(dispatcher), ring_(ring), folder_(std::move(folder)), options_(options) {}
 
 void IncidentLog::report(const Incident& incident) {
-  Written& written = written_[std::string(incident.event)];
-  if (mayWrite(written)) {
-    writeLine(incident, std::exchange(written.left_out, 0));
+  EventState& state = events_[std::string(incident.event)];
+  if (admitLine(state)) {
+    writeLine(incident, std::exchange(state.suppressed_lines, 0));
   } else {
-    ++written.left_out;
+    ++state.suppressed_lines;
   }
   if (incident.dumps_ring) {
-    dump(incident.event, written);
+    dump(incident.event, state);
   }
 }
 
-void IncidentLog::writeLine(const Incident& incident, std::uint64_t left_out) {
+void IncidentLog::writeLine(const Incident& incident, std::uint64_t suppressed_lines) {
   std::vector<LogField> fields;
   if (incident.code != ResultCode::Ok) {
     fields.push_back({"code", std::to_string(static_cast<int>(incident.code))});
@@ -45,36 +47,42 @@
   }
   fields.push_back({"request_id", incident.request_id});
   fields.insert(fields.end(), incident.fields.begin(), incident.fields.end());
-  fields.push_back({"left_out", left_out == 0 ? "" : std::to_string(left_out)});
+  if (suppressed_lines > 0) {
+    fields.push_back({"left_out", std::to_string(suppressed_lines)});
+  }
   logEvent(incident.severity, incident.event, fields);
 }
 
-bool IncidentLog::mayWrite(Written& written) {
+bool IncidentLog::admitLine(EventState& state) {
   const TimePoint now = dispatcher_.now();
-  if (written.lines == 0 || now - written.second_began >= std::chrono::seconds(1)) {
-    written.second_began = now;
-    written.lines = 0;
+  if (state.lines_in_window == 0 || now - state.window_start >= RateWindow) {
+    state.window_start = now;
+    state.lines_in_window = 0;
   }
-  if (written.lines >= options_.lines_per_second) {
+  if (state.lines_in_window >= options_.lines_per_second) {
     return false;
   }
-  ++written.lines;
+  ++state.lines_in_window;
   return true;
 }
 
-void IncidentLog::dump(std::string_view event, Written& written) {
+void IncidentLog::reportMissingFolder() {
+  if (!reported_missing_folder_) {
+    logEvent(Severity::Warning, "log-ring-kept-in-memory", {{"reason", "no data folder is set"}});
+  }
+  reported_missing_folder_ = true;
+}
+
+void IncidentLog::dump(std::string_view event, EventState& state) {
   if (folder_.empty()) {
-    if (!reported_missing_folder_) {
-      logEvent(Severity::Warning, "log-ring-kept-in-memory", {{"reason", "no data folder is set"}});
-    }
-    reported_missing_folder_ = true;
+    reportMissingFolder();
     return;
   }
   const TimePoint now = dispatcher_.now();
-  if (written.dumped_at && now - *written.dumped_at < options_.dump_pause) {
+  if (state.dumped_at && now - *state.dumped_at < options_.dump_interval) {
     return;
   }
-  written.dumped_at = now;
+  state.dumped_at = now;
   try {
     const std::filesystem::path file = ring_.dumpTo(folder_, event, options_.files);
     ++dumps_;
--- a/libraries/base/source/log.cc
+++ b/libraries/base/source/log.cc
@@ -69,7 +69,7 @@
   return folder / ("ring-" + std::to_string(number) + ".log");
 }
 
-/** The first number without a file, or else that of the file written longest ago. */
+/** @return the first number without a file, else that of the file modified longest ago. */
 std::size_t nextNumber(const std::filesystem::path& folder, std::size_t files) {
   std::size_t oldest = 0;
   std::optional<std::filesystem::file_time_type> oldest_time;
@@ -87,7 +87,7 @@
   return oldest;
 }
 
-/** Gives up at the first failure; nothing else can be done within a signal's handler. */
+/** Async-signal-safe. Stops at the first error, which a signal handler cannot report. */
 void writeAll(int file, std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t written = ::write(file, bytes.data(), bytes.size());
@@ -101,8 +101,8 @@
 }  // namespace
 
 void LogRing::append(std::string line) {
-  if (line.size() > LongestLine) {
-    line.resize(LongestLine);
+  if (line.size() > MaximumLineBytes) {
+    line.resize(MaximumLineBytes);
   }
   const std::scoped_lock lock(mutex_);
   ++appended_;
--- a/libraries/base/test/callback_scope_test.cc
+++ b/libraries/base/test/callback_scope_test.cc
@@ -8,7 +8,7 @@
 namespace switchsaddle::base {
 namespace {
 
-TEST(CallbackScopeTest, CallsWithTheArgumentsWhileTheScopeExists) {
+TEST(CallbackScopeTest, ForwardsCallsWhileTheScopeExists) {
   const CallbackScope scope;
   int sum = 0;
   const std::function<void(int, const int&)> guarded =
@@ -18,7 +18,7 @@
   EXPECT_EQ(sum, 10);
 }
 
-TEST(CallbackScopeTest, DoesNothingOnceTheScopeHasEnded) {
+TEST(CallbackScopeTest, DoesNothingAfterTheScopeHasEnded) {
   std::optional<CallbackScope> scope(std::in_place);
   int calls = 0;
   const std::function<void()> guarded = scope->guard([&calls] { ++calls; });
@@ -28,7 +28,7 @@
   EXPECT_EQ(calls, 1);
 }
 
-TEST(CallbackScopeTest, ACallbackMayEndItsOwnScope) {
+TEST(CallbackScopeTest, ACallbackMayDestroyItsOwnScope) {
   std::optional<CallbackScope> scope(std::in_place);
   int calls = 0;
   const std::function<void()> guarded = scope->guard([&] {
@@ -40,7 +40,7 @@
   EXPECT_EQ(calls, 1);
 }
 
-TEST(CallbackScopeTest, MovesArgumentsThrough) {
+TEST(CallbackScopeTest, MovesArguments) {
   const CallbackScope scope;
   std::string received;
   const std::function<void(std::string)> guarded =
--- a/libraries/base/test/incident_log_test.cc
+++ b/libraries/base/test/incident_log_test.cc
@@ -15,7 +15,7 @@
 namespace switchsaddle::base {
 namespace {
 
-/** A folder of its own, removed at the end, and a clock that only the test moves. */
+/** Provides a temporary folder and a simulated clock. */
 class IncidentLogTest : public testing::Test {
  protected:
   IncidentLogTest() {
@@ -47,7 +47,7 @@
   std::filesystem::path folder_;
 };
 
-TEST_F(IncidentLogTest, WritesCodeNameAndRequestAndLeavesOutWhatIsEmpty) {
+TEST_F(IncidentLogTest, WritesCodeNameAndRequestAndOmitsEmptyFields) {
   IncidentLog log(process_, ring_, {});
   log.report({"stream-broken",
               Severity::Error,
@@ -62,7 +62,7 @@
   EXPECT_EQ(line.find("tenant"), std::string::npos);
 }
 
-TEST_F(IncidentLogTest, DumpsOnceInEachPauseForOneEvent) {
+TEST_F(IncidentLogTest, DumpsOncePerIntervalAndEvent) {
   IncidentLog log(process_, ring_, folder_);
   log.report(incident("session-lapsed"));
   world_.runFor(std::chrono::seconds(59));
@@ -73,7 +73,7 @@
   EXPECT_EQ(log.dumps(), 2U);
 }
 
-TEST_F(IncidentLogTest, EventsDoNotHoldEachOtherBack) {
+TEST_F(IncidentLogTest, DumpsOfEventsAreLimitedIndependently) {
   IncidentLog log(process_, ring_, folder_);
   log.report(incident("session-lapsed"));
   log.report(incident("stream-broken"));
@@ -83,7 +83,7 @@
             std::string::npos);
 }
 
-TEST_F(IncidentLogTest, TheDumpHoldsTheLineThatCausedIt) {
+TEST_F(IncidentLogTest, TheDumpContainsTheLineThatCausedIt) {
   IncidentLog log(process_, processLogRing(), folder_);
   Incident lapsed = incident("session-lapsed");
   lapsed.request_id = "the-cause";
@@ -91,7 +91,7 @@
   EXPECT_NE(readFile(folder_ / "ring-0.log").find("request_id=the-cause"), std::string::npos);
 }
 
-TEST_F(IncidentLogTest, KeepsABoundedNumberOfFiles) {
+TEST_F(IncidentLogTest, WritesABoundedNumberOfFiles) {
   IncidentLog log(process_, ring_, folder_, {std::chrono::seconds(1), 20, 3});
   for (int round = 0; round < 10; ++round) {
     log.report(incident("no-quorum"));
@@ -101,7 +101,7 @@
   EXPECT_EQ(fileCount(), 3U);
 }
 
-TEST_F(IncidentLogTest, WritesABoundedNumberOfLinesAndSaysHowManyItLeftOut) {
+TEST_F(IncidentLogTest, LimitsLinesPerSecondAndStatesHowManyWereSuppressed) {
   IncidentLog log(process_, ring_, {}, {std::chrono::minutes(1), 5, 1});
   const Incident flood{"no-quorum", Severity::Warning, ResultCode::NoQuorum, {}, {}, false};
   const std::uint64_t before = processLogRing().appended();
@@ -116,22 +116,22 @@
   EXPECT_EQ(processLogRing().lines().back().find("left_out"), std::string::npos);
 }
 
-TEST_F(IncidentLogTest, WithoutAFolderSaysSoOnce) {
+TEST_F(IncidentLogTest, LogsAMissingFolderOnce) {
   IncidentLog log(process_, ring_, {});
-  const auto told = [] {
+  const auto warnings = [] {
     const std::vector<std::string> lines = processLogRing().lines();
     return std::count_if(lines.begin(), lines.end(), [](const std::string& line) {
       return line.find("event=log-ring-kept-in-memory") != std::string::npos;
     });
   };
-  const auto before = told();
+  const auto before = warnings();
   log.report(incident("no-quorum"));
   log.report(incident("session-lapsed"));
   EXPECT_EQ(log.dumps(), 0U);
-  EXPECT_EQ(told() - before, 1);
+  EXPECT_EQ(warnings() - before, 1);
 }
 
-TEST_F(IncidentLogTest, AFolderThatCannotBeWrittenIsNotFatal) {
+TEST_F(IncidentLogTest, AnUnwritableFolderIsNotFatal) {
   std::ofstream(folder_ / "file") << "not a folder";
   IncidentLog log(process_, ring_, folder_ / "file");
   EXPECT_NO_THROW(log.report(incident("no-quorum")));
@@ -140,7 +140,7 @@
 
 using CrashDumpDeathTest = IncidentLogTest;
 
-TEST_F(CrashDumpDeathTest, AFatalSignalWritesTheRingAndStillEndsTheProcess) {
+TEST_F(CrashDumpDeathTest, AFatalSignalWritesTheRingAndEndsTheProcess) {
   EXPECT_EXIT(
       {
         installCrashDump(ring_, folder_);
--- a/libraries/base/test/log_test.cc
+++ b/libraries/base/test/log_test.cc
@@ -33,7 +33,7 @@
   std::filesystem::path folder;
 };
 
-/** Collects what reaches glog. */
+/** Collects the messages sent to glog. */
 class CollectingSink : public google::LogSink {
  public:
   CollectingSink() { google::AddLogSink(this); }
@@ -54,11 +54,11 @@
   }
   EXPECT_EQ(ring.lines(), (std::vector<std::string>{"2", "3", "4"}));
   EXPECT_EQ(ring.appended(), 5U);
-  ring.append(std::string(LogRing::LongestLine + 1, 'x'));
-  EXPECT_EQ(ring.lines().back().size(), LogRing::LongestLine);
+  ring.append(std::string(LogRing::MaximumLineBytes + 1, 'x'));
+  EXPECT_EQ(ring.lines().back().size(), LogRing::MaximumLineBytes);
 }
 
-TEST_F(LogTest, QuotesWhatWouldBreakALine) {
+TEST_F(LogTest, QuotesAndEscapesValues) {
   EXPECT_EQ(formatEvent(Severity::Info, "started", {{"port", "80"}, {"zone", ""}}),
             "severity=info event=started port=80 zone=\"\"");
   EXPECT_EQ(formatEvent(Severity::Error, "failed", {{"reason", "a \"b\"\n\\c=d"}}),
@@ -99,7 +99,7 @@
   for (int number = 0; number < 3; ++number) {
     const auto path = ring.dumpTo(folder, "reason", 3);
     paths.insert(path);
-    // Times set apart by hand, since the file system's clock may be coarse.
+    // Explicit times, since the file system's clock may be coarse.
     const auto now = std::filesystem::file_time_type::clock::now();
     std::filesystem::last_write_time(path, now - std::chrono::hours(10 - number));
   }
@@ -110,7 +110,7 @@
   EXPECT_EQ(std::distance(begin, std::filesystem::directory_iterator()), 3);
 }
 
-TEST_F(LogTest, TellsAFolderItCannotWrite) {
+TEST_F(LogTest, DumpToAnUnwritableFolderThrowsStorageFailed) {
   std::ofstream(folder / "file") << "not a folder";
   try {
     LogRing().dumpTo(folder / "file", "reason");
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_F(LogTest, TakesLinesFromManyThreads) {
+TEST_F(LogTest, AppendIsThreadSafe) {
   constexpr int Threads = 8;
   constexpr int Lines = 2000;
   LogRing ring(100);
--- a/libraries/base/test/result_code_test.cc
+++ b/libraries/base/test/result_code_test.cc
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(ResultCodeTest, ThePageHoldsTheSameTable) {
+TEST(ResultCodeTest, TheDocumentationContainsTheSameTable) {
   std::ifstream page(std::string(SWITCHSADDLE_SOURCE_DIR) + "/docs/RESULT_CODES.md");
   ASSERT_TRUE(page.is_open());
   std::set<std::string> rows;
--- a/libraries/metrics/include/switchsaddle/metrics/histogram.h
+++ b/libraries/metrics/include/switchsaddle/metrics/histogram.h
@@ -7,17 +7,18 @@
 
 namespace switchsaddle::metrics {
 
-/** Counts durations by upper bounds in seconds. Lives on one strand. */
+/** Histogram of durations. Used on one strand. */
 class Histogram {
  public:
-  /** The bounds, in seconds, ascending; one more bucket takes what is above them all. */
+  /** @param bounds upper bounds of the buckets in seconds, ascending; a last bucket is unbounded.
+   */
   explicit Histogram(std::vector<double> bounds);
 
   void observe(base::Duration duration);
   const std::vector<double>& bounds() const { return bounds_; }
-  /** Observations of each bucket, not added up; one more than there are bounds. */
+  /** @return the observations in each bucket, not cumulated; one more element than bounds(). */
   const std::vector<std::uint64_t>& counts() const { return counts_; }
-  /** Of all observations, in seconds. */
+  /** @return the sum of all observations in seconds. */
   double sum() const { return sum_; }
 
  private:
@@ -26,9 +27,9 @@
   double sum_ = 0;
 };
 
-/** Bounds for waits of callers, from 5 ms to 30 s. */
+/** @return bounds for the latency of requests, from 5 ms to 30 s. */
 std::vector<double> callerWaitBounds();
-/** Bounds for rounds between machines, from 1 ms to 5 s. */
+/** @return bounds for round trips between nodes, from 1 ms to 5 s. */
 std::vector<double> roundTripBounds();
 
 }  // namespace switchsaddle::metrics
--- a/libraries/metrics/include/switchsaddle/metrics/page.h
+++ b/libraries/metrics/include/switchsaddle/metrics/page.h
@@ -8,7 +8,7 @@
 
 namespace switchsaddle::metrics {
 
-/** One dimension of a metric. */
+/** Name and value of one dimension of a metric. */
 struct Label {
   std::string name;
   std::string value;
@@ -17,9 +17,9 @@
 using Labels = std::vector<Label>;
 
 /**
- * One reading of a process's metrics, put together when it is asked for and written in Prometheus'
- * text form by its client library. Names get the prefix "switchsaddle_". Metrics of one name with
- * different labels belong to one family, whose help is that of the first.
+ * One scrape of a process's metrics in the Prometheus text format. Names get the prefix
+ * "switchsaddle_". Metrics with the same name and different labels form one family, whose help text
+ * is that of the first. Not thread-safe.
  */
 class Page {
  public:
@@ -34,8 +34,9 @@
              const Labels& labels = {});
   void histogram(const std::string& name, const std::string& help, const Histogram& histogram,
                  const Labels& labels = {});
-  /** Processor time and resident memory of this process. */
+  /** Adds processor time and resident memory of this process. */
   void process();
+  /** @return the page in the Prometheus text format. */
   std::string text() const;
 
  private:
@@ -43,7 +44,7 @@
   std::unique_ptr<Families> families_;
 };
 
-/** The Content-Type of the text form. */
+/** Content-Type of Page::text(). */
 inline constexpr const char* ContentType = "text/plain; version=0.0.4; charset=utf-8";
 
 }  // namespace switchsaddle::metrics
--- a/libraries/metrics/include/switchsaddle/metrics/strand_watch.h
+++ b/libraries/metrics/include/switchsaddle/metrics/strand_watch.h
@@ -7,21 +7,23 @@
 namespace switchsaddle::metrics {
 
 /**
- * Measures how late the control strand runs its timers: work that waits for the strand waits as
- * long. Each delay above LateStrand is reported as the event `strand-late`. Runs on that strand.
+ * Measures the scheduling delay of the control strand: how late its timers fire. Reports each delay
+ * from LateStrand on as the incident `strand-late`. Runs on that strand.
  */
 class StrandWatch {
  public:
-  /** Delay from which renewals and rounds between nodes may miss their time-outs. */
+  /** Delay from which session renewals and calls between nodes may miss their time-outs. */
   static constexpr base::Duration LateStrand = std::chrono::milliseconds(150);
 
   StrandWatch(base::Dispatcher& dispatcher, base::IncidentSink& incidents);
 
   void start();
+  /** @return the delays of all polls. */
   const Histogram& lateness() const { return lateness_; }
 
  private:
   void poll();
+  void reportDelay(base::Duration delay);
 
   base::Dispatcher& dispatcher_;
   base::IncidentSink& incidents_;
--- a/libraries/metrics/source/page.cc
+++ b/libraries/metrics/source/page.cc
@@ -20,12 +20,12 @@
 constexpr const char* Prefix = "switchsaddle_";
 constexpr double MicrosecondsPerSecond = 1e6;
 
-double seconds(const timeval& time) {
+double toSeconds(const timeval& time) {
   return static_cast<double>(time.tv_sec) +
          static_cast<double>(time.tv_usec) / MicrosecondsPerSecond;
 }
 
-/** Zero where the system does not tell. */
+/** @return the resident memory of this process; zero if the system does not report it. */
 double residentBytes() {
   std::ifstream file("/proc/self/statm");
   double total_pages = 0;
@@ -34,7 +34,8 @@
   return resident_pages * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-ClientMetric::Histogram convert(const Histogram& histogram) {
+/** Converts to the client library's type, whose buckets are cumulative. */
+ClientMetric::Histogram toClientHistogram(const Histogram& histogram) {
   ClientMetric::Histogram converted;
   converted.sample_sum = histogram.sum();
   for (std::size_t index = 0; index < histogram.bounds().size(); ++index) {
@@ -47,6 +48,7 @@
 
 }  // namespace
 
+/** Metric families of a page in order of their first metric. */
 struct Page::Families {
   ClientMetric& add(const std::string& name, const std::string& help, MetricType type,
                     const Labels& labels) {
@@ -83,14 +85,15 @@
 
 void Page::histogram(const std::string& name, const std::string& help, const Histogram& histogram,
                      const Labels& labels) {
-  families_->add(name, help, MetricType::Histogram, labels).histogram = convert(histogram);
+  families_->add(name, help, MetricType::Histogram, labels).histogram =
+      toClientHistogram(histogram);
 }
 
 void Page::process() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   counter("process_cpu_seconds_total", "Processor time used, in seconds.",
-          seconds(usage.ru_utime) + seconds(usage.ru_stime));
+          toSeconds(usage.ru_utime) + toSeconds(usage.ru_stime));
   gauge("process_resident_memory_bytes", "Resident memory, in bytes.", residentBytes());
 }
 
--- a/libraries/metrics/source/strand_watch.cc
+++ b/libraries/metrics/source/strand_watch.cc
@@ -24,16 +24,20 @@
 
 void StrandWatch::poll() {
   const base::TimePoint now = dispatcher_.now();
-  const base::Duration late = std::max(base::Duration::zero(), now - due_);
-  lateness_.observe(late);
-  if (late >= LateStrand) {
-    base::Incident incident;
-    incident.event = "strand-late";
-    incident.severity = base::Severity::Warning;
-    incident.fields = {{"late_ms", std::to_string(base::toMilliseconds(late))}};
-    incidents_.report(incident);
+  const base::Duration delay = std::max(base::Duration::zero(), now - due_);
+  lateness_.observe(delay);
+  if (delay >= LateStrand) {
+    reportDelay(delay);
   }
   start();
 }
 
+void StrandWatch::reportDelay(base::Duration delay) {
+  base::Incident incident;
+  incident.event = "strand-late";
+  incident.severity = base::Severity::Warning;
+  incident.fields = {{"late_ms", std::to_string(base::toMilliseconds(delay))}};
+  incidents_.report(incident);
+}
+
 }  // namespace switchsaddle::metrics
--- a/libraries/metrics/test/page_test.cc
+++ b/libraries/metrics/test/page_test.cc
@@ -20,7 +20,7 @@
             "switchsaddle_open_streams 2\n");
 }
 
-TEST(PageTest, AddsUpTheBucketsOfAHistogram) {
+TEST(PageTest, WritesCumulativeHistogramBuckets) {
   Histogram histogram({0.1, 1});
   histogram.observe(std::chrono::milliseconds(100));
   histogram.observe(std::chrono::milliseconds(500));
@@ -37,7 +37,7 @@
             "switchsaddle_wait_seconds_bucket{le=\"+Inf\"} 3\n");
 }
 
-TEST(PageTest, TellsOfTheProcess) {
+TEST(PageTest, ReportsProcessorTimeAndMemoryOfTheProcess) {
   Page page;
   page.process();
   EXPECT_NE(page.text().find("switchsaddle_process_cpu_seconds_total "), std::string::npos);
--- a/libraries/metrics/test/strand_watch_test.cc
+++ b/libraries/metrics/test/strand_watch_test.cc
@@ -23,14 +23,14 @@
   StrandWatch watch_{process_, incidents_};
 };
 
-TEST_F(StrandWatchTest, SaysNothingWhileTimersAreInTime) {
+TEST_F(StrandWatchTest, ReportsNothingWhileTimersFireOnTime) {
   world_.runFor(seconds(10));
   EXPECT_TRUE(incidents_.all.empty());
   const auto& counts = watch_.lateness().counts();
   EXPECT_EQ(std::accumulate(counts.begin(), counts.end(), std::uint64_t{0}), 40U);
 }
 
-TEST_F(StrandWatchTest, TellsHowLateTheStrandWas) {
+TEST_F(StrandWatchTest, ReportsTheDelayOfTheStrand) {
   process_.freeze();
   world_.runFor(seconds(1));
   process_.wake();
