--- a/libraries/transport/include/switchsaddle/transport/asio_dispatcher.h
+++ b/libraries/transport/include/switchsaddle/transport/asio_dispatcher.h
@@ -8,9 +8,9 @@
 namespace switchsaddle::transport {
 
 /**
- * The dispatcher of a real process: a strand of an io_context, with CLOCK_BOOTTIME. It must outlive
- * its timers. Timers that came due while the process was stopped or the machine suspended fire once
- * it runs again.
+ * Dispatcher of a process: a strand of an io_context, with CLOCK_BOOTTIME as its clock. Must
+ * outlive its timers. A timer that expires while the process is stopped or the machine suspended
+ * fires when it resumes.
  */
 class AsioDispatcher : public base::Dispatcher {
  public:
--- a/libraries/transport/include/switchsaddle/transport/system_boot_clock.h
+++ b/libraries/transport/include/switchsaddle/transport/system_boot_clock.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::transport {
 
-/** base::BootClock read from the operating system, in the form Asio's timers ask for. */
+/** The operating system's boot clock with the interface that Asio's timers require. */
 struct SystemBootClock {
   using duration = base::Duration;
   using rep = duration::rep;
@@ -18,15 +18,14 @@
 };
 
 /**
- * How long Asio may sleep before it looks at the clock again. Its own sleep stands still while the
- * machine is suspended, so it is bounded: a timer that came due meanwhile fires this much after the
- * machine wakes, at the latest.
+ * Wait traits of Asio's timers. Asio waits on a clock that stops while the machine is suspended, so
+ * each wait is limited: a timer that expires during suspension fires at most MaximumWait after it.
  */
 struct BootWaitTraits {
-  static constexpr base::Duration LongestSleep = std::chrono::milliseconds(200);
+  static constexpr base::Duration MaximumWait = std::chrono::milliseconds(200);
 
   static base::Duration to_wait_duration(const base::Duration& duration) {
-    return duration < LongestSleep ? duration : LongestSleep;
+    return duration < MaximumWait ? duration : MaximumWait;
   }
   static base::Duration to_wait_duration(const base::TimePoint& time) {
     return to_wait_duration(time - SystemBootClock::now());
--- a/libraries/transport/include/switchsaddle/transport/tcp_transport.h
+++ b/libraries/transport/include/switchsaddle/transport/tcp_transport.h
@@ -16,53 +16,62 @@
 
 class AsioDispatcher;
 
-/** Bounds of a TcpTransport. */
+/** Limits and time-outs of a TcpTransport. */
 struct TcpTransportOptions {
-  /** Largest frame sent or taken, in bytes. */
+  /** Maximum size of a frame's body, sent or received. */
   std::size_t frame_bytes = 64U << 20U;
-  /** Bytes queued for one destination, beyond which the oldest frames are dropped. */
+  /** Maximum size of the queue of one destination; beyond it the oldest frames are dropped. */
   std::size_t queue_bytes = 64U << 20U;
-  /** Incoming connections open at one time. */
+  /** Maximum number of incoming connections; further ones are closed. */
   std::size_t incoming_connections = 8192;
   base::Duration connect_timeout = std::chrono::seconds(1);
-  /** How long sent bytes may stay unacknowledged before the connection counts as dead. */
+  /** TCP_USER_TIMEOUT: time for which sent bytes may stay unacknowledged. */
   base::Duration user_timeout = std::chrono::milliseconds(1500);
-  /** An outgoing connection on which nothing was sent for this long is closed; the next frame makes
-   * a new one. Gossip meets every peer in time, and each connection costs both ends memory. */
+  /**
+   * An outgoing connection is closed after this time without a frame. Gossip eventually contacts
+   * every peer, and each open connection costs memory at both ends.
+   */
   base::Duration idle_timeout = std::chrono::seconds(10);
 };
 
-/** What a TcpTransport has seen since it was made. */
+/** Counters of a TcpTransport since its creation. */
 struct TcpTransportCounters {
   std::uint64_t frames_sent = 0;
   std::uint64_t frames_received = 0;
-  /** Bytes of those frames, lengths included. */
+  /** Bytes of the frames sent, length fields included. */
   std::uint64_t bytes_sent = 0;
+  /** Bytes of the frames received, length fields included. */
   std::uint64_t bytes_received = 0;
+  /** Frames dropped from a full queue or for want of a connection, or too large to send. */
   std::uint64_t frames_dropped = 0;
   std::uint64_t malformed_frames = 0;
-  /** Envelopes whose receiver threw. */
+  /** Envelopes whose receiver threw an exception. */
   std::uint64_t failed_deliveries = 0;
   std::uint64_t refused_connections = 0;
 };
 
 /**
- * Envelopes over TCP. Each destination has one outgoing connection, made on demand from the
- * listening address; incoming connections only receive. A frame is a length (4 bytes, big-endian)
- * and an encoded envelope. A frame given to a connection is never sent again on another. Malformed
- * frames close their connection. Runs on the dispatcher's strand; destroy it there or while the
- * io_context does not run.
+ * Transport over TCP. Each destination has one outgoing connection, opened on demand from the
+ * listening address; incoming connections only receive. A frame consists of a length (4 bytes,
+ * big-endian) and an encoded envelope; a malformed frame closes its connection.
+ *
+ * Invariant: a frame passed to a connection is never sent again on another one. Runs on the
+ * dispatcher's strand; must be destroyed there or while the io_context does not run.
  */
 class TcpTransport final : public Transport {
  public:
-  /** Listens at once; throws base::Error with InvalidAddress where it cannot. */
+  /**
+   * Starts to listen.
+   * @param listen port 0 chooses a free port.
+   * @throws base::Error with InvalidAddress if the address is invalid or in use.
+   */
   TcpTransport(boost::asio::io_context& context, AsioDispatcher& dispatcher,
                const base::NodeAddress& listen, const TcpTransportOptions& options = {});
   ~TcpTransport() override;
   TcpTransport(const TcpTransport&) = delete;
   TcpTransport& operator=(const TcpTransport&) = delete;
 
-  /** The bound address, with the real port where 0 was asked for. */
+  /** @return the address bound, with the actual port. */
   const base::NodeAddress& localAddress() const override;
   void setReceiver(Receiver* receiver) override;
   void send(const base::NodeAddress& to, const wire::Envelope& envelope) override;
@@ -71,15 +80,13 @@
   const TcpTransportCounters& counters() const;
 
  private:
-  /** An encoded envelope goes to one peer. */
-  void sendFrame(const base::NodeAddress& to, const std::string& frame,
-                 const wire::Envelope& envelope);
-
   class Shared;
   class Listener;
   class IncomingConnection;
   class OutgoingConnection;
 
+  OutgoingConnection& connectionTo(const base::NodeAddress& peer);
+
   std::shared_ptr<Shared> shared_;
   std::shared_ptr<Listener> listener_;
   std::map<base::NodeAddress, std::shared_ptr<OutgoingConnection>> outgoing_;
--- a/libraries/transport/source/asio_dispatcher.cc
+++ b/libraries/transport/source/asio_dispatcher.cc
@@ -13,7 +13,9 @@
 
 namespace {
 
-/** A timer whose armings are numbered, so that the end of an earlier arming finds itself outdated.
+/**
+ * Timer on an Asio timer. Each enable() has its own number: the handler of an earlier one compares
+ * it and does nothing, although Asio may already have queued it.
  */
 class AsioTimer : public base::Timer {
  public:
--- a/libraries/transport/source/peer_calls.cc
+++ b/libraries/transport/source/peer_calls.cc
@@ -7,8 +7,8 @@
 namespace {
 
 /**
- * Request numbers begin at the clock's nanoseconds and rise far slower than it does. So a process
- * never takes an answer to an earlier one at its address for an answer to a request of its own.
+ * Request ids start at the clock's nanoseconds and increase far more slowly than the clock. Hence a
+ * process never mistakes a reply to an earlier process at its address for one of its own.
  */
 std::uint64_t firstRequestId(base::TimePoint now) {
   return static_cast<std::uint64_t>(now.time_since_epoch() / std::chrono::nanoseconds(1)) + 1;
@@ -34,34 +34,23 @@
   pending.to = to;
   pending.callback = std::move(callback);
   pending.timer = dispatcher_.createTimer([this, request_id] {
-    finish(request_id, CallResult{base::ResultCode::PeerTimeout, std::nullopt});
+    complete(request_id, CallResult{base::ResultCode::PeerTimeout, std::nullopt});
   });
   pending.timer->enable(timeout);
   pending_.emplace(request_id, std::move(pending));
-  wire::Envelope envelope{localAddress(), wire::EnvelopeKind::Request, request_id,
-                          std::move(request)};
-  if (to != localAddress()) {
-    transport_.send(to, envelope);
-    return;
-  }
-  dispatcher_.post([this, alive = std::weak_ptr(alive_), envelope = std::move(envelope)] {
-    if (!alive.expired()) {
-      deliver(envelope);
-    }
-  });
+  send(to, {localAddress(), wire::EnvelopeKind::Request, request_id, std::move(request)});
 }
 
 void PeerCalls::notify(const base::NodeAddress& to, wire::Message message) {
-  wire::Envelope envelope{localAddress(), wire::EnvelopeKind::Notification, 0, std::move(message)};
+  send(to, {localAddress(), wire::EnvelopeKind::Notification, 0, std::move(message)});
+}
+
+void PeerCalls::send(const base::NodeAddress& to, wire::Envelope envelope) {
   if (to != localAddress()) {
     transport_.send(to, envelope);
     return;
   }
-  dispatcher_.post([this, alive = std::weak_ptr(alive_), envelope = std::move(envelope)] {
-    if (!alive.expired()) {
-      deliver(envelope);
-    }
-  });
+  dispatcher_.post(callbacks_.guard([this, envelope = std::move(envelope)] { deliver(envelope); }));
 }
 
 void PeerCalls::notifyAll(std::vector<base::NodeAddress> peers, wire::Message message) {
@@ -84,47 +73,41 @@
   const auto pending = pending_.find(envelope.request_id);
   const bool expected = pending != pending_.end() && pending->second.to == peer;
   if (expected) {
-    finish(envelope.request_id, CallResult{base::ResultCode::PeerUnreachable, std::nullopt});
+    complete(envelope.request_id, CallResult{base::ResultCode::PeerUnreachable, std::nullopt});
   }
 }
 
 void PeerCalls::deliver(const wire::Envelope& envelope) {
   if (envelope.kind == wire::EnvelopeKind::Reply) {
-    const auto pending = pending_.find(envelope.request_id);
-    const bool expected = pending != pending_.end() && pending->second.to == envelope.sender;
-    if (expected) {
-      finish(envelope.request_id, CallResult{base::ResultCode::Ok, envelope.message});
-    }
+    deliverReply(envelope);
     return;
   }
   const Handler& handler = handlers_[envelope.message.index()];
   if (!handler) {
     return;
   }
-  ReplyFunction reply = [](const wire::Message&) {};
-  if (envelope.kind == wire::EnvelopeKind::Request) {
-    reply = [this, alive = std::weak_ptr(alive_), to = envelope.sender,
-             request_id = envelope.request_id](wire::Message message) {
-      if (alive.expired()) {
-        return;
-      }
-      wire::Envelope answer{localAddress(), wire::EnvelopeKind::Reply, request_id,
-                            std::move(message)};
-      if (to != localAddress()) {
-        transport_.send(to, answer);
-        return;
-      }
-      dispatcher_.post([this, alive, answer = std::move(answer)] {
-        if (!alive.expired()) {
-          deliver(answer);
-        }
-      });
-    };
+  handler(envelope.sender, envelope.message, replyFunction(envelope));
+}
+
+void PeerCalls::deliverReply(const wire::Envelope& envelope) {
+  const auto pending = pending_.find(envelope.request_id);
+  const bool expected = pending != pending_.end() && pending->second.to == envelope.sender;
+  if (expected) {
+    complete(envelope.request_id, CallResult{base::ResultCode::Ok, envelope.message});
   }
-  handler(envelope.sender, envelope.message, std::move(reply));
 }
 
-void PeerCalls::finish(std::uint64_t request_id, const CallResult& result) {
+ReplyFunction PeerCalls::replyFunction(const wire::Envelope& request) {
+  if (request.kind != wire::EnvelopeKind::Request) {
+    return [](const wire::Message&) {};
+  }
+  return callbacks_.guard(
+      [this, to = request.sender, request_id = request.request_id](wire::Message message) {
+        send(to, {localAddress(), wire::EnvelopeKind::Reply, request_id, std::move(message)});
+      });
+}
+
+void PeerCalls::complete(std::uint64_t request_id, const CallResult& result) {
   const auto found = pending_.find(request_id);
   if (found == pending_.end()) {
     return;
--- /dev/null
+++ b/libraries/transport/source/socket_options.h
@@ -0,0 +1,33 @@
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+
+#include "switchsaddle/base/node_address.h"
+#include "switchsaddle/base/time.h"
+
+namespace switchsaddle::transport {
+
+/** @param error set if the IP address is invalid. */
+boost::asio::ip::tcp::endpoint toEndpoint(const base::NodeAddress& address,
+                                          boost::system::error_code& error);
+
+/**
+ * Disables Nagle's algorithm and detects a dead peer by keep-alive probes and unacknowledged bytes.
+ * @param user_timeout time for which sent bytes may stay unacknowledged.
+ */
+void setConnectionOptions(boost::asio::ip::tcp::socket& socket, base::Duration user_timeout);
+
+/**
+ * Binds the socket to the address from which peers know this node. Best effort: the connection also
+ * works without it.
+ */
+void bindLocalAddress(boost::asio::ip::tcp::socket& socket, const base::NodeAddress& local,
+                      const boost::asio::ip::tcp::endpoint& peer);
+
+/**
+ * @return whether the socket is connected to itself, which Linux does if the peer's port is free
+ * and chosen as the local port.
+ */
+bool isConnectedToItself(const boost::asio::ip::tcp::socket& socket);
+
+}  // namespace switchsaddle::transport
--- /dev/null
+++ b/libraries/transport/source/tcp_incoming_connection.cc
@@ -0,0 +1,121 @@
+#include "tcp_incoming_connection.h"
+
+#include <glog/logging.h>
+
+#include <utility>
+
+#include "frame.h"
+#include "socket_options.h"
+
+namespace switchsaddle::transport {
+
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::system::error_code;
+
+/** Size of a read until a read fills it: a node has hundreds of connections with little traffic. */
+constexpr std::size_t SmallReadBytes = 4U << 10U;
+constexpr std::size_t LargeReadBytes = 64U << 10U;
+/** Capacity from which an empty buffer is released. */
+constexpr std::size_t RetainedBufferBytes = 4 * SmallReadBytes;
+
+}  // namespace
+
+TcpTransport::IncomingConnection::IncomingConnection(std::shared_ptr<Shared> shared,
+                                                     tcp::socket socket, ClosedCallback on_closed)
+    : shared_(std::move(shared)),
+      socket_(std::move(socket)),
+      on_closed_(std::move(on_closed)),
+      read_bytes_(SmallReadBytes) {}
+
+void TcpTransport::IncomingConnection::start() {
+  setConnectionOptions(socket_, shared_->options.user_timeout);
+  read();
+}
+
+void TcpTransport::IncomingConnection::close() {
+  error_code ignored;
+  socket_.close(ignored);
+}
+
+void TcpTransport::IncomingConnection::read() {
+  const std::size_t filled = buffer_.size();
+  buffer_.resize(filled + read_bytes_);
+  socket_.async_read_some(
+      boost::asio::buffer(buffer_.data() + filled, read_bytes_),
+      [self = shared_from_this(), filled](const error_code& error, std::size_t bytes) {
+        self->buffer_.resize(filled + bytes);
+        self->read_bytes_ = bytes == self->read_bytes_ ? LargeReadBytes : SmallReadBytes;
+        self->onRead(error);
+      });
+}
+
+void TcpTransport::IncomingConnection::onRead(const error_code& error) {
+  if (shared_->closed) {
+    return;
+  }
+  if (!error && deliverFrames()) {
+    read();
+    return;
+  }
+  close();
+  if (!shared_->closed) {
+    on_closed_(shared_from_this());
+  }
+}
+
+bool TcpTransport::IncomingConnection::deliverFrames() {
+  std::size_t offset = 0;
+  while (buffer_.size() - offset >= LengthBytes) {
+    const std::size_t length = readFrameLength(buffer_.data() + offset);
+    if (length > shared_->options.frame_bytes) {
+      ++shared_->counters.malformed_frames;
+      return false;
+    }
+    if (buffer_.size() - offset - LengthBytes < length) {
+      break;
+    }
+    if (!deliver(std::string_view(buffer_).substr(offset + LengthBytes, length))) {
+      return false;
+    }
+    offset += LengthBytes + length;
+  }
+  buffer_.erase(0, offset);
+  shrinkBuffer();
+  return true;
+}
+
+bool TcpTransport::IncomingConnection::deliver(std::string_view body) {
+  wire::Envelope envelope;
+  try {
+    envelope = wire::decode(body);
+  } catch (const std::exception&) {
+    ++shared_->counters.malformed_frames;
+    return false;
+  }
+  ++shared_->counters.frames_received;
+  shared_->counters.bytes_received += LengthBytes + body.size();
+  if (shared_->receiver == nullptr) {
+    return true;
+  }
+  notifyReceiver(std::move(envelope));
+  return !shared_->closed;
+}
+
+void TcpTransport::IncomingConnection::notifyReceiver(wire::Envelope envelope) {
+  try {
+    shared_->receiver->onEnvelope(std::move(envelope));
+  } catch (const std::exception& exception) {
+    ++shared_->counters.failed_deliveries;
+    LOG(ERROR) << "event=delivery_failed reason=" << exception.what();
+  }
+}
+
+void TcpTransport::IncomingConnection::shrinkBuffer() {
+  if (buffer_.empty() && buffer_.capacity() > RetainedBufferBytes) {
+    buffer_.shrink_to_fit();
+  }
+}
+
+}  // namespace switchsaddle::transport
--- /dev/null
+++ b/libraries/transport/source/tcp_listener.cc
@@ -0,0 +1,88 @@
+#include "tcp_listener.h"
+
+#include <chrono>
+#include <utility>
+
+#include "socket_options.h"
+#include "switchsaddle/base/error.h"
+#include "tcp_incoming_connection.h"
+
+namespace switchsaddle::transport {
+
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::system::error_code;
+
+constexpr auto AcceptRetryDelay = std::chrono::milliseconds(100);
+
+}  // namespace
+
+TcpTransport::Listener::Listener(std::shared_ptr<Shared> shared, const base::NodeAddress& listen)
+    : shared_(std::move(shared)), acceptor_(shared_->strand), retry_timer_(shared_->strand) {
+  error_code error;
+  const tcp::endpoint endpoint = toEndpoint(listen, error);
+  if (error) {
+    throw base::Error(base::ResultCode::InvalidAddress, listen.toString() + ": bad address");
+  }
+  try {
+    acceptor_.open(endpoint.protocol());
+    acceptor_.set_option(tcp::acceptor::reuse_address(true));
+    acceptor_.bind(endpoint);
+    acceptor_.listen();
+  } catch (const std::exception& exception) {
+    throw base::Error(base::ResultCode::InvalidAddress,
+                      "cannot listen on " + listen.toString() + ": " + exception.what());
+  }
+  shared_->local = base::NodeAddress{listen.ip, acceptor_.local_endpoint().port()};
+}
+
+void TcpTransport::Listener::accept() {
+  acceptor_.async_accept([self = shared_from_this()](const error_code& error, tcp::socket socket) {
+    if (self->shared_->closed) {
+      return;
+    }
+    if (error) {
+      self->retryAccept();
+      return;
+    }
+    self->addConnection(std::move(socket));
+    self->accept();
+  });
+}
+
+void TcpTransport::Listener::close() {
+  error_code ignored;
+  acceptor_.close(ignored);
+  retry_timer_.cancel();
+  for (const auto& connection : connections_) {
+    connection->close();
+  }
+  connections_.clear();
+}
+
+void TcpTransport::Listener::addConnection(tcp::socket socket) {
+  if (connections_.size() >= shared_->options.incoming_connections) {
+    return;
+  }
+  auto connection = std::make_shared<IncomingConnection>(
+      shared_, std::move(socket),
+      [weak = weak_from_this()](const std::shared_ptr<IncomingConnection>& closed) {
+        if (const auto self = weak.lock()) {
+          self->connections_.erase(closed);
+        }
+      });
+  connections_.insert(connection);
+  connection->start();
+}
+
+void TcpTransport::Listener::retryAccept() {
+  retry_timer_.expires_after(AcceptRetryDelay);
+  retry_timer_.async_wait([self = shared_from_this()](const error_code&) {
+    if (!self->shared_->closed) {
+      self->accept();
+    }
+  });
+}
+
+}  // namespace switchsaddle::transport
--- a/libraries/transport/source/tcp_transport.cc
+++ b/libraries/transport/source/tcp_transport.cc
@@ -2,11 +2,19 @@
 
 #include <utility>
 
-#include "tcp_incoming.h"
-#include "tcp_outgoing.h"
+#include "frame.h"
+#include "tcp_listener.h"
+#include "tcp_outgoing_connection.h"
 
 namespace switchsaddle::transport {
 
+namespace {
+
+/** Number of known peers from which idle connections are forgotten. */
+constexpr std::size_t SweepThreshold = 4096;
+
+}  // namespace
+
 TcpTransport::TcpTransport(boost::asio::io_context& /*context*/, AsioDispatcher& dispatcher,
                            const base::NodeAddress& listen, const TcpTransportOptions& options)
     : shared_(std::make_shared<Shared>(dispatcher, options)),
@@ -44,21 +52,20 @@
   }
   const std::string frame = makeFrame(bytes);
   for (const base::NodeAddress& peer : peers) {
-    sendFrame(peer, frame, envelope);
+    connectionTo(peer).send({frame, {envelope.kind, envelope.request_id}});
   }
 }
 
-void TcpTransport::sendFrame(const base::NodeAddress& to, const std::string& frame,
-                             const wire::Envelope& envelope) {
-  std::shared_ptr<OutgoingConnection>& connection = outgoing_[to];
+TcpTransport::OutgoingConnection& TcpTransport::connectionTo(const base::NodeAddress& peer) {
+  std::shared_ptr<OutgoingConnection>& connection = outgoing_[peer];
   if (!connection) {
-    if (outgoing_.size() > PeersBeforeSweep) {
+    if (outgoing_.size() > SweepThreshold) {
       std::erase_if(outgoing_,
                     [](const auto& entry) { return entry.second && entry.second->idle(); });
     }
-    connection = std::make_shared<OutgoingConnection>(shared_, to);
+    connection = std::make_shared<OutgoingConnection>(shared_, peer);
   }
-  connection->send({frame, {envelope.kind, envelope.request_id}});
+  return *connection;
 }
 
 const TcpTransportCounters& TcpTransport::counters() const {
--- /dev/null
+++ b/libraries/transport/source/tcp_transport_state.h
@@ -0,0 +1,27 @@
+#pragma once
+
+#include "switchsaddle/transport/asio_dispatcher.h"
+#include "switchsaddle/transport/tcp_transport.h"
+
+namespace switchsaddle::transport {
+
+/**
+ * State shared by the transport, its listener and its connections. Outlives the transport while
+ * handlers of its connections are pending. Used on the dispatcher's strand.
+ */
+class TcpTransport::Shared {
+ public:
+  Shared(const AsioDispatcher& dispatcher, const TcpTransportOptions& transport_options)
+      : strand(dispatcher.strand()), options(transport_options) {}
+
+  AsioDispatcher::Strand strand;
+  TcpTransportOptions options;
+  /** Address bound by the listener. */
+  base::NodeAddress local;
+  Receiver* receiver = nullptr;
+  TcpTransportCounters counters;
+  /** The transport has been destroyed. */
+  bool closed = false;
+};
+
+}  // namespace switchsaddle::transport
--- a/libraries/transport/test/asio_dispatcher_test.cc
+++ b/libraries/transport/test/asio_dispatcher_test.cc
@@ -22,23 +22,23 @@
   return std::chrono::seconds(time.tv_sec) + std::chrono::nanoseconds(time.tv_nsec);
 }
 
-TEST(AsioDispatcherTest, TellsTheBootClock) {
+TEST(AsioDispatcherTest, ReadsTheBootClock) {
   boost::asio::io_context context;
   const AsioDispatcher dispatcher(context);
   const base::Duration before = bootTime();
-  const base::Duration told = dispatcher.now().time_since_epoch();
-  EXPECT_GE(told, before);
-  EXPECT_LE(told, bootTime());
+  const base::Duration elapsed = dispatcher.now().time_since_epoch();
+  EXPECT_GE(elapsed, before);
+  EXPECT_LE(elapsed, bootTime());
 }
 
-TEST(AsioDispatcherTest, SleepsNoLongerThanItsBoundBeforeItLooksAtTheClock) {
+TEST(AsioDispatcherTest, LimitsTheWaitBetweenReadingsOfTheClock) {
   const base::TimePoint far = SystemBootClock::now() + std::chrono::hours(1);
-  EXPECT_EQ(BootWaitTraits::to_wait_duration(far), BootWaitTraits::LongestSleep);
+  EXPECT_EQ(BootWaitTraits::to_wait_duration(far), BootWaitTraits::MaximumWait);
   EXPECT_EQ(BootWaitTraits::to_wait_duration(std::chrono::milliseconds(1)),
             std::chrono::milliseconds(1));
 }
 
-/** The child: writes a byte once it is ready and another when its timer fires. */
+/** Child process: writes a byte when it is ready and another when its timer fires. */
 [[noreturn]] void runChild(int pipe_end) {
   boost::asio::io_context context;
   AsioDispatcher dispatcher(context);
@@ -59,7 +59,7 @@
   return poll(&ready, 1, limit_milliseconds) == 1 && read(pipe_end, &byte, 1) == 1;
 }
 
-TEST(AsioDispatcherTest, TimersDueWhileStoppedFireOnContinuing) {
+TEST(AsioDispatcherTest, TimersThatExpireWhileStoppedFireOnContinuing) {
   std::array<int, 2> ends{};
   ASSERT_EQ(pipe(ends.data()), 0);
   const pid_t child = fork();
@@ -73,7 +73,7 @@
   kill(child, SIGSTOP);
   int status = 0;
   ASSERT_EQ(waitpid(child, &status, WUNTRACED), child);
-  // On a machine so busy that the timer fired before the signal came, there is nothing to see.
+  // On a busy machine the timer may fire before the signal arrives, which leaves nothing to test.
   if (WIFSTOPPED(status)) {
     readByte(ends[0], 400, byte);
     kill(child, SIGCONT);
--- a/libraries/transport/test/dispatcher_contract_test.cc
+++ b/libraries/transport/test/dispatcher_contract_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-/** What every Dispatcher promises. */
+/** Contract of all implementations of Dispatcher. */
 template <class Harness>
 class DispatcherContract : public testing::Test {
  protected:
@@ -61,8 +61,8 @@
   EXPECT_EQ(fired, 0);
 }
 
-TYPED_TEST(DispatcherContract, ATimerDueMayStillBeDestroyedByAnother) {
-  // Both come due at one time; whichever runs first destroys the other.
+TYPED_TEST(DispatcherContract, AnExpiredTimerMayBeDestroyedByAnother) {
+  // Both expire at the same time; whichever runs first destroys the other.
   int fired = 0;
   base::TimerPtr first;
   base::TimerPtr second;
@@ -80,7 +80,7 @@
   EXPECT_EQ(fired, 1);
 }
 
-TYPED_TEST(DispatcherContract, EnablingAgainMovesATimer) {
+TYPED_TEST(DispatcherContract, EnablingAnArmedTimerMovesIt) {
   std::vector<int> order;
   const auto moved = this->dispatcher().createTimer([&] { order.push_back(1); });
   const auto other = this->dispatcher().createTimer([&] { order.push_back(2); });
--- a/libraries/transport/test/peer_calls_test.cc
+++ b/libraries/transport/test/peer_calls_test.cc
@@ -37,7 +37,7 @@
     message.value = value;
     return message;
   }
-  /** Lets node `to` answer with the request's key. */
+  /** Makes node `to` reply with the request's key. */
   void echo(int to) {
     calls[to]->handle<wire::PrepareRequest>(
         [](const base::NodeAddress&, const wire::PrepareRequest& message, ReplyFunction answer) {
@@ -51,7 +51,7 @@
   bool runUntilResults(std::size_t count) {
     return harness.runUntil([&] { return results.size() >= count; });
   }
-  /** Runs long past every timeout of these tests. */
+  /** Runs the simulation beyond all time-outs of these tests. */
   void runOn() {
     harness.runUntil([end = harness.dispatcher(1).now() + std::chrono::seconds(1), this] {
       return harness.dispatcher(1).now() > end;
@@ -64,7 +64,7 @@
   std::vector<CallResult> results;
 };
 
-TEST_F(PeerCallsTest, GivesTheReply) {
+TEST_F(PeerCallsTest, ReturnsTheReply) {
   echo(2);
   call(1, harness.address(2), "question");
   ASSERT_TRUE(runUntilResults(1));
@@ -74,7 +74,7 @@
   EXPECT_EQ(results[0].as<wire::LeaseReply>(), nullptr);
 }
 
-TEST_F(PeerCallsTest, TimesOutOnceWhereNobodyAnswersAndIgnoresALateReply) {
+TEST_F(PeerCallsTest, TimesOutOnceAndIgnoresALateReply) {
   ReplyFunction late;
   calls[2]->handle<wire::PrepareRequest>([&](const base::NodeAddress&, const wire::PrepareRequest&,
                                              ReplyFunction answer) { late = std::move(answer); });
@@ -88,7 +88,7 @@
   EXPECT_EQ(results.size(), 1U);
 }
 
-TEST_F(PeerCallsTest, TellsARefusalBeforeTheTimeout) {
+TEST_F(PeerCallsTest, ReportsARefusedConnectionBeforeTheTimeout) {
   const base::TimePoint begin = harness.dispatcher(1).now();
   call(1, harness.address(9));
   call(1, harness.address(9));
@@ -100,8 +100,8 @@
   EXPECT_EQ(results.size(), 2U);
 }
 
-TEST_F(PeerCallsTest, ARefusalEndsOnlyTheCallItRefused) {
-  // The refusal is on its way while the peer starts and a second call is asked.
+TEST_F(PeerCallsTest, ARefusedConnectionFailsOnlyItsOwnCall) {
+  // The refusal is in flight while the peer starts and a second call is made.
   calls[2].reset();
   harness.stop(2);
   call(1, harness.address(2), "refused");
@@ -119,11 +119,11 @@
   EXPECT_EQ(results[1].code, base::ResultCode::Ok);
 }
 
-TEST_F(PeerCallsTest, TakesAReplyOnlyFromThePeerThatWasAsked) {
+TEST_F(PeerCallsTest, AcceptsAReplyOnlyFromTheCalledPeer) {
   calls[2]->handle<wire::PrepareRequest>(
       [](const base::NodeAddress&, const wire::PrepareRequest&, const ReplyFunction&) {});
   call(1, harness.address(2));
-  // The first request's number, from a node that was not asked.
+  // The first request's id, from a node that was not called.
   transports[3]->send(harness.address(1),
                       {harness.address(3), wire::EnvelopeKind::Reply, 1, reply("forged")});
   ASSERT_TRUE(runUntilResults(1));
@@ -135,7 +135,7 @@
   EXPECT_EQ(results[1].code, base::ResultCode::Ok);
 }
 
-TEST_F(PeerCallsTest, CallsItselfWithoutReentry) {
+TEST_F(PeerCallsTest, CallsToItselfAreNotReentrant) {
   echo(1);
   call(1, harness.address(1), "self");
   EXPECT_TRUE(results.empty());
@@ -155,7 +155,7 @@
   EXPECT_EQ(results.size(), 1U);
 }
 
-TEST_F(PeerCallsTest, NotificationsReachTheHandlerAndAnswersToThemGoNowhere) {
+TEST_F(PeerCallsTest, NotificationsReachTheHandlerAndTheirRepliesAreDropped) {
   int notified = 0;
   calls[2]->handle<wire::PrepareRequest>(
       [&](const base::NodeAddress& from, const wire::PrepareRequest&, ReplyFunction answer) {
@@ -170,7 +170,7 @@
   EXPECT_TRUE(results.empty());
 }
 
-TEST_F(PeerCallsTest, OneNotificationReachesEachPeerAndThisNode) {
+TEST_F(PeerCallsTest, NotifyAllReachesEachPeerAndThisNode) {
   std::vector<int> notified(4);
   for (int node = 1; node <= 3; ++node) {
     calls[node]->handle<wire::PrepareRequest>(
@@ -183,7 +183,7 @@
   EXPECT_EQ(notified, (std::vector<int>{0, 1, 1, 1}));
 }
 
-TEST_F(PeerCallsTest, AReplyFunctionOutlivesItsPeerCalls) {
+TEST_F(PeerCallsTest, AReplyFunctionMayOutliveItsPeerCalls) {
   ReplyFunction kept;
   calls[2]->handle<wire::PrepareRequest>([&](const base::NodeAddress&, const wire::PrepareRequest&,
                                              ReplyFunction answer) { kept = std::move(answer); });
@@ -195,7 +195,7 @@
   EXPECT_EQ(results[0].code, base::ResultCode::PeerTimeout);
 }
 
-TEST_F(PeerCallsTest, CallsBackNobodyOnceDestroyed) {
+TEST_F(PeerCallsTest, RunsNoCallbackAfterDestruction) {
   echo(1);
   echo(2);
   call(1, harness.address(1));
@@ -205,7 +205,7 @@
   EXPECT_TRUE(results.empty());
 }
 
-TEST_F(PeerCallsTest, AnAnswerToAnEarlierProcessAtTheAddressIsNotTaken) {
+TEST_F(PeerCallsTest, AReplyToAnEarlierProcessAtTheAddressIsIgnored) {
   std::vector<ReplyFunction> held;
   calls[2]->handle<wire::PrepareRequest>(
       [&held](const base::NodeAddress&, const wire::PrepareRequest& /*message*/,
--- a/libraries/transport/test/recording_receiver.h
+++ b/libraries/transport/test/recording_receiver.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::transport {
 
-/** Keeps all it is told. */
+/** Records all calls. */
 class RecordingReceiver : public Receiver {
  public:
   void onEnvelope(wire::Envelope envelope) override { envelopes.push_back(std::move(envelope)); }
--- a/libraries/transport/test/tcp_transport_test.cc
+++ b/libraries/transport/test/tcp_transport_test.cc
@@ -73,12 +73,12 @@
   EXPECT_EQ(receiver.envelopes.size(), 15U);
 }
 
-TEST_F(TcpTransportTest, BoundsTheQueueTowardsAPeerThatDoesNotRead) {
+TEST_F(TcpTransportTest, LimitsTheQueueOfAPeerThatDoesNotRead) {
   TcpTransportOptions options;
   options.queue_bytes = 1U << 20U;
   const auto sender = make("127.0.2.1", options);
-  tcp::acceptor silent(context, {boost::asio::ip::make_address("127.0.2.3"), 0});
-  const base::NodeAddress peer{"127.0.2.3", silent.local_endpoint().port()};
+  tcp::acceptor unresponsive(context, {boost::asio::ip::make_address("127.0.2.3"), 0});
+  const base::NodeAddress peer{"127.0.2.3", unresponsive.local_endpoint().port()};
   std::uint64_t number = 0;
   EXPECT_TRUE(runUntil([&] {
     sender->send(peer, numbered(*sender, ++number, std::string(256U << 10U, 'x')));
@@ -86,16 +86,16 @@
   }));
 }
 
-TEST_F(TcpTransportTest, GivesUpAPeerThatAcknowledgesNothing) {
+TEST_F(TcpTransportTest, ClosesAConnectionWithoutAcknowledgements) {
   TcpTransportOptions options;
   options.user_timeout = std::chrono::milliseconds(200);
   const auto sender = make("127.0.2.1", options);
-  tcp::acceptor silent(context, {boost::asio::ip::make_address("127.0.2.3"), 0});
-  const base::NodeAddress peer{"127.0.2.3", silent.local_endpoint().port()};
+  tcp::acceptor unresponsive(context, {boost::asio::ip::make_address("127.0.2.3"), 0});
+  const base::NodeAddress peer{"127.0.2.3", unresponsive.local_endpoint().port()};
   int connections = 0;
   std::vector<tcp::socket> unread;
   std::function<void()> accept = [&] {
-    silent.async_accept([&](const boost::system::error_code&, tcp::socket socket) {
+    unresponsive.async_accept([&](const boost::system::error_code&, tcp::socket socket) {
       ++connections;
       unread.push_back(std::move(socket));
       accept();
@@ -114,12 +114,12 @@
   const auto target = make("127.0.2.2", options);
   const auto sender = make("127.0.2.1");
   target->setReceiver(&receiver);
-  std::string damaged = wire::encode(numbered(*sender, 1));
-  damaged.back() = static_cast<char>(damaged.back() + 1);
+  std::string corrupted = wire::encode(numbered(*sender, 1));
+  corrupted.back() = static_cast<char>(corrupted.back() + 1);
   const std::vector<std::string> inputs{"\xff\xff\xff\xff garbage",
                                         frame("garbage"),
                                         frame(""),
-                                        frame(damaged),
+                                        frame(corrupted),
                                         frame(std::string((1U << 20U) + 1, 'x')),
                                         "GET / HTTP/1.1\r\n\r\n"};
   std::uint64_t malformed = 0;
@@ -135,7 +135,7 @@
   EXPECT_TRUE(runUntil([&] { return receiver.envelopes.size() == 1; }));
 }
 
-TEST_F(TcpTransportTest, TakesFramesInAnyPieces) {
+TEST_F(TcpTransportTest, AcceptsFramesInAnySegmentation) {
   const auto target = make("127.0.2.2");
   target->setReceiver(&receiver);
   tcp::socket socket = connectRaw(*target);
@@ -153,45 +153,45 @@
   EXPECT_EQ(target->counters().malformed_frames, 0U);
 }
 
-TEST_F(TcpTransportTest, CallsFromItsListeningAddress) {
+TEST_F(TcpTransportTest, ConnectsFromItsListeningAddress) {
   const auto sender = make("127.0.2.77");
   tcp::acceptor acceptor(context, {boost::asio::ip::make_address("127.0.2.3"), 0});
-  std::string seen;
+  std::string remote_address;
   acceptor.async_accept([&](const boost::system::error_code&, tcp::socket socket) {
-    seen = socket.remote_endpoint().address().to_string();
+    remote_address = socket.remote_endpoint().address().to_string();
   });
   sender->send({"127.0.2.3", acceptor.local_endpoint().port()}, numbered(*sender, 1));
-  ASSERT_TRUE(runUntil([&] { return !seen.empty(); }));
-  EXPECT_EQ(seen, "127.0.2.77");
+  ASSERT_TRUE(runUntil([&] { return !remote_address.empty(); }));
+  EXPECT_EQ(remote_address, "127.0.2.77");
 }
 
-TEST_F(TcpTransportTest, ClosesAnIdleConnectionAndMakesANewOne) {
+TEST_F(TcpTransportTest, ClosesAnIdleConnectionAndOpensANewOne) {
   TcpTransportOptions options;
   options.idle_timeout = std::chrono::milliseconds(20);
   const auto sender = make("127.0.2.1", options);
   tcp::acceptor acceptor(context, {boost::asio::ip::make_address("127.0.2.3"), 0});
   const base::NodeAddress peer{"127.0.2.3", acceptor.local_endpoint().port()};
   for (std::uint64_t number = 1; number <= 2; ++number) {
-    std::optional<tcp::socket> taken;
+    std::optional<tcp::socket> accepted;
     acceptor.async_accept([&](const boost::system::error_code&, tcp::socket socket) {
-      taken.emplace(std::move(socket));
+      accepted.emplace(std::move(socket));
     });
     const auto envelope = numbered(*sender, number);
     sender->send(peer, envelope);
-    ASSERT_TRUE(runUntil([&] { return taken.has_value(); }));
+    ASSERT_TRUE(runUntil([&] { return accepted.has_value(); }));
     std::string received(frame(wire::encode(envelope)).size(), '\0');
-    bool whole = false;
+    bool complete = false;
     boost::asio::async_read(
-        *taken, boost::asio::buffer(received),
-        [&](const boost::system::error_code& error, std::size_t) { whole = !error; });
-    ASSERT_TRUE(runUntil([&] { return whole; }));
+        *accepted, boost::asio::buffer(received),
+        [&](const boost::system::error_code& error, std::size_t) { complete = !error; });
+    ASSERT_TRUE(runUntil([&] { return complete; }));
     EXPECT_EQ(received, frame(wire::encode(envelope)));
-    EXPECT_TRUE(closedByPeer(*taken));
+    EXPECT_TRUE(closedByPeer(*accepted));
   }
   EXPECT_EQ(sender->counters().frames_dropped, 0U);
 }
 
-TEST_F(TcpTransportTest, TellsOfOneAttemptOnceForEachOfItsFrames) {
+TEST_F(TcpTransportTest, ReportsARefusedAttemptOnceForEachOfItsFrames) {
   const auto sender = make("127.0.2.1");
   sender->setReceiver(&receiver);
   for (std::uint64_t number = 0; number < 10; ++number) {
@@ -205,7 +205,7 @@
   EXPECT_EQ(sender->counters().frames_dropped, 10U);
 }
 
-/** Throws for the first envelope. */
+/** Throws on the envelope with request id 0. */
 class ThrowingReceiver : public RecordingReceiver {
  public:
   void onEnvelope(wire::Envelope envelope) override {
@@ -216,7 +216,7 @@
   }
 };
 
-TEST_F(TcpTransportTest, LivesOnAfterAReceiverThatThrows) {
+TEST_F(TcpTransportTest, ContinuesAfterAReceiverThrows) {
   const auto sender = make("127.0.2.1");
   const auto target = make("127.0.2.2");
   ThrowingReceiver throwing;
@@ -263,10 +263,10 @@
   EXPECT_EQ(destroying.calls, 2);
 }
 
-TEST_F(TcpTransportTest, RefusesAnAddressItCannotListenOn) {
-  const auto taken = make("127.0.2.1");
+TEST_F(TcpTransportTest, RejectsAnAddressItCannotListenOn) {
+  const auto listening = make("127.0.2.1");
   for (const base::NodeAddress& address :
-       {taken->localAddress(), base::NodeAddress{"not an address", 1}}) {
+       {listening->localAddress(), base::NodeAddress{"not an address", 1}}) {
     try {
       TcpTransport transport(context, dispatcher, address);
       FAIL() << "listens on " << address.toString();
--- a/libraries/transport/test/transport_contract_test.cc
+++ b/libraries/transport/test/transport_contract_test.cc
@@ -8,7 +8,7 @@
 namespace switchsaddle::transport {
 namespace {
 
-/** What every Transport promises. */
+/** Contract of all implementations of Transport. */
 template <class Harness>
 class TransportContract : public testing::Test {
  protected:
@@ -30,7 +30,7 @@
   }
   std::vector<wire::Envelope>& received = this->second_receiver.envelopes;
   ASSERT_TRUE(this->harness.runUntil([&] { return received.size() >= Count; }));
-  // A last envelope, after which a duplicate would have come as well.
+  // After the last envelope a duplicate would have arrived as well.
   first.send(second.localAddress(), numbered(first, Count, std::string(Count, 'x')));
   ASSERT_TRUE(this->harness.runUntil([&] { return received.size() > Count; }));
   if (!TypeParam::KeepsOrder) {
@@ -46,7 +46,7 @@
   }
 }
 
-TYPED_TEST(TransportContract, CarriesBigEnvelopesAmongSmallOnes) {
+TYPED_TEST(TransportContract, DeliversLargeAndSmallEnvelopes) {
   constexpr std::size_t BigBytes = 20U << 20U;
   Transport& first = this->harness.start(1);
   Transport& second = this->harness.start(2);
@@ -78,7 +78,7 @@
   EXPECT_EQ(this->second_receiver.envelopes[0].sender, first.localAddress());
 }
 
-TYPED_TEST(TransportContract, TellsOfARefusedConnection) {
+TYPED_TEST(TransportContract, ReportsARefusedConnection) {
   Transport& first = this->harness.start(1);
   first.setReceiver(&this->first_receiver);
   const base::NodeAddress nobody = this->harness.address(99);
@@ -91,7 +91,7 @@
   EXPECT_EQ(refused[1], nobody);
 }
 
-TYPED_TEST(TransportContract, NamesEachEnvelopeThatWasRefusedAndNoOther) {
+TYPED_TEST(TransportContract, ReportsExactlyTheRefusedEnvelopes) {
   Transport& first = this->harness.start(1);
   first.setReceiver(&this->first_receiver);
   const base::NodeAddress nobody = this->harness.address(99);
@@ -108,7 +108,7 @@
   EXPECT_EQ(refused, std::vector<std::uint64_t>{4});
 }
 
-TYPED_TEST(TransportContract, ReachesAPeerThatStartedAgain) {
+TYPED_TEST(TransportContract, ReconnectsToARestartedPeer) {
   Transport& first = this->harness.start(1);
   first.setReceiver(&this->first_receiver);
   this->harness.start(2).setReceiver(&this->second_receiver);
@@ -131,7 +131,7 @@
   EXPECT_EQ(received.size(), 1U);
 }
 
-TYPED_TEST(TransportContract, CallsNoReceiverThatWasTakenAway) {
+TYPED_TEST(TransportContract, DoesNotCallARemovedReceiver) {
   Transport& first = this->harness.start(1);
   Transport& second = this->harness.start(2);
   second.setReceiver(&this->second_receiver);
--- a/libraries/transport/test/transport_harness.h
+++ b/libraries/transport/test/transport_harness.h
@@ -11,7 +11,7 @@
 
 namespace switchsaddle::transport {
 
-/** Runs the context until the condition holds; false where 20 s passed first. */
+/** Runs the context until the condition holds; @return false if 20 s pass first. */
 inline bool runContextUntil(boost::asio::io_context& context,
                             const std::function<bool()>& condition) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -25,7 +25,7 @@
   return true;
 }
 
-/** Nodes of the simulated network, in the form the shared contracts ask for. */
+/** Harness of the contract tests for the simulated network. */
 class SimulatedHarness {
  public:
   static constexpr bool KeepsOrder = false;
@@ -59,7 +59,7 @@
   std::map<int, std::unique_ptr<Transport>> transports_;
 };
 
-/** The same over loopback TCP. A node keeps the port it was first given. */
+/** Harness of the contract tests for loopback TCP. A node keeps its first port. */
 class TcpHarness {
  public:
   static constexpr bool KeepsOrder = true;
@@ -71,7 +71,7 @@
     return *transports_[node];
   }
   void stop(int node) { transports_.erase(node); }
-  /** A node never started has an address at which nobody listens. */
+  /** A node that was never started has an address on which no process listens. */
   base::NodeAddress address(int node) const {
     const auto found = addresses_.find(node);
     return found != addresses_.end() ? found->second : base::NodeAddress{"127.0.1.250", 9};
