--- a/libraries/http/include/switchsaddle/http/client.h
+++ b/libraries/http/include/switchsaddle/http/client.h
@@ -14,80 +14,91 @@
 
 namespace switchsaddle::http {
 
-/** How far an exchange had come when it failed. */
+/** Progress of an exchange at its failure. */
 enum class ExchangeFailure : std::uint8_t {
-  /** The connection was refused or could not be made: no byte of the request was sent. */
+  /** The connection was refused or could not be established: no byte of the request was sent. */
   NotConnected,
-  /** Bytes of the request may have reached the server; no response header came. */
+  /** Bytes of the request may have reached the server; no response header was received. */
   NoResponse,
-  /** The response header came, the body was cut short. */
+  /** The response header was received, but the body was truncated. */
   BodyCut,
-  /** The deadline passed. */
+  /** A time-out expired. */
   TimedOut,
 };
 
-/** What the client tells the owner of an exchange, on the io_context's thread. */
+/**
+ * Observer of one exchange, called on the client's strand. Invariant: onComplete() or onFailure()
+ * is the last call; after Exchange::cancel() there is none.
+ */
 class ExchangeObserver {
  public:
   virtual ~ExchangeObserver() = default;
-  /** The status and headers; the body is empty. */
+  /** @param head status and headers; its body is empty. */
   virtual void onResponseHead(const Response& head) = 0;
   /**
-   * Some bytes of the body. The client reads on only once `resume` has been called, which gives
-   * back-pressure; it may be called at once.
+   * @param bytes next bytes of the body.
+   * @param resume makes the client read on (back-pressure); may be called within this call.
    */
   virtual void onBodyBytes(std::string bytes, std::function<void()> resume) = 0;
-  /** The whole body has come. Nothing follows. */
+  /** The body is complete. */
   virtual void onComplete() = 0;
-  /** Nothing follows. `refused` is set where the connection was actively refused. */
+  /** @param refused the server's host actively refused the connection. */
   virtual void onFailure(ExchangeFailure failure, bool refused) = 0;
 };
 
-/** A running exchange; cancel() closes its connection, after which the observer hears nothing more.
- */
+/** An exchange in progress. */
 class Exchange {
  public:
   virtual ~Exchange() = default;
+  /** Closes the connection; the observer is not called any more. Thread-safe. */
   virtual void cancel() = 0;
 };
 
-/** Options of an exchange. */
+/** Time-outs and connection options of an exchange. A time-out of zero disables it. */
 struct ExchangeOptions {
   base::Duration connect_timeout = std::chrono::seconds(1);
-  /** For the response header; zero: as long as the owner waits. */
+  /** Time-out of the response header. */
   base::Duration response_timeout = std::chrono::seconds(60);
-  /** Longest silence within the body; zero: as long as the owner waits. */
+  /** Maximum time between two reads of the body. */
   base::Duration idle_timeout = std::chrono::seconds(30);
-  /** How long sent bytes may stay unacknowledged before the connection counts as dead, and how long
-   * a silent peer may leave probes unanswered; zero: the system's own times. */
+  /**
+   * TCP_USER_TIMEOUT: time for which sent bytes or keep-alive probes may stay unacknowledged. Zero
+   * keeps the system's default.
+   */
   base::Duration unacknowledged_limit{};
-  /** A connection that has lain idle for longer is not used again. */
+  /** Maximum idle time of a pooled connection that is reused. */
   base::Duration reuse_within = std::chrono::seconds(30);
-  /** Whether a GET that was lost on a reused connection is sent once more. */
+  /** Retry a GET once if it was lost on a reused connection. */
   bool resend_lost_get = true;
-  /** Whether an answer is that to this request: one that is not is read and passed over. All are
-   * where this is left out. */
+  /**
+   * Predicate that recognises the response to this request. A response for which it is false is
+   * read and discarded. Empty accepts any response.
+   */
   std::function<bool(const Response& head)> is_answer;
-  /** Use a connection which carried nothing before and carries nothing after. */
+  /** Use a new connection for this exchange only. */
   bool fresh_connection = false;
-  /** The address to connect from, in numbers; empty for any. */
+  /** Numeric local address to connect from; empty for any. */
   std::string local_ip;
 };
 
-/** An HTTP/1.1 client with a keep-alive pool for each address. */
+/** HTTP/1.1 client with a pool of keep-alive connections. Thread-safe. */
 class Client {
  public:
   virtual ~Client() = default;
-  /** Starts an exchange. The observer must outlive it, or be kept by the shared pointer. */
+  /** Starts an exchange, which shares ownership of the observer until it ends. */
   virtual std::shared_ptr<Exchange> start(const base::NodeAddress& address, Request request,
                                           const ExchangeOptions& options,
                                           std::shared_ptr<ExchangeObserver> observer) = 0;
-  /** Convenience for small exchanges: the whole response, or the failure. */
+  /**
+   * Exchange with a small response, collected in memory.
+   * @param callback receives the complete response, or nullptr and the failure.
+   */
   virtual void fetch(const base::NodeAddress& address, Request request,
                      const ExchangeOptions& options,
                      std::function<void(const Response*, ExchangeFailure)> callback) = 0;
 };
 
+/** @return a client whose callbacks run on a strand of the context. */
 std::unique_ptr<Client> createClient(boost::asio::io_context& context);
 
 }  // namespace switchsaddle::http
--- a/libraries/http/include/switchsaddle/http/error_response.h
+++ b/libraries/http/include/switchsaddle/http/error_response.h
@@ -8,9 +8,10 @@
 namespace switchsaddle::http {
 
 /**
- * The JSON response of a failure: `{"error":{"code","name","message","retry_safe","path"}}`, with
- * the status of the code's row. `path` names the faulty place of a document; it is left out where
- * empty. An empty message becomes the code's meaning.
+ * @param message defaults to the code's meaning.
+ * @param path location of the fault in a document; omitted if empty.
+ * @return the JSON response `{"error":{"code","name","message","retry_safe","path"}}` with the HTTP
+ *     status of the code.
  */
 Response errorResponse(base::ResultCode code, const std::string& message = {},
                        const std::string& path = {});
--- a/libraries/http/include/switchsaddle/http/message.h
+++ b/libraries/http/include/switchsaddle/http/message.h
@@ -7,13 +7,13 @@
 
 namespace switchsaddle::http {
 
-/** One header field; names compare without regard to case. */
+/** One header field; its name is case-insensitive. */
 struct Header {
   std::string name;
   std::string value;
 };
 
-/** A request as received or to be sent. */
+/** A request, received or to be sent. */
 struct Request {
   std::string method;
   /** Path and query. */
@@ -21,7 +21,7 @@
   std::vector<Header> headers;
   std::string body;
 
-  /** The first value of the header, or an empty view. */
+  /** @return the value of the first field with this name, or an empty view. */
   std::string_view header(std::string_view name) const;
 };
 
@@ -31,13 +31,14 @@
   std::vector<Header> headers;
   std::string body;
 
+  /** @return the value of the first field with this name, or an empty view. */
   std::string_view header(std::string_view name) const;
 };
 
-/** The path of a target, without its query. */
+/** @return the path of a request target, without its query. */
 std::string_view targetPath(std::string_view target);
 
-/** The decoded value of a query parameter, or an empty string. */
+/** @return the decoded value of a query parameter, or an empty string. */
 std::string queryParameter(std::string_view target, std::string_view name);
 
 }  // namespace switchsaddle::http
--- a/libraries/http/source/client.cc
+++ b/libraries/http/source/client.cc
@@ -9,21 +9,21 @@
 
 namespace {
 
-constexpr std::size_t FetchBodyLimit = 64U << 20U;
+constexpr std::size_t FetchBodyLimitBytes = 64U << 20U;
 
-/** Collects a small response for Client::fetch(). */
-class Collector : public ExchangeObserver {
+/** Collects the response of Client::fetch(). */
+class ResponseCollector : public ExchangeObserver {
  public:
   using Callback = std::function<void(const Response*, ExchangeFailure)>;
 
-  explicit Collector(Callback callback) : callback_(std::move(callback)) {}
+  explicit ResponseCollector(Callback callback) : callback_(std::move(callback)) {}
 
   void setExchange(std::weak_ptr<Exchange> exchange) { exchange_ = std::move(exchange); }
 
   void onResponseHead(const Response& head) override { response_ = head; }
   void onBodyBytes(std::string bytes, std::function<void()> resume) override {
     response_.body += bytes;
-    if (response_.body.size() <= FetchBodyLimit) {
+    if (response_.body.size() <= FetchBodyLimitBytes) {
       resume();
       return;
     }
@@ -59,7 +59,7 @@
 
   void fetch(const base::NodeAddress& address, Request request, const ExchangeOptions& options,
              std::function<void(const Response*, ExchangeFailure)> callback) override {
-    auto collector = std::make_shared<Collector>(std::move(callback));
+    auto collector = std::make_shared<ResponseCollector>(std::move(callback));
     collector->setExchange(start(address, std::move(request), options, collector));
   }
 
--- a/libraries/http/source/client_exchange.cc
+++ b/libraries/http/source/client_exchange.cc
@@ -1,15 +1,12 @@
 #include "client_exchange.h"
 
-#include <netinet/in.h>
-#include <netinet/tcp.h>
-
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/read.hpp>
-#include <charconv>
 #include <string_view>
 #include <utility>
 
+#include "client_socket.h"
 #include "serialise.h"
 
 namespace switchsaddle::http {
@@ -21,34 +18,6 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::uint32_t HeaderLimit = 64U << 10U;
-constexpr unsigned InformationalClass = 1;
-/** Kept small, so that a reader held back soon holds back the server. */
-constexpr int ReceiveBuffer = 128 << 10;
-
-using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-using ProbeAfter = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
-using ProbeInterval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
-using ProbeCount = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
-using BindAddressNoPort = asio::detail::socket_option::integer<IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT>;
-
-/** The time of a Keep-Alive header in whole seconds; nothing where there is none. */
-std::optional<base::Duration> keepAliveTimeout(const Response& head) {
-  constexpr std::string_view Name = "timeout=";
-  const std::string_view text = head.header("Keep-Alive");
-  const std::size_t begin = text.find(Name);
-  if (begin == std::string_view::npos) {
-    return std::nullopt;
-  }
-  int seconds = 0;
-  const std::string_view number = text.substr(begin + Name.size());
-  const auto [end, fault] = std::from_chars(number.data(), number.data() + number.size(), seconds);
-  if (fault != std::errc() || seconds < 0) {
-    return std::nullopt;
-  }
-  return std::chrono::seconds(seconds);
-}
-
 }  // namespace
 
 ClientExchange::ClientExchange(std::shared_ptr<ClientState> client, base::NodeAddress address,
@@ -67,17 +36,17 @@
   if (ended_) {
     return;
   }
-  std::optional<tcp::socket> idle;
+  std::optional<tcp::socket> pooled;
   if (!options_.fresh_connection) {
-    idle = client_->pool.take(poolKey(), options_.reuse_within);
+    pooled = client_->pool.acquire(poolKey(), options_.reuse_within);
   }
-  if (!idle) {
+  if (!pooled) {
     connect();
     return;
   }
   ++attempt_;
   reused_ = true;
-  socket_ = std::move(*idle);
+  socket_ = std::move(*pooled);
   sendRequest();
 }
 
@@ -85,7 +54,7 @@
   if (ended_.exchange(true)) {
     return;
   }
-  // Later, since the observer may be calling this and must outlive its own call.
+  // Posted, since the observer, which end() releases, may be the caller.
   asio::post(client_->strand, [self = shared_from_this()] { self->end(); });
 }
 
@@ -95,7 +64,8 @@
   error_code error;
   const tcp::endpoint endpoint(asio::ip::make_address(address_.ip, error), address_.port);
   if (!error) {
-    error = openSocket(endpoint);
+    socket_ = tcp::socket(client_->strand);
+    error = openClientSocket(socket_, endpoint, options_.local_ip);
   }
   if (error) {
     fail(ExchangeFailure::NotConnected);
@@ -109,67 +79,29 @@
   });
 }
 
-error_code ClientExchange::openSocket(const tcp::endpoint& endpoint) {
-  error_code error;
-  socket_ = tcp::socket(client_->strand);
-  socket_.open(endpoint.protocol(), error);
-  if (error) {
-    return error;
-  }
-  error_code ignored;
-  socket_.set_option(asio::socket_base::receive_buffer_size(ReceiveBuffer), ignored);
-  if (options_.local_ip.empty()) {
-    return error;
-  }
-  const auto local = asio::ip::make_address(options_.local_ip, error);
-  if (error) {
-    return error;
-  }
-  socket_.set_option(BindAddressNoPort(1), error);
-  socket_.bind(tcp::endpoint(local, 0), error);
-  return error;
-}
-
 void ClientExchange::onConnect(const error_code& error) {
-  error_code endpoint_error;
-  // Linux joins a socket to itself where the server's port is free and happens to be chosen.
-  const bool connected_to_itself =
-      !error && socket_.local_endpoint(endpoint_error) == socket_.remote_endpoint(endpoint_error);
+  const bool connected_to_itself = !error && isConnectedToItself(socket_);
   if (error || connected_to_itself) {
     const bool refused = connected_to_itself || error == asio::error::connection_refused;
     fail(ExchangeFailure::NotConnected, refused);
     return;
   }
-  setConnectedOptions();
+  setClientSocketOptions(socket_, options_.unacknowledged_limit);
   sendRequest();
 }
 
-void ClientExchange::setConnectedOptions() {
-  error_code ignored;
-  socket_.set_option(tcp::no_delay(true), ignored);
-  if (options_.unacknowledged_limit <= base::Duration::zero()) {
-    return;
-  }
-  const auto limit_ms = static_cast<int>(base::toMilliseconds(options_.unacknowledged_limit));
-  socket_.set_option(UserTimeout(limit_ms), ignored);
-  socket_.set_option(asio::socket_base::keep_alive(true), ignored);
-  socket_.set_option(ProbeAfter(1), ignored);
-  socket_.set_option(ProbeInterval(1), ignored);
-  socket_.set_option(ProbeCount(1), ignored);
-}
-
 void ClientExchange::sendRequest() {
   armTimer(options_.response_timeout, ExchangeFailure::TimedOut);
   written_bytes_ = 0;
   reading_ = false;
-  passing_over_ = false;
+  discarding_ = false;
   writeSome();
 }
 
 void ClientExchange::writeSome() {
-  const asio::const_buffer rest = asio::buffer(request_bytes_) + written_bytes_;
-  socket_.async_write_some(rest, [self = shared_from_this(), attempt = attempt_](
-                                     const error_code& error, std::size_t bytes) {
+  const asio::const_buffer remaining = asio::buffer(request_bytes_) + written_bytes_;
+  socket_.async_write_some(remaining, [self = shared_from_this(), attempt = attempt_](
+                                          const error_code& error, std::size_t bytes) {
     if (!self->outdated(attempt)) {
       self->onWritten(error, bytes);
     }
@@ -182,7 +114,7 @@
     onWriteFailed();
     return;
   }
-  // A server may answer before it has read a long request.
+  // A server may respond before it has read a long request.
   startReading();
   if (written_bytes_ < request_bytes_.size()) {
     writeSome();
@@ -194,7 +126,7 @@
     failBeforeHead(false);
     return;
   }
-  // The server may have answered early, so that its answer is read.
+  // The server may have responded before it closed the connection.
   startReading();
 }
 
@@ -204,20 +136,13 @@
   }
   reading_ = true;
   buffer_.clear();
-  expectHead();
-}
-
-void ClientExchange::expectHead() {
-  parser_.emplace();
-  parser_->header_limit(HeaderLimit);
-  parser_->body_limit(boost::none);
-  parser_->skip(method_ == "HEAD");
   readHead();
 }
 
 void ClientExchange::readHead() {
+  parser_.start(method_);
   beast_http::async_read_header(
-      socket_, buffer_, *parser_,
+      socket_, buffer_, parser_.beast(),
       [self = shared_from_this(), attempt = attempt_](const error_code& error, std::size_t) {
         if (!self->outdated(attempt)) {
           self->onHead(error);
@@ -230,30 +155,21 @@
     failBeforeHead(true);
     return;
   }
-  if (parser_->get().result_int() / 100 == InformationalClass) {
-    expectHead();
+  if (parser_.isInformational()) {
+    readHead();
     return;
   }
   deliverHead();
 }
 
-Response ClientExchange::readResponseHead() const {
-  Response head;
-  head.status = static_cast<std::uint16_t>(parser_->get().result_int());
-  for (const auto& field : parser_->get()) {
-    head.headers.push_back({std::string(field.name_string()), std::string(field.value())});
-  }
-  return head;
-}
-
 void ClientExchange::deliverHead() {
-  const Response head = readResponseHead();
-  passing_over_ = options_.is_answer && !options_.is_answer(head);
-  if (passing_over_) {
+  const Response head = parser_.head();
+  discarding_ = options_.is_answer && !options_.is_answer(head);
+  if (discarding_) {
     readBody();
     return;
   }
-  kept_for_ = keepAliveTimeout(head);
+  keep_alive_timeout_ = keepAliveTimeout(head);
   const std::uint64_t attempt = attempt_;
   observer_->onResponseHead(head);
   if (!outdated(attempt)) {
@@ -262,16 +178,14 @@
 }
 
 void ClientExchange::readBody() {
-  if (parser_->is_done()) {
+  if (parser_.isComplete()) {
     complete();
     return;
   }
   armTimer(options_.idle_timeout, ExchangeFailure::TimedOut);
-  parser_->get().body().data = body_bytes_.data();
-  parser_->get().body().size = body_bytes_.size();
-  parser_->get().body().more = true;
+  parser_.prepareBody();
   beast_http::async_read_some(
-      socket_, buffer_, *parser_,
+      socket_, buffer_, parser_.beast(),
       [self = shared_from_this(), attempt = attempt_](const error_code& error, std::size_t) {
         if (!self->outdated(attempt)) {
           self->onBody(error);
@@ -280,25 +194,31 @@
 }
 
 void ClientExchange::onBody(const error_code& error) {
-  const bool cut = error && error != beast_http::error::need_buffer;
-  const std::size_t filled = body_bytes_.size() - parser_->get().body().size;
-  if (passing_over_ && cut) {
-    fail(ExchangeFailure::NoResponse);
-    return;
+  const bool truncated = error && error != beast_http::error::need_buffer;
+  if (discarding_) {
+    onDiscardedBody(truncated);
+  } else if (!parser_.bodyBytes().empty()) {
+    deliverBody(truncated);
+  } else if (truncated) {
+    fail(ExchangeFailure::BodyCut);
+  } else {
+    readBody();
   }
-  if (filled == 0 || passing_over_) {
-    if (cut) {
-      fail(ExchangeFailure::BodyCut);
-    } else {
-      readBody();
-    }
-    return;
+}
+
+void ClientExchange::onDiscardedBody(bool truncated) {
+  if (truncated) {
+    fail(ExchangeFailure::NoResponse);
+  } else {
+    readBody();
   }
-  cut_ = cut;
-  ++timer_arming_;
+}
+
+void ClientExchange::deliverBody(bool truncated) {
+  truncated_ = truncated;
   timer_.cancel();
   observer_->onBodyBytes(
-      std::string(body_bytes_.data(), filled), [self = shared_from_this(), chunk = ++chunk_] {
+      std::string(parser_.bodyBytes()), [self = shared_from_this(), chunk = ++chunk_] {
         asio::post(self->client_->strand, [self, chunk] { self->resume(chunk); });
       });
 }
@@ -308,7 +228,7 @@
     return;
   }
   ++chunk_;
-  if (cut_) {
+  if (truncated_) {
     fail(ExchangeFailure::BodyCut);
   } else {
     readBody();
@@ -316,17 +236,16 @@
 }
 
 void ClientExchange::complete() {
-  if (passing_over_) {
-    passing_over_ = false;
-    expectHead();
+  if (discarding_) {
+    discarding_ = false;
+    readHead();
     return;
   }
   const bool request_sent = written_bytes_ == request_bytes_.size();
   const bool reusable =
-      !options_.fresh_connection && request_sent && parser_->keep_alive() && buffer_.size() == 0;
+      !options_.fresh_connection && request_sent && parser_.keepsAlive() && buffer_.size() == 0;
   if (reusable) {
-    client_->pool.put(poolKey(), std::move(socket_), kept_for_);
-    socket_ = tcp::socket(client_->strand);
+    returnToPool();
   }
   const auto observer = observer_;
   ended_ = true;
@@ -334,11 +253,13 @@
   observer->onComplete();
 }
 
-/** Tries once more where that cannot carry the request out twice. */
+void ClientExchange::returnToPool() {
+  client_->pool.release(poolKey(), std::move(socket_), keep_alive_timeout_);
+  socket_ = tcp::socket(client_->strand);
+}
+
 void ClientExchange::failBeforeHead(bool any_byte_sent) {
-  const bool harmless = !any_byte_sent || (options_.resend_lost_get && method_ == "GET");
-  const bool no_answer = buffer_.size() == 0 && (!parser_ || !parser_->got_some());
-  if (reused_ && !retried_ && harmless && no_answer) {
+  if (mayRetry(any_byte_sent)) {
     retried_ = true;
     parser_.reset();
     connect();
@@ -347,6 +268,12 @@
   fail(any_byte_sent ? ExchangeFailure::NoResponse : ExchangeFailure::NotConnected);
 }
 
+bool ClientExchange::mayRetry(bool any_byte_sent) const {
+  const bool is_safe = !any_byte_sent || (options_.resend_lost_get && method_ == "GET");
+  const bool has_no_response = buffer_.size() == 0 && !parser_.hasStarted();
+  return reused_ && !retried_ && is_safe && has_no_response;
+}
+
 void ClientExchange::fail(ExchangeFailure failure, bool refused) {
   const auto observer = observer_;
   ended_ = true;
@@ -356,7 +283,6 @@
 
 void ClientExchange::end() {
   ++attempt_;
-  ++timer_arming_;
   timer_.cancel();
   error_code ignored;
   socket_.close(ignored);
@@ -364,15 +290,12 @@
 }
 
 void ClientExchange::armTimer(base::Duration delay, ExchangeFailure failure) {
-  const std::uint64_t arming = ++timer_arming_;
   if (delay <= base::Duration::zero()) {
     timer_.cancel();
     return;
   }
-  timer_.expires_after(delay);
-  timer_.async_wait([self = shared_from_this(), arming, failure](const error_code&) {
-    const bool expired = !self->ended_ && self->timer_arming_ == arming;
-    if (expired) {
+  timer_.arm(delay, [self = shared_from_this(), failure] {
+    if (!self->ended_) {
       self->fail(failure);
     }
   });
--- a/libraries/http/source/client_pool.h
+++ b/libraries/http/source/client_pool.h
@@ -14,40 +14,47 @@
 
 namespace switchsaddle::http {
 
-/** Which idle connections may stand in for each other. */
+/** Idle connections with the same key are interchangeable. */
 struct PoolKey {
+  /** The server's address. */
   base::NodeAddress address;
+  /** Local address that the connection is bound to; empty for any. */
   std::string local_ip;
 
   auto operator<=>(const PoolKey&) const = default;
 };
 
 /**
- * Idle keep-alive connections. One that the server has closed, or on which it sent something
- * unasked, is never handed out. Runs on the client's strand.
+ * Pool of idle keep-alive connections. Invariant: a connection that the server has closed or sent
+ * unexpected bytes on is never handed out. Runs on the client's strand.
  */
 class ClientPool {
  public:
   using Socket = boost::asio::ip::tcp::socket;
 
-  /** The connection last put back that is still sound and has been idle for at most `idle_limit`.
+  /** @return the connection released last that is usable and idle for at most `idle_limit`. */
+  std::optional<Socket> acquire(const PoolKey& key, base::Duration idle_limit);
+  /**
+   * Adds an idle connection; closes it if the pool of the key is full.
+   * @param keep_alive_timeout time for which the server keeps the connection, if it states it.
    */
-  std::optional<Socket> take(const PoolKey& key, base::Duration idle_limit);
-  /** `kept_for`: how long the server says it keeps the connection, where it does. */
-  void put(const PoolKey& key, Socket socket, std::optional<base::Duration> kept_for);
+  void release(const PoolKey& key, Socket socket, std::optional<base::Duration> keep_alive_timeout);
 
  private:
-  struct Idle {
+  using Clock = std::chrono::steady_clock;
+
+  struct IdleConnection {
     Socket socket;
-    std::chrono::steady_clock::time_point since;
-    /** From then on the server may close it at any moment. */
-    std::chrono::steady_clock::time_point until;
+    Clock::time_point idle_since;
+    /** Time from which the server may close the connection. */
+    Clock::time_point expires_at;
   };
 
-  void dropOld();
+  /** Closes expired connections, once in each sweep interval. */
+  void sweep();
 
-  std::map<PoolKey, std::vector<Idle>> idle_;
-  std::chrono::steady_clock::time_point last_sweep_ = std::chrono::steady_clock::now();
+  std::map<PoolKey, std::vector<IdleConnection>> idle_;
+  Clock::time_point last_sweep_ = Clock::now();
 };
 
 }  // namespace switchsaddle::http
--- /dev/null
+++ b/libraries/http/source/client_socket.cc
@@ -0,0 +1,69 @@
+#include "client_socket.h"
+
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+
+namespace switchsaddle::http {
+
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+/** Small, so that back-pressure of a slow reader reaches the server soon. */
+constexpr int ReceiveBufferBytes = 128 << 10;
+constexpr int KeepAliveSeconds = 1;
+constexpr int KeepAliveProbes = 1;
+
+using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
+using KeepAliveIdle = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
+using KeepAliveInterval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
+using KeepAliveCount = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
+using BindAddressNoPort = asio::detail::socket_option::integer<IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT>;
+
+error_code bindLocalAddress(tcp::socket& socket, const std::string& local_ip) {
+  error_code error;
+  const auto local = asio::ip::make_address(local_ip, error);
+  if (error) {
+    return error;
+  }
+  socket.set_option(BindAddressNoPort(1), error);
+  socket.bind(tcp::endpoint(local, 0), error);
+  return error;
+}
+
+}  // namespace
+
+error_code openClientSocket(tcp::socket& socket, const tcp::endpoint& endpoint,
+                            const std::string& local_ip) {
+  error_code error;
+  socket.open(endpoint.protocol(), error);
+  if (error) {
+    return error;
+  }
+  error_code ignored;
+  socket.set_option(asio::socket_base::receive_buffer_size(ReceiveBufferBytes), ignored);
+  return local_ip.empty() ? error : bindLocalAddress(socket, local_ip);
+}
+
+void setClientSocketOptions(tcp::socket& socket, base::Duration user_timeout) {
+  error_code ignored;
+  socket.set_option(tcp::no_delay(true), ignored);
+  if (user_timeout <= base::Duration::zero()) {
+    return;
+  }
+  const auto timeout_ms = static_cast<int>(base::toMilliseconds(user_timeout));
+  socket.set_option(UserTimeout(timeout_ms), ignored);
+  socket.set_option(asio::socket_base::keep_alive(true), ignored);
+  socket.set_option(KeepAliveIdle(KeepAliveSeconds), ignored);
+  socket.set_option(KeepAliveInterval(KeepAliveSeconds), ignored);
+  socket.set_option(KeepAliveCount(KeepAliveProbes), ignored);
+}
+
+bool isConnectedToItself(const tcp::socket& socket) {
+  error_code error;
+  return socket.local_endpoint(error) == socket.remote_endpoint(error);
+}
+
+}  // namespace switchsaddle::http
--- a/libraries/http/source/connection_writer.h
+++ b/libraries/http/source/connection_writer.h
@@ -9,7 +9,10 @@
 
 namespace switchsaddle::http {
 
-/** The writer given to the handler: calls for an exchange that has ended do nothing. */
+/**
+ * The handler's writer of one exchange. Dispatches its calls to the server's strand; calls after
+ * the end of the exchange do nothing. Destruction without a response answers with InternalError.
+ */
 class ConnectionWriter : public ResponseWriter {
  public:
   ConnectionWriter(std::shared_ptr<ServerConnection> connection, Strand strand,
@@ -20,7 +23,7 @@
         exchange_(exchange) {}
 
   ~ConnectionWriter() override {
-    if (answered_ || server_->closed) {
+    if (responded_ || server_->closed) {
       return;
     }
     run([](ServerConnection& connection) {
@@ -34,7 +37,7 @@
   }
 
   void respond(Response response) override {
-    answered_ = true;
+    responded_ = true;
     run([response = std::move(response)](ServerConnection& connection) mutable {
       if (!connection.streaming()) {
         connection.respond(std::move(response));
@@ -58,11 +61,11 @@
                           });
   }
   void endStream() override {
-    answered_ = true;
+    responded_ = true;
     run([](ServerConnection& connection) { connection.endStream(); });
   }
   void abort() override {
-    answered_ = true;
+    responded_ = true;
     run([](ServerConnection& connection) { connection.close(); });
   }
   void onClientDisconnected(std::function<void()> callback) override {
@@ -73,6 +76,7 @@
   }
 
  private:
+  /** Runs the action on the strand if the exchange is still in progress. */
   template <class Action>
   void run(Action action) {
     boost::asio::dispatch(strand_, [connection = connection_, exchange = exchange_,
@@ -87,7 +91,7 @@
   Strand strand_;
   std::shared_ptr<ServerState> server_;
   std::uint64_t exchange_;
-  bool answered_ = false;
+  bool responded_ = false;
 };
 
 }  // namespace switchsaddle::http
--- a/libraries/http/source/message.cc
+++ b/libraries/http/source/message.cc
@@ -13,14 +13,14 @@
                                               : character;
 }
 
-bool sameName(std::string_view first, std::string_view second) {
+bool equalNames(std::string_view first, std::string_view second) {
   return std::equal(first.begin(), first.end(), second.begin(), second.end(),
                     [](char left, char right) { return lowerCase(left) == lowerCase(right); });
 }
 
 std::string_view findHeader(const std::vector<Header>& headers, std::string_view name) {
   for (const Header& header : headers) {
-    if (sameName(header.name, name)) {
+    if (equalNames(header.name, name)) {
       return header.value;
     }
   }
--- /dev/null
+++ b/libraries/http/source/response_parser.cc
@@ -0,0 +1,61 @@
+#include "response_parser.h"
+
+#include <charconv>
+
+namespace switchsaddle::http {
+
+namespace {
+
+constexpr std::uint32_t HeaderLimitBytes = 64U << 10U;
+constexpr unsigned InformationalClass = 1;
+
+}  // namespace
+
+void ResponseParser::start(std::string_view method) {
+  parser_.emplace();
+  parser_->header_limit(HeaderLimitBytes);
+  parser_->body_limit(boost::none);
+  parser_->skip(method == "HEAD");
+}
+
+bool ResponseParser::isInformational() const {
+  return parser_->get().result_int() / 100 == InformationalClass;
+}
+
+Response ResponseParser::head() const {
+  Response head;
+  head.status = static_cast<std::uint16_t>(parser_->get().result_int());
+  for (const auto& field : parser_->get()) {
+    head.headers.push_back({std::string(field.name_string()), std::string(field.value())});
+  }
+  return head;
+}
+
+void ResponseParser::prepareBody() {
+  parser_->get().body().data = body_buffer_.data();
+  parser_->get().body().size = body_buffer_.size();
+  parser_->get().body().more = true;
+}
+
+std::string_view ResponseParser::bodyBytes() const {
+  const std::size_t filled = body_buffer_.size() - parser_->get().body().size;
+  return {body_buffer_.data(), filled};
+}
+
+std::optional<base::Duration> keepAliveTimeout(const Response& head) {
+  constexpr std::string_view Name = "timeout=";
+  const std::string_view text = head.header("Keep-Alive");
+  const std::size_t begin = text.find(Name);
+  if (begin == std::string_view::npos) {
+    return std::nullopt;
+  }
+  int seconds = 0;
+  const std::string_view number = text.substr(begin + Name.size());
+  const auto [end, fault] = std::from_chars(number.data(), number.data() + number.size(), seconds);
+  if (fault != std::errc() || seconds < 0) {
+    return std::nullopt;
+  }
+  return std::chrono::seconds(seconds);
+}
+
+}  // namespace switchsaddle::http
--- /dev/null
+++ b/libraries/http/source/response_parser.h
@@ -0,0 +1,54 @@
+#pragma once
+
+#include <array>
+#include <boost/beast/http/buffer_body.hpp>
+#include <boost/beast/http/parser.hpp>
+#include <cstddef>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "switchsaddle/base/time.h"
+#include "switchsaddle/http/message.h"
+
+namespace switchsaddle::http {
+
+/** Incremental parser of one response at a time: its head, then the body in buffers. */
+class ResponseParser {
+ public:
+  using BeastParser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
+
+  /** Starts the next response. @param method of the request; a response to HEAD has no body. */
+  void start(std::string_view method);
+  /** Discards the current response. */
+  void reset() { parser_.reset(); }
+
+  /** @return the parser for Beast's read functions; valid after start(). */
+  BeastParser& beast() { return *parser_; }
+
+  /** @return whether a byte of the response has been parsed. */
+  bool hasStarted() const { return parser_ && parser_->got_some(); }
+  /** @return whether the head is that of an informational response (1xx). */
+  bool isInformational() const;
+  bool isComplete() const { return parser_->is_done(); }
+  /** @return whether the server keeps the connection open. */
+  bool keepsAlive() const { return parser_->keep_alive(); }
+  /** @return status and headers. */
+  Response head() const;
+
+  /** Provides the buffer for the next bytes of the body. */
+  void prepareBody();
+  /** @return the bytes parsed since prepareBody(). */
+  std::string_view bodyBytes() const;
+
+ private:
+  static constexpr std::size_t BodyBufferBytes = 16U << 10U;
+
+  std::optional<BeastParser> parser_;
+  std::array<char, BodyBufferBytes> body_buffer_;
+};
+
+/** @return the time-out of the Keep-Alive header; nothing if there is none. */
+std::optional<base::Duration> keepAliveTimeout(const Response& head);
+
+}  // namespace switchsaddle::http
--- a/libraries/http/source/serialise.cc
+++ b/libraries/http/source/serialise.cc
@@ -15,7 +15,7 @@
 
 constexpr std::string_view LineEnd = "\r\n";
 
-/** Headers about the connection, which only the one who writes it can tell. */
+/** @return whether a header describes framing or connection, which the writer determines. */
 bool isFramingHeader(std::string_view name) {
   static constexpr std::array<std::string_view, 4> Names{"connection", "content-length",
                                                          "transfer-encoding", "host"};
@@ -24,6 +24,7 @@
   });
 }
 
+/** Appends the text without characters that would end the header field. */
 void appendClean(std::string& out, std::string_view text) {
   std::copy_if(text.begin(), text.end(), std::back_inserter(out), [](char character) {
     return character != '\r' && character != '\n' && character != '\0';
--- a/libraries/http/source/serialise.h
+++ b/libraries/http/source/serialise.h
@@ -6,21 +6,23 @@
 
 namespace switchsaddle::http {
 
-/** How the end of a message's body is told. */
+/** How the end of a message's body is indicated. */
 enum class BodyFraming : std::uint8_t { ContentLength, Chunked, UntilClose, None };
 
 /**
- * The start line and header of a response. Framing and connection headers are made here; those in
- * the response are left out, as are characters that would end a header field.
+ * @return the status line and headers of a response. Framing and connection headers are determined
+ *     by the parameters; those of the response are ignored. Characters that would end a header
+ * field are removed.
  */
 std::string serialiseHead(const Response& response, BodyFraming framing, bool keep_alive);
 
-/** A whole request, with Host, Content-Length and Connection made here. */
+/** @return the complete request; Host, Content-Length and Connection are generated. */
 std::string serialiseRequest(const Request& request, const std::string& host, bool keep_alive);
 
-/** One chunk of a chunked body; the bytes must not be empty. */
+/** @return one chunk of a chunked body. @param bytes must not be empty. */
 std::string serialiseChunk(const std::string& bytes);
 
+/** End of a chunked body. */
 inline constexpr std::string_view LastChunk = "0\r\n\r\n";
 
 }  // namespace switchsaddle::http
--- a/libraries/http/source/server.cc
+++ b/libraries/http/source/server.cc
@@ -17,7 +17,7 @@
 
 constexpr auto AcceptRetryDelay = std::chrono::milliseconds(100);
 
-/** Accepts connections for a server. */
+/** Accepts the connections of a server. Runs on its strand. */
 class Listener : public std::enable_shared_from_this<Listener> {
  public:
   Listener(std::shared_ptr<ServerState> server, const base::NodeAddress& address)
@@ -44,10 +44,10 @@
             return;
           }
           if (error) {
-            self->retryLater();
+            self->retryAccept();
             return;
           }
-          self->take(std::move(socket));
+          self->addConnection(std::move(socket));
           self->accept();
         });
   }
@@ -59,7 +59,7 @@
   }
 
  private:
-  void take(tcp::socket socket) {
+  void addConnection(tcp::socket socket) {
     if (server_->connections.size() >= server_->limits.connections) {
       return;
     }
@@ -68,8 +68,8 @@
     connection->start();
   }
 
-  /** Accepting fails for want of file descriptors, for one; some may be free later. */
-  void retryLater() {
+  /** Retries after an error such as a lack of file descriptors. */
+  void retryAccept() {
     retry_timer_.expires_after(AcceptRetryDelay);
     retry_timer_.async_wait([self = shared_from_this()](const error_code&) {
       if (self->acceptor_.is_open()) {
--- a/libraries/http/source/server_connection.cc
+++ b/libraries/http/source/server_connection.cc
@@ -4,7 +4,6 @@
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 
-#include <algorithm>
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/read.hpp>
@@ -23,18 +22,22 @@
 namespace beast_http = boost::beast::http;
 using boost::system::error_code;
 
-/** How long a connection may lie idle between two requests. */
-constexpr auto KeepAliveLimit = std::chrono::seconds(75);
-/** How long, and for how many bytes, a refused client may go on sending before it is cut. */
-constexpr auto LingerLimit = std::chrono::seconds(2);
-constexpr std::size_t LingerBytes = 16U << 20U;
-/** Bytes taken from the socket while an answer is awaited. */
+/** Time-out of an idle connection between two requests. */
+constexpr auto KeepAliveTimeout = std::chrono::seconds(75);
+/** Limits of what a client may send while its connection is being closed. */
+constexpr auto LingerTimeout = std::chrono::seconds(2);
+constexpr std::size_t LingerLimitBytes = 16U << 20U;
+/** Maximum number of bytes read while a response is awaited. */
 constexpr std::size_t ReadAheadBytes = 4U << 10U;
-/** Kept small, so that a slow client is noticed by whoever writes the stream. */
-constexpr int StreamSendBuffer = 64 << 10;
-/** How long a client may acknowledge nothing. */
+/** Small, so that back-pressure of a slow client reaches the writer of the stream soon. */
+constexpr int StreamSendBufferBytes = 64 << 10;
+/** Time for which a client may leave sent bytes unacknowledged. */
 constexpr int UserTimeoutMilliseconds = 60'000;
-constexpr std::size_t GatheredWrites = 16;
+/** Maximum number of chunks in one gathered write. */
+constexpr std::size_t BatchWrites = 16;
+constexpr unsigned Http11 = 11;
+constexpr std::uint16_t StatusNoContent = 204;
+constexpr std::uint16_t StatusNotModified = 304;
 constexpr std::string_view Continue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 void setConnectionOptions(asio::ip::tcp::socket& socket) {
@@ -45,7 +48,7 @@
   socket.set_option(UserTimeout(UserTimeoutMilliseconds), ignored);
 }
 
-Request takeRequest(beast_http::request<beast_http::string_body> parsed) {
+Request toRequest(beast_http::request<beast_http::string_body> parsed) {
   Request request;
   request.method = std::string(parsed.method_string());
   request.target = std::string(parsed.target());
@@ -64,29 +67,31 @@
 
 void ServerConnection::start() {
   setConnectionOptions(socket_);
-  nextRequest();
+  awaitRequest();
+}
+
+bool ServerConnection::inExchange() const {
+  return phase_ == Phase::Awaiting || phase_ == Phase::Streaming || phase_ == Phase::Finishing;
 }
 
 void ServerConnection::close() {
   if (phase_ == Phase::Closed) {
     return;
   }
-  const bool in_exchange =
-      phase_ == Phase::Awaiting || phase_ == Phase::Streaming || phase_ == Phase::Finishing;
+  const bool was_in_exchange = inExchange();
   phase_ = Phase::Closed;
-  ++timer_arming_;
   timer_.cancel();
   error_code ignored;
   socket_.close(ignored);
-  for (Pending& pending : queue_) {
+  for (PendingWrite& pending : queue_) {
     if (pending.written) {
       postWritten(std::move(pending.written), false);
     }
   }
   queue_.clear();
-  std::function<void()> gone = std::exchange(client_disconnected_, nullptr);
-  if (in_exchange && gone && !server_->closed) {
-    asio::post(server_->strand, std::move(gone));
+  std::function<void()> disconnected = std::exchange(client_disconnected_, nullptr);
+  if (was_in_exchange && disconnected && !server_->closed) {
+    asio::post(server_->strand, std::move(disconnected));
   }
   server_->connections.erase(shared_from_this());
 }
@@ -96,20 +101,20 @@
   return open && exchange == exchange_;
 }
 
-void ServerConnection::nextRequest() {
+void ServerConnection::awaitRequest() {
   phase_ = Phase::Idle;
   if (buffer_.size() > 0 && !reading_ahead_) {
     readHead();
     return;
   }
   if (buffer_.size() > 0) {
-    // The next request may be here in full, so that the read ahead could wait for nothing.
+    // The buffer may contain a complete request, after which the pending read would wait forever.
     error_code ignored;
     socket_.cancel(ignored);
     return;
   }
   armTimer(first_request_ ? std::chrono::seconds(server_->limits.header_timeout_s)
-                          : std::chrono::seconds(KeepAliveLimit));
+                          : KeepAliveTimeout);
   readAhead();
 }
 
@@ -131,7 +136,7 @@
     return;
   }
   if (error == asio::error::eof && phase_ == Phase::Finishing) {
-    // The answer is on its way, and a client may have closed only its sending side.
+    // The client may have closed only its sending side; the response is still written.
     keep_alive_ = false;
     return;
   }
@@ -164,15 +169,19 @@
 }
 
 void ServerConnection::onHead(const error_code& error) {
-  if (phase_ == Phase::Closed || refuseRead(error)) {
+  if (phase_ == Phase::Closed || handleReadError(error)) {
     return;
   }
   const bool continue_expected =
       beast_http::token_list(parser_->get()[beast_http::field::expect]).exists("100-continue");
-  if (!continue_expected || parser_->is_done()) {
+  if (continue_expected && !parser_->is_done()) {
+    sendContinue();
+  } else {
     readBody();
-    return;
   }
+}
+
+void ServerConnection::sendContinue() {
   asio::async_write(socket_, asio::buffer(Continue),
                     [self = shared_from_this()](const error_code& failure, std::size_t) {
                       if (failure) {
@@ -192,21 +201,20 @@
 }
 
 void ServerConnection::onRequest(const error_code& error) {
-  if (phase_ == Phase::Closed || refuseRead(error)) {
+  if (phase_ == Phase::Closed || handleReadError(error)) {
     return;
   }
-  ++timer_arming_;
   timer_.cancel();
   const unsigned version = parser_->get().version();
   keep_alive_ = parser_->get().keep_alive();
   head_only_ = parser_->get().method() == beast_http::verb::head;
-  framing_ = version >= 11 ? BodyFraming::Chunked : BodyFraming::UntilClose;
-  Request request = takeRequest(parser_->release());
+  framing_ = version >= Http11 ? BodyFraming::Chunked : BodyFraming::UntilClose;
+  Request request = toRequest(parser_->release());
   parser_.reset();
-  handOver(std::move(request));
+  callHandler(std::move(request));
 }
 
-void ServerConnection::handOver(Request request) {
+void ServerConnection::callHandler(Request request) {
   phase_ = Phase::Awaiting;
   const std::uint64_t exchange = ++exchange_;
   readAhead();
@@ -225,26 +233,25 @@
   }
 }
 
-/** Answers a request that could not be read; false where there is no error. */
-bool ServerConnection::refuseRead(const error_code& error) {
+bool ServerConnection::handleReadError(const error_code& error) {
   if (!error) {
     return false;
   }
-  const bool fault_of_syntax =
+  const bool is_parse_error =
       error.category() == error_code(beast_http::error::bad_method).category();
-  const bool cut_short =
+  const bool is_truncated =
       error == beast_http::error::end_of_stream || error == beast_http::error::partial_message;
-  if (!fault_of_syntax || cut_short) {
+  if (!is_parse_error || is_truncated) {
     close();
   } else if (error == beast_http::error::body_limit) {
-    refuse(errorResponse(base::ResultCode::BodyTooLarge));
+    reject(errorResponse(base::ResultCode::BodyTooLarge));
   } else {
-    refuse(errorResponse(base::ResultCode::MalformedHttp, error.message()));
+    reject(errorResponse(base::ResultCode::MalformedHttp, error.message()));
   }
   return true;
 }
 
-void ServerConnection::refuse(const Response& response) {
+void ServerConnection::reject(const Response& response) {
   phase_ = Phase::Finishing;
   keep_alive_ = false;
   armTimer(std::chrono::seconds(server_->limits.header_timeout_s));
@@ -253,7 +260,7 @@
 
 void ServerConnection::linger() {
   phase_ = Phase::Lingering;
-  armTimer(LingerLimit);
+  armTimer(LingerTimeout);
   error_code ignored;
   socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
   buffer_.clear();
@@ -262,7 +269,7 @@
 
 void ServerConnection::readLingering() {
   lingered_bytes_ += ReadAheadBytes;
-  if (lingered_bytes_ > LingerBytes) {
+  if (lingered_bytes_ > LingerLimitBytes) {
     close();
     return;
   }
@@ -270,11 +277,8 @@
 }
 
 void ServerConnection::armTimer(std::chrono::seconds delay) {
-  const std::uint64_t arming = ++timer_arming_;
-  timer_.expires_after(delay);
-  timer_.async_wait([weak = weak_from_this(), arming](const error_code&) {
-    const auto self = weak.lock();
-    if (self && self->timer_arming_ == arming) {
+  timer_.arm(delay, [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) {
       self->close();
     }
   });
@@ -283,7 +287,7 @@
 void ServerConnection::respond(Response response) {
   phase_ = Phase::Finishing;
   keep_alive_ = keep_alive_ && !server_->draining;
-  const bool bodiless = response.status == 204 || response.status == 304;
+  const bool bodiless = response.status == StatusNoContent || response.status == StatusNotModified;
   std::string bytes = serialiseHead(
       response, bodiless ? BodyFraming::None : BodyFraming::ContentLength, keep_alive_);
   if (!bodiless && !head_only_) {
@@ -298,7 +302,7 @@
   }
   phase_ = Phase::Streaming;
   error_code ignored;
-  socket_.set_option(asio::socket_base::send_buffer_size(StreamSendBuffer), ignored);
+  socket_.set_option(asio::socket_base::send_buffer_size(StreamSendBufferBytes), ignored);
   keep_alive_ = keep_alive_ && !server_->draining && framing_ == BodyFraming::Chunked;
   enqueue(serialiseHead(head, framing_, keep_alive_), nullptr);
 }
@@ -339,15 +343,19 @@
   }
 }
 
-void ServerConnection::write() {
-  std::vector<asio::const_buffer> buffers;
-  const std::size_t count = std::min(queue_.size(), GatheredWrites);
-  auto batch = std::make_shared<std::vector<Pending>>();
-  for (std::size_t index = 0; index < count; ++index) {
-    batch->push_back(std::move(queue_.front()));
+std::vector<ServerConnection::PendingWrite> ServerConnection::popBatch() {
+  std::vector<PendingWrite> batch;
+  while (!queue_.empty() && batch.size() < BatchWrites) {
+    batch.push_back(std::move(queue_.front()));
     queue_.pop_front();
   }
-  for (const Pending& pending : *batch) {
+  return batch;
+}
+
+void ServerConnection::write() {
+  const auto batch = std::make_shared<std::vector<PendingWrite>>(popBatch());
+  std::vector<asio::const_buffer> buffers;
+  for (const PendingWrite& pending : *batch) {
     buffers.push_back(asio::buffer(pending.bytes));
   }
   writing_ = true;
@@ -357,20 +365,20 @@
                     });
 }
 
-void ServerConnection::onWritten(const error_code& error, std::vector<Pending>& batch) {
+void ServerConnection::onWritten(const error_code& error, std::vector<PendingWrite>& batch) {
   writing_ = false;
   if (error) {
     close();
   }
-  const bool taken = phase_ != Phase::Closed;
-  if (taken && !queue_.empty()) {
+  const bool is_open = phase_ != Phase::Closed;
+  if (is_open && !queue_.empty()) {
     write();
-  } else if (taken && phase_ == Phase::Finishing) {
+  } else if (is_open && phase_ == Phase::Finishing) {
     finish();
   }
-  for (Pending& pending : batch) {
+  for (PendingWrite& pending : batch) {
     if (pending.written) {
-      postWritten(std::move(pending.written), taken);
+      postWritten(std::move(pending.written), is_open);
     }
   }
 }
@@ -378,7 +386,7 @@
 void ServerConnection::finish() {
   client_disconnected_ = nullptr;
   if (keep_alive_ && !server_->closed) {
-    nextRequest();
+    awaitRequest();
   } else {
     linger();
   }
--- a/libraries/http/test/client_test.cc
+++ b/libraries/http/test/client_test.cc
@@ -62,7 +62,7 @@
   std::vector<std::shared_ptr<tcp::socket>> raw_sockets;
 };
 
-TEST_F(ClientTest, KeepsAConnectionForTheNextExchange) {
+TEST_F(ClientTest, ReusesAConnectionForTheNextExchange) {
   serveEcho();
   for (int repeat = 0; repeat < 5; ++repeat) {
     EXPECT_EQ(run({"POST", "/", {}, "x"})->body, "xkeep-alive");
@@ -70,7 +70,7 @@
   EXPECT_EQ(server->openConnections(), 1U);
 }
 
-TEST_F(ClientTest, FreshConnectionsCarryNothingElse) {
+TEST_F(ClientTest, FreshConnectionsAreNotReused) {
   serveEcho();
   ExchangeOptions fresh;
   fresh.fresh_connection = true;
@@ -80,7 +80,7 @@
   EXPECT_TRUE(runUntil([&] { return server->openConnections() == 1; }));
 }
 
-TEST_F(ClientTest, TellsARefusedConnection) {
+TEST_F(ClientTest, ReportsARefusedConnection) {
   serveEcho();
   const base::NodeAddress address = server->address();
   server.reset();
@@ -90,24 +90,24 @@
   EXPECT_EQ(observer->failures, 1);
 }
 
-TEST_F(ClientTest, TellsAnAddressThatCannotBeUsed) {
+TEST_F(ClientTest, ReportsAnInvalidAddress) {
   const auto observer = runAt({"not an address", 1}, {"POST", "/", {}, "x"});
   EXPECT_EQ(observer->failure, ExchangeFailure::NotConnected);
   EXPECT_FALSE(observer->refused);
 }
 
-TEST_F(ClientTest, TellsAConnectionClosedWithoutAnAnswer) {
+TEST_F(ClientTest, ReportsAConnectionClosedWithoutAResponse) {
   const base::NodeAddress address = serveRaw("");
   EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"})->failure, ExchangeFailure::NoResponse);
   EXPECT_EQ(raw_connections, 1);
 }
 
-TEST_F(ClientTest, TellsAnAnswerThatIsNotHttp) {
+TEST_F(ClientTest, ReportsAResponseThatIsNotHttp) {
   const base::NodeAddress address = serveRaw("garbage\r\n\r\n");
   EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"})->failure, ExchangeFailure::NoResponse);
 }
 
-TEST_F(ClientTest, TellsACutBody) {
+TEST_F(ClientTest, ReportsATruncatedBody) {
   const base::NodeAddress address = serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
   const auto observer = runAt(address, {"GET", "/", {}, ""});
   EXPECT_EQ(observer->failure, ExchangeFailure::BodyCut);
@@ -115,7 +115,7 @@
   EXPECT_EQ(raw_connections, 1);
 }
 
-TEST_F(ClientTest, TellsACutChunkedBody) {
+TEST_F(ClientTest, ReportsATruncatedChunkedBody) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   const auto observer = runAt(address, {"GET", "/", {}, ""});
@@ -123,14 +123,14 @@
   EXPECT_EQ(observer->body, "abc");
 }
 
-TEST_F(ClientTest, TakesABodyThatEndsWithTheConnection) {
+TEST_F(ClientTest, AcceptsABodyThatEndsWithTheConnection) {
   const base::NodeAddress address = serveRaw("HTTP/1.1 200 OK\r\n\r\nabc");
   const auto observer = runAt(address, {"GET", "/", {}, ""});
   EXPECT_EQ(observer->completions, 1);
   EXPECT_EQ(observer->body, "abc");
 }
 
-TEST_F(ClientTest, PassesOverInformationalAnswers) {
+TEST_F(ClientTest, SkipsInformationalResponses) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\nok");
   const auto observer = runAt(address, {"POST", "/", {}, "x"});
@@ -138,7 +138,7 @@
   EXPECT_EQ(observer->body, "ok");
 }
 
-TEST_F(ClientTest, AHugeAnnouncedLengthTakesNoMemory) {
+TEST_F(ClientTest, AHugeContentLengthAllocatesNoMemory) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 9000000000000000000\r\n\r\nabc");
   EXPECT_EQ(runAt(address, {"GET", "/", {}, ""})->failure, ExchangeFailure::BodyCut);
@@ -151,7 +151,7 @@
   EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"}, options)->failure, ExchangeFailure::TimedOut);
 }
 
-TEST_F(ClientTest, TimesOutOnASilentBody) {
+TEST_F(ClientTest, TimesOutWithinTheBody) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", true);
   ExchangeOptions options;
@@ -161,14 +161,14 @@
   EXPECT_EQ(observer->body, "abc");
 }
 
-TEST_F(ClientTest, NeverSendsAPostTwice) {
-  // The first answer allows keep-alive; the connection is then closed by the server.
+TEST_F(ClientTest, NeverRetriesAPost) {
+  // The first response allows keep-alive; the server then closes the connection.
   const base::NodeAddress address = serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", true);
   EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"})->completions, 1);
   raw_sockets.clear();
   EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"})->completions, 1);
   EXPECT_EQ(raw_connections, 2);
-  // The server reads the request on the kept connection and closes it without an answer.
+  // The server reads the request on the reused connection and closes it without a response.
   auto kept = raw_sockets.back();
   raw_sockets.clear();
   auto bytes = std::make_shared<std::string>(4096, '\0');
@@ -179,7 +179,7 @@
   EXPECT_EQ(raw_connections, 2);
 }
 
-TEST_F(ClientTest, SendsAGetOnceMoreAfterAKeptConnectionFails) {
+TEST_F(ClientTest, RetriesAGetOnceAfterAReusedConnectionFails) {
   const base::NodeAddress address = serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", true);
   EXPECT_EQ(runAt(address, {"GET", "/", {}, ""})->completions, 1);
   auto kept = raw_sockets.back();
@@ -192,26 +192,26 @@
   EXPECT_EQ(raw_connections, 2);
 }
 
-TEST_F(ClientTest, CancelledExchangesAreSilent) {
+TEST_F(ClientTest, CancelledExchangesNotifyNoObserver) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true);
   auto observer = std::make_shared<RecordingObserver>();
   auto cancelled = client->start(address, {"GET", "/", {}, ""}, {}, observer);
   cancelled->cancel();
   cancelled->cancel();
-  auto held = std::make_shared<RecordingObserver>();
-  held->hold = true;
-  auto cancelled_later = client->start(address, {"GET", "/", {}, ""}, {}, held);
-  ASSERT_TRUE(runUntil([&] { return held->held != nullptr; }));
+  auto paused = std::make_shared<RecordingObserver>();
+  paused->pauses = true;
+  auto cancelled_later = client->start(address, {"GET", "/", {}, ""}, {}, paused);
+  ASSERT_TRUE(runUntil([&] { return paused->pending_resume != nullptr; }));
   cancelled_later->cancel();
-  held->held();
+  paused->pending_resume();
   EXPECT_EQ(runAt(address, {"GET", "/", {}, ""})->completions, 1);
   EXPECT_FALSE(observer->head.has_value());
   EXPECT_FALSE(observer->ended());
-  EXPECT_FALSE(held->ended());
+  EXPECT_FALSE(paused->ended());
 }
 
-/** Cancels its exchange from within a callback, and is kept by nothing but the exchange. */
+/** Cancels its exchange from within a callback; owned by the exchange only. */
 class CancellingObserver : public ExchangeObserver {
  public:
   explicit CancellingObserver(std::weak_ptr<Exchange>& exchange, int& calls)
@@ -240,7 +240,7 @@
   EXPECT_EQ(calls, 100);
 }
 
-TEST_F(ClientTest, ConnectsFromTheGivenAddress) {
+TEST_F(ClientTest, ConnectsFromTheLocalAddress) {
   acceptor.emplace(context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   std::string seen;
   acceptor->async_accept([&](const boost::system::error_code&, tcp::socket socket) {
@@ -253,7 +253,7 @@
   EXPECT_EQ(seen, "127.9.8.7");
 }
 
-TEST_F(ClientTest, FetchGivesTheWholeResponseOrTheFailure) {
+TEST_F(ClientTest, FetchReturnsTheCompleteResponseOrTheFailure) {
   serveEcho();
   std::string body;
   client->fetch(server->address(), {"POST", "/", {}, "hello "}, {},
@@ -271,14 +271,14 @@
   EXPECT_EQ(failure, ExchangeFailure::NotConnected);
 }
 
-/** Takes only answers that name the request. */
+/** Accepts only responses that name the request. */
 ExchangeOptions onlyNamed() {
   ExchangeOptions options;
   options.is_answer = [](const Response& head) { return head.header("Request-Id") == "mine"; };
   return options;
 }
 
-TEST_F(ClientTest, PassesOverAnAnswerThatBelongsToAnotherRequest) {
+TEST_F(ClientTest, DiscardsAResponseToAnotherRequest) {
   const base::NodeAddress address = serveRaw(
       "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nwrong"
       "HTTP/1.1 200 OK\r\nRequest-Id: mine\r\nContent-Length: 5\r\n\r\nright");
@@ -287,26 +287,26 @@
   EXPECT_EQ(observer->body, "right");
 }
 
-TEST_F(ClientTest, AnotherRequestsAnswerAloneIsNone) {
+TEST_F(ClientTest, OnlyAResponseToAnotherRequestIsNoResponse) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nwrong");
   EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"}, onlyNamed())->failure,
             ExchangeFailure::NoResponse);
 }
 
-TEST_F(ClientTest, TakesAnAnswerGivenBeforeTheRequestWasRead) {
+TEST_F(ClientTest, AcceptsAResponseSentBeforeTheRequestWasRead) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy", true);
   const std::string long_body(32U << 20U, 'x');
   const auto observer = runAt(address, {"POST", "/", {}, long_body});
   EXPECT_EQ(observer->completions, 1);
   EXPECT_EQ(observer->head->status, 503);
-  // The rest of the body is still due on that connection, so that it is not used again.
+  // The rest of the body is still unsent on that connection, which is not reused.
   runAt(address, {"POST", "/", {}, "x"});
   EXPECT_EQ(raw_connections, 2);
 }
 
-TEST_F(ClientTest, LeavesAConnectionBeforeTheServerSaysItCloses) {
+TEST_F(ClientTest, DropsAConnectionBeforeTheServersKeepAliveTimeout) {
   serve([](const Request&, const ResponseWriterPtr& writer) {
     writer->respond({200, {{"Keep-Alive", "timeout=0"}}, "x"});
   });
@@ -318,7 +318,7 @@
   EXPECT_EQ(run({"POST", "/", {}, "x"}, never)->body, "x");
 }
 
-TEST_F(ClientTest, AGetLostOnAReusedConnectionIsSentAgainOnlyWhereAsked) {
+TEST_F(ClientTest, AGetLostOnAReusedConnectionIsRetriedOnlyIfEnabled) {
   for (const bool resend : {true, false}) {
     int requests = 0;
     serve([&](const Request&, const ResponseWriterPtr& writer) {
--- a/libraries/http/test/http_fixture.h
+++ b/libraries/http/test/http_fixture.h
@@ -14,14 +14,14 @@
 
 namespace switchsaddle::http {
 
-/** Records what an exchange reports; `hold` keeps the body's bytes back. */
+/** Records the calls of an exchange; with `pauses` it does not resume reading the body. */
 class RecordingObserver : public ExchangeObserver {
  public:
   void onResponseHead(const Response& response) override { head = response; }
   void onBodyBytes(std::string bytes, std::function<void()> resume) override {
     body += bytes;
-    if (hold) {
-      held = std::move(resume);
+    if (pauses) {
+      pending_resume = std::move(resume);
     } else {
       resume();
     }
@@ -36,15 +36,15 @@
 
   std::optional<Response> head;
   std::string body;
-  bool hold = false;
-  std::function<void()> held;
+  bool pauses = false;
+  std::function<void()> pending_resume;
   int completions = 0;
   int failures = 0;
   std::optional<ExchangeFailure> failure;
   bool refused = false;
 };
 
-/** A loopback server and client on one io_context, which the test runs itself. */
+/** A loopback server and client on one io_context, which the test runs. */
 class HttpFixture : public testing::Test {
  protected:
   static constexpr auto Limit = std::chrono::seconds(20);
@@ -53,7 +53,7 @@
     server = startServer(context, {"127.0.0.1", 0}, limits, std::move(handler));
   }
 
-  /** Runs the context until the condition holds; false where the limit passed first. */
+  /** Runs the context until the condition holds; @return false if the limit passes first. */
   bool runUntil(const std::function<bool()>& condition) {
     const auto end = std::chrono::steady_clock::now() + Limit;
     while (!condition()) {
@@ -73,14 +73,14 @@
     return observer;
   }
 
-  /** Runs an exchange to its end. */
+  /** Runs an exchange until it ends. */
   std::shared_ptr<RecordingObserver> run(Request request, const ExchangeOptions& options = {}) {
     auto observer = exchange(std::move(request), options);
     EXPECT_TRUE(runUntil([&] { return observer->ended(); }));
     return observer;
   }
 
-  /** A plain socket to the server, for input no client would send. */
+  /** Connects a plain socket to the server, for input that no client sends. */
   boost::asio::ip::tcp::socket connectRaw() {
     boost::asio::ip::tcp::socket socket(context);
     socket.connect({boost::asio::ip::make_address("127.0.0.1"), server->address().port});
@@ -88,7 +88,7 @@
     return socket;
   }
 
-  /** Everything the server sends until it closes the connection. */
+  /** @return all bytes that the server sends until it closes the connection. */
   std::string readToEnd(boost::asio::ip::tcp::socket& socket) {
     std::string received;
     bool at_end = false;
--- a/libraries/http/test/server_test.cc
+++ b/libraries/http/test/server_test.cc
@@ -49,7 +49,7 @@
   EXPECT_NE(third, std::string::npos);
 }
 
-TEST_F(ServerTest, AnswersMalformedInputWithItsNumberAndLivesOn) {
+TEST_F(ServerTest, RejectsMalformedInputAndContinues) {
   serveEcho();
   const std::vector<std::string> inputs{
       "\r\n\r\n\r\n ",
@@ -78,7 +78,7 @@
   EXPECT_EQ(run({"GET", "/", {}, ""})->head->status, 200);
 }
 
-TEST_F(ServerTest, RefusesABodyBeyondTheLimit) {
+TEST_F(ServerTest, RejectsABodyBeyondTheLimit) {
   ServerLimits limits;
   limits.body_bytes = 100;
   serveEcho(limits);
@@ -94,7 +94,7 @@
   EXPECT_EQ(requests, 1);
 }
 
-TEST_F(ServerTest, ClosesAConnectionWhoseHeaderDoesNotCome) {
+TEST_F(ServerTest, ClosesAConnectionAfterTheHeaderTimeout) {
   ServerLimits limits;
   limits.header_timeout_s = 1;
   serveEcho(limits);
@@ -112,21 +112,21 @@
   EXPECT_NE(received.find("POST / hi"), std::string::npos);
 }
 
-TEST_F(ServerTest, AnswersForAHandlerThatThrows) {
+TEST_F(ServerTest, RespondsIfTheHandlerThrows) {
   serve([](const Request&, const ResponseWriterPtr&) { throw std::runtime_error("fault"); });
   const auto observer = run({"GET", "/", {}, ""});
   EXPECT_EQ(observer->head->status, 500);
   EXPECT_NE(observer->body.find("\"code\":9001"), std::string::npos);
 }
 
-TEST_F(ServerTest, AnswersForAHandlerThatDropsTheWriter) {
+TEST_F(ServerTest, RespondsIfTheHandlerDropsTheWriter) {
   serve([](const Request&, const ResponseWriterPtr&) {});
   const auto observer = run({"GET", "/", {}, ""});
   EXPECT_EQ(observer->head->status, 500);
   EXPECT_NE(observer->body.find("\"code\":9001"), std::string::npos);
 }
 
-TEST_F(ServerTest, CutsAStreamWhoseWriterIsDropped) {
+TEST_F(ServerTest, TruncatesAStreamWhoseWriterIsDropped) {
   serve([](const Request&, const ResponseWriterPtr& writer) {
     writer->startStream({200, {}, ""});
     writer->writeChunk("piece", [writer](bool) {});
@@ -136,7 +136,7 @@
   EXPECT_EQ(observer->body, "piece");
 }
 
-TEST_F(ServerTest, StreamsChunksToTheEndAndKeepsTheConnection) {
+TEST_F(ServerTest, StreamsChunksAndKeepsTheConnection) {
   serve([this](const Request&, const ResponseWriterPtr& writer) {
     ++requests;
     writer->startStream({200, {{"Content-Type", "text/event-stream"}}, ""});
@@ -154,7 +154,7 @@
   EXPECT_EQ(server->openConnections(), 1U);
 }
 
-TEST_F(ServerTest, StreamsToAnOldClientWithoutChunks) {
+TEST_F(ServerTest, StreamsToAnHttp10ClientWithoutChunks) {
   serve([](const Request&, const ResponseWriterPtr& writer) {
     writer->startStream({200, {}, ""});
     writer->writeChunk("plain", nullptr);
@@ -165,40 +165,40 @@
   EXPECT_EQ(received.find("chunked"), std::string::npos);
 }
 
-TEST_F(ServerTest, TellsOfAClientThatLeavesWhileAnAnswerIsAwaited) {
+TEST_F(ServerTest, ReportsADisconnectWhileAResponseIsAwaited) {
   ResponseWriterPtr kept;
-  int gone = 0;
+  int disconnects = 0;
   serve([&](const Request&, const ResponseWriterPtr& writer) {
     kept = writer;
-    writer->onClientDisconnected([&] { ++gone; });
+    writer->onClientDisconnected([&] { ++disconnects; });
   });
   exchange({"GET", "/", {}, ""});
   ASSERT_TRUE(runUntil([&] { return kept != nullptr; }));
   running->cancel();
-  EXPECT_TRUE(runUntil([&] { return gone == 1; }));
+  EXPECT_TRUE(runUntil([&] { return disconnects == 1; }));
   kept->respond({200, {}, "late"});
   bool late_chunk = true;
   kept->writeChunk("late", [&](bool taken) { late_chunk = taken; });
   EXPECT_TRUE(runUntil([&] { return !late_chunk; }));
-  EXPECT_EQ(gone, 1);
+  EXPECT_EQ(disconnects, 1);
 }
 
-TEST_F(ServerTest, TellsOfAClientThatLeavesDuringAStream) {
+TEST_F(ServerTest, ReportsADisconnectDuringAStream) {
   ResponseWriterPtr kept;
-  int gone = 0;
+  int disconnects = 0;
   serve([&](const Request&, const ResponseWriterPtr& writer) {
     kept = writer;
-    writer->onClientDisconnected([&] { ++gone; });
+    writer->onClientDisconnected([&] { ++disconnects; });
     writer->startStream({200, {}, ""});
     writer->writeChunk("piece", nullptr);
   });
   const auto observer = exchange({"GET", "/", {}, ""});
   ASSERT_TRUE(runUntil([&] { return !observer->body.empty(); }));
   running->cancel();
-  EXPECT_TRUE(runUntil([&] { return gone == 1; }));
+  EXPECT_TRUE(runUntil([&] { return disconnects == 1; }));
 }
 
-TEST_F(ServerTest, HoldsAStreamBackForASlowClient) {
+TEST_F(ServerTest, AppliesBackPressureForASlowClient) {
   constexpr std::size_t ChunkBytes = 16U << 10U;
   constexpr std::size_t TotalBytes = 64U << 20U;
   std::size_t written = 0;
@@ -218,10 +218,10 @@
     kept->writeChunk(std::string(ChunkBytes, 'x'), write_next);
   });
   auto observer = std::make_shared<RecordingObserver>();
-  observer->hold = true;
+  observer->pauses = true;
   running = client->start(server->address(), {"GET", "/", {}, ""}, {}, observer);
-  ASSERT_TRUE(runUntil([&] { return observer->held != nullptr; }));
-  // Runs until nothing more can happen: the sockets' buffers are full.
+  ASSERT_TRUE(runUntil([&] { return observer->pending_resume != nullptr; }));
+  // Runs until the sockets' buffers are full.
   std::size_t before = 0;
   do {
     before = written;
@@ -229,14 +229,14 @@
     context.run_for(std::chrono::milliseconds(100));
   } while (written != before);
   EXPECT_LT(written, TotalBytes / 2);
-  observer->hold = false;
-  observer->held();
+  observer->pauses = false;
+  observer->pending_resume();
   EXPECT_TRUE(runUntil([&] { return observer->ended(); }));
   EXPECT_EQ(observer->completions, 1);
   EXPECT_EQ(observer->body.size(), TotalBytes);
 }
 
-TEST_F(ServerTest, LeavesOutCharactersThatWouldEndAHeader) {
+TEST_F(ServerTest, RemovesCharactersThatWouldEndAHeader) {
   serve([](const Request&, const ResponseWriterPtr& writer) {
     writer->respond({200, {{"Echo", "a\r\nInjected: b"}, {"Content-Length", "999"}}, "body"});
   });
@@ -245,7 +245,7 @@
   EXPECT_EQ(observer->body, "body");
 }
 
-TEST_F(ServerTest, RefusesAnAddressInUse) {
+TEST_F(ServerTest, RejectsAnAddressInUse) {
   serveEcho();
   try {
     startServer(context, server->address(), {}, nullptr);
@@ -255,7 +255,7 @@
   }
 }
 
-TEST_F(ServerTest, StopsAcceptingButEndsOpenExchanges) {
+TEST_F(ServerTest, StopsAcceptingButCompletesOpenExchanges) {
   ResponseWriterPtr kept;
   serve([&](const Request&, const ResponseWriterPtr& writer) { kept = writer; });
   const auto open = exchange({"GET", "/", {}, ""});
@@ -267,7 +267,7 @@
   EXPECT_EQ(open->body, "done");
 }
 
-TEST_F(ServerTest, ClosesKeptConnectionsAfterTheirNextAnswerOnceItStopsAccepting) {
+TEST_F(ServerTest, ClosesIdleConnectionsAfterTheirNextResponseOnceItStopsAccepting) {
   serveEcho();
   run({"GET", "/", {}, ""});
   server->stopAccepting();
@@ -287,7 +287,7 @@
   EXPECT_TRUE(destroyed);
 }
 
-TEST_F(ServerTest, DestructionCallsNobody) {
+TEST_F(ServerTest, NoCallbackRunsAfterDestruction) {
   ResponseWriterPtr kept;
   int calls = 0;
   serve([&](const Request&, const ResponseWriterPtr& writer) {
@@ -305,7 +305,7 @@
   EXPECT_EQ(calls, 0);
 }
 
-TEST(ErrorResponseTest, TakesItsStatusAndNameFromTheTable) {
+TEST(ErrorResponseTest, HasTheStatusAndNameOfItsCode) {
   const Response response = errorResponse(base::ResultCode::OverBranchLimit, "full", "share/a");
   EXPECT_EQ(response.status, 429);
   EXPECT_EQ(response.header("content-type"), "application/json");
@@ -322,7 +322,7 @@
   EXPECT_EQ(queryParameter("/a", "model"), "");
 }
 
-TEST_F(ServerTest, ClosesConnectionsAfterTheirAnswersAndAcceptsMore) {
+TEST_F(ServerTest, ClosesConnectionsAfterTheirResponsesAndAcceptsMore) {
   serve([](const Request&, const ResponseWriterPtr& writer) { writer->respond({200, {}, "x"}); });
   EXPECT_EQ(run({"POST", "/", {}, "x"})->head->header("Connection"), "keep-alive");
   server->closeAfterAnswers();
