--- a/libraries/command_line/include/switchsaddle/command_line/command_line.h
+++ b/libraries/command_line/include/switchsaddle/command_line/command_line.h
@@ -11,20 +11,22 @@
 namespace switchsaddle::command_line {
 
 /**
- * Parses a command line and runs the callbacks of its subcommands. Returns nothing where they ran,
- * Done where help was asked for and written to `out`, and Usage where the command line is wrong;
- * then the fault and where to find help are written to `errors`. Exceptions of callbacks pass.
+ * Parses a command line and runs the callbacks of its subcommands. Exceptions of callbacks
+ * propagate.
+ * @param out receives requested help.
+ * @param errors receives the fault of an invalid command line.
+ * @return nothing if the callbacks ran; Done if help was requested; Usage if the command line is
+ *     invalid.
  */
 std::optional<ExitCode> parse(CLI::App& app, int argument_count, const char* const* arguments,
                               std::ostream& out, std::ostream& errors);
 
-/** Appends examples, a line each, and the table of exit codes to the help of a subcommand. */
+/** Appends examples, one per line, and the table of exit codes to the help of a subcommand. */
 void describeUse(CLI::App& command, std::initializer_list<std::string> examples);
 
 /**
- * The script which completes an application's command line in bash: subcommands, options, and file
- * names elsewhere. Made of the tree alone, so
- * that it can't lag behind it.
+ * @return a bash script that completes the application's subcommands and options, and file names
+ *     elsewhere. Generated from the application's command tree.
  */
 std::string bashCompletion(const CLI::App& app);
 
--- a/libraries/command_line/include/switchsaddle/command_line/exit_code.h
+++ b/libraries/command_line/include/switchsaddle/command_line/exit_code.h
@@ -6,33 +6,33 @@
 
 namespace switchsaddle::command_line {
 
-/** Exit codes of `switchsaddle`; docs/OPERATIONS.md has the same table. */
+/** Exit codes of `switchsaddle`; docs/OPERATIONS.md contains the same table. */
 enum class ExitCode : int {
-  /** Done, and in force on every front where it was a change. */
+  /** Success; a change is in force on every front. */
   Done = 0,
-  /** Refused or faulty; nothing was changed. For `compare`: the nodes differ. */
+  /** Rejected or faulty; nothing was changed. For `compare`: the nodes differ. */
   Refused = 1,
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   Usage = 2,
-  /** Committed, but not yet in force on every front. */
+  /** The change is committed, but not yet in force on every front. */
   NotYetInForce = 3,
-  /** No node answered; a change may have been committed. Send it again with its change_id. */
+  /** No node answered; a change may have been committed. Retry with the same change_id. */
   Unknown = 4,
-  /** A daemon ended at once on a second signal. */
+  /** A second signal ended a daemon during its graceful shutdown. */
   EndedAtOnce = 130,
 };
 
-/** One row of the table of exit codes. */
+/** Properties of an exit code. */
 struct ExitCodeInfo {
   ExitCode code;
   std::string_view name;
   std::string_view meaning;
 };
 
-/** All exit codes in numeric order. */
+/** @return all exit codes in numeric order. */
 std::span<const ExitCodeInfo> exitCodeTable();
 
-/** The table as the footer of a help text, a line for each code. */
+/** @return the exit codes as the footer of a help text, one per line. */
 std::string exitCodeHelp();
 
 }  // namespace switchsaddle::command_line
--- a/libraries/command_line/source/bash_completion.cc
+++ b/libraries/command_line/source/bash_completion.cc
@@ -7,12 +7,14 @@
 
 namespace {
 
-/** What may follow on one level of the tree. */
+/** Completions of one subcommand; the lists are separated by spaces. */
 struct Level {
+  /** Names of the subcommands from the root, separated by slashes. */
   std::string path;
+  /** Subcommands and options. */
   std::string words;
   std::string subcommands;
-  /** The options that take a value. */
+  /** Options that take a value. */
   std::string valued_options;
 };
 
@@ -31,7 +33,8 @@
   }
 }
 
-void collect(const CLI::App& app, const std::string& path, std::vector<Level>& levels) {
+/** Appends the level of a command and those of its subcommands. */
+void collectLevels(const CLI::App& app, const std::string& path, std::vector<Level>& levels) {
   Level level;
   level.path = path;
   for (const CLI::App* sub : app.get_subcommands({})) {
@@ -41,11 +44,12 @@
   appendOptions(app, level);
   levels.push_back(std::move(level));
   for (const CLI::App* sub : app.get_subcommands({})) {
-    collect(*sub, path + "/" + sub->get_name(), levels);
+    collectLevels(*sub, path + "/" + sub->get_name(), levels);
   }
 }
 
-std::string caseLines(const std::vector<Level>& levels, std::string Level::*words) {
+/** @return a case statement that prints the list of the level whose path is $1. */
+std::string caseStatement(const std::vector<Level>& levels, std::string Level::*words) {
   std::string text = "  case \"$1\" in\n";
   for (const Level& level : levels) {
     if (!(level.*words).empty()) {
@@ -55,12 +59,15 @@
   return text + "  esac\n";
 }
 
-std::string function(const std::string& name, const std::string& body) {
+std::string shellFunction(const std::string& name, const std::string& body) {
   return name + "() {\n" + body + "}\n";
 }
 
-/** Walks the words before the cursor down the tree, passing over the values of options. */
-std::string walker(const std::string& prefix, const std::string& root) {
+/**
+ * @return the body of the completion function: it follows the words before the cursor down the
+ * tree, skipping the values of options, and offers the words of the level reached.
+ */
+std::string completionBody(const std::string& prefix, const std::string& root) {
   return "  local path='" + root +
          "' index word\n"
          "  for ((index = 1; index < COMP_CWORD; ++index)); do\n"
@@ -89,13 +96,13 @@
   const std::string& name = app.get_name();
   const std::string prefix = "_" + name;
   std::vector<Level> levels;
-  collect(app, name, levels);
+  collectLevels(app, name, levels);
   return "# Completion of " + name + " for bash: source <(" + name + " completion bash)\n" +
-         function(prefix + "_words", caseLines(levels, &Level::words)) +
-         function(prefix + "_subcommands", caseLines(levels, &Level::subcommands)) +
-         function(prefix + "_valued", caseLines(levels, &Level::valued_options)) +
-         function(prefix, walker(prefix, name)) + "complete -o default -F " + prefix + " " + name +
-         "\n";
+         shellFunction(prefix + "_words", caseStatement(levels, &Level::words)) +
+         shellFunction(prefix + "_subcommands", caseStatement(levels, &Level::subcommands)) +
+         shellFunction(prefix + "_valued", caseStatement(levels, &Level::valued_options)) +
+         shellFunction(prefix, completionBody(prefix, name)) + "complete -o default -F " + prefix +
+         " " + name + "\n";
 }
 
 }  // namespace switchsaddle::command_line
--- a/libraries/command_line/test/command_line_test.cc
+++ b/libraries/command_line/test/command_line_test.cc
@@ -13,7 +13,7 @@
 namespace switchsaddle::command_line {
 namespace {
 
-/** A small tree: `tool run --speed N`, `tool key add NAME`. */
+/** Command tree with `tool run --speed N` and `tool key add NAME`. */
 class CommandLineTest : public testing::Test {
  protected:
   CommandLineTest() {
@@ -32,7 +32,7 @@
     return parse(app_, static_cast<int>(words.size()), words.data(), out_, errors_);
   }
 
-  /** What bash offers for the last of the words, a line each. */
+  /** @return the completions that bash offers for the last word, one per line. */
   static std::string complete(const std::string& script, const std::string& words) {
     const std::string path = testing::TempDir() + "/completion-test.sh";
     std::ofstream file(path);
@@ -58,13 +58,13 @@
   std::ostringstream errors_;
 };
 
-TEST_F(CommandLineTest, RunsTheCallbackOfAGoodCommandLine) {
+TEST_F(CommandLineTest, RunsTheCallbackOfAValidCommandLine) {
   EXPECT_EQ(parseWords({"run", "--speed", "3"}), std::nullopt);
   EXPECT_EQ(runs_, 1);
   EXPECT_EQ(speed_, 3);
 }
 
-TEST_F(CommandLineTest, EveryWrongCommandLineIsUsage) {
+TEST_F(CommandLineTest, InvalidCommandLinesAreUsageErrors) {
   EXPECT_EQ(parseWords({}), ExitCode::Usage);
   EXPECT_EQ(parseWords({"nothing"}), ExitCode::Usage);
   EXPECT_EQ(parseWords({"run"}), ExitCode::Usage);
@@ -75,7 +75,7 @@
   EXPECT_TRUE(out_.str().empty());
 }
 
-TEST_F(CommandLineTest, HelpIsDoneAndGoesToTheOutput) {
+TEST_F(CommandLineTest, HelpIsDoneAndWrittenToTheOutput) {
   EXPECT_EQ(parseWords({"run", "--help"}), ExitCode::Done);
   EXPECT_NE(out_.str().find("--speed"), std::string::npos);
   EXPECT_TRUE(errors_.str().empty());
@@ -88,21 +88,21 @@
   EXPECT_NE(out_.str().find("  2  The command line is wrong."), std::string::npos);
 }
 
-TEST_F(CommandLineTest, BashOffersSubcommandsAndOptionsOfEachLevel) {
+TEST_F(CommandLineTest, BashCompletesSubcommandsAndOptionsOfEachLevel) {
   const std::string script = bashCompletion(app_);
   EXPECT_EQ(complete(script, "tool r"), "run\n");
   EXPECT_EQ(complete(script, "tool key ''"), "add\n--help\n");
   EXPECT_EQ(complete(script, "tool run --s"), "--speed\n");
 }
 
-TEST_F(CommandLineTest, BashPassesOverTheValuesOfOptions) {
+TEST_F(CommandLineTest, BashCompletionSkipsTheValuesOfOptions) {
   const std::string script = bashCompletion(app_);
   // "key" is the value of --speed here and no subcommand.
   EXPECT_EQ(complete(script, "tool run --speed key --j"), "--json\n");
   EXPECT_EQ(complete(script, "tool run --speed ''"), "\n");
 }
 
-TEST(ExitCodeTest, TheDocumentHasTheSameTable) {
+TEST(ExitCodeTest, TheDocumentationContainsTheSameTable) {
   std::ifstream file(SWITCHSADDLE_SOURCE_DIR "/docs/OPERATIONS.md");
   std::ostringstream document;
   document << file.rdbuf();
