--- a/libraries/operator_client/include/switchsaddle/operator_client/control_endpoint.h
+++ b/libraries/operator_client/include/switchsaddle/operator_client/control_endpoint.h
@@ -10,14 +10,14 @@
 
 namespace switchsaddle::operator_client {
 
-/** Carries single requests to single nodes; blocks until the answer or its absence is certain. */
+/** Blocking transport of control requests. */
 class ControlTransport {
  public:
   virtual ~ControlTransport() = default;
-  /** The whole response, or nothing where the node is silent, refuses or breaks off. */
+  /** @return the complete response; nothing after a time-out, refusal or broken connection. */
   virtual std::optional<http::Response> exchange(const base::NodeAddress& address,
                                                  const http::Request& request) = 0;
-  /** Waits a moment before the addresses are gone through once more. */
+  /** Waits before the next round of attempts. */
   virtual void pause() = 0;
 };
 
@@ -26,32 +26,38 @@
   std::string method;
   std::string target;
   std::string body;
-  /** Whether a 202 is to be asked again until it has become a 200; for changes only. */
+  /** Retry after status 202 until the change is in force everywhere (200); for changes only. */
   bool awaits_force = false;
 };
 
-/** The last answer, or none at all. */
+/** Outcome of a call: the last response, or none. */
 struct ControlOutcome {
   bool is_answered = false;
   std::uint16_t status = 0;
   std::string body;
+  /** The node that responded. */
   base::NodeAddress address;
 };
 
 /**
- * The control API of a fleet: any of its nodes answers. Tries the next address where one is silent
- * or says that asking again is safe. The request is sent again byte for byte, so a change keeps its
- * change_id and is carried out once. Not thread-safe.
+ * The control API of a fleet, served by any of its nodes. Rotates through the addresses until a
+ * response is final: the next node is called after a time-out or an error that is safe to retry.
+ *
+ * Invariant: all attempts of a call send identical requests, so that a change keeps its change_id
+ * and is executed once. Not thread-safe.
  */
 class ControlEndpoint {
  public:
+  /** @param key the operator's key. */
   ControlEndpoint(ControlTransport& transport, std::vector<base::NodeAddress> addresses,
                   std::string key);
+  /** Calls the addresses in turn, at most MaximumRounds times each. */
   ControlOutcome call(const ControlCall& call);
-  /** Asks one node and no other. */
+  /** Calls one node, without retries. */
   ControlOutcome callAt(const base::NodeAddress& address, const ControlCall& call);
 
  private:
+  /** @return whether no further attempt is needed. */
   bool isFinal(const ControlCall& call, const ControlOutcome& outcome) const;
 
   ControlTransport& transport_;
@@ -59,7 +65,7 @@
   std::string key_;
 };
 
-/** How often all addresses are gone through. */
+/** Maximum number of attempts at each address. */
 inline constexpr int MaximumRounds = 5;
 
 }  // namespace switchsaddle::operator_client
--- a/libraries/operator_client/include/switchsaddle/operator_client/operator_client.h
+++ b/libraries/operator_client/include/switchsaddle/operator_client/operator_client.h
@@ -2,6 +2,7 @@
 
 #include <cstdint>
 #include <iosfwd>
+#include <memory>
 #include <optional>
 #include <string>
 #include <vector>
@@ -14,11 +15,17 @@
 
 using command_line::ExitCode;
 
-/** What belongs to every change. */
+class ChangeSubmitter;
+class OutcomeReporter;
+
+/** Options of a configuration change. */
 struct ChangeOptions {
-  /** Empty: a new random one. */
+  /** Idempotency key; empty generates one. */
   std::string change_id;
-  /** Missing: that of the history for a given change_id, else the version in force. */
+  /**
+   * Unset uses the original base version if the history contains the change_id, else the version in
+   * force.
+   */
   std::optional<std::uint64_t> base_version;
   bool dry_run = false;
 };
@@ -26,64 +33,76 @@
 /** A key to be added. */
 struct KeyOptions {
   std::string tenant;
+  /** Empty lets the server derive the id. */
   std::string id;
+  /** Hash of the operator's secret; empty lets the server generate the secret. */
   std::string sha256;
+  /** Idempotency key; empty generates one. */
   std::string change_id;
 };
 
 /**
- * The actions of `switchsaddle ctl`. Each asks the fleet, writes the answer for people or as JSON,
- * and returns the exit code. Refusals list every fault. Not thread-safe.
+ * The actions of `switchsaddle ctl`. Each sends requests to the fleet, writes the response as
+ * tables or as JSON, and returns the exit code. Rejections list all faults. Not thread-safe.
  */
 class OperatorClient {
  public:
+  /** @param json write responses as JSON. All references must outlive this. */
   OperatorClient(ControlEndpoint& endpoint, bool json, std::ostream& out, std::ostream& errors);
+  ~OperatorClient();
+  OperatorClient(const OperatorClient&) = delete;
+  OperatorClient& operator=(const OperatorClient&) = delete;
 
-  /** Applies the text of a configuration file; with `whole`, entries it lacks are removed. */
-  ExitCode apply(const std::string& text, bool whole, const ChangeOptions& options);
+  /**
+   * Applies a configuration file.
+   * @param replace_all remove the entries that the file does not contain.
+   */
+  ExitCode apply(const std::string& text, bool replace_all, const ChangeOptions& options);
+  /** Sets one entry. @param json its value. */
   ExitCode set(const std::string& path, const std::string& json, const ChangeOptions& options);
+  /** Removes one entry. */
   ExitCode remove(const std::string& path, const ChangeOptions& options);
-  /** Reads a resource and shows it: history, in-force, status. */
+  /** Shows a resource of the control API. */
   ExitCode show(const std::string& target);
-  /** The routing table of the node that answers; with a model, that model's alone. */
+  /** Shows the routing table of the answering node. @param model empty for all models. */
   ExitCode showRouting(const std::string& model);
-  /** The configuration as a file that `apply` takes. */
+  /** Writes the configuration as a file that apply() accepts. */
   ExitCode get();
+  /** Evacuates a zone. */
   ExitCode evacuate(const std::string& zone, const std::string& change_id);
+  /** Ends the evacuation of a zone. */
   ExitCode restore(const std::string& zone, const std::string& change_id);
   ExitCode addKey(const KeyOptions& options);
   ExitCode revokeKey(const std::string& id, const std::string& change_id);
+  /** Shows the differences between the states of two nodes. */
   ExitCode compare(const base::NodeAddress& first, const base::NodeAddress& second);
-  /** One worker's evidence. */
+  /** Shows the health data of one worker. */
   ExitCode showWorkerHealth(const std::string& worker);
-  /** Takes the sickest worker out that may be missed. */
+  /** Puts the least healthy worker that its pool can spare into maintenance. */
   ExitCode maintainNext(const std::string& change_id);
+  /** Puts a worker into maintenance. */
   ExitCode startMaintenance(const std::string& worker, const std::string& change_id);
+  /** Ends the maintenance of a worker. */
   ExitCode finishMaintenance(const std::string& worker, const std::string& change_id);
+  /** Replaces a lost core member by an empty core node. */
   ExitCode replaceCore(const base::NodeAddress& old_member, const base::NodeAddress& new_member);
 
  private:
-  struct Submission {
-    std::string members;
-    ChangeOptions options;
-  };
-  ExitCode submit(const Submission& submission);
-  /** An order that names nothing but its change_id in the body. */
+  /** Sends an order whose body contains only its change_id. */
   ExitCode order(const std::string& target, const std::string& change_id);
+  /** Sends a DELETE with the change_id, which ends an order or revokes a key. */
   ExitCode endOrder(const std::string& target, const std::string& change_id);
-  std::optional<std::uint64_t> findBaseVersion(const ChangeOptions& options);
-  std::optional<std::uint64_t> baseFromHistory(const std::string& change_id);
+  /** @return the node's state; nothing, with the failure reported, if it cannot be fetched. */
   std::optional<configuration::StateReport> fetchState(const base::NodeAddress& address);
-  ExitCode report(const ControlOutcome& outcome, const std::string& resend_hint);
-  ExitCode reportFailure(const ControlOutcome& outcome, const std::string& resend_hint);
 
   ControlEndpoint& endpoint_;
   bool json_;
   std::ostream& out_;
-  std::ostream& errors_;
+  std::unique_ptr<OutcomeReporter> reporter_;
+  std::unique_ptr<ChangeSubmitter> submitter_;
 };
 
-/** A change_id that nobody else makes: 128 random bits. */
+/** @return a change_id that is unique: 128 random bits. */
 std::string makeChangeId();
 
 }  // namespace switchsaddle::operator_client
--- a/libraries/operator_client/include/switchsaddle/operator_client/tables.h
+++ b/libraries/operator_client/include/switchsaddle/operator_client/tables.h
@@ -9,13 +9,13 @@
 
 using TableRow = std::vector<std::string>;
 
-/** Rows with their columns aligned; the first row holds the titles. */
+/** @param rows the first one contains the titles. @return the rows with aligned columns. */
 std::string renderTable(const std::vector<TableRow>& rows);
 
 /**
- * A body of the control API for people: plain members as lines, those of nested objects by their
- * path, and after them lists of objects as tables with one column for each member. Long cells are
- * cut short.
+ * Renders a response body for people: scalar members as lines, those of nested objects with their
+ * path, followed by lists of objects as tables with a column for each member. Long cells are
+ * truncated.
  */
 std::string renderBody(const configuration::JsonValue& body);
 
--- a/libraries/operator_client/source/control_endpoint.cc
+++ b/libraries/operator_client/source/control_endpoint.cc
@@ -1,16 +1,14 @@
 #include "switchsaddle/operator_client/control_endpoint.h"
 
+#include "response_body.h"
 #include "switchsaddle/configuration/json_value.h"
 
 namespace switchsaddle::operator_client {
 
 namespace {
 
-constexpr std::uint16_t StatusAccepted = 202;
-constexpr std::uint16_t FirstServerError = 500;
-
-/** Whether an error body says that asking again is safe. */
-bool saysRetryIsSafe(const std::string& body) {
+/** @return whether an error body states that a retry is safe. */
+bool isRetrySafe(const std::string& body) {
   std::vector<configuration::Fault> ignored;
   const auto value = configuration::parseJson(body, {}, "", ignored);
   const configuration::JsonValue* error = value ? value->find("error") : nullptr;
@@ -49,7 +47,7 @@
   if (outcome.status == StatusAccepted) {
     return !call.awaits_force;
   }
-  return outcome.status < FirstServerError || !saysRetryIsSafe(outcome.body);
+  return outcome.status < FirstServerError || !isRetrySafe(outcome.body);
 }
 
 ControlOutcome ControlEndpoint::call(const ControlCall& call) {
@@ -63,9 +61,9 @@
       if (isFinal(call, outcome)) {
         return outcome;
       }
-      // "Committed" is kept against later errors and silence: it will not become untrue.
-      const bool is_weaker = !outcome.is_answered || last.status == StatusAccepted;
-      if (!is_weaker || outcome.status == StatusAccepted) {
+      // Errors and time-outs do not replace "committed", which remains true.
+      const bool is_less_certain = !outcome.is_answered || last.status == StatusAccepted;
+      if (!is_less_certain || outcome.status == StatusAccepted) {
         last = std::move(outcome);
       }
     }
--- a/libraries/operator_client/source/tables.cc
+++ b/libraries/operator_client/source/tables.cc
@@ -30,14 +30,14 @@
          });
 }
 
-/** Longest text of one cell; the rest of it is left to --json. */
-constexpr std::size_t LongestCell = 72;
+/** Maximum length of a cell; --json shows the complete text. */
+constexpr std::size_t MaximumCellLength = 72;
 
 std::string cellText(const JsonValue& value) {
   constexpr std::string_view Ellipsis = "...";
   std::string text = plainText(value);
-  if (text.size() > LongestCell) {
-    text.resize(LongestCell - Ellipsis.size());
+  if (text.size() > MaximumCellLength) {
+    text.resize(MaximumCellLength - Ellipsis.size());
     text += Ellipsis;
   }
   return text;
--- a/libraries/operator_client/test/operator_client_test.cc
+++ b/libraries/operator_client/test/operator_client_test.cc
@@ -19,7 +19,7 @@
   std::string body;
 };
 
-/** Answers from a script; silent where the script has nothing or a status of zero. */
+/** Responds from a script; a missing response or a status of zero is a time-out. */
 class ScriptedTransport : public ControlTransport {
  public:
   std::optional<http::Response> exchange(const base::NodeAddress& address,
@@ -54,7 +54,7 @@
 
 constexpr const char* RetrySafe = R"({"error": {"code": 7001, "retry_safe": true}})";
 
-TEST_F(OperatorClientTest, AResendGoesToTheNextAddressByteForByte) {
+TEST_F(OperatorClientTest, ARetrySendsTheIdenticalRequestToTheNextAddress) {
   transport_.beUnresponsive();
   transport_.answer(503, RetrySafe);
   transport_.answer(202, R"({"version": 5})");
@@ -71,20 +71,20 @@
   EXPECT_EQ(transport_.pauses, 1);
 }
 
-TEST_F(OperatorClientTest, CommittedIsKeptAgainstLaterSilence) {
+TEST_F(OperatorClientTest, CommittedIsKeptAfterLaterTimeouts) {
   transport_.answer(202, R"({"version": 5})");
   EXPECT_EQ(client_.evacuate("north", "id-1"), ExitCode::NotYetInForce);
   EXPECT_EQ(transport_.sent.size(), 2 * MaximumRounds);
   EXPECT_THAT(errors_.str(), HasSubstr("--change-id id-1"));
 }
 
-TEST_F(OperatorClientTest, NoAnswerIsUnknownAndNamesTheChange) {
+TEST_F(OperatorClientTest, NoResponseIsUnknownAndNamesTheChange) {
   const ChangeOptions options{"id-1", 4, false};
   EXPECT_EQ(client_.remove("keys/a", options), ExitCode::Unknown);
   EXPECT_THAT(errors_.str(), HasSubstr("--change-id id-1 --base-version 4"));
 }
 
-TEST_F(OperatorClientTest, RefusalsAreFinalAndListTheirFaults) {
+TEST_F(OperatorClientTest, RejectionsAreFinalAndListTheirFaults) {
   transport_.answer(200, R"({"version": 7})");
   transport_.answer(422, R"({"version": 7, "error": {"code": 6002, "name": "ConfigurationInvalid",
     "message": "m", "faults": [{"path": "a.b", "code": 1003, "message": "is missing"}]}})");
@@ -95,7 +95,7 @@
   EXPECT_THAT(errors_.str(), HasSubstr("the version in force is 7"));
 }
 
-TEST_F(OperatorClientTest, ACommittedChangeIsResentOnItsOwnBase) {
+TEST_F(OperatorClientTest, ACommittedChangeIsRepeatedOnItsOriginalBase) {
   transport_.answer(200, R"({"changes": [{"version": 3, "change_id": "id-1"}]})");
   transport_.answer(200, R"({"version": 3})");
   EXPECT_EQ(client_.apply("{}", true, {"id-1", {}, false}), ExitCode::Done);
@@ -108,14 +108,14 @@
   EXPECT_TRUE(transport_.sent.empty());
 }
 
-TEST_F(OperatorClientTest, DryRunsAreNotWaitedFor) {
+TEST_F(OperatorClientTest, DryRunsDoNotAwaitForce) {
   transport_.answer(202);
   EXPECT_EQ(client_.set("a", "1", {"id-1", 4, true}), ExitCode::NotYetInForce);
   EXPECT_EQ(transport_.sent[0].line, "POST /v1/configuration/changes?dry_run=true");
   EXPECT_EQ(transport_.sent.size(), 1);
 }
 
-TEST_F(OperatorClientTest, GetWritesAFileThatApplyTakes) {
+TEST_F(OperatorClientTest, GetWritesAFileThatApplyAccepts) {
   transport_.answer(200,
                     R"({"version": 7, "digest": "d", "document": {"a/b": {"x": 1}, "c/d": 2}})");
   EXPECT_EQ(client_.get(), ExitCode::Done);
@@ -124,7 +124,7 @@
   EXPECT_THAT(transport_.sent[1].body, HasSubstr(R"("document":{"a/b":{"x":1},"c/d":2})"));
 }
 
-TEST_F(OperatorClientTest, ComparesTheTwoNodesNamed) {
+TEST_F(OperatorClientTest, ComparesTheTwoNodes) {
   transport_.answer(200, R"({"node": "a", "now_ms": 1, "beliefs": []})");
   transport_.answer(200, R"({"node": "b", "now_ms": 1, "beliefs": [
     {"subject": "lease", "key": "k", "value": "v", "version": 1, "since_ms": 9}]})");
@@ -135,7 +135,7 @@
   EXPECT_EQ(client_.compare({"127.0.0.8", 8}, {"127.0.0.9", 9}), ExitCode::Unknown);
 }
 
-TEST_F(OperatorClientTest, OrdersNameTheirChange) {
+TEST_F(OperatorClientTest, OrdersContainTheirChangeId) {
   for (int count = 0; count < 4; ++count) {
     transport_.answer(200);
   }
@@ -149,7 +149,7 @@
   EXPECT_EQ(transport_.sent[3].body, R"({"old":"127.0.0.3:3","new":"127.0.0.4:4"})");
 }
 
-TEST_F(OperatorClientTest, WhatGoesIntoATargetIsEscaped) {
+TEST_F(OperatorClientTest, ParametersAreEscapedInTheTarget) {
   client_.restore("a/b", "c&d=\xc3");
   EXPECT_EQ(transport_.sent[0].line, "DELETE /v1/zones/a%2Fb/evacuation?change_id=c%26d%3D%C3");
   transport_.sent.clear();
@@ -187,7 +187,7 @@
             "1\n");
 }
 
-TEST(TablesTest, LongCellsAreCutShort) {
+TEST(TablesTest, LongCellsAreTruncated) {
   std::vector<configuration::Fault> faults;
   const auto body =
       configuration::parseJson(R"([{"set": ")" + std::string(200, 'x') + R"("}])", {}, "", faults);
