--- a/programs/switchsaddle/check_command.h
+++ b/programs/switchsaddle/check_command.h
@@ -5,8 +5,8 @@
 namespace switchsaddle {
 
 /**
- * Adds `switchsaddle check FILE`, which checks a settings file or a configuration offline. The
- * callback sets `exit_code` to 0 where the file has no fault, else to 1; it must outlive parsing.
+ * Adds `switchsaddle check FILE`, which validates a settings file or a configuration offline.
+ * @param exit_code set to 0 if the file has no fault, else to 1; must outlive parsing.
  */
 void addCheckCommand(CLI::App& app, int& exit_code);
 
--- a/programs/switchsaddle/core_command.cc
+++ b/programs/switchsaddle/core_command.cc
@@ -17,19 +17,19 @@
 
 namespace {
 
-/** One core daemon: the node with real sockets, disk and clock. */
+/** A core daemon: a CoreNode with the sockets, disk and clock of the process. */
 class CoreDaemon {
  public:
   CoreDaemon(const configuration::Settings& settings, SettingsOptions options)
       : settings_(settings),
         options_(std::move(options)),
-        dialect_(createPlatformAdapter(settings_)),
+        adapter_(createPlatformAdapter(settings_)),
         process_(settings_),
         file_system_(settings_.data_folder),
         executor_(process_.dispatcher()),
         store_(process_.dispatcher(), file_system_, executor_, process_.random()),
         client_(http::createClient(process_.context())),
-        platform_(dialect_->createPlatformSource(process_.dispatcher(), *client_,
+        platform_(adapter_->createPlatformSource(process_.dispatcher(), *client_,
                                                  settings_.platform_address)),
         node_(core::CoreEnvironment{process_.dispatcher(),
                                     process_.calls(),
@@ -68,7 +68,7 @@
       const auto respond = [writer](http::Response response) {
         writer->respond(std::move(response));
       };
-      if (!dialect_->handleControl(node_.control(), request, respond)) {
+      if (!adapter_->handleControl(node_.control(), request, respond)) {
         service_.handle(request, respond);
       }
     });
@@ -76,7 +76,7 @@
 
   configuration::Settings settings_;
   SettingsOptions options_;
-  std::unique_ptr<PlatformAdapter> dialect_;
+  std::unique_ptr<PlatformAdapter> adapter_;
   DaemonProcess process_;
   storage::PosixFileSystem file_system_;
   storage::ThreadStorageExecutor executor_;
--- a/programs/switchsaddle/ctl_command.h
+++ b/programs/switchsaddle/ctl_command.h
@@ -5,8 +5,8 @@
 namespace switchsaddle {
 
 /**
- * Adds `switchsaddle ctl`, the operator's client of the control API. The callbacks set `exit_code`
- * to an operator_client::ExitCode; it must outlive parsing.
+ * Adds `switchsaddle ctl`, the operators' client of the control API, with all its subcommands.
+ * @param exit_code set to an operator_client::ExitCode; must outlive parsing.
  */
 void addCtlCommand(CLI::App& app, int& exit_code);
 
--- a/programs/switchsaddle/ctl_transport.cc
+++ b/programs/switchsaddle/ctl_transport.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-/** Longer than a change waits for its acknowledgement, so that silence means silence. */
+/** Above the time for which a node waits for the acknowledgement of a change. */
 constexpr base::Duration ResponseTimeout = std::chrono::seconds(4);
 constexpr base::Duration ConnectTimeout = std::chrono::milliseconds(700);
-constexpr auto PauseBetweenRounds = std::chrono::milliseconds(300);
+constexpr auto RetryDelay = std::chrono::milliseconds(300);
 
-/** Runs one exchange at a time on its own io_context. */
+/** Runs one exchange at a time, each on its own io_context. */
 class HttpControlTransport : public operator_client::ControlTransport {
  public:
   std::optional<http::Response> exchange(const base::NodeAddress& address,
@@ -26,19 +26,19 @@
     options.response_timeout = ResponseTimeout;
     options.idle_timeout = ResponseTimeout;
     options.fresh_connection = true;
-    std::optional<http::Response> answer;
+    std::optional<http::Response> result;
     client->fetch(address, request, options,
                   [&](const http::Response* response, http::ExchangeFailure) {
                     if (response != nullptr) {
-                      answer = *response;
+                      result = *response;
                     }
                     context.stop();
                   });
     context.run();
-    return answer;
+    return result;
   }
 
-  void pause() override { std::this_thread::sleep_for(PauseBetweenRounds); }
+  void pause() override { std::this_thread::sleep_for(RetryDelay); }
 };
 
 }  // namespace
--- a/programs/switchsaddle/ctl_transport.h
+++ b/programs/switchsaddle/ctl_transport.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle {
 
-/** Sends control requests over HTTP, each on a connection of its own; blocks the calling thread. */
+/** @return a transport over HTTP with a connection for each request; blocks the calling thread. */
 std::unique_ptr<operator_client::ControlTransport> createControlTransport();
 
 }  // namespace switchsaddle
--- a/programs/switchsaddle/daemon_process.cc
+++ b/programs/switchsaddle/daemon_process.cc
@@ -12,10 +12,10 @@
 
 namespace {
 
-/** How often the settings file is looked at for a change that no signal told of. */
+/** Interval at which the settings file is checked for modification. */
 constexpr base::Duration SettingsPollInterval = std::chrono::seconds(2);
 
-/** The folder of the log ring's dumps; none where there is no data folder. */
+/** @return the folder of the log ring's dumps; empty if there is no data folder. */
 std::filesystem::path logFolder(const configuration::Settings& settings) {
   if (settings.data_folder.empty()) {
     return {};
@@ -36,17 +36,21 @@
       hangup_(context_, SIGHUP) {
   base::installCrashDump(base::processLogRing(), logFolder(settings));
   journal_.addListener([this](const journal::Event& event) {
-    base::logEvent(base::Severity::Info, "belief",
-                   {{"subject", journal::subjectName(event.subject)},
-                    {"key", event.key},
-                    {"value", event.value},
-                    {"version", std::to_string(event.version)}});
+    logJournalEvent(event);
     if (const std::optional<base::Incident> incident = journal::incidentOf(event)) {
       incidents_.report(*incident);
     }
   });
 }
 
+void DaemonProcess::logJournalEvent(const journal::Event& event) {
+  base::logEvent(base::Severity::Info, "state-change",
+                 {{"subject", journal::subjectName(event.subject)},
+                  {"key", event.key},
+                  {"value", event.value},
+                  {"version", std::to_string(event.version)}});
+}
+
 int DaemonProcess::run(std::function<void(std::function<void()>)> stop) {
   stop_ = std::move(stop);
   awaitSignal();
@@ -63,17 +67,17 @@
     return;
   }
   std::error_code ignored;
-  settings_written_ = std::filesystem::last_write_time(settings_file_, ignored);
-  settings_timer_ = dispatcher_.createTimer([this] { watchSettingsFile(); });
+  settings_modified_at_ = std::filesystem::last_write_time(settings_file_, ignored);
+  settings_timer_ = dispatcher_.createTimer([this] { pollSettingsFile(); });
   dispatcher_.post([this] { settings_timer_->enable(SettingsPollInterval); });
 }
 
-void DaemonProcess::watchSettingsFile() {
+void DaemonProcess::pollSettingsFile() {
   settings_timer_->enable(SettingsPollInterval);
   std::error_code failure;
-  const auto written = std::filesystem::last_write_time(settings_file_, failure);
-  if (!failure && written != settings_written_) {
-    settings_written_ = written;
+  const auto modified_at = std::filesystem::last_write_time(settings_file_, failure);
+  if (!failure && modified_at != settings_modified_at_) {
+    settings_modified_at_ = modified_at;
     settings_changed_();
   }
 }
--- a/programs/switchsaddle/daemon_process.h
+++ b/programs/switchsaddle/daemon_process.h
@@ -20,13 +20,14 @@
 namespace switchsaddle {
 
 /**
- * What every daemon stands on: one io_context run by one thread, the control strand, the peers'
- * transport, the journal and the signals. The journal's events go to the log ring, those that an
- * operator must see to the log too; the ring is written to the data folder's `log` when something
- * goes wrong.
+ * Infrastructure of a daemon: an io_context run by one thread, the control strand, the transport
+ * between nodes, the journal, metrics and signals. Events of the journal are written to the log
+ * ring, and those that are incidents also to the log; the ring is dumped to the folder `log` of the
+ * data folder on serious incidents and crashes.
  */
 class DaemonProcess {
  public:
+  /** @throws base::Error with InvalidAddress if the peer address is invalid or in use. */
   explicit DaemonProcess(const configuration::Settings& settings);
 
   boost::asio::io_context& context() { return context_; }
@@ -35,21 +36,24 @@
   base::RandomSource& random() { return random_; }
   journal::Journal& journal() { return journal_; }
   base::IncidentSink& incidents() { return incidents_; }
-  /** Adds processor time, memory and the traffic between nodes. */
+  /** Adds processor time, memory, scheduling delay and the traffic between nodes. */
   void appendMetrics(metrics::Page& page) const;
 
   /**
-   * Runs until `stop`, called on the first SIGTERM or SIGINT, has called its argument. A second
-   * signal ends the process at once. Returns the exit code.
+   * Runs until graceful shutdown is complete. A second signal ends the process immediately.
+   * @param stop starts the shutdown on the first SIGTERM or SIGINT and calls its argument when
+   * done.
+   * @return the exit code.
    */
   int run(std::function<void(std::function<void()>)> stop);
-  /** Called on each SIGHUP, and when the settings file has changed without one. */
+  /** The callback runs on each SIGHUP and after each modification of the settings file. */
   void onSettingsChange(const std::string& file, std::function<void()> callback);
 
  private:
+  static void logJournalEvent(const journal::Event& event);
   void awaitSignal();
   void awaitHangup();
-  void watchSettingsFile();
+  void pollSettingsFile();
 
   boost::asio::io_context context_{1};
   transport::AsioDispatcher dispatcher_;
@@ -64,7 +68,7 @@
   std::function<void(std::function<void()>)> stop_;
   std::function<void()> settings_changed_;
   std::filesystem::path settings_file_;
-  std::filesystem::file_time_type settings_written_{};
+  std::filesystem::file_time_type settings_modified_at_{};
   base::TimerPtr settings_timer_;
   bool stopping_ = false;
 };
--- a/programs/switchsaddle/front_command.cc
+++ b/programs/switchsaddle/front_command.cc
@@ -15,13 +15,13 @@
 
 namespace {
 
-/** One front daemon: the node with real sockets and clock. */
+/** A front daemon: a FrontNode with the sockets and clock of the process. */
 class FrontDaemon {
  public:
   FrontDaemon(const configuration::Settings& settings, SettingsOptions options)
       : settings_(settings),
         options_(std::move(options)),
-        dialect_(createPlatformAdapter(settings_)),
+        adapter_(createPlatformAdapter(settings_)),
         process_(settings_),
         instance_(process_.random().next()),
         client_(http::createClient(process_.context())),
@@ -70,12 +70,12 @@
             .incidents = &process_.incidents(),
             .process_metrics = [this](metrics::Page& page) { process_.appendMetrics(page); },
             .forward_port = &forward_port_,
-            .forward_headers = dialect_->forwardHeaders()};
+            .forward_headers = adapter_->forwardHeaders()};
   }
 
   configuration::Settings settings_;
   SettingsOptions options_;
-  std::unique_ptr<PlatformAdapter> dialect_;
+  std::unique_ptr<PlatformAdapter> adapter_;
   DaemonProcess process_;
   std::uint64_t instance_;
   std::unique_ptr<http::Client> client_;
@@ -83,7 +83,7 @@
   front::HttpForwardPort forward_port_;
   front::FrontNode node_;
   std::unique_ptr<http::Server> server_;
-  /** Null where no address of its own is set. */
+  /** Null if the settings have no readiness address. */
   std::unique_ptr<http::Server> readiness_server_;
 };
 
--- a/programs/switchsaddle/http_platform_source.cc
+++ b/programs/switchsaddle/http_platform_source.cc
@@ -11,13 +11,16 @@
 constexpr base::Duration ConnectTimeout = std::chrono::milliseconds(500);
 constexpr base::Duration ResponseTimeout = std::chrono::seconds(2);
 
+constexpr std::uint16_t StatusOk = 200;
+
+/** @param response nullptr if there was none. */
 workers::PlatformReading readingOf(const http::Response* response) {
   workers::PlatformReading reading;
   if (response == nullptr) {
     reading.fault = "the platform did not answer";
     return reading;
   }
-  if (response->status != 200) {
+  if (response->status != StatusOk) {
     reading.code = base::ResultCode::InvalidValue;
     reading.fault = "the platform answered status " + std::to_string(response->status);
     return reading;
--- a/programs/switchsaddle/http_platform_source.h
+++ b/programs/switchsaddle/http_platform_source.h
@@ -6,9 +6,10 @@
 
 namespace switchsaddle {
 
-/** Reads GET /v1/workers of the platform. Runs on the control strand. */
+/** Reads the worker list with GET /v1/workers from the platform. Runs on the control strand. */
 class HttpPlatformSource : public workers::PlatformSource {
  public:
+  /** @param dispatcher runs the callbacks; must, like the client, outlive pending readings. */
   HttpPlatformSource(base::Dispatcher& dispatcher, http::Client& client,
                      base::NodeAddress platform);
   void read(std::function<void(workers::PlatformReading)> callback) override;
--- a/programs/switchsaddle/information_commands.h
+++ b/programs/switchsaddle/information_commands.h
@@ -4,7 +4,7 @@
 
 namespace switchsaddle {
 
-/** Adds `version` and `completion`, which tell of the program itself. */
+/** Adds `version` and `completion`, which print information about the program. */
 void addInformationCommands(CLI::App& app);
 
 }  // namespace switchsaddle
--- a/programs/switchsaddle/platform_adapter.cc
+++ b/programs/switchsaddle/platform_adapter.cc
@@ -12,7 +12,8 @@
 
 constexpr std::string_view PlatformDialectName = "platform";
 
-class OwnDialect : public PlatformAdapter {
+/** The product's own interfaces. */
+class DefaultAdapter : public PlatformAdapter {
  public:
   front::ForwardHeaders forwardHeaders() const override { return {}; }
   std::unique_ptr<workers::PlatformSource> createPlatformSource(
@@ -26,7 +27,8 @@
   }
 };
 
-class PlatformDialect : public PlatformAdapter {
+/** The interfaces translated by the folder platform/. */
+class TranslatingAdapter : public PlatformAdapter {
  public:
   front::ForwardHeaders forwardHeaders() const override { return platform::forwardHeaders(); }
   std::unique_ptr<workers::PlatformSource> createPlatformSource(
@@ -44,10 +46,10 @@
 
 std::unique_ptr<PlatformAdapter> createPlatformAdapter(const configuration::Settings& settings) {
   if (settings.dialect.empty()) {
-    return std::make_unique<OwnDialect>();
+    return std::make_unique<DefaultAdapter>();
   }
   if (settings.dialect == PlatformDialectName) {
-    return std::make_unique<PlatformDialect>();
+    return std::make_unique<TranslatingAdapter>();
   }
   throw base::Error(base::ResultCode::SettingsInvalid,
                     "dialect: '" + settings.dialect + "' is not known", "dialect");
--- a/programs/switchsaddle/platform_adapter.h
+++ b/programs/switchsaddle/platform_adapter.h
@@ -13,21 +13,31 @@
 namespace switchsaddle {
 
 /**
- * How a process speaks to what is outside the fleet: the product's own way, or that of the platform
- * whose name the settings give. Control strand.
+ * Adapter to the interfaces of the deployment: header names, worker list and operators' requests.
+ * The setting `dialect` selects the product's own interfaces or those of a platform. Runs on the
+ * control strand.
  */
 class PlatformAdapter {
  public:
   virtual ~PlatformAdapter() = default;
+  /** @return the header names of forwarded requests. */
   virtual front::ForwardHeaders forwardHeaders() const = 0;
+  /** @return the source of the worker list. @param platform its address. */
   virtual std::unique_ptr<workers::PlatformSource> createPlatformSource(
       base::Dispatcher& dispatcher, http::Client& client, const base::NodeAddress& platform) = 0;
-  /** Answers an operator's call and returns true; false where the call is the product's own. */
+  /**
+   * Handles an operator's request in the platform's format.
+   * @param respond called exactly once if the request is handled.
+   * @return false if the request is not one of the platform's.
+   */
   virtual bool handleControl(core::ControlService& control, const http::Request& request,
                              const std::function<void(http::Response)>& respond) = 0;
 };
 
-/** Throws base::Error with SettingsInvalid for a name that is not known. */
+/**
+ * @return the adapter selected by the settings.
+ * @throws base::Error with SettingsInvalid if the dialect is unknown.
+ */
 std::unique_ptr<PlatformAdapter> createPlatformAdapter(const configuration::Settings& settings);
 
 }  // namespace switchsaddle
--- a/programs/switchsaddle/role_commands.h
+++ b/programs/switchsaddle/role_commands.h
@@ -6,10 +6,10 @@
 
 namespace switchsaddle {
 
-/** Adds `switchsaddle core`, a control-plane node. The callback runs it and sets `exit_code`. */
+/** Adds `switchsaddle core`, which runs a control-plane node. @param exit_code set when it ends. */
 void addCoreCommand(CLI::App& app, int& exit_code);
 
-/** Adds `switchsaddle front`, a data-plane node. The callback runs it and sets `exit_code`. */
+/** Adds `switchsaddle front`, which runs a data-plane node. @param exit_code set when it ends. */
 void addFrontCommand(CLI::App& app, int& exit_code);
 
 }  // namespace switchsaddle
--- a/programs/switchsaddle/settings_options.cc
+++ b/programs/switchsaddle/settings_options.cc
@@ -57,6 +57,19 @@
   return text;
 }
 
+void logSettingsThatNeedRestart(const configuration::Settings& in_force,
+                                const configuration::Settings& settings) {
+  std::string names;
+  for (const std::string& name : configuration::settingsThatNeedRestart(in_force, settings)) {
+    names += (names.empty() ? "" : ",") + name;
+  }
+  if (!names.empty()) {
+    const auto code = static_cast<int>(base::ResultCode::SettingsNeedRestart);
+    base::logEvent(base::Severity::Warning, "settings-need-restart",
+                   {{"code", std::to_string(code)}, {"settings", names}});
+  }
+}
+
 }  // namespace
 
 std::shared_ptr<SettingsOptions> addSettingsOptions(CLI::App& command) {
@@ -100,15 +113,7 @@
     set_seeds(settings.seeds);
     base::logEvent(base::Severity::Notice, "settings-read-again",
                    {{"seeds", std::to_string(settings.seeds.size())}});
-    std::string names;
-    for (const std::string& name : configuration::settingsThatNeedRestart(in_force, settings)) {
-      names += (names.empty() ? "" : ",") + name;
-    }
-    if (!names.empty()) {
-      const auto code = static_cast<int>(base::ResultCode::SettingsNeedRestart);
-      base::logEvent(base::Severity::Warning, "settings-need-restart",
-                     {{"code", std::to_string(code)}, {"settings", names}});
-    }
+    logSettingsThatNeedRestart(in_force, settings);
   } catch (const base::Error& error) {
     base::logEvent(base::Severity::Error, "settings-refused", {{"reason", error.what()}});
   }
--- a/programs/switchsaddle/settings_options.h
+++ b/programs/switchsaddle/settings_options.h
@@ -13,8 +13,9 @@
 
 namespace switchsaddle {
 
-/** The settings file and the flags that override it. */
+/** Settings file and command line flags of a daemon; flags that are not empty override the file. */
 struct SettingsOptions {
+  /** Path of the settings file; empty for none. */
   std::string file;
   std::string peer_address;
   std::string http_address;
@@ -25,18 +26,19 @@
   std::string platform_address;
 };
 
-/** Adds --settings and the overriding flags to a role's subcommand. */
+/** Adds --settings and the overriding flags to a role's subcommand. @return their values. */
 std::shared_ptr<SettingsOptions> addSettingsOptions(CLI::App& command);
 
 /**
- * Reads the file, applies the flags and checks the whole for the role. Throws base::Error with
- * SettingsInvalid whose message lists every fault, a line each.
+ * Reads the settings file, applies the flags and validates the result for the role.
+ * @throws base::Error with SettingsInvalid and a message that lists all faults, one per line.
  */
 configuration::Settings loadSettings(const SettingsOptions& options, const std::string& role);
 
-/** Reads the changed settings and hands over the seeds, which alone take effect in a running
- * process; other settings that differ from those in force are named in the log with
- * SettingsNeedRestart. A faulty file leaves those in force and is told in the log. */
+/**
+ * Reloads the settings and applies the seeds, the only setting that takes effect without a restart.
+ * Logs the other settings that have changed; a faulty file is logged and ignored.
+ */
 void reloadSeeds(const SettingsOptions& options, const std::string& role,
                  const configuration::Settings& in_force,
                  const std::function<void(std::vector<base::NodeAddress>)>& set_seeds);
