--- a/libraries/streams/include/switchsaddle/streams/event_splitter.h
+++ b/libraries/streams/include/switchsaddle/streams/event_splitter.h
@@ -8,18 +8,18 @@
 
 namespace switchsaddle::streams {
 
-/** One whole event of a stream that is passed on unchanged. */
+/** One complete event of a stream that is forwarded unchanged. */
 struct RawEvent {
-  /** The event's bytes as they came, with the empty line that ends it. */
+  /** The event's bytes as received, with the empty line that ends it. */
   std::string bytes;
-  /** The number of its `id` line, where it has one. */
+  /** The number of its `id` field, if it has one. */
   std::optional<std::uint64_t> id;
 };
 
 /**
- * Cuts a text/event-stream body into whole events without reading their content. Bytes come in
- * pieces of any size; an event is handed out once its empty line has come, so that one cut off by
- * the end of the body never is. Memory is bounded by the longest event.
+ * Splits a text/event-stream body into events without parsing their data. Bytes arrive in chunks of
+ * any size; an event is emitted once its empty line has been received, hence never if the body ends
+ * before that. Memory is bounded by the maximum event size. Runs on its owner's strand.
  */
 class EventSplitter {
  public:
@@ -28,17 +28,24 @@
   explicit EventSplitter(std::size_t maximum_event_bytes = DefaultMaximumEventBytes)
       : maximum_event_bytes_(maximum_event_bytes) {}
 
-  /** Appends the events completed by these bytes; false where one is longer than the bound. */
+  /**
+   * Appends the events completed by these bytes.
+   *
+   * @return false if an event exceeds the maximum size; the splitter must not be used further.
+   */
   bool feed(std::string_view bytes, std::vector<RawEvent>& events);
-  /** Whether bytes of an event that has not ended are held. */
+  /** Whether bytes of an incomplete event are buffered. */
   bool midEvent() const { return !pending_.empty(); }
-  /** Forgets a begun event, as when another worker goes on. */
+  /** Discards an incomplete event, for example when the stream continues from another worker. */
   void reset();
 
  private:
+  /** Ends the line that is complete in the buffer, and the event if the line is empty. */
+  void endLine(std::vector<RawEvent>& events);
+
   std::size_t maximum_event_bytes_;
   std::string pending_;
-  /** Where the line begins that has not ended yet. */
+  /** Offset of the incomplete line in the buffer. */
   std::size_t line_start_ = 0;
   std::optional<std::uint64_t> id_;
 };
--- a/libraries/streams/include/switchsaddle/streams/event_stream_parser.h
+++ b/libraries/streams/include/switchsaddle/streams/event_stream_parser.h
@@ -7,15 +7,15 @@
 #include <vector>
 
 #include "switchsaddle/base/result_code.h"
-#include "switchsaddle/streams/sequence_checker.h"
+#include "switchsaddle/streams/worker_event.h"
 
 namespace switchsaddle::streams {
 
 /**
- * Incremental parser of a worker's text/event-stream body. Bytes come in pieces of any size; each
- * event that has been ended by an empty line is handed out once. Memory is bounded by the longest
- * event. An event cut off by the end of the body is never handed out. After a fault every further
- * call answers StreamBroken.
+ * Incremental parser of a worker's text/event-stream body. Bytes arrive in chunks of any size; each
+ * event is emitted once, when its empty line has been received, hence never if the body ends before
+ * that. Memory is bounded by the maximum event size. Invariant: after a fault every further call
+ * returns StreamBroken. Runs on its owner's strand.
  */
 class EventStreamParser {
  public:
@@ -24,30 +24,34 @@
   explicit EventStreamParser(std::size_t maximum_event_bytes = DefaultMaximumEventBytes)
       : maximum_event_bytes_(maximum_event_bytes) {}
 
-  /** The run named by the response header; events which name none belong to it. */
+  /** Sets the run named by the response header, to which events without a run belong. */
   void setRun(const std::string& run) { run_ = run; }
 
   /**
-   * Takes the next bytes of the body and appends the events completed by them. StreamBroken where
-   * an event has no number, is not JSON, contradicts itself, is the worker's own error or is too
-   * long; the events before it have been appended then.
+   * Parses the next bytes of the body and appends the events completed by them.
+   *
+   * @return StreamBroken if an event has no id, is not JSON, contradicts itself, is an error event
+   * of the worker or exceeds the maximum size; the events before it have been appended then.
    */
   base::ResultCode feed(std::string_view bytes, std::vector<WorkerEvent>& events);
 
  private:
-  bool parseLine(std::string_view line, std::vector<WorkerEvent>& events);
-  bool parseField(std::string_view name, std::string_view value);
-  bool endEvent(std::vector<WorkerEvent>& events);
-  bool readChunk(WorkerEvent& event);
+  base::ResultCode parseLine(std::string_view line, std::vector<WorkerEvent>& events);
+  base::ResultCode parseField(std::string_view name, std::string_view value);
+  base::ResultCode endEvent(std::vector<WorkerEvent>& events);
+  /** Completes the event from its data, and takes over the run it names. */
+  base::ResultCode readData(WorkerEvent& event);
 
   std::size_t maximum_event_bytes_;
   std::string run_;
+  /** The incomplete line. */
   std::string line_;
+  /** The fields of the incomplete event. */
   std::string data_;
   std::string event_name_;
   std::optional<std::uint64_t> id_;
   bool has_data_ = false;
-  bool broken_ = false;
+  base::ResultCode fault_ = base::ResultCode::Ok;
 };
 
 }  // namespace switchsaddle::streams
--- a/libraries/streams/include/switchsaddle/streams/relay_machine.h
+++ b/libraries/streams/include/switchsaddle/streams/relay_machine.h
@@ -11,80 +11,90 @@
 
 namespace switchsaddle::streams {
 
-/** Where the relay of one caller's stream stands. */
+/** The state of the relay of one caller's stream. */
 enum class RelayState : std::uint8_t {
-  /** No piece has been handed out: another worker may still be tried. */
+  /** No chunk has been emitted: the request may be retried on another worker. */
   BeforeFirstChunk,
   Relaying,
-  /** The worker's own end has been handed out. */
+  /** The worker's end of the run has been emitted. */
   Finished,
-  /** The error event has been handed out. */
+  /** The error event has been emitted. */
   Broken,
 };
 
-/** What the relay wants done after some input. */
+/** The result of one input to the relay. */
 struct RelayStep {
-  /** Events for the caller, in order, each in the text of text/event-stream. */
+  /** Events for the caller, in order, as text/event-stream. */
   std::vector<std::string> events;
-  /** Ok, or why this worker's stream can't go on; the attempt's connection is to be closed. */
+  /** Ok, or the fault of this attempt, whose connection is to be closed then. */
   base::ResultCode code = base::ResultCode::Ok;
 };
 
 /**
- * Relays one run from a worker to one caller. Pieces are handed out in order, once each, numbered
- * from 0 without gaps, all of one run. "[DONE]" is handed out only where the worker itself ended
- * the whole run. Until the first piece has been handed out a failed attempt can be replaced by
- * another; afterwards a failure ends the stream with an error event. Nothing is handed out after an
- * end.
+ * State machine that relays one run from a worker to one caller.
  *
- * Memory is bounded: the owner reads on from the worker only while mayRead(); at most
- * `maximum_outstanding` events plus those of one read are then waiting for the caller.
+ * Invariants: chunks are emitted in order, once each, numbered from 0 without gaps, and belong to
+ * one run. "[DONE]" is emitted only if the worker itself ended the complete run. Before the first
+ * chunk a failed attempt can be replaced by another; afterwards a failure ends the stream with an
+ * error event. Nothing is emitted after an end.
+ *
+ * Memory is bounded by backpressure: the owner reads from the worker only while mayRead(), so that
+ * at most `maximum_outstanding` events plus those of one read wait for the caller. Runs on the
+ * strand of the caller's connection.
  */
 class RelayMachine {
  public:
   static constexpr std::size_t DefaultMaximumOutstanding = 16;
 
-  /** `check_sequence` is false only in tests that show what the check prevents. */
+  /** @param check_sequence false only in tests that show what the check prevents. */
   explicit RelayMachine(std::size_t maximum_outstanding = DefaultMaximumOutstanding,
                         bool check_sequence = true)
       : maximum_outstanding_(maximum_outstanding), check_sequence_(check_sequence) {}
 
-  /** Starts over with another worker. Only while mayRetryElsewhere(); throws base::Error with
-   * InternalError else. */
+  /**
+   * Starts a new attempt on another worker.
+   *
+   * @throws base::Error with InternalError unless mayRetryElsewhere().
+   */
   void beginAttempt();
-  /** The run from the worker's response header; may be empty. */
+  /** @param run the run of the worker's response header; may be empty. */
   void onHead(const std::string& run);
-  /** Bytes of the worker's body. */
+  /** Processes bytes of the worker's body. */
   RelayStep onBytes(std::string_view bytes);
-  /** The worker's body has ended or was cut: StreamBroken unless the run is finished. */
+  /** @return the outcome when the worker's body has ended: StreamBroken unless the run is finished.
+   */
   base::ResultCode onWorkerEnd() const;
   /**
-   * Ends the stream with an error event; hands out nothing where it has ended already. The event
-   * tells the code, the last piece's number and whether asking again is safe.
+   * Ends the stream with an error event, which carries the code, the index of the last chunk and
+   * whether a retry is safe. Emits nothing if the stream has ended already.
    */
   RelayStep endWithError(base::ResultCode code);
-  /** The caller's socket has taken one event. */
+  /** One event has been written to the caller's socket. */
   void onWritten();
 
   bool mayRead() const { return outstanding_ < maximum_outstanding_; }
   bool mayRetryElsewhere() const { return state_ == RelayState::BeforeFirstChunk; }
   bool ended() const { return state_ == RelayState::Finished || state_ == RelayState::Broken; }
   RelayState state() const { return state_; }
+  /** @return emitted events that have not been written. */
   std::size_t outstanding() const { return outstanding_; }
-  /** Pieces handed out. */
+  /** @return the number of emitted chunks. */
   std::uint64_t chunks() const { return chunks_; }
-  /** Output tokens handed out. */
+  /** @return the number of emitted output tokens. */
   std::uint64_t tokens() const { return tokens_; }
   const std::string& run() const { return checker_.run(); }
 
  private:
-  void handOut(const WorkerEvent& event, RelayStep& step);
+  /** Emits the parsed events up to the first fault or the end of the run. */
+  void emitAll(const std::vector<WorkerEvent>& events, RelayStep& step);
+  void emit(const WorkerEvent& event, RelayStep& step);
 
   std::size_t maximum_outstanding_;
   bool check_sequence_;
   RelayState state_ = RelayState::BeforeFirstChunk;
   EventStreamParser parser_;
   SequenceChecker checker_;
+  /** The fault of the current attempt. */
   base::ResultCode fault_ = base::ResultCode::Ok;
   std::size_t outstanding_ = 0;
   std::uint64_t chunks_ = 0;
--- a/libraries/streams/source/sequence_checker.cc
+++ b/libraries/streams/source/sequence_checker.cc
@@ -9,29 +9,37 @@
     return;
   }
   run_ = run;
-  started_ = true;
+  run_known_ = true;
 }
 
 ResultCode SequenceChecker::accept(const WorkerEvent& event) {
   if (fault_ != ResultCode::Ok) {
     return fault_;
   }
-  if (!started_) {
+  if (!run_known_) {
     run_ = event.run;
-    started_ = true;
+    run_known_ = true;
   }
-  if (event.run != run_) {
-    fault_ = ResultCode::StreamRunChanged;
-  } else if (finished_ || event.index < next_index_) {
-    fault_ = ResultCode::StreamRepeat;
-  } else if (event.index > next_index_) {
-    fault_ = ResultCode::StreamGap;
-  } else if (event.done) {
+  fault_ = check(event);
+  if (fault_ != ResultCode::Ok) {
+    return fault_;
+  }
+  if (event.done) {
     finished_ = true;
   } else {
     ++next_index_;
   }
-  return fault_;
+  return ResultCode::Ok;
+}
+
+ResultCode SequenceChecker::check(const WorkerEvent& event) const {
+  if (event.run != run_) {
+    return ResultCode::StreamRunChanged;
+  }
+  if (finished_ || event.index < next_index_) {
+    return ResultCode::StreamRepeat;
+  }
+  return event.index > next_index_ ? ResultCode::StreamGap : ResultCode::Ok;
 }
 
 }  // namespace switchsaddle::streams
--- a/libraries/streams/test/event_splitter_test.cc
+++ b/libraries/streams/test/event_splitter_test.cc
@@ -5,7 +5,7 @@
 namespace switchsaddle::streams {
 namespace {
 
-TEST(EventSplitterTest, HandsOutWholeEventsUnchanged) {
+TEST(EventSplitterTest, EmitsCompleteEventsUnchanged) {
   const std::string body =
       "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\nversions: 3\nid: 4\ndata: c\n\n";
   for (std::size_t chunk = 1; chunk <= body.size(); ++chunk) {
@@ -23,7 +23,7 @@
   }
 }
 
-TEST(EventSplitterTest, KeepsBackAnEventThatHasNotEnded) {
+TEST(EventSplitterTest, BuffersAnIncompleteEvent) {
   EventSplitter splitter;
   std::vector<RawEvent> events;
   EXPECT_TRUE(splitter.feed("id: 1\ndata: a\n\nid: 2\ndata", events));
@@ -35,7 +35,7 @@
   EXPECT_FALSE(events[1].id.has_value());
 }
 
-TEST(EventSplitterTest, BoundsAnEvent) {
+TEST(EventSplitterTest, LimitsTheSizeOfAnEvent) {
   EventSplitter splitter(16);
   std::vector<RawEvent> events;
   EXPECT_FALSE(splitter.feed("data: 0123456789abcdef", events));
--- a/libraries/streams/test/relay_machine_test.cc
+++ b/libraries/streams/test/relay_machine_test.cc
@@ -19,7 +19,7 @@
   return "id: " + std::to_string(count) + "\ndata: [DONE]\n\n";
 }
 
-TEST(RelayMachine, RelaysAWholeRunByteByByte) {
+TEST(RelayMachine, RelaysACompleteRunByteByByte) {
   RelayMachine machine;
   machine.onHead("r1");
   std::vector<std::string> events;
@@ -69,7 +69,7 @@
     testing::Values(
         FaultCase{"SilentCloseBefore", "", ResultCode::StreamBroken, 0},
         FaultCase{"SilentCloseAfter", chunk(0) + chunk(1), ResultCode::StreamBroken, 2},
-        FaultCase{"CutPiece", chunk(0) + "id: 1\ndata: {\"run\":\"r1\"}\n",
+        FaultCase{"CutChunk", chunk(0) + "id: 1\ndata: {\"run\":\"r1\"}\n",
                   ResultCode::StreamBroken, 1},
         FaultCase{"CutDone", chunk(0) + "id: 1\ndata: [DONE]\n", ResultCode::StreamBroken, 1},
         FaultCase{"GapAtStart", chunk(1), ResultCode::StreamGap, 0},
@@ -87,7 +87,7 @@
                   ResultCode::StreamBroken, 0}),
     [](const auto& test) { return test.param.name; });
 
-TEST(RelayMachine, AnotherWorkerMayBeTriedOnlyBeforeTheFirstPiece) {
+TEST(RelayMachine, MayRetryOnAnotherWorkerOnlyBeforeTheFirstChunk) {
   RelayMachine machine;
   machine.onHead("r1");
   EXPECT_EQ(machine.onBytes(chunk(3)).code, ResultCode::StreamGap);
@@ -97,7 +97,7 @@
   EXPECT_THROW(machine.beginAttempt(), base::Error);
 }
 
-TEST(RelayMachine, ReadsOnOnlyWhileTheCallerTakesEvents) {
+TEST(RelayMachine, ReadsOnlyWhileTheCallerAcceptsEvents) {
   RelayMachine machine(2);
   machine.onHead("r1");
   machine.onBytes(chunk(0));
@@ -108,7 +108,7 @@
   EXPECT_TRUE(machine.mayRead());
 }
 
-TEST(RelayMachine, NamesTheRunInPiecesWhichDoNot) {
+TEST(RelayMachine, AddsTheRunToChunksWithoutOne) {
   RelayMachine machine;
   machine.onHead("r1");
   const RelayStep step = machine.onBytes("id: 0\ndata: {\"text\":\"a\"}\n\n");
@@ -116,7 +116,7 @@
   EXPECT_EQ(step.events[0], "id: 0\ndata: {\"text\":\"a\",\"run\":\"r1\"}\n\n");
 }
 
-TEST(EventStreamParser, RefusesAnEventBeyondItsBoundWithoutKeepingIt) {
+TEST(EventStreamParser, RejectsAnEventBeyondItsMaximumSizeWithoutBufferingIt) {
   EventStreamParser parser(64);
   std::vector<WorkerEvent> events;
   EXPECT_EQ(parser.feed("id: 0\ndata: " + std::string(100, 'x'), events), ResultCode::StreamBroken);
