--- a/libraries/routing/include/switchsaddle/routing/candidate_ranking.h
+++ b/libraries/routing/include/switchsaddle/routing/candidate_ranking.h
@@ -36,7 +36,7 @@
   void dropNotAdmitted(std::vector<Candidate>& candidates) const;
   void dropSlower(std::vector<Candidate>& candidates) const;
   void dropCostlier(std::vector<Candidate>& candidates) const;
-  /** Whether the arm has enough sample mass to be judged by its estimates. */
+  /** Whether the arm has enough sample mass for its estimates to be used. */
   bool isMeasured(const Candidate& candidate) const;
 
   const RouterContext& context_;
--- a/libraries/routing/include/switchsaddle/routing/learned_router.h
+++ b/libraries/routing/include/switchsaddle/routing/learned_router.h
@@ -26,9 +26,9 @@
 /**
  * ADR-0021's bandit on one front with the extensions of docs/ROUTING.md: collects candidates, ranks
  * and filters them, and selects one by the policy; the tracker learns from completions. Invariant:
- * an arm of a worker that is draining, gone or evacuated, or outside the route's pool, is never a
- * candidate. Runs on the control strand; choose() makes no network call, takes no lock, and visits
- * each arm of the model at most once.
+ * an arm of a worker that is draining, removed or evacuated, or outside the route's pool, is never
+ * a candidate. Runs on the control strand; choose() makes no network call, takes no lock, and
+ * visits each arm of the model at most once.
  */
 class LearnedRouter : public Router {
  public:
--- a/libraries/routing/source/pool_builder.cc
+++ b/libraries/routing/source/pool_builder.cc
@@ -9,7 +9,7 @@
 namespace switchsaddle::routing {
 
 void PoolBuilder::build(const WorkerRecords::Records& records) {
-  takeFormerArms();
+  collectFormerArms();
   buildArms(records);
   rankArms();
   pool_.index.rebuild(pool_.arms);
@@ -18,7 +18,7 @@
   retireFormerArms();
 }
 
-void PoolBuilder::takeFormerArms() {
+void PoolBuilder::collectFormerArms() {
   for (const ArmPtr& arm : pool_.arms) {
     former_[arm->signature] = arm;
   }
@@ -65,7 +65,7 @@
   if (decode) {
     signature += ">" + decode->worker.entry.id;
   }
-  ArmPtr arm = takeArm(signature);
+  ArmPtr arm = findOrCreateArm(signature);
   const bool is_new = arm->prefill == nullptr;
   const bool other_instance = arm->prefill != prefill || arm->decode != decode;
   if (!is_new && other_instance) {
@@ -76,7 +76,7 @@
   pool_.arms.push_back(std::move(arm));
 }
 
-ArmPtr PoolBuilder::takeArm(const std::string& signature) {
+ArmPtr PoolBuilder::findOrCreateArm(const std::string& signature) {
   const auto known = former_.find(signature);
   if (known != former_.end()) {
     ArmPtr arm = std::move(known->second);
--- a/libraries/routing/source/pool_builder.h
+++ b/libraries/routing/source/pool_builder.h
@@ -21,11 +21,11 @@
   void build(const WorkerRecords::Records& records);
 
  private:
-  void takeFormerArms();
+  void collectFormerArms();
   void buildArms(const WorkerRecords::Records& records);
   void addArm(const WorkerRecordPtr& prefill, const WorkerRecordPtr& decode);
-  /** @return the former arm with this signature, or a new one. */
-  ArmPtr takeArm(const std::string& signature);
+  /** @return the former arm with this signature, removed from `former_`, or a new one. */
+  ArmPtr findOrCreateArm(const std::string& signature);
   bool serves(const WorkerRecord& record) const;
   /** Ranks arms by hash, on which all fronts agree and which spreads zones over the lanes. */
   void rankArms();
--- a/libraries/routing/source/worker_records.cc
+++ b/libraries/routing/source/worker_records.cc
@@ -40,7 +40,7 @@
     const bool evacuated = !view.allowsWorker(record->worker.entry);
     const bool returns = record->evacuated && !evacuated;
     if (returns && pool != nullptr) {
-      // An idle worker may return cold before the platform lists it as such.
+      // An idle worker may need to warm up before the platform lists it so.
       record->slow_start.warming_up_until =
           dispatcher_.now() + std::chrono::milliseconds(pool->slow_start_ms);
     }
@@ -48,7 +48,8 @@
   }
 }
 
-/** A number is reused only after all others, when no chain is indexed under it any more. */
+/** A number is reused only after all numbers were used, when no chain is indexed under it any more.
+ */
 WorkerNumber WorkerRecords::allocateNumber() {
   const auto is_taken = [this](WorkerNumber number) {
     return std::ranges::any_of(records_, [number](const auto& item) {
--- a/libraries/routing/test/learned_router_test.cc
+++ b/libraries/routing/test/learned_router_test.cc
@@ -57,8 +57,8 @@
   }
 
   std::optional<Placement> place(std::vector<std::string> excluded = {},
-                                 std::vector<PrefixSegment> parts = {}) {
-    Prompt prompt{"m", std::move(parts), 100, 100};
+                                 std::vector<PrefixSegment> segments = {}) {
+    Prompt prompt{"m", std::move(segments), 100, 100};
     return router_.choose(prompt, route_, excluded);
   }
 
@@ -171,8 +171,8 @@
   for (int index = 0; index < 60; ++index) {
     finish(*place(), 50);
   }
-  const std::vector<PrefixSegment> parts{{"system", 4000}, {"menu", 4000}};
-  Prompt prompt{"m", parts, 8100, 100};
+  const std::vector<PrefixSegment> segments{{"system", 4000}, {"menu", 4000}};
+  Prompt prompt{"m", segments, 8100, 100};
   const std::optional<Placement> first = router_.choose(prompt, route_, {});
   finish(*first, 50);
   int returned = 0;
@@ -250,15 +250,15 @@
 TEST_F(LearnedRouterTest, ExportsABoundedNumberOfScoresWorkersWarmingUpFirst) {
   constexpr int Many = 80;
   addWorkers(Many);
-  std::vector<std::string> others;
+  std::vector<std::string> warm;
   for (int index = 0; index < Many; ++index) {
-    others.push_back("w" + std::to_string(index));
+    warm.push_back("w" + std::to_string(index));
   }
   addWorkers(Many + 1);
   const std::string warming_up = "w" + std::to_string(Many);
-  finish(*place(others), 50);
+  finish(*place(warm), 50);
   for (int index = 0; index < Many; ++index) {
-    std::vector<std::string> excluded = others;
+    std::vector<std::string> excluded = warm;
     excluded.erase(excluded.begin() + index);
     excluded.push_back(warming_up);
     world_.runFor(milliseconds(1));
--- a/libraries/routing/test/prefill_queue_test.cc
+++ b/libraries/routing/test/prefill_queue_test.cc
@@ -18,7 +18,7 @@
   EXPECT_NEAR(queue.remainingSeconds(Start + milliseconds(100)), 0.5, 1e-9);
 }
 
-TEST(PrefillQueueTest, AShareOfUnansweredPromptsRemainsHoweverLongTheyTake) {
+TEST(PrefillQueueTest, AShareOfUnansweredPromptsRemainsForAnyElapsedTime) {
   PrefillQueue queue;
   queue.add(0.4, Start);
   EXPECT_NEAR(queue.remainingSeconds(Start + std::chrono::seconds(9)), 0.1, 1e-9);
