--- a/libraries/simulation/include/switchsaddle/simulation/collecting_incidents.h
+++ b/libraries/simulation/include/switchsaddle/simulation/collecting_incidents.h
@@ -8,11 +8,11 @@
 
 namespace switchsaddle::simulation {
 
-/** Keeps what an operator would have been told. */
+/** Records the incidents that would have been reported to an operator. */
 class CollectingIncidents : public base::IncidentSink {
  public:
   void report(const base::Incident& incident) override { all.push_back(incident); }
-  /** The first incident of this event, or nullptr. */
+  /** @return the first incident of this event, or null. */
   const base::Incident* find(std::string_view event) const {
     const auto found = std::find_if(all.begin(), all.end(), [&](const base::Incident& incident) {
       return incident.event == event;
--- a/libraries/simulation/include/switchsaddle/simulation/network.h
+++ b/libraries/simulation/include/switchsaddle/simulation/network.h
@@ -13,22 +13,23 @@
 
 namespace switchsaddle::simulation {
 
-/** How the simulated network treats envelopes. */
+/** Delays, faults and costs of the simulated network. */
 struct NetworkConditions {
   base::Duration minimum_delay = std::chrono::microseconds(100);
   base::Duration maximum_delay = std::chrono::milliseconds(2);
+  /** Probability that an envelope is lost. */
   double loss = 0.0;
-  /** Chance that an envelope is delivered a second time, later. */
+  /** Probability that an envelope is delivered twice. */
   double duplication = 0.0;
-  /** Processor time that sending or taking one envelope costs, and each 1,024 bytes of it. */
+  /** Processor time for sending or receiving one envelope, and for each 1,024 bytes of it. */
   base::Duration work_per_envelope{};
   base::Duration work_per_kilobyte{};
 };
 
 /**
- * Carries envelopes between simulated processes with random delays, so that they may overtake each
- * other. Each goes through wire::encode and decode. Envelopes to an address without a running
- * process are refused; those across a cut vanish.
+ * Delivers envelopes between simulated processes with random delays, hence not in order. Each is
+ * encoded by wire::encode and decoded on delivery. Envelopes to an address without a running
+ * process are refused; those across a partition are lost.
  */
 class Network {
  public:
@@ -39,24 +40,25 @@
                                       std::size_t bytes)>;
 
   NetworkConditions conditions;
-  /** Where set, sees every envelope that is sent, delivered or not. */
+  /** If set, called for every envelope that is sent, delivered or not. */
   Observer observer;
 
-  /** The transport of a process at an address; one at a time for each address. Detached when
-   * destroyed. */
+  /** @return the transport of a process at an address, which is detached when destroyed. At most
+   * one for each address at a time. */
   std::unique_ptr<transport::Transport> attach(const base::NodeAddress& address, Process& process);
-  /** Cuts both directions between two addresses. */
+  /** Partitions two addresses from each other, in both directions. */
   void cut(const base::NodeAddress& first, const base::NodeAddress& second);
+  /** Ends the partition of two addresses. */
   void heal(const base::NodeAddress& first, const base::NodeAddress& second);
-  void healAll() { cuts_.clear(); }
+  void healAll() { partitions_.clear(); }
   std::uint64_t envelopesSent() const { return envelopes_sent_; }
   std::uint64_t bytesSent() const { return bytes_sent_; }
 
  private:
   class Endpoint;
   friend class Endpoint;
-  /** One envelope on its way. */
-  struct Parcel {
+  /** One envelope in flight. */
+  struct Delivery {
     base::NodeAddress from;
     base::NodeAddress to;
     std::uint64_t sender_incarnation;
@@ -66,19 +68,19 @@
 
   void send(Endpoint& from, const base::NodeAddress& to, const wire::Envelope& envelope);
   void detach(const base::NodeAddress& address);
-  void deliver(const Parcel& parcel);
-  void scheduleDelivery(const Parcel& parcel);
-  /** Tells the sender, where it still lives, that nobody listens. */
-  void refuse(const Parcel& parcel);
-  /** The receiver of one life at an address; nullptr where it has ended. */
+  void deliver(const Delivery& delivery);
+  void schedule(const Delivery& delivery);
+  /** Reports to the sender, if it is still running, that the receiver is not. */
+  void refuse(const Delivery& delivery);
+  /** @return the receiver of one incarnation at an address, or null if it has ended. */
   transport::Receiver* receiverOf(const base::NodeAddress& address, std::uint64_t incarnation);
-  bool isCut(const base::NodeAddress& first, const base::NodeAddress& second) const;
+  bool isPartitioned(const base::NodeAddress& first, const base::NodeAddress& second) const;
   base::Duration randomDelay();
   base::Duration workOf(std::size_t bytes) const;
 
   World& world_;
   std::map<base::NodeAddress, Endpoint*> endpoints_;
-  std::set<std::pair<base::NodeAddress, base::NodeAddress>> cuts_;
+  std::set<std::pair<base::NodeAddress, base::NodeAddress>> partitions_;
   std::uint64_t next_incarnation_ = 1;
   std::uint64_t envelopes_sent_ = 0;
   std::uint64_t bytes_sent_ = 0;
--- a/libraries/simulation/include/switchsaddle/simulation/process.h
+++ b/libraries/simulation/include/switchsaddle/simulation/process.h
@@ -12,10 +12,9 @@
 
 /**
  * A simulated process: the dispatcher of the state machines that run in it. Killing it drops every
- * callback that has not run; freezing it holds them back until it is woken, when all those due run
- * at once, as after SIGSTOP and SIGCONT. A killed process may be started again, with fresh state
- * machines. Work that takes processor time is told by spend(): what falls due meanwhile waits for
- * its turn.
+ * callback that has not run; freezing it defers them until it is woken, when all those due run at
+ * once, as after SIGSTOP and SIGCONT. A killed process may be started again, with new state
+ * machines. spend() models processor time: callbacks that fall due meanwhile wait in order.
  */
 class Process : public base::Dispatcher {
  public:
@@ -30,29 +29,32 @@
 
   bool running() const { return running_; }
   bool frozen() const { return frozen_; }
+  /** Starts the process again after kill(). */
   void start();
-  /** The owner destroys the process's state machines right after. */
+  /** Drops all callbacks. The owner destroys the process's state machines immediately after. */
   void kill();
   void freeze() { frozen_ = true; }
+  /** Ends freeze(), and runs what fell due meanwhile. */
   void wake();
-  /** The process is at work for so long from now on, or from the end of the work before. */
+  /** Occupies the process for this long, from now on or from the end of the work before. */
   void spend(base::Duration duration);
 
  private:
   bool busy() const { return now() < busy_until_; }
-  void scheduleWaiting();
-  void runWaiting();
-  void run(std::uint64_t generation, std::function<void()> callback);
+  void scheduleBacklog();
+  void runBacklog();
+  void run(std::uint64_t incarnation, std::function<void()> callback);
 
   World& world_;
   bool running_ = true;
   bool frozen_ = false;
-  /** Counts starts; callbacks of an earlier life are dropped. */
-  std::uint64_t generation_ = 0;
-  std::deque<std::function<void()>> held_;
+  /** Increases with every start and kill; callbacks of earlier incarnations are dropped. */
+  std::uint64_t incarnation_ = 0;
+  /** Callbacks that fell due while the process was frozen. */
+  std::deque<std::function<void()>> frozen_callbacks_;
   base::TimePoint busy_until_;
-  /** Due, in the order in which they run once the process has time. */
-  std::deque<std::function<void()>> waiting_;
+  /** Callbacks that fell due while the process was busy, in order. */
+  std::deque<std::function<void()>> backlog_;
 };
 
 }  // namespace switchsaddle::simulation
--- a/libraries/simulation/include/switchsaddle/simulation/simulated_disk.h
+++ b/libraries/simulation/include/switchsaddle/simulation/simulated_disk.h
@@ -1,31 +1,24 @@
 #pragma once
 
-#include <array>
 #include <cstdint>
 #include <map>
 #include <memory>
-#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/base/result_code.h"
+#include "switchsaddle/simulation/disk_fault_injector.h"
 #include "switchsaddle/storage/file_system.h"
 
 namespace switchsaddle::simulation {
 
-/** Thrown through the disk work of a process which is killed, or loses its power, in the middle of
- * it. Not a std::exception, so that no error handling takes it for a fault of the disk. */
-struct DiskInterrupted {};
-
-/** The operations of a disk that change it. */
-enum class DiskOperation { CreateFolder, Write, SyncFile, SyncFolder, Rename, Remove };
-
 /**
- * A disk in memory which outlives the processes that use it. At powerLoss() it keeps what was
- * synced; of what was not, each file and folder keeps the old state, the new one or a torn one, as
- * the seed has it. Faults are injected by operation number, counted over all kinds or within one.
+ * A file system in memory that outlives the processes that use it. powerLoss() retains what was
+ * synced; each file and folder that was not synced keeps its old state, its new state or a torn
+ * one, as drawn from the seed. Faults are injected by operation number, over all operations or
+ * within one kind.
  */
 class SimulatedDisk : public storage::FileSystem {
  public:
@@ -40,37 +33,37 @@
   void rename(const std::string& from, const std::string& to) override;
   void remove(const std::string& path) override;
 
-  /** The n-th operation of the kind from now on, counted from 1, fails once. A failed sync loses
-   * what it should have made durable: a later sync of it does nothing until it is written anew. */
+  /** The nth operation of the kind from now on, counted from 1, fails once. A failed sync loses the
+   * data it should have made durable: a later sync has no effect until the data is written again.
+   */
   void failOnce(DiskOperation kind, std::uint64_t nth,
                 base::ResultCode code = base::ResultCode::StorageFailed);
-  /** Takes back what failOnce() and tearWrite() have injected and is still due. */
-  void clearFaults();
-  /** The n-th operation from now on, counted from 1, and all after it throw DiskInterrupted; a
-   * write is done in part. Follow it with powerLoss() or, for a killed process, resume(). */
-  void interruptAt(std::uint64_t nth) { interrupt_at_ = operations_ + nth; }
-  /** The n-th write from now on, counted from 1, stores half of its bytes and reports success. */
-  void tearWrite(std::uint64_t nth);
+  /** Removes pending faults of failOnce() and tearWrite(). */
+  void clearFaults() { faults_.clear(); }
+  /** The nth operation from now on, counted from 1, and all after it throw DiskInterrupted; a write
+   * is done partially. To be followed by powerLoss() or, for a killed process, resume(). */
+  void interruptAt(std::uint64_t nth) { faults_.interruptAt(nth); }
+  /** The nth write from now on, counted from 1, stores half of its bytes and reports success. */
+  void tearWrite(std::uint64_t nth) { faults_.tearWrite(nth); }
   /** While set, each write and each creation of a folder fails with StorageFull. */
   void setFull(bool full) { full_ = full; }
-  /** Drops what was not synced, and takes operations again. */
+  /** Drops what was not synced, and accepts operations again. */
   void powerLoss();
-  /** Takes operations again with all that was written, as after the death of a process only. */
-  void resume();
-  /** True from the operation given to interruptAt() until powerLoss() or resume(). */
-  bool interrupted() const { return interrupted_; }
-  /** Inverts the bits of one byte, also on the platter. */
+  /** Accepts operations again with all that was written, as after the death of a process. */
+  void resume() { faults_.resume(); }
+  /** Whether the operation of interruptAt() has been reached, until powerLoss() or resume(). */
+  bool interrupted() const { return faults_.interrupted(); }
+  /** Inverts the bits of one byte, also of the durable state. */
   void flipByte(const std::string& path, std::size_t offset);
-  /** Cuts a file, also on the platter. */
+  /** Truncates a file, also its durable state. */
   void truncate(const std::string& path, std::size_t length);
-  /** Removes everything, as an exchange of the disk does. */
+  /** Removes everything, as a replacement of the disk does. */
   void wipe();
-  /** Operations that change the disk since it was made. */
-  std::uint64_t operations() const { return operations_; }
-  std::uint64_t operations(DiskOperation kind) const { return counts_[index(kind)]; }
+  /** @return the number of operations that change the disk since it was created. */
+  std::uint64_t operations() const { return faults_.operations(); }
+  std::uint64_t operations(DiskOperation kind) const { return faults_.operations(kind); }
 
  private:
-  static constexpr std::size_t KindCount = 6;
   /** One file, whatever its names. */
   struct File {
     std::string bytes;
@@ -79,36 +72,22 @@
     bool sync_lost = false;
   };
   using Names = std::map<std::string, std::shared_ptr<File>>;
-  struct Fault {
-    std::uint64_t at;
-    base::ResultCode code;
-  };
 
-  static std::size_t index(DiskOperation kind) { return static_cast<std::size_t>(kind); }
-  /** Counts an operation; true where it is the one to be interrupted. */
-  bool count(DiskOperation kind);
-  /** Counts an operation and throws what is injected for it. */
-  void begin(DiskOperation kind);
-  void throwFault(DiskOperation kind);
-  bool faultDue(DiskOperation kind) const;
   std::shared_ptr<File> find(const std::string& path) const;
   void requireFolder(const std::string& path) const;
+  /** Makes the names of a folder durable as they are. */
+  void persistNames(const std::string& folder);
   void loseUnsynced(File& file);
   void loseUnsyncedNames(const std::string& folder);
 
   base::RandomSource random_;
+  DiskFaultInjector faults_;
   Names live_;
   Names durable_;
   /** The root is the empty path. */
   std::set<std::string> live_folders_{""};
   std::set<std::string> durable_folders_{""};
   std::set<std::string> folders_sync_lost_;
-  std::array<std::uint64_t, KindCount> counts_{};
-  std::array<std::optional<Fault>, KindCount> faults_{};
-  std::optional<std::uint64_t> interrupt_at_;
-  std::optional<std::uint64_t> tear_at_;
-  std::uint64_t operations_ = 0;
-  bool interrupted_ = false;
   bool full_ = false;
 };
 
--- a/libraries/simulation/include/switchsaddle/simulation/simulated_storage_executor.h
+++ b/libraries/simulation/include/switchsaddle/simulation/simulated_storage_executor.h
@@ -2,8 +2,8 @@
 
 #include <deque>
 #include <functional>
-#include <memory>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/simulation/process.h"
 #include "switchsaddle/simulation/world.h"
 #include "switchsaddle/storage/storage_executor.h"
@@ -11,9 +11,9 @@
 namespace switchsaddle::simulation {
 
 /**
- * Runs disk work of a simulated process in order, each piece after a random delay. Work of a killed
- * process neither runs on nor completes; work which meets DiskInterrupted has been done in part and
- * never completes, after which the scenario kills the process. One for each life of a process.
+ * Runs the disk jobs of a simulated process in order, each after a random delay. Jobs of a killed
+ * process neither run nor complete; a job that throws DiskInterrupted was done partially and never
+ * completes, after which the scenario kills the process. One for each incarnation of a process.
  */
 class SimulatedStorageExecutor : public storage::StorageExecutor {
  public:
@@ -23,7 +23,7 @@
   base::Duration maximum_delay = std::chrono::milliseconds(5);
 
   void execute(std::function<void()> work, std::function<void()> completion) override;
-  /** The next piece to begin takes this much longer, as on a disk that stalls. */
+  /** Delays the next job to start by this much more, as on a disk that stalls. */
   void stallNext(base::Duration duration) { stall_ = duration; }
 
  private:
@@ -32,14 +32,15 @@
     std::function<void()> completion;
   };
   void startNext();
-  void runFirst();
+  void runNext();
 
   World& world_;
   Process& process_;
   std::deque<Job> jobs_;
+  /** A job is scheduled or was interrupted. */
   bool busy_ = false;
   base::Duration stall_{};
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::simulation
--- a/libraries/simulation/include/switchsaddle/simulation/world.h
+++ b/libraries/simulation/include/switchsaddle/simulation/world.h
@@ -14,21 +14,25 @@
 namespace switchsaddle::simulation {
 
 /**
- * A seeded, single-threaded event queue with its own clock. Two worlds with one seed and one
- * scenario run the same events in the same order.
+ * A seeded, single-threaded event queue with its own clock. Worlds with the same seed and scenario
+ * run the same events in the same order.
  */
 class World {
  public:
   explicit World(std::uint64_t seed);
   base::TimePoint now() const { return now_; }
   base::RandomSource& random() { return random_; }
-  /** Runs the callback once `delay` has passed. Events at one time run in order of scheduling. */
+  /** Runs the callback after `delay`. Events with the same time run in the order of scheduling. */
   void schedule(base::Duration delay, std::function<void()> callback);
-  /** Runs the next event; false where there is none. */
+  /** Runs the next event.
+   *
+   * @return false if there is none. */
   bool step();
   /** Runs all events of the next `duration`. */
   void runFor(base::Duration duration);
-  /** Runs until the condition holds; false where `limit` passed first. */
+  /** Runs until the condition holds.
+   *
+   * @return false if `limit` passed before. */
   bool runUntil(const std::function<bool()>& condition, base::Duration limit);
   std::uint64_t eventsRun() const { return events_run_; }
 
@@ -38,6 +42,7 @@
     std::uint64_t order;
     std::function<void()> callback;
   };
+  /** Orders the queue by time, then by order of scheduling. */
   struct Later {
     bool operator()(const Event& first, const Event& second) const {
       return first.at != second.at ? first.at > second.at : first.order > second.order;
--- a/libraries/simulation/source/network.cc
+++ b/libraries/simulation/source/network.cc
@@ -4,7 +4,7 @@
 
 namespace switchsaddle::simulation {
 
-/** The transport of one life of a process at one address. */
+/** The transport of one incarnation of a process at one address. */
 class Network::Endpoint : public transport::Transport {
  public:
   Endpoint(Network& network, base::NodeAddress address, Process& process, std::uint64_t incarnation)
@@ -46,15 +46,15 @@
 }
 
 void Network::cut(const base::NodeAddress& first, const base::NodeAddress& second) {
-  cuts_.insert(std::minmax(first, second));
+  partitions_.insert(std::minmax(first, second));
 }
 
 void Network::heal(const base::NodeAddress& first, const base::NodeAddress& second) {
-  cuts_.erase(std::minmax(first, second));
+  partitions_.erase(std::minmax(first, second));
 }
 
-bool Network::isCut(const base::NodeAddress& first, const base::NodeAddress& second) const {
-  return cuts_.contains(std::minmax(first, second));
+bool Network::isPartitioned(const base::NodeAddress& first, const base::NodeAddress& second) const {
+  return partitions_.contains(std::minmax(first, second));
 }
 
 base::Duration Network::randomDelay() {
@@ -65,9 +65,9 @@
 
 base::Duration Network::workOf(std::size_t bytes) const {
   constexpr std::size_t Kilobyte = 1'024;
-  const auto parts = static_cast<std::int64_t>(bytes);
+  const auto count = static_cast<std::int64_t>(bytes);
   return conditions.work_per_envelope +
-         conditions.work_per_kilobyte * parts / static_cast<std::int64_t>(Kilobyte);
+         conditions.work_per_kilobyte * count / static_cast<std::int64_t>(Kilobyte);
 }
 
 void Network::send(Endpoint& from, const base::NodeAddress& to, const wire::Envelope& envelope) {
@@ -81,30 +81,30 @@
   if (world_.random().chance(conditions.loss)) {
     return;
   }
-  const Parcel parcel{
+  const Delivery delivery{
       from.localAddress(), to, from.incarnation(), {envelope.kind, envelope.request_id}, bytes};
-  scheduleDelivery(parcel);
+  schedule(delivery);
   if (world_.random().chance(conditions.duplication)) {
-    scheduleDelivery(parcel);
+    schedule(delivery);
   }
 }
 
-void Network::scheduleDelivery(const Parcel& parcel) {
-  world_.schedule(randomDelay(), [this, parcel] { deliver(parcel); });
+void Network::schedule(const Delivery& delivery) {
+  world_.schedule(randomDelay(), [this, delivery] { deliver(delivery); });
 }
 
-void Network::deliver(const Parcel& parcel) {
-  if (isCut(parcel.from, parcel.to)) {
+void Network::deliver(const Delivery& delivery) {
+  if (isPartitioned(delivery.from, delivery.to)) {
     return;
   }
-  const auto target = endpoints_.find(parcel.to);
+  const auto target = endpoints_.find(delivery.to);
   if (target == endpoints_.end()) {
-    refuse(parcel);
+    refuse(delivery);
     return;
   }
   const std::uint64_t target_incarnation = target->second->incarnation();
   Process& process = target->second->process();
-  process.post([this, &process, to = parcel.to, target_incarnation, bytes = parcel.bytes] {
+  process.post([this, &process, to = delivery.to, target_incarnation, bytes = delivery.bytes] {
     if (transport::Receiver* receiver = receiverOf(to, target_incarnation)) {
       process.spend(workOf(bytes.size()));
       receiver->onEnvelope(wire::decode(bytes));
@@ -112,17 +112,17 @@
   });
 }
 
-void Network::refuse(const Parcel& parcel) {
-  const auto sender = endpoints_.find(parcel.from);
-  const bool sender_lives =
-      sender != endpoints_.end() && sender->second->incarnation() == parcel.sender_incarnation;
-  if (!sender_lives) {
+void Network::refuse(const Delivery& delivery) {
+  const auto sender = endpoints_.find(delivery.from);
+  const bool sender_runs =
+      sender != endpoints_.end() && sender->second->incarnation() == delivery.sender_incarnation;
+  if (!sender_runs) {
     return;
   }
   sender->second->process().postAfter(
       conditions.minimum_delay,
-      [this, from = parcel.from, to = parcel.to, incarnation = parcel.sender_incarnation,
-       envelope = parcel.envelope] {
+      [this, from = delivery.from, to = delivery.to, incarnation = delivery.sender_incarnation,
+       envelope = delivery.envelope] {
         if (transport::Receiver* receiver = receiverOf(from, incarnation)) {
           receiver->onRefused(to, envelope);
         }
@@ -132,8 +132,8 @@
 transport::Receiver* Network::receiverOf(const base::NodeAddress& address,
                                          std::uint64_t incarnation) {
   const auto found = endpoints_.find(address);
-  const bool lives = found != endpoints_.end() && found->second->incarnation() == incarnation;
-  return lives ? found->second->receiver() : nullptr;
+  const bool runs = found != endpoints_.end() && found->second->incarnation() == incarnation;
+  return runs ? found->second->receiver() : nullptr;
 }
 
 }  // namespace switchsaddle::simulation
--- a/libraries/simulation/source/process.cc
+++ b/libraries/simulation/source/process.cc
@@ -7,8 +7,7 @@
 
 namespace {
 
-/** A timer whose armings are numbered, so that an event of an earlier arming finds itself outdated.
- */
+/** A timer whose armings are numbered, so that events of earlier armings are ignored. */
 class SimulatedTimer : public base::Timer {
  public:
   SimulatedTimer(Process& process, std::function<void()> callback)
@@ -57,23 +56,23 @@
 
 void Process::postAfter(base::Duration delay, std::function<void()> callback) {
   world_.schedule(delay,
-                  [this, generation = generation_, callback = std::move(callback)]() mutable {
-                    run(generation, std::move(callback));
+                  [this, incarnation = incarnation_, callback = std::move(callback)]() mutable {
+                    run(incarnation, std::move(callback));
                   });
 }
 
-void Process::run(std::uint64_t generation, std::function<void()> callback) {
-  if (!running_ || generation != generation_) {
+void Process::run(std::uint64_t incarnation, std::function<void()> callback) {
+  if (!running_ || incarnation != incarnation_) {
     return;
   }
   if (frozen_) {
-    held_.push_back(std::move(callback));
+    frozen_callbacks_.push_back(std::move(callback));
     return;
   }
-  if (busy() || !waiting_.empty()) {
-    waiting_.push_back(std::move(callback));
-    if (waiting_.size() == 1) {
-      scheduleWaiting();
+  if (busy() || !backlog_.empty()) {
+    backlog_.push_back(std::move(callback));
+    if (backlog_.size() == 1) {
+      scheduleBacklog();
     }
     return;
   }
@@ -84,50 +83,50 @@
   busy_until_ = std::max(busy_until_, now()) + duration;
 }
 
-void Process::scheduleWaiting() {
+void Process::scheduleBacklog() {
   world_.schedule(std::max(base::Duration::zero(), busy_until_ - now()),
-                  [this, generation = generation_] {
-                    if (running_ && generation == generation_) {
-                      runWaiting();
+                  [this, incarnation = incarnation_] {
+                    if (running_ && incarnation == incarnation_) {
+                      runBacklog();
                     }
                   });
 }
 
-void Process::runWaiting() {
-  while (!waiting_.empty() && !busy() && !frozen_) {
-    const std::function<void()> callback = std::move(waiting_.front());
-    waiting_.pop_front();
+void Process::runBacklog() {
+  while (!backlog_.empty() && !busy() && !frozen_) {
+    const std::function<void()> callback = std::move(backlog_.front());
+    backlog_.pop_front();
     callback();
   }
-  if (!waiting_.empty() && !frozen_) {
-    scheduleWaiting();
+  if (!backlog_.empty() && !frozen_) {
+    scheduleBacklog();
   }
 }
 
 void Process::start() {
   running_ = true;
   frozen_ = false;
-  ++generation_;
+  ++incarnation_;
 }
 
 void Process::kill() {
   running_ = false;
   frozen_ = false;
-  ++generation_;
-  held_.clear();
-  waiting_.clear();
+  ++incarnation_;
+  frozen_callbacks_.clear();
+  backlog_.clear();
   busy_until_ = {};
 }
 
 void Process::wake() {
   frozen_ = false;
-  if (!waiting_.empty()) {
-    scheduleWaiting();
+  if (!backlog_.empty()) {
+    scheduleBacklog();
   }
-  for (std::function<void()>& callback : held_) {
+  for (std::function<void()>& callback : frozen_callbacks_) {
     post(std::move(callback));
   }
-  held_.clear();
+  frozen_callbacks_.clear();
 }
 
 }  // namespace switchsaddle::simulation
--- a/libraries/simulation/source/simulated_disk.cc
+++ b/libraries/simulation/source/simulated_disk.cc
@@ -1,6 +1,7 @@
 #include "switchsaddle/simulation/simulated_disk.h"
 
 #include <algorithm>
+#include <iterator>
 
 #include "switchsaddle/base/error.h"
 
@@ -24,47 +25,8 @@
 
 }  // namespace
 
-bool SimulatedDisk::count(DiskOperation kind) {
-  if (interrupted_) {
-    throw DiskInterrupted{};
-  }
-  ++operations_;
-  ++counts_[index(kind)];
-  interrupted_ = interrupt_at_ == operations_;
-  return interrupted_;
-}
-
-bool SimulatedDisk::faultDue(DiskOperation kind) const {
-  const std::optional<Fault>& fault = faults_[index(kind)];
-  return fault && fault->at == counts_[index(kind)];
-}
-
-void SimulatedDisk::throwFault(DiskOperation kind) {
-  if (faultDue(kind)) {
-    const base::ResultCode code = faults_[index(kind)]->code;
-    faults_[index(kind)].reset();
-    throw base::Error(code, "injected fault");
-  }
-}
-
-void SimulatedDisk::begin(DiskOperation kind) {
-  if (count(kind)) {
-    throw DiskInterrupted{};
-  }
-  throwFault(kind);
-}
-
 void SimulatedDisk::failOnce(DiskOperation kind, std::uint64_t nth, base::ResultCode code) {
-  faults_[index(kind)] = Fault{counts_[index(kind)] + nth, code};
-}
-
-void SimulatedDisk::clearFaults() {
-  faults_ = {};
-  tear_at_.reset();
-}
-
-void SimulatedDisk::tearWrite(std::uint64_t nth) {
-  tear_at_ = counts_[index(DiskOperation::Write)] + nth;
+  faults_.failOnce(kind, nth, code);
 }
 
 std::shared_ptr<SimulatedDisk::File> SimulatedDisk::find(const std::string& path) const {
@@ -82,7 +44,7 @@
 }
 
 void SimulatedDisk::createFolder(const std::string& path) {
-  begin(DiskOperation::CreateFolder);
+  faults_.begin(DiskOperation::CreateFolder);
   requireFolder(folderOf(path));
   if (full_ && !live_folders_.contains(path)) {
     throw base::Error(base::ResultCode::StorageFull, "disk full");
@@ -91,9 +53,7 @@
 }
 
 std::vector<std::string> SimulatedDisk::list(const std::string& folder) {
-  if (interrupted_) {
-    throw DiskInterrupted{};
-  }
+  faults_.requireRunning();
   std::vector<std::string> names;
   for (const auto& [path, file] : live_) {
     if (folderOf(path) == folder) {
@@ -110,25 +70,22 @@
 }
 
 std::string SimulatedDisk::read(const std::string& path) {
-  if (interrupted_) {
-    throw DiskInterrupted{};
-  }
+  faults_.requireRunning();
   return find(path)->bytes;
 }
 
 void SimulatedDisk::write(const std::string& path, const std::string& bytes) {
-  const bool interrupt = count(DiskOperation::Write);
+  const bool interrupt = faults_.count(DiskOperation::Write);
   requireFolder(folderOf(path));
   std::shared_ptr<File>& file = live_[path];
   if (!file) {
     file = std::make_shared<File>();
   }
   file->sync_lost = false;
-  const bool torn = tear_at_ == counts_[index(DiskOperation::Write)];
-  if (interrupt || full_ || faultDue(DiskOperation::Write)) {
+  if (interrupt || full_ || faults_.isFailing(DiskOperation::Write)) {
     file->bytes = bytes.substr(0, random_.below(bytes.size() + 1));
   } else {
-    file->bytes = torn ? bytes.substr(0, bytes.size() / 2) : bytes;
+    file->bytes = faults_.isTorn() ? bytes.substr(0, bytes.size() / 2) : bytes;
   }
   if (interrupt) {
     throw DiskInterrupted{};
@@ -136,38 +93,36 @@
   if (full_) {
     throw base::Error(base::ResultCode::StorageFull, "disk full");
   }
-  throwFault(DiskOperation::Write);
+  faults_.throwFault(DiskOperation::Write);
 }
 
 void SimulatedDisk::syncFile(const std::string& path) {
-  if (count(DiskOperation::SyncFile)) {
+  if (faults_.count(DiskOperation::SyncFile)) {
     throw DiskInterrupted{};
   }
   const std::shared_ptr<File> file = find(path);
-  if (faultDue(DiskOperation::SyncFile)) {
+  if (faults_.isFailing(DiskOperation::SyncFile)) {
     file->sync_lost = true;
   }
-  throwFault(DiskOperation::SyncFile);
+  faults_.throwFault(DiskOperation::SyncFile);
   if (!file->sync_lost) {
     file->durable = file->bytes;
   }
 }
 
 void SimulatedDisk::syncFolder(const std::string& path) {
-  if (count(DiskOperation::SyncFolder)) {
+  if (faults_.count(DiskOperation::SyncFolder)) {
     throw DiskInterrupted{};
   }
   requireFolder(path);
-  if (faultDue(DiskOperation::SyncFolder)) {
+  if (faults_.isFailing(DiskOperation::SyncFolder)) {
     folders_sync_lost_.insert(path);
   }
-  throwFault(DiskOperation::SyncFolder);
+  faults_.throwFault(DiskOperation::SyncFolder);
   if (folders_sync_lost_.contains(path)) {
     return;
   }
-  const auto in_folder = [&](const auto& entry) { return folderOf(entry.first) == path; };
-  std::erase_if(durable_, in_folder);
-  std::copy_if(live_.begin(), live_.end(), std::inserter(durable_, durable_.end()), in_folder);
+  persistNames(path);
   for (const std::string& folder : live_folders_) {
     if (folderOf(folder) == path) {
       durable_folders_.insert(folder);
@@ -175,8 +130,14 @@
   }
 }
 
+void SimulatedDisk::persistNames(const std::string& folder) {
+  const auto in_folder = [&](const auto& entry) { return folderOf(entry.first) == folder; };
+  std::erase_if(durable_, in_folder);
+  std::copy_if(live_.begin(), live_.end(), std::inserter(durable_, durable_.end()), in_folder);
+}
+
 void SimulatedDisk::rename(const std::string& from, const std::string& to) {
-  begin(DiskOperation::Rename);
+  faults_.begin(DiskOperation::Rename);
   requireFolder(folderOf(to));
   const std::shared_ptr<File> file = find(from);
   live_.erase(from);
@@ -186,7 +147,7 @@
 }
 
 void SimulatedDisk::remove(const std::string& path) {
-  begin(DiskOperation::Remove);
+  faults_.begin(DiskOperation::Remove);
   find(path);
   live_.erase(path);
   folders_sync_lost_.erase(folderOf(path));
@@ -209,12 +170,11 @@
 }
 
 void SimulatedDisk::loseUnsyncedNames(const std::string& folder) {
-  // The names of a folder change together: the journal of a file system keeps their order.
-  const auto in_folder = [&](const auto& entry) { return folderOf(entry.first) == folder; };
-  const bool durable_folder = durable_folders_.contains(folder);
-  if (durable_folder && random_.chance(0.5)) {
-    std::erase_if(durable_, in_folder);
-    std::copy_if(live_.begin(), live_.end(), std::inserter(durable_, durable_.end()), in_folder);
+  // The names of a folder change together, since the journal of a file system preserves their
+  // order.
+  constexpr double PersistedChance = 0.5;
+  if (durable_folders_.contains(folder) && random_.chance(PersistedChance)) {
+    persistNames(folder);
   }
 }
 
@@ -237,11 +197,6 @@
   resume();
 }
 
-void SimulatedDisk::resume() {
-  interrupted_ = false;
-  interrupt_at_.reset();
-}
-
 void SimulatedDisk::flipByte(const std::string& path, std::size_t offset) {
   const std::shared_ptr<File> file = find(path);
   file->bytes.at(offset) = static_cast<char>(~file->bytes.at(offset));
--- a/libraries/simulation/source/simulated_storage_executor.cc
+++ b/libraries/simulation/source/simulated_storage_executor.cc
@@ -20,14 +20,10 @@
   const auto range = static_cast<std::uint64_t>((maximum_delay - minimum_delay).count() + 1);
   const base::Duration spread(world_.random().below(range));
   const base::Duration delay = minimum_delay + spread + std::exchange(stall_, {});
-  process_.postAfter(delay, [this, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) {
-      runFirst();
-    }
-  });
+  process_.postAfter(delay, callbacks_.guard([this] { runNext(); }));
 }
 
-void SimulatedStorageExecutor::runFirst() {
+void SimulatedStorageExecutor::runNext() {
   Job job = std::move(jobs_.front());
   jobs_.pop_front();
   try {
--- a/libraries/simulation/test/process_test.cc
+++ b/libraries/simulation/test/process_test.cc
@@ -11,7 +11,7 @@
 
 class ProcessTest : public testing::Test {
  protected:
-  /** Notes when it ran, and works for so long. */
+  /** Posts a callback that records when it ran and uses this much processor time. */
   void postWork(base::Duration work) {
     process_.post([this, work] {
       ran_at_.push_back(world_.now() - begin_);
@@ -25,7 +25,7 @@
   std::vector<base::Duration> ran_at_;
 };
 
-TEST_F(ProcessTest, WhatFallsDueWaitsForTheWorkBefore) {
+TEST_F(ProcessTest, DueCallbacksWaitForEarlierWork) {
   postWork(milliseconds(10));
   postWork(milliseconds(5));
   postWork(milliseconds(0));
@@ -34,7 +34,7 @@
             (std::vector<base::Duration>{milliseconds(0), milliseconds(10), milliseconds(15)}));
 }
 
-TEST_F(ProcessTest, AFrozenProcessGoesOnWithItsWorkOnceWoken) {
+TEST_F(ProcessTest, AFrozenProcessContinuesItsWorkAfterWaking) {
   postWork(milliseconds(10));
   postWork(milliseconds(0));
   world_.runFor(milliseconds(5));
@@ -46,7 +46,7 @@
   EXPECT_EQ(ran_at_.size(), 2U);
 }
 
-TEST_F(ProcessTest, AKilledProcessForgetsItsWork) {
+TEST_F(ProcessTest, AKilledProcessDropsItsWork) {
   postWork(milliseconds(10));
   postWork(milliseconds(0));
   world_.runFor(milliseconds(5));
--- a/libraries/simulation/test/simulated_disk_test.cc
+++ b/libraries/simulation/test/simulated_disk_test.cc
@@ -16,7 +16,7 @@
   disk.syncFolder("");
 }
 
-TEST(SimulatedDisk, KeepsWhatWasSynced) {
+TEST(SimulatedDisk, RetainsSyncedFiles) {
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     SimulatedDisk disk(seed);
     writeDurably(disk, "file", "bytes");
@@ -25,7 +25,7 @@
   }
 }
 
-TEST(SimulatedDisk, MayLoseNamesThatWereNotSynced) {
+TEST(SimulatedDisk, MayLoseUnsyncedNames) {
   std::uint64_t lost = 0;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     SimulatedDisk disk(seed);
@@ -38,7 +38,7 @@
   EXPECT_LT(lost, Seeds);
 }
 
-TEST(SimulatedDisk, MayLoseOrTearBytesThatWereNotSynced) {
+TEST(SimulatedDisk, MayLoseOrTearUnsyncedBytes) {
   std::map<std::string, int> found;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     SimulatedDisk disk(seed);
@@ -62,8 +62,8 @@
   EXPECT_EQ(disk.list(""), Names{});
 }
 
-TEST(SimulatedDisk, ASyncAfterAFailedOneDoesNothing) {
-  std::uint64_t kept = 0;
+TEST(SimulatedDisk, ASyncAfterAFailedSyncHasNoEffect) {
+  std::uint64_t persisted = 0;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     SimulatedDisk disk(seed);
     writeDurably(disk, "file", "old");
@@ -72,9 +72,9 @@
     EXPECT_THROW(disk.syncFile("file"), base::Error);
     disk.syncFile("file");
     disk.powerLoss();
-    kept += disk.read("file") == "new" ? 1 : 0;
+    persisted += disk.read("file") == "new" ? 1 : 0;
   }
-  EXPECT_LT(kept, Seeds);
+  EXPECT_LT(persisted, Seeds);
 }
 
 TEST(SimulatedDisk, InterruptionLastsUntilResumed) {
--- a/libraries/simulation/test/simulated_storage_executor_test.cc
+++ b/libraries/simulation/test/simulated_storage_executor_test.cc
@@ -22,7 +22,7 @@
   Numbers completed_;
 };
 
-TEST_F(SimulatedStorageExecutorTest, RunsWorkInOrder) {
+TEST_F(SimulatedStorageExecutorTest, RunsJobsInOrder) {
   execute(1);
   execute(2);
   EXPECT_EQ(worked_, Numbers{});
@@ -31,7 +31,7 @@
   EXPECT_EQ(completed_, (Numbers{1, 2}));
 }
 
-TEST_F(SimulatedStorageExecutorTest, StallsOnePiece) {
+TEST_F(SimulatedStorageExecutorTest, StallsOneJob) {
   executor_.stallNext(std::chrono::seconds(20));
   execute(1);
   world_.runFor(std::chrono::seconds(20));
@@ -40,7 +40,7 @@
   EXPECT_EQ(completed_, Numbers{1});
 }
 
-TEST_F(SimulatedStorageExecutorTest, WorkOfAKilledProcessNeverCompletes) {
+TEST_F(SimulatedStorageExecutorTest, JobsOfAKilledProcessNeverComplete) {
   execute(1);
   process_.kill();
   process_.start();
@@ -49,7 +49,7 @@
   EXPECT_EQ(completed_, Numbers{});
 }
 
-TEST_F(SimulatedStorageExecutorTest, InterruptedWorkNeverCompletes) {
+TEST_F(SimulatedStorageExecutorTest, AnInterruptedJobNeverCompletes) {
   executor_.execute([] { throw DiskInterrupted{}; }, [this] { completed_.push_back(1); });
   execute(2);
   world_.runFor(std::chrono::seconds(1));
