--- a/libraries/allocation_tracker/include/switchsaddle/allocation_tracker/allocation_tracker.h
+++ b/libraries/allocation_tracker/include/switchsaddle/allocation_tracker/allocation_tracker.h
@@ -4,14 +4,15 @@
 
 /**
  * @file
- * For tests of decoders only: a program that links this has its global operator new replaced by one
- * which notes the size of what is asked for. For programs with one thread.
+ * For tests of decoders: replaces the global operator new of a program that links this by one that
+ * records the largest requested size. Not thread-safe.
  */
 
 namespace switchsaddle::allocation_tracker {
 
-/** The largest block, in bytes, this program has asked for since the last reset. */
+/** @return the size in bytes of the largest block requested since the last reset. */
 std::size_t largestAllocation();
+/** Sets the recorded size to zero. */
 void resetLargestAllocation();
 
 }  // namespace switchsaddle::allocation_tracker
--- a/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/counting_transport.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/counting_transport.h
@@ -11,26 +11,31 @@
 /** Frames and bytes of one kind of message. */
 struct KindCount {
   std::uint64_t frames = 0;
-  /** Encoded size; zero where sizes are not weighed. */
+  /** Encoded size; zero if sizes are not counted. */
   std::uint64_t bytes = 0;
 };
 
 /** Counts by the message's index in wire::Message. */
 using KindCounts = std::array<KindCount, std::variant_size_v<wire::Message>>;
 
-/** The name of a kind of message, by its index in wire::Message. */
+/** @return the name of a kind of message.
+ *
+ * @param kind index in wire::Message. */
 const char* kindName(std::size_t kind);
 
 /**
- * Passes envelopes on to another transport, which outlives it, and counts them by kind. Weighing
- * them encodes each once more, so that processor time is measured without it. Runs on the
- * transport's strand.
+ * Forwards envelopes to another transport and counts them by kind. Counting bytes encodes each
+ * envelope once more, so that processor time must be measured without it. Runs on the transport's
+ * strand.
  */
 class CountingTransport final : public transport::Transport, private transport::Receiver {
  public:
-  /** The counts outlive the transport; several transports may share them. */
+  /**
+   * @param inner must outlive this object, as must the counts, which several transports may share.
+   * @param count_bytes whether to count encoded sizes.
+   */
   CountingTransport(transport::Transport& inner, KindCounts& sent, KindCounts& received,
-                    bool weigh);
+                    bool count_bytes);
   ~CountingTransport() override;
 
   const base::NodeAddress& localAddress() const override;
@@ -47,7 +52,7 @@
   transport::Receiver* receiver_ = nullptr;
   KindCounts& sent_;
   KindCounts& received_;
-  bool weigh_;
+  bool count_bytes_;
 };
 
 }  // namespace switchsaddle::lightweight_fronts
--- a/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/lightweight_front.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/lightweight_front.h
@@ -10,23 +10,23 @@
 
 namespace switchsaddle::lightweight_fronts {
 
-/** What a lightweight front does beyond its control work. */
+/** Work of a lightweight front beyond its control work. */
 struct LightweightFrontOptions {
-  /** Takes a slot of a random tenant for each made-up prompt from the real limit ledgers. */
+  /** Acquires a slot of a random tenant from the limit ledgers for each synthetic prompt. */
   bool acquire_slots = false;
 };
 
 /**
  * A front without callers: the real front node (session, configuration replica, gossip, worker
- * directory, router) on a transport of its own, with no HTTP side and no workers that answer. Many
- * of them share a process and a strand, for runs at the size of a whole fleet.
+ * directory, router) on a transport of its own, without an HTTP server and without reachable
+ * workers. Many of them share a process and a strand, for runs at the size of a complete fleet.
  */
 class LightweightFront {
  public:
-  /** Tells of each new version in force: the one before and the new one. */
+  /** Called for each applied version of the configuration with the previous and the new one. */
   using AppliedListener = std::function<void(std::uint64_t before, std::uint64_t after)>;
 
-  /** The dispatcher and the transport outlive the front. */
+  /** @param dispatcher must outlive the front, as must the transport. */
   LightweightFront(base::Dispatcher& dispatcher, transport::Transport& transport,
                    std::uint64_t seed, configuration::Settings settings, AppliedListener applied,
                    LightweightFrontOptions options = {});
@@ -36,24 +36,25 @@
 
   void start() { node_.start(); }
   void stop(std::function<void()> stopped) { node_.stop(std::move(stopped)); }
-  /** Whether it would dispatch work at this moment. */
+  /** Whether the front may dispatch requests now. */
   bool serving() const { return node_.session().mayDispatch(); }
   const front::FrontNode& node() const { return node_; }
   /**
-   * Places `count` made-up prompts over the configured models and completes those of the last call,
-   * so that the router learns, and disseminates, as it does under load.
+   * Places `count` synthetic prompts over the configured models and completes those of the last
+   * call, so that the router learns and disseminates scores as it does under load.
    */
   void placePrompts(std::size_t count);
 
-  /** Slots asked for and got; zero where the options do not ask for any. */
+  /** @return granted and rejected slot requests; zero unless the options acquire slots. */
   std::uint64_t slotsGot() const { return slots_got_; }
   std::uint64_t slotsRefused() const { return slots_refused_; }
 
  private:
   std::unique_ptr<admission::SlotBroker> makeSlots(base::Dispatcher& dispatcher);
   void acquireSlot();
-  void noteVersion(const journal::Event& event);
-  void completeOpen();
+  void recordVersion(const journal::Event& event);
+  void completePending();
+  routing::Prompt drawPrompt(const configuration::Route& route);
 
   configuration::Settings settings_;
   transport::PeerCalls calls_;
@@ -64,13 +65,13 @@
   AppliedListener applied_;
   std::uint64_t version_ = 0;
   LightweightFrontOptions options_;
-  std::vector<std::uint64_t> open_tickets_;
+  std::vector<std::uint64_t> pending_tickets_;
   std::uint64_t slots_got_ = 0;
   std::uint64_t slots_refused_ = 0;
   front::FrontNode node_;
-  /** Takes the recalls in place of the node's own broker, which no caller uses here. */
+  /** Receives the recalls instead of the node's own broker, which no caller uses here. */
   std::unique_ptr<admission::SlotBroker> slots_;
-  std::vector<admission::SlotPermitPtr> held_;
+  std::vector<admission::SlotPermitPtr> permits_;
 };
 
 }  // namespace switchsaddle::lightweight_fronts
--- a/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/version_tally.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/version_tally.h
@@ -8,24 +8,25 @@
 
 namespace switchsaddle::lightweight_fronts {
 
-/** When a version of the configuration came into force on the fronts of one process. */
+/** When the fronts of one process applied a version of the configuration. */
 struct VersionTimes {
   base::TimePoint first;
   base::TimePoint last;
-  /** Fronts that work by this version or a newer one. */
+  /** Fronts that applied this version or a newer one. */
   std::size_t fronts = 0;
 };
 
 /**
- * Tells for each version when the first and the last front had it in force. A front that goes past
- * several versions at once counts for each of them. Keeps the versions of one experiment.
+ * Records for each version when the first and the last front applied it. A front that skips
+ * versions counts for each of them. Keeps the versions of one experiment. Runs on the fronts'
+ * strand.
  */
 class VersionTally {
  public:
-  /** A front went from version `before` to `after`. */
+  /** Records that a front went from version `before` to `after`. */
   void applied(std::uint64_t before, std::uint64_t after, base::TimePoint now);
   const std::map<std::uint64_t, VersionTimes>& versions() const { return versions_; }
-  /** Applications counted. */
+  /** @return the number of calls of applied(). */
   std::uint64_t applications() const { return applications_; }
 
  private:
--- a/libraries/lightweight_fronts/source/counting_transport.cc
+++ b/libraries/lightweight_fronts/source/counting_transport.cc
@@ -51,8 +51,8 @@
 }
 
 CountingTransport::CountingTransport(transport::Transport& inner, KindCounts& sent,
-                                     KindCounts& received, bool weigh)
-    : inner_(inner), sent_(sent), received_(received), weigh_(weigh) {
+                                     KindCounts& received, bool count_bytes)
+    : inner_(inner), sent_(sent), received_(received), count_bytes_(count_bytes) {
   inner_.setReceiver(this);
 }
 
@@ -90,7 +90,7 @@
 void CountingTransport::count(KindCounts& counts, const wire::Envelope& envelope) const {
   KindCount& kind = counts.at(envelope.message.index());
   ++kind.frames;
-  if (weigh_) {
+  if (count_bytes_) {
     kind.bytes += wire::encode(envelope).size();
   }
 }
--- a/libraries/lightweight_fronts/source/lightweight_front.cc
+++ b/libraries/lightweight_fronts/source/lightweight_front.cc
@@ -10,19 +10,20 @@
 
 namespace {
 
-/** What a made-up completion measures; the speeds differ from worker to worker and time to time. */
+/** Measurements of a synthetic completion; its run time is drawn at random. */
 constexpr std::uint32_t OutputTokens = 300;
 constexpr std::uint32_t PromptTokens = 1'000;
 constexpr base::Duration FirstToken = std::chrono::milliseconds(300);
-constexpr base::Duration ShortestRun = std::chrono::milliseconds(6'000);
+constexpr base::Duration MinimumRunTime = std::chrono::milliseconds(6'000);
 constexpr std::uint64_t RunSpreadMs = 6'000;
 
+/** A call that failed before it was sent. */
 class NoCall final : public front::WorkerCall {
  public:
   void cancel() override {}
 };
 
-/** No worker can be reached; a lightweight front sends none a request. */
+/** A port through which no worker is reachable. */
 class NoWorkers final : public front::WorkerPort {
  public:
   explicit NoWorkers(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
@@ -53,15 +54,15 @@
       options_(options),
       node_(front::FrontEnvironment{dispatcher, calls_, random_, journal_, settings_, *workers_,
                                     instance_}) {
-  journal_.addListener([this](const journal::Event& event) { noteVersion(event); });
+  journal_.addListener([this](const journal::Event& event) { recordVersion(event); });
   if (options_.acquire_slots) {
     slots_ = makeSlots(dispatcher);
   }
 }
 
 LightweightFront::~LightweightFront() {
-  // The holds give their slots back to the broker.
-  held_.clear();
+  // Permits return their slots to the broker, which must still exist.
+  permits_.clear();
 }
 
 std::unique_ptr<admission::SlotBroker> LightweightFront::makeSlots(base::Dispatcher& dispatcher) {
@@ -84,14 +85,14 @@
   slots_->acquire(chosen->second.stream_branch, [this](admission::SlotOutcome outcome) {
     if (outcome.hold) {
       ++slots_got_;
-      held_.push_back(std::move(outcome.hold));
+      permits_.push_back(std::move(outcome.hold));
     } else {
       ++slots_refused_;
     }
   });
 }
 
-void LightweightFront::noteVersion(const journal::Event& event) {
+void LightweightFront::recordVersion(const journal::Event& event) {
   const bool applied = event.subject == journal::Subject::Configuration && event.key == "version";
   if (applied) {
     const std::uint64_t before = std::exchange(version_, event.version);
@@ -99,21 +100,29 @@
   }
 }
 
-void LightweightFront::completeOpen() {
-  for (const std::uint64_t ticket : std::exchange(open_tickets_, {})) {
+void LightweightFront::completePending() {
+  for (const std::uint64_t ticket : std::exchange(pending_tickets_, {})) {
     routing::Completion completion;
     completion.ticket = ticket;
     completion.output_tokens = OutputTokens;
     completion.uncached_tokens = PromptTokens;
     completion.time_to_first_token = FirstToken;
-    completion.total = ShortestRun + std::chrono::milliseconds(random_.below(RunSpreadMs));
+    completion.total = MinimumRunTime + std::chrono::milliseconds(random_.below(RunSpreadMs));
     node_.router().complete(completion);
   }
 }
 
+routing::Prompt LightweightFront::drawPrompt(const configuration::Route& route) {
+  routing::Prompt prompt;
+  prompt.model = route.models[random_.below(route.models.size())];
+  prompt.prompt_tokens = PromptTokens;
+  prompt.maximum_tokens = OutputTokens;
+  return prompt;
+}
+
 void LightweightFront::placePrompts(std::size_t count) {
-  completeOpen();
-  held_.clear();
+  completePending();
+  permits_.clear();
   const dissemination::ViewPtr& view = node_.replica().view();
   for (const auto& [name, route] : view->routes) {
     if (route.service != configuration::CompletionsService || route.models.empty()) {
@@ -123,12 +132,9 @@
       if (options_.acquire_slots) {
         acquireSlot();
       }
-      routing::Prompt prompt;
-      prompt.model = route.models[random_.below(route.models.size())];
-      prompt.prompt_tokens = PromptTokens;
-      prompt.maximum_tokens = OutputTokens;
+      const routing::Prompt prompt = drawPrompt(route);
       if (const auto placement = node_.router().choose(prompt, route, {})) {
-        open_tickets_.push_back(placement->ticket);
+        pending_tickets_.push_back(placement->ticket);
       }
     }
     return;
--- a/libraries/lightweight_fronts/test/lightweight_fleet.h
+++ b/libraries/lightweight_fronts/test/lightweight_fleet.h
@@ -12,7 +12,7 @@
 
 namespace switchsaddle::lightweight_fronts {
 
-/** Simulated cores with lightweight fronts before them, whose messages are weighed. */
+/** Simulated cores with lightweight fronts, whose messages are counted. */
 class LightweightFleet {
  public:
   LightweightFleet(std::uint64_t seed, std::size_t count)
--- a/libraries/lightweight_fronts/test/traffic_test.cc
+++ b/libraries/lightweight_fronts/test/traffic_test.cc
@@ -7,8 +7,9 @@
 
 using std::chrono::seconds;
 
-/** Bytes that each front receives in a quiet second, of one kind of message or of all. */
-double quietBytes(std::size_t fronts, const wire::Message* kind) {
+/** @return the bytes that each front receives per second without load, of one kind of message or,
+ * if null, of all. */
+double idleBytes(std::size_t fronts, const wire::Message* kind) {
   LightweightFleet fleet(7, fronts);
   EXPECT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
   fleet.fleet.world.runFor(seconds(5));
@@ -23,16 +24,16 @@
   return bytes / 10 / static_cast<double>(fronts);
 }
 
-TEST(TrafficTest, ASessionsRenewalsDoNotGrowWithTheNumberOfFronts) {
+TEST(TrafficTest, SessionRenewalsDoNotGrowWithTheNumberOfFronts) {
   const wire::Message grants = wire::SessionOpenReply{};
-  const double few = quietBytes(10, &grants);
-  const double many = quietBytes(60, &grants);
+  const double few = idleBytes(10, &grants);
+  const double many = idleBytes(60, &grants);
   EXPECT_GT(few, 0);
   EXPECT_LT(many, few * 1.1);
 }
 
-TEST(TrafficTest, AQuietFrontStaysWithinItsAllowance) {
-  EXPECT_LT(quietBytes(60, nullptr), 2'500);
+TEST(TrafficTest, AnIdleFrontStaysWithinItsTrafficBudget) {
+  EXPECT_LT(idleBytes(60, nullptr), 2'500);
 }
 
 }  // namespace
--- a/libraries/lightweight_fronts/test/version_tally_test.cc
+++ b/libraries/lightweight_fronts/test/version_tally_test.cc
@@ -9,7 +9,7 @@
   return base::TimePoint(std::chrono::milliseconds(milliseconds));
 }
 
-TEST(VersionTallyTest, KeepsTheFirstAndTheLastApplication) {
+TEST(VersionTallyTest, RecordsTheFirstAndTheLastApplication) {
   VersionTally tally;
   tally.applied(0, 1, at(5));
   tally.applied(0, 1, at(9));
