--- a/libraries/routing/test/first_token_model_test.cc
+++ b/libraries/routing/test/first_token_model_test.cc
@@ -7,8 +7,8 @@
 namespace switchsaddle::routing {
 namespace {
 
-constexpr double Base = 0.03;
-constexpr double PerToken = 2e-5;
+constexpr double BaseSeconds = 0.03;
+constexpr double SecondsPerToken = 2e-5;
 
 /** A model fitted to answers of an engine with the rates above: prompts of 200 to 12,000 tokens, of
  * which `busy` in ten are delayed by half a second of unknown load. */
@@ -20,20 +20,20 @@
   for (int answer = 0; answer < answers; ++answer) {
     const double prefill_tokens = tokens(random);
     const double delay = in_ten(random) < busy ? 0.5 : 0;
-    model.add(prefill_tokens, Base + prefill_tokens * PerToken + delay);
+    model.add(prefill_tokens, BaseSeconds + prefill_tokens * SecondsPerToken + delay);
   }
   return model;
 }
 
 TEST(FirstTokenModelTest, FitsBaseTimeAndTimePerToken) {
   const FirstTokenModel model = trained(200, 0);
-  EXPECT_NEAR(model.secondsPerToken(), PerToken, PerToken * 0.02);
-  EXPECT_NEAR(model.baseSeconds(), Base, 0.002);
+  EXPECT_NEAR(model.secondsPerToken(), SecondsPerToken, SecondsPerToken * 0.02);
+  EXPECT_NEAR(model.baseSeconds(), BaseSeconds, 0.002);
 }
 
 TEST(FirstTokenModelTest, FitsFromFiveAnswers) {
   const FirstTokenModel model = trained(5, 0);
-  EXPECT_NEAR(model.expectedSeconds(10'000), Base + 10'000 * PerToken, 0.05);
+  EXPECT_NEAR(model.expectedSeconds(10'000), BaseSeconds + 10'000 * SecondsPerToken, 0.05);
 }
 
 TEST(FirstTokenModelTest, CapsTheEffectOfUnknownDelays) {
