--- a/libraries/routing/test/learned_router_test.cc
+++ b/libraries/routing/test/learned_router_test.cc
@@ -1,16 +1,13 @@
 #include "switchsaddle/routing/learned_router.h"
 
 #include <gtest/gtest.h>
-#include <array>
-#include <memory>
-#include <optional>
-#include <set>
-#include <string>
 
 #include <algorithm>
 #include <map>
+#include <optional>
+#include <string>
 
-#include "switchsaddle/simulation/process.h"
+#include "learned_router_fixture.h"
 
 namespace switchsaddle::routing {
 namespace {
@@ -18,82 +15,6 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A router with one pool of workers w0..wN-1 for model "m", and a worker of another pool. */
-class LearnedRouterTest : public testing::Test {
- protected:
-  LearnedRouterTest() { useConfiguration(); }
-
-  void useConfiguration() {
-    auto view = std::make_shared<configuration::View>(view_);
-    view->routes["chat"] = configuration::Route{"chat", "completions", {"m"}, "llm"};
-    router_.setConfiguration(view);
-    route_ = view->routes["chat"];
-  }
-
-  wire::WorkerEntry entry(const std::string& id, const std::string& zone = "z1") {
-    wire::WorkerEntry worker;
-    worker.id = id;
-    worker.zone = zone;
-    worker.models = {"m"};
-    worker.service = "llm";
-    worker.slots = 8;
-    worker.instance = 1;
-    return worker;
-  }
-
-  void publish() {
-    auto snapshot = std::make_shared<workers::WorkerSnapshot>();
-    snapshot->revision = ++revision_;
-    snapshot->workers = workers_;
-    router_.setWorkers(snapshot);
-  }
-
-  void addWorkers(int count) {
-    for (int index = 0; index < count; ++index) {
-      const std::string id = "w" + std::to_string(index);
-      workers_[id] = workers::Worker{entry(id), false, false};
-    }
-    publish();
-  }
-
-  std::optional<Placement> place(std::vector<std::string> excluded = {},
-                                 std::vector<PrefixSegment> segments = {}) {
-    Prompt prompt{"m", std::move(segments), 100, 100};
-    return router_.choose(prompt, route_, excluded);
-  }
-
-  void finish(const Placement& placement, double tokens_per_second, std::uint32_t tokens = 100) {
-    Completion completion;
-    completion.ticket = placement.ticket;
-    completion.output_tokens = tokens;
-    completion.uncached_tokens = 100;
-    completion.time_to_first_token = milliseconds(10);
-    completion.total = std::chrono::duration_cast<base::Duration>(
-        std::chrono::duration<double>(tokens / tokens_per_second));
-    router_.complete(completion);
-  }
-
-  const RoutingRow* rowOf(const std::string& arm) {
-    rows_ = router_.table("m");
-    for (const RoutingRow& row : rows_) {
-      if (row.arm == arm) {
-        return &row;
-      }
-    }
-    return nullptr;
-  }
-
-  simulation::World world_{7};
-  simulation::Process process_{world_};
-  base::RandomSource random_{7};
-  LearnedRouter router_{process_, random_, base::NodeAddress{"127.0.0.1", 1}, RouterOptions{}};
-  configuration::View view_;
-  configuration::Route route_;
-  std::map<std::string, workers::Worker> workers_;
-  std::vector<RoutingRow> rows_;
-  std::uint64_t revision_ = 0;
-};
-
 TEST_F(LearnedRouterTest, PlacesNothingWithoutWorkers) {
   publish();
   EXPECT_FALSE(place().has_value());
@@ -296,106 +217,5 @@
   EXPECT_LE(on_warming_up, 1);
 }
 
-class WorkLanesRouterTest : public LearnedRouterTest {
- protected:
-  WorkLanesRouterTest() {
-    RouterOptions options;
-    options.work_lanes = true;
-    router = std::make_unique<LearnedRouter>(process_, random_, base::NodeAddress{"127.0.0.1", 1},
-                                             options);
-    auto view = std::make_shared<configuration::View>();
-    view->routes["chat"] = route_;
-    router->setConfiguration(view);
-  }
-  std::optional<std::string> placeKind(std::uint32_t tokens,
-                                       const std::vector<std::string>& excluded = {}) {
-    const auto placement = router->choose({"m", {}, tokens, 100, tokens}, route_, excluded);
-    if (!placement) {
-      return std::nullopt;
-    }
-    Completion completion;
-    completion.ticket = placement->ticket;
-    router->complete(completion);
-    return placement->arm;
-  }
-
-  std::unique_ptr<LearnedRouter> router;
-};
-
-TEST_F(WorkLanesRouterTest, KindsOfLongAndShortPromptsUseDisjointWorkers) {
-  addWorkers(9);
-  auto snapshot = std::make_shared<workers::WorkerSnapshot>();
-  snapshot->revision = 1;
-  snapshot->workers = workers_;
-  router->setWorkers(snapshot);
-  std::set<std::string> for_short;
-  std::set<std::string> for_long;
-  for (int step = 0; step < 400; ++step) {
-    const bool counted = step >= 100;
-    for (int prompt = 0; prompt < 20; ++prompt) {
-      const auto arm = placeKind(1'000);
-      world_.runFor(milliseconds(5));
-      if (counted) {
-        for_short.insert(*arm);
-      }
-    }
-    const auto arm = placeKind(20'000);
-    if (counted) {
-      for_long.insert(*arm);
-    }
-  }
-  for (const std::string& arm : for_long) {
-    EXPECT_FALSE(for_short.contains(arm)) << arm;
-  }
-  // Without usable workers in its lane a prompt goes to any other worker.
-  const std::vector<std::string> excluded(for_long.begin(), for_long.end());
-  EXPECT_TRUE(placeKind(20'000, excluded).has_value());
-}
-
-class SlowStartRateLimitTest : public LearnedRouterTest {
- protected:
-  /** Placements that fronts with equal views make in one second on a worker that is warming up. */
-  int placedInASecond(std::size_t fronts, double per_s) {
-    std::vector<base::NodeAddress> addresses;
-    for (std::size_t index = 0; index < fronts; ++index) {
-      addresses.push_back({"127.0.0.1", static_cast<std::uint16_t>(index + 1)});
-    }
-    auto view = std::make_shared<configuration::View>();
-    configuration::ForwardPool& pool = view->forwarding.pools["llm"];
-    pool.models = {"m"};
-    pool.slow_start_per_s = per_s;
-    auto snapshot = std::make_shared<workers::WorkerSnapshot>();
-    snapshot->revision = 1;
-    workers::Worker warming_up{entry("w0"), false, false};
-    warming_up.entry.cold = true;
-    snapshot->workers["w0"] = warming_up;
-    std::vector<std::unique_ptr<LearnedRouter>> routers;
-    for (const base::NodeAddress& address : addresses) {
-      routers.push_back(
-          std::make_unique<LearnedRouter>(process_, random_, address, RouterOptions{}));
-      routers.back()->setConfiguration(view);
-      routers.back()->setWorkers(snapshot);
-      routers.back()->setFronts(addresses);
-    }
-    int placed = 0;
-    for (int step = 0; step < 100; ++step) {
-      for (const auto& router : routers) {
-        const auto placement = router->choose({"m", {}, 100, 100}, route_, {});
-        placed += placement ? 1 : 0;
-      }
-      world_.runFor(milliseconds(10));
-    }
-    return placed;
-  }
-};
-
-TEST_F(SlowStartRateLimitTest, AllFrontsTogetherStayWithinTheLimit) {
-  for (const std::size_t fronts : {1U, 6U, 87U}) {
-    const int placed = placedInASecond(fronts, 10);
-    EXPECT_LE(placed, 10) << fronts;
-    EXPECT_GE(placed, 2) << fronts;
-  }
-}
-
 }  // namespace
 }  // namespace switchsaddle::routing
