--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -23,7 +23,7 @@
     echo "== $deployment, $way, ${seconds} s, load average $(cut -d' ' -f1-3 /proc/loadavg)"
     "$testbed" load --fleet "$run/fleet.json" --load "$example/load.json" --record "$run/record.jsonl" \
       --seconds "$seconds" --seed 1 $flag
-    # Without the fleet resent keys run twice, and the judge says so.
+    # Without the fleet resent keys run twice, and the history checker reports it.
     "$testbed" check-history --record "$run/record.jsonl" --journals "$run/journals" --fleet "$run/fleet.json" ||
       true
     "$testbed" fleet down --directory "$run"
