--- a/libraries/experiments/source/fleet_model.cc
+++ b/libraries/experiments/source/fleet_model.cc
@@ -16,8 +16,8 @@
 constexpr double ReturnAt = 0.25;
 constexpr double JoinAt = 0.60;
 
-base::Duration share(base::Duration whole, double part) {
-  return std::chrono::duration_cast<base::Duration>(whole * part);
+base::Duration share(base::Duration total, double share_of_total) {
+  return std::chrono::duration_cast<base::Duration>(total * share_of_total);
 }
 
 }  // namespace
--- a/libraries/experiments/source/placer.cc
+++ b/libraries/experiments/source/placer.cc
@@ -34,7 +34,8 @@
     const ListedWorker* best = nullptr;
     double best_cost = std::numeric_limits<double>::infinity();
     for (const ListedWorker& worker : workers_) {
-      if (worker.gone || worker.model != prompt.prompt.model || contains(excluded, worker.id)) {
+      if (worker.unreachable || worker.model != prompt.prompt.model ||
+          contains(excluded, worker.id)) {
         continue;
       }
       const double cost = costOf(worker, prompt);
@@ -60,7 +61,7 @@
     }
     --state.in_flight;
     const std::uint32_t reported = result.running + result.queued;
-    state.others = reported > state.in_flight + 1 ? reported - state.in_flight - 1 : 0;
+    state.peers = reported > state.in_flight + 1 ? reported - state.in_flight - 1 : 0;
   }
 
  protected:
@@ -68,7 +69,7 @@
     std::uint64_t instance = 0;
     std::uint32_t in_flight = 0;
     /** Last reported load less this front's own part. */
-    std::uint32_t others = 0;
+    std::uint32_t peers = 0;
     std::uint64_t last_placed = 0;
   };
 
@@ -95,7 +96,7 @@
   double costOf(const ListedWorker& worker, const ModelledPrompt&) override {
     const WorkerEstimate& state = states_[worker.index];
     // Ties are broken at random, else all fronts would take the same worker.
-    return state.in_flight + state.others + 0.5 * random_.uniform();
+    return state.in_flight + state.peers + 0.5 * random_.uniform();
   }
 
  private:
--- a/libraries/experiments/source/placer.h
+++ b/libraries/experiments/source/placer.h
@@ -24,7 +24,7 @@
   std::string model;
   std::uint64_t instance = 0;
   std::uint32_t slots = 0;
-  bool gone = false;
+  bool unreachable = false;
 };
 
 /** One front's placement policy. Each placement is ended by exactly one complete(). */
--- a/libraries/fuzz/test/fuzz_test.cc
+++ b/libraries/fuzz/test/fuzz_test.cc
@@ -76,7 +76,7 @@
   }
 }
 
-TEST(MutatorTest, OneSeedGivesTheSameInputsAndAnotherOthers) {
+TEST(MutatorTest, OneSeedGivesTheSameInputsAndAnotherDiffers) {
   const std::vector<std::string> corpus{"{\"model\":\"m\"}", "{}"};
   const auto inputs = [&](std::uint64_t seed) {
     Mutator mutator(seed);
--- a/libraries/scenarios/include/switchsaddle/scenarios/configuration_scenario.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/configuration_scenario.h
@@ -17,7 +17,7 @@
   std::uint64_t seed = 1;
   FleetSize size{.cores = 5, .fronts = 3, .operators = 3};
   /** Time under faults. */
-  base::Duration trouble = std::chrono::seconds(30);
+  base::Duration fault_time = std::chrono::seconds(30);
   /** Ends the time under faults once this many changes are acknowledged; zero: never. */
   std::uint64_t changes = 0;
   /** Longest pause between two faults. */
@@ -58,7 +58,7 @@
   std::uint64_t reads = 0;
   std::uint64_t reads_refused = 0;
   /** Time under faults. */
-  base::Duration trouble{};
+  base::Duration fault_time{};
   /** Time from the last fault until every front served by the last version. */
   base::Duration recovery{};
   std::uint64_t events = 0;
--- a/libraries/scenarios/source/configuration_scenario.cc
+++ b/libraries/scenarios/source/configuration_scenario.cc
@@ -251,7 +251,7 @@
 
 void ConfigurationScenario::runUnderFaults() {
   const base::TimePoint begin = fleet_.world.now();
-  const base::TimePoint end = begin + options_.trouble;
+  const base::TimePoint end = begin + options_.fault_time;
   base::TimePoint next_fault = begin;
   settle(
       [&] {
@@ -263,8 +263,8 @@
         const bool enough = options_.changes != 0 && result_.acknowledged >= options_.changes;
         return enough || fleet_.world.now() >= end;
       },
-      options_.trouble + seconds(1));
-  result_.trouble = fleet_.world.now() - begin;
+      options_.fault_time + seconds(1));
+  result_.fault_time = fleet_.world.now() - begin;
 }
 
 void ConfigurationScenario::healAll() {
--- a/libraries/scenarios/source/simulated_callers.cc
+++ b/libraries/scenarios/source/simulated_callers.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr const char* KeyMark = "under key ";
+constexpr const char* KeyPrefix = "under key ";
 constexpr char KeyEnd = ';';
 /** Share of slots that take a while, and how long at most. */
 constexpr double SlowSlotShare = 0.1;
@@ -61,16 +61,16 @@
   request.target = "/v1/chat/completions";
   request.headers.push_back({"Authorization", "Bearer " + key});
   request.body = R"({"model":"large","stream":true,"messages":[{"role":"user","content":")" +
-                 std::string(KeyMark) + key + KeyEnd + R"("}]})";
+                 std::string(KeyPrefix) + key + KeyEnd + R"("}]})";
   return request;
 }
 
 std::string keyNamedIn(const std::string& body) {
-  const std::size_t mark = body.find(KeyMark);
+  const std::size_t mark = body.find(KeyPrefix);
   if (mark == std::string::npos) {
     return {};
   }
-  const std::size_t begin = mark + std::string(KeyMark).size();
+  const std::size_t begin = mark + std::string(KeyPrefix).size();
   return body.substr(begin, body.find(KeyEnd, begin) - begin);
 }
 
--- a/libraries/scenarios/source/simulated_workers.cc
+++ b/libraries/scenarios/source/simulated_workers.cc
@@ -8,7 +8,7 @@
 
 constexpr base::Duration ShortestWay = std::chrono::microseconds(200);
 constexpr std::uint64_t LongestExtraWayUs = 1'000;
-constexpr const char* WholeStream = "id: 0\ndata: {\"text\":\"a\"}\n\nid: 1\ndata: [DONE]\n\n";
+constexpr const char* CompleteStream = "id: 0\ndata: {\"text\":\"a\"}\n\nid: 1\ndata: [DONE]\n\n";
 
 }  // namespace
 
@@ -107,7 +107,7 @@
     head.request_id = run->request.request_id;
     head.run = "run-" + run->request.request_id;
     observer.onHead(head);
-    observer.onBytes(run->isStream() ? WholeStream : "1", [] {});
+    observer.onBytes(run->isStream() ? CompleteStream : "1", [] {});
     if (!run->closed) {
       observer.onComplete();
     }
--- a/libraries/scenarios/test/configuration_scenario_test.cc
+++ b/libraries/scenarios/test/configuration_scenario_test.cc
@@ -21,7 +21,7 @@
   EXPECT_GT(result.dispatches, 0U) << "seed " << seed;
 }
 
-TEST(ConfigurationScenarioTest, KeepsEveryPromiseUnderFaults) {
+TEST(ConfigurationScenarioTest, KeepsEveryInvariantUnderFaults) {
   ConfigurationScenarioResult sums;
   for (std::uint64_t seed = 1; seed <= SeedCount; ++seed) {
     ConfigurationScenario scenario(optionsForSeed(seed));
@@ -66,25 +66,25 @@
 }
 
 /** Fresh seeds that once found a fault. */
-TEST(ConfigurationScenarioTest, KeepsEveryPromiseUnderSeedsThatFoundFaults) {
+TEST(ConfigurationScenarioTest, KeepsEveryInvariantUnderSeedsThatFoundFaults) {
   for (const std::uint64_t seed : {391U, 715U}) {
     ConfigurationScenario scenario(optionsForSeed(seed));
     expectKept(scenario.run(), seed);
   }
 }
 
-TEST(ThousandChangesTest, KeepsEveryPromiseOverAThousandChanges) {
+TEST(ThousandChangesTest, KeepsEveryInvariantOverAThousandChanges) {
   constexpr std::uint64_t Seed = 101;
   ConfigurationScenarioOptions options = optionsForSeed(Seed);
   options.changes = 1'000;
-  options.trouble = std::chrono::minutes(30);
+  options.fault_time = std::chrono::minutes(30);
   options.fault_pause = std::chrono::seconds(6);
   ConfigurationScenario scenario(options);
   const ConfigurationScenarioResult result = scenario.run();
   expectKept(result, Seed);
   EXPECT_GE(result.acknowledged, options.changes);
   std::cout << result.acknowledged << " acknowledged amid " << result.faults << " faults in "
-            << base::toMilliseconds(result.trouble) << " ms\n";
+            << base::toMilliseconds(result.fault_time) << " ms\n";
 }
 
 class ConfigurationScenarioRedTest : public testing::TestWithParam<std::string> {};
--- a/libraries/scenarios/test/core_growth_test.cc
+++ b/libraries/scenarios/test/core_growth_test.cc
@@ -31,7 +31,7 @@
   EXPECT_TRUE(fleet.runUntilAllServe(1, seconds(12)));
 }
 
-TEST_P(CoreGrowthTest, TwoDisksLostWhileAllOthersLosePowerLoseNothingAcknowledged) {
+TEST_P(CoreGrowthTest, TwoDisksLostWhileAllPeersLosePowerLoseNothingAcknowledged) {
   Fleet fleet(GetParam(), threeCores(2));
   ASSERT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
   SimulatedCore& fourth = fleet.addCore();
--- a/libraries/scenarios/test/core_refused_test.cc
+++ b/libraries/scenarios/test/core_refused_test.cc
@@ -99,7 +99,7 @@
 }
 
 /** The old addresses go on refusing while their machines run anew elsewhere. */
-TEST_P(CoreRefusedTest, TheBoundHoldsWhereCoresAreGoneForGood) {
+TEST_P(CoreRefusedTest, TheBoundHoldsWhereCoresAreLostForGood) {
   prepare(Grace);
   killCores();
   SimulatedCore& elsewhere = fleet_->addCore();
--- a/libraries/scenarios/test/disk_fault_scenario_test.cc
+++ b/libraries/scenarios/test/disk_fault_scenario_test.cc
@@ -14,7 +14,7 @@
   options.seed = seed;
   options.disk_faults = true;
   // Long enough for nearly every kind of fault in each run.
-  options.trouble = std::chrono::seconds(50);
+  options.fault_time = std::chrono::seconds(50);
   return options;
 }
 
--- a/libraries/scenarios/test/lease_disk_test.cc
+++ b/libraries/scenarios/test/lease_disk_test.cc
@@ -29,7 +29,7 @@
     EXPECT_TRUE(fleet_.runUntilAllServe(0, seconds(12)));
   }
 
-  void ask(std::uint64_t term, std::uint64_t instance) {
+  void requestLease(std::uint64_t term, std::uint64_t instance) {
     for (const auto& core : fleet_.cores) {
       wire::LeaseRequest request{ProbeLease, {"127.0.0.1", 7'300}, instance, term, 100};
       calls_.call(core->address(), request, seconds(1),
@@ -114,7 +114,7 @@
     // Now and then an old term is asked for again.
     const bool old = random.chance(0.2) && round > 5;
     const std::uint64_t term = firstTerm() + (old ? round - 5 : round);
-    ask(term, 1 + term % 2);
+    requestLease(term, 1 + term % 2);
     fleet_.world.runFor(milliseconds(100 + random.below(100)));
     const std::uint64_t held = heldTerm(core::PlatformWatcherLease);
     EXPECT_TRUE(held == 0 || held >= watcher_term);
--- a/libraries/scenarios/test/limits_scenario_test.cc
+++ b/libraries/scenarios/test/limits_scenario_test.cc
@@ -44,7 +44,7 @@
 
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, RetryStormTest, testing::Range<std::uint64_t>(1, 21));
 
-TEST(RetryStormRedTest, SeesABudgetOpenedToHalfOfTheFirstTries) {
+TEST(RetryStormRedTest, SeesABudgetOpenedToHalfOfTheFirstAttempts) {
   for (std::uint64_t seed = 1; seed <= RedSeeds; ++seed) {
     LimitsScenarioOptions options;
     options.seed = seed;
--- a/libraries/scenarios/test/state_report_test.cc
+++ b/libraries/scenarios/test/state_report_test.cc
@@ -81,7 +81,7 @@
   Fleet fleet_{1, FleetSize{}};
 };
 
-TEST_F(StateReportTest, AFrontTellsItsConfigurationWorkersSessionAndTerms) {
+TEST_F(StateReportTest, AFrontReportsItsConfigurationWorkersSessionAndTerms) {
   const StateReport report = stateOf(front(0));
   EXPECT_EQ(subjectsOf(report),
             (std::set<std::string>{"configuration", "lease", "session", "workers"}));
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_F(StateReportTest, AFrontCutOffIsSeenBehindEntryByEntry) {
+TEST_F(StateReportTest, AFrontPartitionedIsSeenLaggingEntryByEntry) {
   cutOff(front(0));
   fleet_.world.runFor(seconds(3));
   evacuate();
--- a/libraries/testbed/include/switchsaddle/testbed/checks/history_checker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/checks/history_checker.h
@@ -28,7 +28,7 @@
   /** A stream ended with [DONE] before its run's last piece or without the worker's own end. */
   EarlyEnd,
   /** A stream ended with neither [DONE] nor a visible error. */
-  SilentEnd,
+  TruncatedEnd,
   /** A tenant or branch ran more at once than its limit. */
   OverLimit,
   /** A call was refused as over its branch while a slot was free. */
--- a/libraries/testbed/include/switchsaddle/testbed/fleet/fleet_layout.h
+++ b/libraries/testbed/include/switchsaddle/testbed/fleet/fleet_layout.h
@@ -83,7 +83,7 @@
 
 /** The programs that a fleet's processes run. */
 struct FleetPrograms {
-  std::string testbed_commands;
+  std::string testbed;
   std::string switchsaddle;
 };
 
--- a/libraries/testbed/include/switchsaddle/testbed/fleet/process_control.h
+++ b/libraries/testbed/include/switchsaddle/testbed/fleet/process_control.h
@@ -16,7 +16,7 @@
 };
 
 /** How a process stands. */
-enum class ProcessCondition : std::uint8_t { Gone, Running, Stopped };
+enum class ProcessCondition : std::uint8_t { Exited, Running, Stopped };
 
 /**
  * Starts a program in a session of its own, with its output appended to a log file, so that it
--- a/libraries/testbed/include/switchsaddle/testbed/records/call_event.h
+++ b/libraries/testbed/include/switchsaddle/testbed/records/call_event.h
@@ -21,7 +21,7 @@
 /** No answer came, or not in time. */
 inline constexpr const char* Lost = "lost";
 /** The body ended properly, but with neither [DONE] nor an error event. */
-inline constexpr const char* Silent = "silent";
+inline constexpr const char* Truncated = "silent";
 }  // namespace call_end
 
 /** One line of a load record: what a caller sent or saw. */
--- a/libraries/testbed/include/switchsaddle/testbed/workers/stand_in_worker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/stand_in_worker.h
@@ -39,8 +39,8 @@
 
 /**
  * A stand-in for a model worker or a worker of one-shots: streams pieces at a modelled speed, keeps
- * a modelled KV cache, journals each run, and misbehaves as POST /lab/faults orders. Runs on the
- * dispatcher's strand, which must be the HTTP server's.
+ * a modelled KV cache, journals each run, and misbehaves as POST /testbed/faults orders. Runs on
+ * the dispatcher's strand, which must be the HTTP server's.
  */
 class StandInWorker {
  public:
--- a/libraries/testbed/include/switchsaddle/testbed/workers/worker_fault.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/worker_fault.h
@@ -19,11 +19,11 @@
   Gap,
   Repeat,
   ChangeRun,
-  SilentClose,
+  TruncatingClose,
   Refuse,
 };
 
-/** The body of POST /lab/faults: one mode, when in a stream it strikes, and how many times. */
+/** The body of POST /testbed/faults: one mode, when in a stream it strikes, and how many times. */
 struct FaultOrder {
   FaultMode mode = FaultMode::None;
   /** Streams are struck once they have sent this many pieces. */
--- a/libraries/testbed/source/checks/branch_limit_checker.cc
+++ b/libraries/testbed/source/checks/branch_limit_checker.cc
@@ -183,21 +183,21 @@
     const std::int64_t begin_ms = calls_.empty() ? 0 : calls_.begin()->second.sent.at_ms;
     for (const auto& [number, call] : calls_) {
       const std::int64_t second = (call.sent.at_ms - begin_ms) / MillisecondsPerSecond;
-      const char* part = second < crowd.from_s ? "1 before" : "2 during";
-      part = second >= crowd.to_s ? "3 after" : part;
+      const char* period = second < crowd.from_s ? "1 before" : "2 during";
+      period = second >= crowd.to_s ? "3 after" : period;
       const std::string name = call.sent.tenant + " " + call.sent.kind;
-      TenantService& service = report_.service[part][name];
+      TenantService& service = report_.service[period][name];
       ++service.calls;
       const bool served = call.answered && call.answer.end == call_end::Done &&
                           (call.sent.kind == Stream || call.answer.outcome == "ran");
       service.served += served ? 1 : 0;
       if (!call.chunks.empty()) {
-        first_tokens[part][name].push_back(call.chunks.front().at_ms - call.sent.at_ms);
+        first_tokens[period][name].push_back(call.chunks.front().at_ms - call.sent.at_ms);
       }
     }
-    for (auto& [part, by_name] : first_tokens) {
+    for (auto& [period, by_name] : first_tokens) {
       for (auto& [name, times] : by_name) {
-        report_.service[part][name].first_token = quantiles(std::move(times));
+        report_.service[period][name].first_token = quantiles(std::move(times));
       }
     }
   }
--- a/libraries/testbed/source/checks/branch_limit_report_text.cc
+++ b/libraries/testbed/source/checks/branch_limit_report_text.cc
@@ -20,9 +20,9 @@
     text << "refused " << code << ": " << times.samples << ", p50 " << times.p50_ms << " ms, p95 "
          << times.p95_ms << " ms, longest " << times.longest_ms << " ms\n";
   }
-  for (const auto& [part, by_name] : report.service) {
+  for (const auto& [period, by_name] : report.service) {
     for (const auto& [name, service] : by_name) {
-      text << part << ": " << name << ": served " << service.served << " of " << service.calls
+      text << period << ": " << name << ": served " << service.served << " of " << service.calls
            << ", first token p50 " << service.first_token.p50_ms << " ms, p95 "
            << service.first_token.p95_ms << " ms\n";
     }
--- a/libraries/testbed/source/checks/history_checker.cc
+++ b/libraries/testbed/source/checks/history_checker.cc
@@ -124,8 +124,8 @@
     if (!call.answered) {
       return;
     }
-    if (call.answer.end == call_end::Silent) {
-      violated(Rule::SilentEnd, subjectOf(call), std::to_string(call.chunks.size()) + " pieces");
+    if (call.answer.end == call_end::Truncated) {
+      violated(Rule::TruncatedEnd, subjectOf(call), std::to_string(call.chunks.size()) + " pieces");
     }
     if (call.answer.end == call_end::Done) {
       checkEnd(call);
@@ -247,7 +247,7 @@
       return "run-changed";
     case Rule::EarlyEnd:
       return "early-end";
-    case Rule::SilentEnd:
+    case Rule::TruncatedEnd:
       return "silent-end";
     case Rule::OverLimit:
       return "over-limit";
--- a/libraries/testbed/source/fleet/fleet_plan.cc
+++ b/libraries/testbed/source/fleet/fleet_plan.cc
@@ -17,7 +17,7 @@
   process.name = "platform";
   process.role = ProcessRole::Platform;
   process.http_address = base::NodeAddress{layout.network + ".4.1", HttpPort};
-  process.command = {programs.testbed_commands,
+  process.command = {programs.testbed,
                      "platform",
                      "--address",
                      process.http_address.toString(),
@@ -38,7 +38,7 @@
   process.role = ProcessRole::Worker;
   process.zone = listed.zone;
   process.http_address = listed.address;
-  process.command = {programs.testbed_commands,
+  process.command = {programs.testbed,
                      "worker",
                      "--address",
                      listed.address.toString(),
--- a/libraries/testbed/source/fleet/process_control.cc
+++ b/libraries/testbed/source/fleet/process_control.cc
@@ -123,17 +123,17 @@
 
 ProcessCondition conditionOf(const ProcessIdentity& process) {
   if (process.pid <= 0) {
-    return ProcessCondition::Gone;
+    return ProcessCondition::Exited;
   }
   const ProcessStat stat = readStat(process.pid);
   if (stat.start_ticks != process.start_ticks || stat.state == 'X' || stat.state == 'Z') {
-    return ProcessCondition::Gone;
+    return ProcessCondition::Exited;
   }
   return stat.state == 'T' ? ProcessCondition::Stopped : ProcessCondition::Running;
 }
 
 bool sendSignal(const ProcessIdentity& process, int signal_number) {
-  if (conditionOf(process) == ProcessCondition::Gone) {
+  if (conditionOf(process) == ProcessCondition::Exited) {
     return false;
   }
   return ::kill(static_cast<pid_t>(process.pid), signal_number) == 0;
--- a/libraries/testbed/source/load/call_exchange.cc
+++ b/libraries/testbed/source/load/call_exchange.cc
@@ -97,7 +97,7 @@
 
 void CallExchange::onComplete() {
   if (streaming_) {
-    const char* without_end = error_seen_ ? call_end::Error : call_end::Silent;
+    const char* without_end = error_seen_ ? call_end::Error : call_end::Truncated;
     answer(done_seen_ && !error_seen_ ? call_end::Done : without_end);
     return;
   }
--- a/libraries/testbed/source/workers/decode_relay.cc
+++ b/libraries/testbed/source/workers/decode_relay.cc
@@ -17,7 +17,7 @@
 
 void DecodeRelay::start() {
   const std::weak_ptr<DecodeRelay> weak = weak_from_this();
-  worker_.held.insert(shared_from_this());
+  worker_.pending.insert(shared_from_this());
   writer_->onClientDisconnected([weak] {
     if (const auto self = weak.lock()) {
       self->onClientDisconnected();
--- a/libraries/testbed/source/workers/decode_relay.h
+++ b/libraries/testbed/source/workers/decode_relay.h
@@ -17,7 +17,7 @@
  * The prefill side of a pair: takes a slot for the prefill, then fetches the stream from the decode
  * worker and relays its head and bytes as they are, reading on only as the client takes them.
  */
-class DecodeRelay : public HeldRequest,
+class DecodeRelay : public PendingRequest,
                     public http::ExchangeObserver,
                     public std::enable_shared_from_this<DecodeRelay> {
  public:
--- a/libraries/testbed/source/workers/one_shot_run.cc
+++ b/libraries/testbed/source/workers/one_shot_run.cc
@@ -14,7 +14,7 @@
     : worker_(worker), identity_(std::move(identity)), writer_(std::move(writer)) {}
 
 void OneShotRun::start() {
-  worker_.held.insert(shared_from_this());
+  worker_.pending.insert(shared_from_this());
   ticket_ = worker_.slots.acquire([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->onSlot();
@@ -46,7 +46,7 @@
   if (fault.take(FaultMode::Stall)) {
     return;
   }
-  if (fault.take(FaultMode::SilentClose) || fault.take(FaultMode::Cut)) {
+  if (fault.take(FaultMode::TruncatingClose) || fault.take(FaultMode::Cut)) {
     writer_->abort();
     worker_.forget(shared_from_this());
     return;
--- a/libraries/testbed/source/workers/one_shot_run.h
+++ b/libraries/testbed/source/workers/one_shot_run.h
@@ -12,7 +12,7 @@
  * One one-shot: its effect takes place at "start", and it goes on when the client has gone, as a
  * charge does.
  */
-class OneShotRun : public HeldRequest, public std::enable_shared_from_this<OneShotRun> {
+class OneShotRun : public PendingRequest, public std::enable_shared_from_this<OneShotRun> {
  public:
   OneShotRun(WorkerState& worker, RequestIdentity identity, http::ResponseWriterPtr writer);
   void start();
--- a/libraries/testbed/source/workers/stand_in_worker.cc
+++ b/libraries/testbed/source/workers/stand_in_worker.cc
@@ -84,15 +84,15 @@
 }
 
 bool StandInWorker::idle() const {
-  return state_->held.empty();
+  return state_->pending.empty();
 }
 
 void StandInWorker::handle(const http::Request& request, const http::ResponseWriterPtr& writer) {
   const std::string_view path = http::targetPath(request.target);
   try {
-    if (path == "/lab/faults" && request.method == "POST") {
+    if (path == "/testbed/faults" && request.method == "POST") {
       handleFaults(request, writer);
-    } else if (path == "/lab/state") {
+    } else if (path == "/testbed/state") {
       handleState(writer);
     } else if (path == "/v1/chat/completions" && request.method == "POST") {
       handleStream(request, writer);
--- a/libraries/testbed/source/workers/stream_run.cc
+++ b/libraries/testbed/source/workers/stream_run.cc
@@ -23,7 +23,7 @@
 
 void StreamRun::start() {
   const std::weak_ptr<StreamRun> weak = weak_from_this();
-  worker_.held.insert(shared_from_this());
+  worker_.pending.insert(shared_from_this());
   writer_->onClientDisconnected([weak] {
     if (const auto self = weak.lock()) {
       self->onClientDisconnected();
@@ -126,7 +126,7 @@
     writer_->abort();
     return true;
   }
-  if (fault.take(FaultMode::SilentClose)) {
+  if (fault.take(FaultMode::TruncatingClose)) {
     close("cancelled");
     writer_->endStream();
     return true;
--- a/libraries/testbed/source/workers/stream_run.h
+++ b/libraries/testbed/source/workers/stream_run.h
@@ -24,7 +24,7 @@
  * One stream: waits for a slot, prefills, sends pieces at the worker's speed with at most one
  * outstanding, and ends with [DONE]. Faults strike between pieces.
  */
-class StreamRun : public HeldRequest, public std::enable_shared_from_this<StreamRun> {
+class StreamRun : public PendingRequest, public std::enable_shared_from_this<StreamRun> {
  public:
   StreamRun(WorkerState& worker, StreamRequest request, http::ResponseWriterPtr writer);
   void start();
--- a/libraries/testbed/source/workers/worker_fault.cc
+++ b/libraries/testbed/source/workers/worker_fault.cc
@@ -20,7 +20,7 @@
     ModeName{"crossed", FaultMode::Crossed}, ModeName{"cut", FaultMode::Cut},
     ModeName{"drain", FaultMode::Drain},     ModeName{"gap", FaultMode::Gap},
     ModeName{"repeat", FaultMode::Repeat},   ModeName{"change-run", FaultMode::ChangeRun},
-    ModeName{"refuse", FaultMode::Refuse},   ModeName{"silent-close", FaultMode::SilentClose},
+    ModeName{"refuse", FaultMode::Refuse},   ModeName{"silent-close", FaultMode::TruncatingClose},
 };
 
 FaultMode modeNamed(const std::string& name) {
--- a/libraries/testbed/source/workers/worker_state.cc
+++ b/libraries/testbed/source/workers/worker_state.cc
@@ -77,8 +77,8 @@
   events.append(line);
 }
 
-void WorkerState::forget(const std::shared_ptr<HeldRequest>& request) {
-  if (held.erase(request) > 0) {
+void WorkerState::forget(const std::shared_ptr<PendingRequest>& request) {
+  if (pending.erase(request) > 0) {
     dispatcher.post([kept = request] {});
   }
 }
--- a/libraries/testbed/source/workers/worker_state.h
+++ b/libraries/testbed/source/workers/worker_state.h
@@ -18,9 +18,9 @@
 namespace switchsaddle::testbed {
 
 /** A request that a worker is holding: kept alive by the worker until it has ended. */
-class HeldRequest {
+class PendingRequest {
  public:
-  virtual ~HeldRequest() = default;
+  virtual ~PendingRequest() = default;
 };
 
 /** What a caller's request says, apart from its kind. */
@@ -50,7 +50,7 @@
             const RequestIdentity& identity, std::uint64_t cached_tokens, std::uint64_t chunks);
   bool draining() const { return drained || fault.active(FaultMode::Drain); }
   /** Lets go of a held request once the present callback has returned. */
-  void forget(const std::shared_ptr<HeldRequest>& request);
+  void forget(const std::shared_ptr<PendingRequest>& request);
 
   WorkerOptions options;
   base::Dispatcher& dispatcher;
@@ -66,7 +66,7 @@
   std::uint64_t runs = 0;
   /** The request answered last, for crossed answers. */
   std::string last_request_id;
-  std::set<std::shared_ptr<HeldRequest>> held;
+  std::set<std::shared_ptr<PendingRequest>> pending;
 };
 
 }  // namespace switchsaddle::testbed
--- a/libraries/testbed/test/checks/branch_limit_checker_test.cc
+++ b/libraries/testbed/test/checks/branch_limit_checker_test.cc
@@ -103,7 +103,7 @@
   EXPECT_EQ(rules(), Rules{Rule::TooManyRetries});
 }
 
-TEST_F(BranchLimitCheckerTest, RetriesAreCountedAgainstTheFirstTriesOfTheirWindow) {
+TEST_F(BranchLimitCheckerTest, RetriesAreCountedAgainstTheFirstAttemptsOfTheirWindow) {
   for (int number = 0; number < 10; ++number) {
     run("r" + std::to_string(number), number * 10, number * 10 + 1);
   }
--- a/libraries/testbed/test/checks/history_checker_test.cc
+++ b/libraries/testbed/test/checks/history_checker_test.cc
@@ -169,7 +169,7 @@
   EXPECT_EQ(rules(), Rules{Rule::EarlyEnd});
 }
 
-TEST_F(HistoryCheckerTest, FindsAnEndThatLacksTheLastPiece) {
+TEST_F(HistoryCheckerTest, FindsAnEndWithoutTheLastChunk) {
   sent(1, "stream", 10);
   worker("start", "stream", "s1", 11);
   chunk(1, 0, "s1", 20);
@@ -182,8 +182,8 @@
   stream(1, call_end::Error);
   stream(2, call_end::Cut);
   EXPECT_EQ(rules(), Rules{});
-  stream(3, call_end::Silent);
-  EXPECT_EQ(rules(), Rules{Rule::SilentEnd});
+  stream(3, call_end::Truncated);
+  EXPECT_EQ(rules(), Rules{Rule::TruncatedEnd});
 }
 
 TEST_F(HistoryCheckerTest, FindsATenantOverItsLimit) {
--- a/libraries/testbed/test/fleet/process_control_test.cc
+++ b/libraries/testbed/test/fleet/process_control_test.cc
@@ -19,21 +19,21 @@
 };
 
 TEST_F(ProcessControlTest, KillsStopsAndWakesJustThatProcess) {
-  EXPECT_NE(conditionOf(process_), ProcessCondition::Gone);
+  EXPECT_NE(conditionOf(process_), ProcessCondition::Exited);
   EXPECT_TRUE(sendSignal(process_, SIGSTOP));
   EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Stopped, Patience));
   EXPECT_TRUE(sendSignal(process_, SIGCONT));
   EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Running, Patience));
   EXPECT_TRUE(sendSignal(process_, SIGKILL));
-  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Gone, Patience));
+  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Exited, Patience));
   EXPECT_FALSE(sendSignal(process_, SIGKILL));
 }
 
 TEST_F(ProcessControlTest, ANewProcessUnderAnOldPidIsNotTheSame) {
   const ProcessIdentity other{process_.pid, process_.start_ticks + 1};
-  EXPECT_EQ(conditionOf(other), ProcessCondition::Gone);
+  EXPECT_EQ(conditionOf(other), ProcessCondition::Exited);
   EXPECT_FALSE(sendSignal(other, SIGKILL));
-  EXPECT_NE(conditionOf(process_), ProcessCondition::Gone);
+  EXPECT_NE(conditionOf(process_), ProcessCondition::Exited);
 }
 
 TEST(ProcessTimeTest, AWorkingProcessUsesProcessorTime) {
@@ -46,7 +46,7 @@
   EXPECT_GT(cpuTimeOf(process), base::Duration::zero());
   EXPECT_EQ(cpuTimeOf({process.pid, process.start_ticks + 1}), base::Duration::zero());
   EXPECT_TRUE(sendSignal(process, SIGKILL));
-  EXPECT_TRUE(waitForCondition(process, ProcessCondition::Gone, std::chrono::seconds(20)));
+  EXPECT_TRUE(waitForCondition(process, ProcessCondition::Exited, std::chrono::seconds(20)));
 }
 
 TEST(ProcessLaunchTest, AMissingProgramIsAnError) {
--- a/libraries/testbed/test/load/load_runner_test.cc
+++ b/libraries/testbed/test/load/load_runner_test.cc
@@ -172,7 +172,7 @@
   std::unique_ptr<CallExchange> exchange_;
 };
 
-TEST_F(CallExchangeTest, RecordsPiecesAndTheEnd) {
+TEST_F(CallExchangeTest, RecordsChunksAndTheEnd) {
   head();
   bytes("id: 0\ndata: {\"run\":\"w1\"}\n\nid: 1\nda");
   bytes("ta: {\"run\":\"w2\"}\n\nid: 2\ndata: [DONE]\n\n");
@@ -184,7 +184,7 @@
   EXPECT_EQ(answer().end, call_end::Done);
 }
 
-TEST_F(CallExchangeTest, TellsAnErrorEventFromASilentEnd) {
+TEST_F(CallExchangeTest, DistinguishesAnErrorEventFromATruncatedEnd) {
   head();
   bytes("event: error\ndata: {\"code\":5001,\"outcome\":\"unknown\"}\n\n");
   exchange_->onComplete();
@@ -192,11 +192,11 @@
   EXPECT_EQ(answer().code, 5001);
 }
 
-TEST_F(CallExchangeTest, ABodyWithoutAnEndIsSilent) {
+TEST_F(CallExchangeTest, ABodyWithoutAnEndIsTruncated) {
   head();
   bytes("id: 0\ndata: {\"run\":\"w1\"}\n\n");
   exchange_->onComplete();
-  EXPECT_EQ(answer().end, call_end::Silent);
+  EXPECT_EQ(answer().end, call_end::Truncated);
 }
 
 TEST_F(CallExchangeTest, ACutBodyIsCutAndCountsOnce) {
--- a/libraries/testbed/test/workers/kv_cache_test.cc
+++ b/libraries/testbed/test/workers/kv_cache_test.cc
@@ -12,7 +12,7 @@
   EXPECT_EQ(cache.cachedTokens({{"system", 100}, {"other", 50}, {"menu", 50}}), 100U);
 }
 
-TEST(KvCacheTest, APartIsCachedOnlyBehindItsOwnChain) {
+TEST(KvCacheTest, ASegmentIsCachedOnlyAfterItsOwnChain) {
   KvCache cache(1'000);
   cache.insert({{"system", 100}, {"menu", 50}});
   EXPECT_EQ(cache.cachedTokens({{"menu", 50}}), 0U);
--- a/libraries/testbed/test/workers/stand_in_worker_test.cc
+++ b/libraries/testbed/test/workers/stand_in_worker_test.cc
@@ -91,7 +91,7 @@
                 R"("prefix_parts":[{"id":"menu","tokens":100}]})",
                 request_id);
   }
-  void order(const std::string& fault) { post("/lab/faults", fault); }
+  void order(const std::string& fault) { post("/testbed/faults", fault); }
 
   simulation::World world_{1};
   simulation::Process process_{world_};
@@ -101,7 +101,7 @@
   StandInWorker worker_{options(), process_, client_, sink_, [this] { ++crashes_; }};
 };
 
-TEST_F(StandInWorkerTest, StreamsNumberedPiecesAndTheEnd) {
+TEST_F(StandInWorkerTest, StreamsNumberedChunksAndTheEnd) {
   const auto writer = stream();
   world_.runFor(seconds(5));
   EXPECT_TRUE(writer->ended);
@@ -176,7 +176,7 @@
   EXPECT_EQ(sink_.count("end"), 0U);
 }
 
-TEST_F(StandInWorkerTest, CrashesAtOnceOrAfterPieces) {
+TEST_F(StandInWorkerTest, CrashesAtOnceOrAfterChunks) {
   order(R"({"mode":"crash","after_pieces":2})");
   EXPECT_EQ(crashes_, 0);
   const auto writer = stream();
@@ -229,7 +229,7 @@
 TEST_F(StandInWorkerTest, BadInputGetsAnAnswer) {
   EXPECT_EQ(post("/v1/chat/completions", "{")->head.status, 400);
   EXPECT_EQ(post("/v1/chat/completions", R"({"model":"none"})")->head.status, 404);
-  EXPECT_EQ(post("/lab/faults", R"({"mode":"unheard"})")->head.status, 400);
+  EXPECT_EQ(post("/testbed/faults", R"({"mode":"unheard"})")->head.status, 400);
   EXPECT_EQ(post("/nowhere", "")->head.status, 404);
 }
 
--- a/libraries/testbed/test/workers/worker_speed_test.cc
+++ b/libraries/testbed/test/workers/worker_speed_test.cc
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(WorkerSpeedTest, PrefillIsSlowerWhileCold) {
+TEST(WorkerSpeedTest, PrefillIsSlowerWhileWarmingUp) {
   WorkerSpeed speed;
   speed.prefill_tokens_per_s = 1'000;
   speed.warm_up_period = seconds(5);
--- a/programs/testbed/check_history_command.cc
+++ b/programs/testbed/check_history_command.cc
@@ -91,7 +91,7 @@
                       "fleet.json, for the zones of the workers");
   command->add_option("--limit", arguments->limits, "TENANT=N: most runs at once");
   command->add_option("--configuration", arguments->configuration,
-                      "Configuration file: judge branches, refusals inside them, and retries");
+                      "Configuration file: check branches, refusals inside them, and retries");
   command->add_option("--crowd", arguments->crowd,
                       "TENANT:FACTOR:FROM:TO of the load, to tell before, during and after");
   command->add_option("--excess-ms", arguments->tolerances.excess_ms,
--- a/programs/testbed/claims_command.cc
+++ b/programs/testbed/claims_command.cc
@@ -53,12 +53,12 @@
 
   void tick() {
     const base::Duration elapsed = dispatcher_.now() - start_;
-    const base::Duration whole = std::chrono::seconds(arguments_.seconds);
-    if (elapsed > whole + Tail) {
+    const base::Duration complete = std::chrono::seconds(arguments_.seconds);
+    if (elapsed > complete + Tail) {
       context_.stop();
       return;
     }
-    const double seconds = std::chrono::duration<double>(std::min(elapsed, whole)).count();
+    const double seconds = std::chrono::duration<double>(std::min(elapsed, complete)).count();
     while (begun_ < static_cast<std::uint64_t>(seconds * arguments_.rate)) {
       begin(begun_++);
     }
@@ -72,9 +72,9 @@
     request.fingerprint = number;
     request.run = "run-" + std::to_string(number);
     claims::ClaimClient& client = *clients_[number % clients_.size()];
-    const base::TimePoint asked = dispatcher_.now();
-    client.begin(request, [this, request, asked, &client](const wire::ClaimReply& reply) {
-      note(begin_ms_, asked, reply);
+    const base::TimePoint requested_at = dispatcher_.now();
+    client.begin(request, [this, request, requested_at, &client](const wire::ClaimReply& reply) {
+      note(begin_ms_, requested_at, reply);
       if (reply.won) {
         finish(request, client);
       }
@@ -89,14 +89,17 @@
     request.state = wire::ClaimState::Ran;
     request.http_status = 200;
     request.answer.assign(arguments_.answer_bytes, 'x');
-    const base::TimePoint asked = dispatcher_.now();
-    client.finish(request,
-                  [this, asked](const wire::ClaimReply& reply) { note(finish_ms_, asked, reply); });
+    const base::TimePoint requested_at = dispatcher_.now();
+    client.finish(request, [this, requested_at](const wire::ClaimReply& reply) {
+      note(finish_ms_, requested_at, reply);
+    });
   }
 
-  void note(std::vector<double>& times, base::TimePoint asked, const wire::ClaimReply& reply) {
+  void note(std::vector<double>& times, base::TimePoint requested_at,
+            const wire::ClaimReply& reply) {
     if (reply.won) {
-      times.push_back(std::chrono::duration<double, std::milli>(dispatcher_.now() - asked).count());
+      times.push_back(
+          std::chrono::duration<double, std::milli>(dispatcher_.now() - requested_at).count());
     } else {
       ++failed_;
     }
--- a/programs/testbed/control_command.cc
+++ b/programs/testbed/control_command.cc
@@ -38,7 +38,7 @@
   options.size.fronts = arguments.fronts;
   if (arguments.changes != 0) {
     options.changes = arguments.changes;
-    options.trouble = std::chrono::hours(1);
+    options.fault_time = std::chrono::hours(1);
     options.fault_pause = std::chrono::seconds(6);
   }
   if (!arguments.off.empty()) {
@@ -56,8 +56,8 @@
   std::cout << seed << ',' << result.acknowledged << ',' << result.conflicts << ','
             << result.resends << ',' << result.repetitions << ',' << result.faults << ','
             << result.dispatches << ',' << result.unknown_keys << ',' << result.refusals << ','
-            << base::toMilliseconds(result.trouble) << ',' << base::toMilliseconds(result.recovery)
-            << ',' << result.violations.size() << '\n';
+            << base::toMilliseconds(result.fault_time) << ','
+            << base::toMilliseconds(result.recovery) << ',' << result.violations.size() << '\n';
   const std::size_t shown = std::min(result.violations.size(), ViolationsShown);
   for (std::size_t index = 0; index < shown; ++index) {
     std::cout << "# seed " << seed << ": " << result.violations[index] << '\n';
--- a/programs/testbed/evidence_files.cc
+++ b/programs/testbed/evidence_files.cc
@@ -54,7 +54,7 @@
     evidence.orders = testbed::readOrderEvents(files.orders);
   }
   if (evidence.calls.empty() || evidence.journals.empty()) {
-    throw base::Error(base::ResultCode::InvalidValue, "nothing to judge: no calls or no journals");
+    throw base::Error(base::ResultCode::InvalidValue, "nothing to check: no calls or no journals");
   }
   return evidence;
 }
--- a/programs/testbed/failure_run.cc
+++ b/programs/testbed/failure_run.cc
@@ -165,7 +165,7 @@
 
 bool FailureRun::startAgain(const std::string& name) {
   FleetProcess* process = fleet_.state().find(name);
-  if (testbed::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Gone) {
+  if (testbed::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Exited) {
     return false;
   }
   noteLeaving(*process, order_event::Returned);
@@ -178,7 +178,7 @@
 void FailureRun::kill(FleetProcess& process, base::Duration down) {
   record_.note("kill", process.name, std::to_string(base::toMilliseconds(down)) + " ms");
   disturbed_.insert(process.name);
-  fleet_.signalAll({&process}, SIGKILL, ProcessCondition::Gone, SignalLimit);
+  fleet_.signalAll({&process}, SIGKILL, ProcessCondition::Exited, SignalLimit);
   noteLeaving(process, order_event::Vanished);
   later(down, [this, name = process.name] { return startAgain(name); });
 }
@@ -215,7 +215,7 @@
 bool FailureRun::sendFault(const FleetProcess& worker, const std::string& body) {
   http::Request request;
   request.method = "POST";
-  request.target = "/lab/faults";
+  request.target = "/testbed/faults";
   request.headers = {{"Content-Type", "application/json"}};
   request.body = body;
   return fetchOnce(worker.http_address, std::move(request), FaultAnswerLimit).has_value();
@@ -238,7 +238,7 @@
     FleetProcess* struck = fleet_.state().find(name);
     if (mode == "crash" || mode == "stall") {
       // What stalled would hold its slots for as long as its callers wait.
-      fleet_.signalAll({struck}, SIGKILL, ProcessCondition::Gone, SignalLimit);
+      fleet_.signalAll({struck}, SIGKILL, ProcessCondition::Exited, SignalLimit);
       return startAgain(name);
     }
     sendFault(*struck, R"({"mode":"none"})");
@@ -258,7 +258,7 @@
   // after the platform has dropped it.
   later(between(4'000, 8'000), [this, name = worker->name] {
     FleetProcess* drained = fleet_.state().find(name);
-    fleet_.signalAll({drained}, SIGKILL, ProcessCondition::Gone, SignalLimit);
+    fleet_.signalAll({drained}, SIGKILL, ProcessCondition::Exited, SignalLimit);
     record_.note("kill", name, "after its drain");
     later(std::chrono::seconds(12), [this, name] { return startAgain(name); });
     return true;
--- a/programs/testbed/failures_command.cc
+++ b/programs/testbed/failures_command.cc
@@ -43,18 +43,18 @@
 }
 
 /** Kills every process of the fleet when it goes out of scope. */
-class FleetGuard {
+class ScopedFleet {
  public:
-  explicit FleetGuard(Fleet& fleet) : fleet_(fleet) {}
-  ~FleetGuard() {
+  explicit ScopedFleet(Fleet& fleet) : fleet_(fleet) {}
+  ~ScopedFleet() {
     try {
-      fleet_.signalAll(fleet_.named({"all"}), SIGKILL, ProcessCondition::Gone, DownLimit);
+      fleet_.signalAll(fleet_.named({"all"}), SIGKILL, ProcessCondition::Exited, DownLimit);
     } catch (const base::Error& error) {
       std::cerr << error.what() << "\n";
     }
   }
-  FleetGuard(const FleetGuard&) = delete;
-  FleetGuard& operator=(const FleetGuard&) = delete;
+  ScopedFleet(const ScopedFleet&) = delete;
+  ScopedFleet& operator=(const ScopedFleet&) = delete;
 
  private:
   Fleet& fleet_;
@@ -65,7 +65,7 @@
   FleetUp up = arguments.up;
   up.directory += "/seed-" + std::to_string(seed);
   Fleet fleet = bringUp(up);
-  const FleetGuard guard(fleet);
+  const ScopedFleet scoped_fleet(fleet);
   const std::string directory = fleet.state().directory;
   const std::string fleet_file = directory + "/fleet.json";
   OrderRecord record(directory + "/orders.jsonl");
@@ -104,7 +104,7 @@
 void addFailuresCommand(CLI::App& app) {
   auto arguments = std::make_shared<FailuresArguments>();
   CLI::App* command = app.add_subcommand(
-      "failures", "Load a fleet of real processes, disturb it by seed and judge");
+      "failures", "Load a fleet of real processes, inject faults by seed and check the history");
   command
       ->add_option("--directory", arguments->up.directory, "Folder; each seed gets its own in it")
       ->required();
--- a/programs/testbed/fleet.cc
+++ b/programs/testbed/fleet.cc
@@ -46,7 +46,7 @@
 
 const char* readinessPath(ProcessRole role) {
   const bool stand_in = role == ProcessRole::Worker || role == ProcessRole::Platform;
-  return stand_in ? "/lab/state" : "/readyz";
+  return stand_in ? "/testbed/state" : "/readyz";
 }
 
 bool inGroup(const FleetProcess& process, const std::string& group) {
@@ -55,7 +55,7 @@
 
 std::string conditionName(ProcessCondition condition) {
   switch (condition) {
-    case ProcessCondition::Gone:
+    case ProcessCondition::Exited:
       return "gone";
     case ProcessCondition::Running:
       return "running";
@@ -136,7 +136,7 @@
 }
 
 void Fleet::start(FleetProcess& process) {
-  if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Gone) {
+  if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Exited) {
     fail(process.name + " is running already");
   }
   const auto identity =
@@ -159,7 +159,7 @@
 }
 
 void Fleet::wipe(const FleetProcess& process) const {
-  if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Gone) {
+  if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Exited) {
     fail(process.name + " is running; its data folder stays");
   }
   if (process.data_folder.rfind(state_.directory + "/data/", 0) != 0) {
@@ -173,7 +173,7 @@
   const auto deadline = std::chrono::steady_clock::now() + limit;
   for (const FleetProcess* process : processes) {
     while (!answersOk(process->http_address, readinessPath(process->role))) {
-      if (testbed::conditionOf(identityOf(*process)) == ProcessCondition::Gone) {
+      if (testbed::conditionOf(identityOf(*process)) == ProcessCondition::Exited) {
         fail(process->name + " has ended; see " + process->name + ".log");
       }
       if (std::chrono::steady_clock::now() >= deadline) {
--- a/programs/testbed/fleet_command.cc
+++ b/programs/testbed/fleet_command.cc
@@ -86,7 +86,7 @@
 void replace(const FleetArguments& arguments) {
   const FleetLock lock(arguments.directory);
   Fleet fleet = Fleet::load(arguments.directory);
-  fleet.signalAll(fleet.named(arguments.names), SIGKILL, ProcessCondition::Gone, KillLimit);
+  fleet.signalAll(fleet.named(arguments.names), SIGKILL, ProcessCondition::Exited, KillLimit);
   for (const std::string& name : arguments.names) {
     FleetProcess& fresh = testbed::replaceCore(fleet.state(), name);
     fleet.writeSettings(fresh);
@@ -98,7 +98,7 @@
 void down(const FleetArguments& arguments) {
   Fleet fleet = Fleet::load(arguments.directory);
   std::vector<FleetProcess*> all = fleet.named({"all"});
-  fleet.signalAll(all, SIGKILL, ProcessCondition::Gone, KillLimit);
+  fleet.signalAll(all, SIGKILL, ProcessCondition::Exited, KillLimit);
 }
 
 /** Adds `fleet NAME`, with the fleet's directory as an option. */
@@ -145,10 +145,10 @@
   addUp(*fleet, arguments);
   addStart(*fleet, arguments);
   addNamedAction(*fleet, arguments, "kill", "SIGKILL and wait", [](const FleetArguments& given) {
-    signalNamed(given, SIGKILL, ProcessCondition::Gone, KillLimit);
+    signalNamed(given, SIGKILL, ProcessCondition::Exited, KillLimit);
   });
   addNamedAction(*fleet, arguments, "stop", "SIGTERM and wait", [](const FleetArguments& given) {
-    signalNamed(given, SIGTERM, ProcessCondition::Gone, StopLimit);
+    signalNamed(given, SIGTERM, ProcessCondition::Exited, StopLimit);
   });
   addNamedAction(*fleet, arguments, "freeze", "SIGSTOP", [](const FleetArguments& given) {
     signalNamed(given, SIGSTOP, ProcessCondition::Stopped, KillLimit);
--- a/programs/testbed/fleet_up.cc
+++ b/programs/testbed/fleet_up.cc
@@ -32,7 +32,7 @@
   }
   Fleet earlier = Fleet::load(directory);
   for (const FleetProcess* process : earlier.named({"all"})) {
-    if (testbed::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Gone) {
+    if (testbed::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Exited) {
       throw base::Error(base::ResultCode::InvalidValue,
                         process->name + " of an earlier fleet is running; use fleet down first");
     }
@@ -74,9 +74,8 @@
 }  // namespace
 
 Fleet bringUp(const FleetUp& order) {
-  const std::string testbed_commands = files::read_symlink("/proc/self/exe").string();
-  const std::string beside =
-      (files::path(testbed_commands).parent_path() / "switchsaddle").string();
+  const std::string testbed_program = files::read_symlink("/proc/self/exe").string();
+  const std::string beside = (files::path(testbed_program).parent_path() / "switchsaddle").string();
   const std::string daemon = order.switchsaddle.empty() ? beside : order.switchsaddle;
   const std::string directory = files::absolute(order.directory).lexically_normal().string();
   files::create_directories(directory);
@@ -85,14 +84,14 @@
   const testbed::FleetLayout layout = readLayout(order);
   writeWorkersFile(layout, directory);
   Fleet fleet(
-      testbed::planFleet(layout, directory, {testbed_commands, files::absolute(daemon).string()}));
+      testbed::planFleet(layout, directory, {testbed_program, files::absolute(daemon).string()}));
   fleet.prepare();
   fleet.save();
   try {
     startInOrder(fleet, order);
   } catch (const base::Error&) {
     // Half a fleet would hold its addresses against the next one.
-    fleet.signalAll(fleet.named({"all"}), SIGKILL, ProcessCondition::Gone, KillLimit);
+    fleet.signalAll(fleet.named({"all"}), SIGKILL, ProcessCondition::Exited, KillLimit);
     throw;
   }
   return fleet;
--- a/programs/testbed/platform_command.cc
+++ b/programs/testbed/platform_command.cc
@@ -88,7 +88,7 @@
   void pollWorker(std::size_t index) {
     http::Request request;
     request.method = "GET";
-    request.target = "/lab/state";
+    request.target = "/testbed/state";
     http::ExchangeOptions options;
     options.connect_timeout = std::chrono::seconds(1);
     options.response_timeout = std::chrono::seconds(1);
@@ -117,9 +117,9 @@
     const std::string_view path = http::targetPath(request.target);
     if (path == "/v1/workers") {
       response.body = list_.answer(dispatcher_.now());
-    } else if (path == "/lab/faults" && request.method == "POST") {
+    } else if (path == "/testbed/faults" && request.method == "POST") {
       response.body = orderFault(request.body, response.status);
-    } else if (path == "/lab/state" || path == "/readyz") {
+    } else if (path == "/testbed/state" || path == "/readyz") {
       response.body = "{}";
     } else {
       response.status = 404;
