--- a/libraries/front/include/switchsaddle/front/admission_gate.h
+++ b/libraries/front/include/switchsaddle/front/admission_gate.h
@@ -6,14 +6,14 @@
 
 namespace switchsaddle::front {
 
-/** A verdict on a placement, with when to ask again. */
+/** Whether a placement is acceptable, with the Retry-After time if not. */
 struct PlacementVerdict {
   base::ResultCode code = base::ResultCode::Ok;
   std::uint32_t retry_after_ms = 0;
 };
 
-/** Holds a placement's first-token estimate against the shape's bound: FirstTokenTooLate where it
- * is above, with Retry-After by how much. */
+/** Compares a placement's first-token estimate with the limit of the session shape.
+ * @return FirstTokenTooLate if the estimate is above it, with the excess as Retry-After time. */
 PlacementVerdict evaluatePlacement(const routing::Placement& placement,
                                    const configuration::SessionShape& shape);
 
--- a/libraries/front/include/switchsaddle/front/caller_service.h
+++ b/libraries/front/include/switchsaddle/front/caller_service.h
@@ -7,7 +7,9 @@
 #include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
+#include "switchsaddle/base/error.h"
 #include "switchsaddle/base/incident.h"
 #include "switchsaddle/configuration/settings.h"
 #include "switchsaddle/configuration/view.h"
@@ -24,25 +26,26 @@
 
 namespace switchsaddle::front {
 
-/** What the HTTP side works on; all outlive the service. */
+/** Dependencies of CallerService; all outlive it. */
 struct CallerDependencies {
   base::Dispatcher& dispatcher;
   const sessions::SessionClient& session;
-  FleetView& beliefs;
+  FleetView& fleet_view;
   const routing::Router& router;
   StreamFlow& streams;
   OneShotFlow& one_shots;
   ControlForwarder& control;
   Counters& counters;
-  /** Hashes of the first operators' keys, from the settings. */
+  /** Hashes of the operators' keys from the settings, in force besides those of the configuration.
+   */
   std::vector<std::string> operator_hashes;
-  /** The body of GET /v1/beliefs. */
+  /** Returns the body of GET /v1/beliefs. */
   std::function<std::string()> state_report;
-  /** The body of GET /metrics. */
+  /** Returns the body of GET /metrics. */
   std::function<std::string()> metrics;
-  /** What GET /v1/routing tells of this node, as a JSON object. */
+  /** Returns the JSON object that describes this node in GET /v1/routing. */
   std::function<std::string()> node_report;
-  /** Where one-shots of unknown outcome are told; nowhere if left out. */
+  /** Receives reports of one-shots of unknown outcome; may be null. */
   base::IncidentSink* incidents = nullptr;
   /** Null: nothing is forwarded. */
   ForwardFlow* forwards = nullptr;
@@ -51,57 +54,62 @@
 };
 
 /**
- * Answers HTTP requests: parses and authenticates them and hands them to the flows. Each writer is
- * answered exactly once unless the service is destroyed before. Runs on the control strand, except
- * enqueue().
+ * Serves callers' HTTP requests: parses and authenticates them and submits them to the flows.
  *
- * A one-shot that is refused before its claim was read is answered "unknown": it may be a resend of
- * one that ran.
+ * Invariants: each request gets exactly one response unless the service is destroyed before. A
+ * one-shot that is rejected before its claim was read gets "unknown": it may be the retry of one
+ * that ran. Runs on the control strand, except enqueue().
  */
 class CallerService {
  public:
-  /** Requests that may wait for the control strand. */
+  /** Limit of requests queued for the control strand. */
   static constexpr std::size_t QueueBound = 1'024;
 
   explicit CallerService(CallerDependencies dependencies);
   CallerService(const CallerService&) = delete;
   CallerService& operator=(const CallerService&) = delete;
 
-  /** Hands a request over from any thread; QueueFull at once where too many wait. */
+  /** Queues a request for the control strand; responds with QueueFull if QueueBound requests are
+   * queued. Callable from any thread. */
   void enqueue(http::Request request, http::ResponseWriterPtr writer);
+  /** Handles a request on the control strand. */
   void handle(const http::Request& request, const http::ResponseWriterPtr& writer);
-  /** From now on the node reports itself as not ready, and new work is refused with Stopping; but
-   * forwarded requests are taken until stopForwarding(). */
+  /** Begins the graceful shutdown: the node reports itself as not ready and rejects new work with
+   * Stopping, but accepts forwarded requests until stopForwarding(). */
   void stop() { stopping_ = true; }
   void stopForwarding() { forwarding_stopped_ = true; }
-  /** Requests refused since too many waited for the control strand. */
+  /** @return the number of requests rejected since the queue was full. */
   std::uint64_t queueRefusals() const { return queue_refusals_.load(); }
-  bool ready() const;
+  /** Whether this node accepts new work. */
+  bool ready() const { return readiness() == base::ResultCode::Ok; }
 
  private:
   void route(const http::Request& request, const http::ResponseWriterPtr& writer);
-  /** Whether the request is for forwarding: no other path of this node's is meant. */
+  /** Whether the request is to be forwarded: it is for none of this node's own resources. */
   bool isForwarded(const http::Request& request) const;
   void forward(const http::Request& request, const http::ResponseWriterPtr& writer);
+  /** @return Ok if this node accepts new work, else the reason why not. */
+  base::ResultCode readiness() const;
   bool servesForwarding() const;
+  void reject(const http::Request& request, const base::Error& error,
+              const http::ResponseWriterPtr& writer);
   void handleCompletion(const http::Request& request, const http::ResponseWriterPtr& writer);
   void handleOneShot(const http::Request& request, const http::ResponseWriterPtr& writer);
-  http::Response plainAnswer(const http::Request& request, std::string_view path) const;
+  void runStream(StreamRequest stream, bool as_event_stream, const http::ResponseWriterPtr& writer);
+  void runOneShot(const OneShotRequest& request, const http::ResponseWriterPtr& writer,
+                  const StageTicket& ticket);
   void countOneShot(const OneShotRequest& request, const OneShotAnswer& answer);
-  http::Response routingTable(const http::Request& request) const;
-  http::Response stateReport(const http::Request& request) const;
-  const configuration::Tenant& authenticate(const configuration::View& view,
-                                            const http::Request& request) const;
+  /** @throws base::Error with Stopping or NotServing unless new work is accepted. */
   void checkServing() const;
 
   CallerDependencies dependencies_;
   bool stopping_ = false;
   bool forwarding_stopped_ = false;
   Stage one_shot_stage_{512, 256};
-  std::atomic<std::size_t> waiting_{0};
+  /** Requests queued for the control strand. */
+  std::atomic<std::size_t> queued_{0};
   std::atomic<std::uint64_t> queue_refusals_{0};
-  /** Expires with this object, so that posted requests do not outlive it. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/control_forwarder.h
+++ b/libraries/front/include/switchsaddle/front/control_forwarder.h
@@ -2,31 +2,34 @@
 
 #include <cstdint>
 #include <functional>
-#include <memory>
 #include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/http/message.h"
 #include "switchsaddle/transport/peer_calls.h"
 
 namespace switchsaddle::front {
 
 /**
- * Passes operators' requests on to a core node; where it is silent or refuses, to the next. Resent
- * changes carry their change_id, so that they take place once. Runs on the control strand.
+ * Forwards operators' requests to a core node, and to the next one if it does not respond or
+ * rejects the call. Changes carry a change_id, which makes their retries idempotent. Runs on the
+ * control strand.
  */
 class ControlForwarder {
  public:
   using CoreAddresses = std::function<std::vector<base::NodeAddress>()>;
   using Respond = std::function<void(http::Response)>;
 
-  /** Longest wait for one core node: above the deadlines of a register and of acknowledgement. */
+  /** Time-out of one core node: above the deadlines of a register and of acknowledgements. */
   static constexpr base::Duration CoreTimeout = std::chrono::seconds(5);
 
   ControlForwarder(transport::PeerCalls& calls, CoreAddresses cores);
 
-  /** Whether the path is one of the control API's that the core answers. */
+  /** Whether the path belongs to the part of the control API that the core serves. */
   static bool serves(std::string_view path);
+  /** @param respond called once, with NoQuorum if no core responded, unless the forwarder is
+   *     destroyed before. */
   void forward(const http::Request& request, Respond respond);
 
  private:
@@ -34,9 +37,9 @@
 
   transport::PeerCalls& calls_;
   CoreAddresses cores_;
-  /** The core that answered last. */
+  /** Index of the core that responded last. */
   std::size_t preferred_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/counters.h
+++ b/libraries/front/include/switchsaddle/front/counters.h
@@ -12,7 +12,7 @@
 
 namespace switchsaddle::front {
 
-/** Counts since the start of this front, for /metrics. Control strand. */
+/** Counters since the start of this front, for /metrics. Used on the control strand. */
 struct Counters {
   std::uint64_t streams_started = 0;
   std::uint64_t streams_finished = 0;
@@ -28,13 +28,15 @@
   /** Ended requests by kind ("stream" or "one-shot"), outcome and result code. */
   std::map<std::tuple<std::string_view, std::string_view, base::ResultCode>, std::uint64_t>
       requests;
-  /** From the dispatch that brought it to the first token. */
+  /** Time to first token, from the dispatch that produced it. */
   metrics::Histogram first_token{metrics::callerWaitBounds()};
 
-  /** The names must be constants: they are kept as they are. */
+  /** Counts an ended request.
+   * @param kind and @param outcome string constants: only views of them are stored. */
   void countRequest(std::string_view kind, std::string_view outcome, base::ResultCode code) {
     ++requests[{kind, outcome, code}];
   }
+  /** Adds the counters to the page of metrics. */
   void appendTo(metrics::Page& page) const;
 };
 
--- a/libraries/front/include/switchsaddle/front/fleet_view.h
+++ b/libraries/front/include/switchsaddle/front/fleet_view.h
@@ -7,15 +7,15 @@
 
 namespace switchsaddle::front {
 
-/** What a front believes of the fleet at this moment, and where its own observations go. */
+/** A front's current view of the fleet, and the receiver of its own observations. */
 class FleetView {
  public:
   virtual ~FleetView() = default;
-  /** The configuration in force here; never null. */
+  /** @return the configuration in force at this front; never null. */
   virtual std::shared_ptr<const configuration::View> configuration() const = 0;
-  /** Never null. */
+  /** @return the workers known to this front; never null. */
   virtual workers::WorkerSnapshotPtr workers() const = 0;
-  /** The worker said itself that it is draining. */
+  /** The worker reported in a response that it is shutting down gracefully. */
   virtual void observeDraining(const workers::Worker& worker) = 0;
   /** The worker's address refused a connection. */
   virtual void observeRefused(const workers::Worker& worker) = 0;
--- a/libraries/front/include/switchsaddle/front/forward_headers.h
+++ b/libraries/front/include/switchsaddle/front/forward_headers.h
@@ -5,33 +5,32 @@
 namespace switchsaddle::front {
 
 /**
- * The names under which callers and workers exchange the typed fields of a forwarded request.
- * Defaults are the product's own; a deployment whose callers and workers use others gives its
- * table.
+ * Names of the headers in which callers and workers exchange the typed fields of a forwarded
+ * request. A deployment whose callers and workers use other names configures them.
  */
 struct ForwardHeaders {
-  /** Names one attempt of a caller; workers echo it. */
+  /** Id of one attempt of a caller; workers echo it. */
   std::string request_id = "Request-Id";
-  /** Milliseconds that the caller, or the front, still waits. */
+  /** Time until the sender's time-out, in milliseconds. */
   std::string deadline_ms = "Deadline-Ms";
-  /** The caller's key, alone. Never passed on. */
+  /** The caller's key. Never forwarded. */
   std::string key = "Caller-Key";
-  /** The tenant that holds the key, as told to the worker. */
+  /** To workers: the tenant that owns the key. */
   std::string tenant = "Tenant";
   std::string model = "Model";
-  /** "PROMPT,MOST OUT" in tokens. */
+  /** "PROMPT,MAXIMUM OUTPUT" in tokens. */
   std::string token_count = "Token-Count";
-  /** "ID:TOKENS,..." of the prompt's parts in order; the last is the request's own. */
+  /** "ID:TOKENS,..." of the prompt's prefix segments in order; the last one is not shared. */
   std::string prefix_segments = "Prefix-Parts";
-  /** 0 to 9, 0 first. */
+  /** 0 to 9; 0 is the highest. */
   std::string priority = "Request-Priority";
-  /** The worker instance meant; any other answers that it did not run the request. */
+  /** The worker instance that is meant; any other rejects the request without running it. */
   std::string expect_instance = "Expect-Instance";
-  /** In an answer: the worker did not run the request. */
+  /** In a response: the worker did not run the request. */
   std::string not_run = "Not-Run";
-  /** In an answer: the version of the weights that made it. */
+  /** In a response: the version of the weights that generated it. */
   std::string weights_version = "Versions";
-  /** The last event that the caller of a stream has; that of the event-stream format. */
+  /** Id of the last event that the caller of a stream received; from the event-stream format. */
   std::string last_event_id = "Last-Event-ID";
 };
 
--- a/libraries/front/include/switchsaddle/front/forward_placer.h
+++ b/libraries/front/include/switchsaddle/front/forward_placer.h
@@ -21,35 +21,47 @@
 /** The worker chosen for a forwarded request. */
 struct ForwardPlacement {
   workers::Worker worker;
-  /** The router's, for a pool of models; it is to be completed there. */
+  /** The router's placement, for a pool of models; must be completed at the router. */
   std::optional<routing::Placement> learned;
 };
 
 /**
- * Chooses workers of a pool: for models by ADR-0021's router, for other services the one with the
- * fewest requests of this front, or a draw by the slots that all fronts leave free. Workers that
- * are draining, gone, evacuated or tried before are left out, those behind an open circuit or found
- * failing are the last choice, and cold ones are used within their bound. Runs on the control
- * strand.
+ * Chooses workers of a pool: for models by the router of ADR-0021, for other services the one with
+ * the fewest requests of this front or, if the loads of the fleet are known, by a draw weighted
+ * with the free slots. Workers that are shutting down, closed, evacuated or excluded are never
+ * used; those with an open circuit or found failing by the cores are the last choice; and those
+ * that are warming up are used within the limits of slow start.
+ *
+ * Invariant: each placement counts as in flight until it is completed. Runs on the control strand.
  */
 class ForwardPlacer {
  public:
   ForwardPlacer(base::Dispatcher& dispatcher, base::RandomSource& random, routing::Router& router,
                 WorkerCircuit& circuit, FleetView& fleet_view, base::NodeAddress self);
 
+  /**
+   * @param excluded ids of workers that must not be used.
+   * @return the placement, or nothing if no worker is available.
+   */
   std::optional<ForwardPlacement> choose(const configuration::ForwardPool& pool,
                                          const routing::Prompt& prompt,
-                                         const std::vector<std::string>& attempted);
-  /** To be called once for each placement; `completion` is of use to the router alone. */
+                                         const std::vector<std::string>& excluded);
+  /**
+   * Ends a placement; to be called once for each.
+   * @param completion the measurements for the router.
+   */
   void complete(const ForwardPlacement& placement, routing::Completion completion);
-  /** The first event of a stream has come. */
-  void noteFirstToken(const ForwardPlacement& placement);
-  /** What this front has under way at workers, to be told to the others. */
+  /** The first event of a stream has been received. */
+  void onFirstToken(const ForwardPlacement& placement);
+  /** @return the requests of this front in flight at workers, for its peers. */
   wire::FrontLoad load() const;
+  /** Applies the loads of the other fronts. */
   void setPeerLoads(const wire::FleetLoad& loads);
   void setFronts(const std::vector<base::NodeAddress>& fronts);
-  /** Workers, by worker_health::workerKey(), that the cores found failing. They get requests only
-   * where no other worker can take one, and all again unless this is said again in time. */
+  /**
+   * Sets the workers that the cores found failing; they are the last choice until this expires.
+   * @param workers keys by worker_health::workerKey().
+   */
   void setAvoided(const std::vector<std::uint64_t>& workers);
 
  private:
@@ -57,37 +69,41 @@
     std::uint32_t in_flight = 0;
     /** workers::loadKey() of the instance. */
     std::uint32_t load_key = 0;
-    routing::SlowStartState cold;
-    /** When the last request ended there with an answer, so that its connection may be used again.
-     */
+    routing::SlowStartState slow_start;
+    /** When the last request ended with a response, so that its connection may be reused. */
     std::optional<base::TimePoint> last_ended;
   };
 
-  /** A worker that may get the request, and what this front, or as far as it is known all fronts,
-   * have under way there. */
+  /** A worker that may get the request. */
   struct Eligible {
     const workers::Worker* worker = nullptr;
+    /** Requests in flight there: of this front, and of its peers as far as known. */
     double load = 0;
-    /** A connection of this front to it lies idle, as far as is known. */
-    bool has_connection = false;
+    /** This front probably has an idle connection to it. */
+    bool has_idle_connection = false;
   };
 
-  /** Those behind an open circuit or found failing only where there is no other. */
+  /** @return the workers of first choice, or if there are none, those of last choice. */
   std::vector<Eligible> eligibleWorkers(const configuration::ForwardPool& pool,
                                         const workers::WorkerSnapshot& snapshot,
-                                        const std::vector<std::string>& attempted);
-  /** What chance a worker gets. Fronts that hear the same loads at the same time may not all choose
-   * the least loaded, so a known fleet's workers are drawn by their free slots. */
+                                        const std::vector<std::string>& excluded);
+  /** @return the weight of a worker in the draw. If the loads of the fleet are known, it grows with
+   * the free slots: fronts that receive the same loads at the same time must not all choose the
+   * least loaded worker. */
   double weightOf(const Eligible& eligible, double least_load, bool fleet_known) const;
   std::optional<ForwardPlacement> chooseLearned(const configuration::ForwardPool& pool,
                                                 const routing::Prompt& prompt,
-                                                const std::vector<std::string>& attempted);
+                                                const std::vector<std::string>& excluded);
   std::optional<ForwardPlacement> chooseLeastLoaded(const configuration::ForwardPool& pool,
-                                                    const std::vector<std::string>& attempted);
+                                                    const std::vector<std::string>& excluded);
+  /** Draws one of the workers by their weights. */
+  const workers::Worker& draw(const std::vector<Eligible>& eligible);
   bool isAvoided(const wire::WorkerEntry& entry) const;
   std::vector<std::string> avoidedWorkers(const configuration::ForwardPool& pool) const;
+  /** Whether slow start allows another request at the worker. */
   bool mayUse(const workers::Worker& worker, const configuration::ForwardPool& pool);
-  void forgetVanished(const workers::WorkerSnapshot& snapshot);
+  /** Drops the state of workers that are no longer listed. */
+  void removeUnlisted(const workers::WorkerSnapshot& snapshot);
 
   base::Dispatcher& dispatcher_;
   base::RandomSource& random_;
@@ -99,6 +115,7 @@
   std::map<std::string, Usage> usage_;
   routing::PeerLoad peer_load_;
   std::uint64_t known_revision_ = 0;
+  /** Keys of failing workers; expires at `avoided_until_`. */
   std::set<std::uint64_t> avoided_;
   base::TimePoint avoided_until_{};
 };
--- a/libraries/front/include/switchsaddle/front/forward_request.h
+++ b/libraries/front/include/switchsaddle/front/forward_request.h
@@ -14,46 +14,53 @@
 
 namespace switchsaddle::front {
 
-/** A request that a route takes, with the fields that its headers tell. */
+/** A request that matches a route, with the typed fields of its headers. */
 struct ForwardRequest {
   /** Keeps the route and the tenant alive. */
   std::shared_ptr<const configuration::View> view;
   const configuration::ForwardRoute* route = nullptr;
-  /** Null on an open route, and where the configuration has no tenants. */
+  /** Null on an open route, and if the configuration has no tenants. */
   const configuration::ForwardTenant* tenant = nullptr;
   std::string request_id;
-  /** How long the caller waits; nothing where it does not say. */
+  /** The caller's time-out, if it sent one. */
   std::optional<base::Duration> deadline;
-  /** Model, parts and tokens, as far as they are told. */
+  /** Model, prefix segments and tokens, as far as the caller sent them. */
   routing::Prompt prompt;
-  /** Whether the caller told its tokens. */
+  /** Whether the caller sent its numbers of tokens. */
   bool reports_tokens = false;
   /** As received. */
   http::Request message;
 
-  /** What it counts against its tenant's quota. */
+  /** @return the units that the request counts against its tenant's quota. */
   double quotaUnits() const;
-  /** The tenant's priority, else the route's. */
+  /** @return the tenant's priority if it has one, else the route's. */
   std::uint32_t priority() const;
 };
 
-/** The host of a Host header: lower case, without its port. */
+/** @return the host of a Host header in lower case, without its port. */
 std::string hostName(std::string_view host);
 
 /**
- * Finds the route and the tenant and reads the typed fields; a malformed field counts as absent.
- * Throws base::Error with UnknownRoute, MissingKey or UnknownKey.
+ * Finds the route and the tenant of a request and parses its typed fields; a malformed field counts
+ * as absent.
+ * @throws base::Error with UnknownRoute, MissingKey or UnknownKey.
  */
 ForwardRequest parseForwardRequest(std::shared_ptr<const configuration::View> view,
                                    http::Request message, const ForwardHeaders& headers);
 
-/** The message for a worker: the caller's own without what concerns its connection or its key, and
- * with the fields that the front sets. */
+/**
+ * Builds the message for a worker: the caller's message without the headers of its connection and
+ * its key, and with the fields that the front sets.
+ * @param instance id of the worker instance that is meant.
+ * @param remaining time until the request's deadline.
+ * @param last_event_id the last event of the stream that the caller has received, on a resume.
+ */
 http::Request workerMessage(const ForwardRequest& request, const ForwardHeaders& headers,
-                            const std::string& instance, base::Duration time_left,
+                            const std::string& instance, base::Duration remaining,
                             std::optional<std::uint64_t> last_event_id);
 
-/** The answer for the caller: the worker's own without what concerns its connection. */
-http::Response callerMessage(const http::Response& answer);
+/** Builds the response for the caller: the worker's response without the headers of its connection.
+ */
+http::Response callerMessage(const http::Response& response);
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/front_node.h
+++ b/libraries/front/include/switchsaddle/front/front_node.h
@@ -32,7 +32,7 @@
 
 class StateReporter;
 
-/** What a front stands on; real in the daemon, simulated in tests. All outlive the node. */
+/** Dependencies of FrontNode: real in the daemon, simulated in tests. All outlive the node. */
 struct FrontEnvironment {
   base::Dispatcher& dispatcher;
   transport::PeerCalls& calls;
@@ -40,34 +40,36 @@
   journal::Journal& journal;
   const configuration::Settings& settings;
   WorkerPort& workers;
-  /** The random instance id of this process. */
+  /** Random id of this process. */
   std::uint64_t instance = 0;
-  /** In place of the broker of the ledgers at the core; for tests. */
+  /** Replaces the broker of the core's ledgers if set; for tests. */
   admission::SlotBroker* slots = nullptr;
-  /** Where an operator is told what must be seen; nowhere if left out. */
+  /** Receives reports for operators; may be null. */
   base::IncidentSink* incidents = nullptr;
-  /** Adds what only the process knows to the metrics, such as its traffic; may be left out. */
+  /** Adds metrics of the process, such as its traffic; may be empty. */
   std::function<void(metrics::Page&)> process_metrics = {};
-  /** In place of the claims at the core; for tests that show what these prevent. */
+  /** Replaces the claims at the core if set; for tests that show what these prevent. */
   claims::ClaimClient* claims = nullptr;
-  /** In place of this front's session where work is let in and dispatched; likewise. */
+  /** Replaces this front's session in the checks of admission and dispatch if set; for such tests.
+   */
   const sessions::SessionClient* serving_session = nullptr;
-  /** Whether streams are checked for gaps, repeats and joined runs; likewise. */
+  /** Whether streams are checked for gaps, repeats and joined runs; false in such tests only. */
   bool check_sequence = true;
-  /** Test-only deviations of the session. */
+  /** Faults of the session; for tests only. */
   sessions::SessionClientFaults session_faults = {};
-  /** Where forwarded requests go; nothing is forwarded if left out. */
+  /** Sends forwarded requests; nothing is forwarded if null. */
   ForwardPort* forward_port = nullptr;
   ForwardHeaders forward_headers = {};
 };
 
 /**
- * One front: session, configuration, worker beliefs, routing and the flows of work. Knows nothing
- * of sockets: requests come through service(). Runs on the control strand.
+ * One front: owns its session, configuration, view of the workers, routing and request flows, and
+ * connects them. Independent of sockets: requests arrive through service(). Runs on the control
+ * strand.
  *
- * A worker that refuses connections is kept out by the circuit and is not declared gone to the
- * fleet: that can't be withdrawn within one instance, and a worker that restarts fast stays listed
- * as the same instance.
+ * A worker that refuses connections is excluded by the circuit breaker and not reported as closed
+ * to the fleet: such a report can't be withdrawn within one instance, and a worker that restarts
+ * quickly remains listed as the same instance.
  */
 class FrontNode : private FleetView {
  public:
@@ -76,12 +78,15 @@
   FrontNode(const FrontNode&) = delete;
   FrontNode& operator=(const FrontNode&) = delete;
 
+  /** Opens the session and starts gossip. */
   void start();
   /**
-   * Stops gracefully: not ready, no new work, open work runs to its end within the settings' stop
-   * deadline, then the session is closed and `stopped` runs.
+   * Shuts down gracefully: reports the node as not ready, rejects new work, waits for open work
+   * until the settings' stop deadline, and closes the session.
+   * @param stopped runs once the session is closed.
    */
   void stop(std::function<void()> stopped);
+  /** Whether this node accepts new work. */
   bool ready() const { return service_.ready(); }
   CallerService& service() { return service_; }
   const Counters& counters() const { return counters_; }
@@ -89,9 +94,9 @@
   const workers::WorkerDirectory& directory() const { return directory_; }
   const sessions::QuorumSessionClient& session() const { return session_; }
   routing::Router& router() { return router_; }
-  /** Other cores to ask, where none of those known answers. */
+  /** Sets further addresses of cores, used if none of the known cores responds. */
   void setSeeds(std::vector<base::NodeAddress> seeds) { session_.setSeeds(std::move(seeds)); }
-  /** What the flows see of the fleet, and tell it. */
+  /** @return the view of the fleet that the flows use. */
   FleetView& beliefs() { return *this; }
 
  private:
@@ -100,16 +105,25 @@
   void observeDraining(const workers::Worker& worker) override;
   void observeRefused(const workers::Worker& worker) override;
 
+  // The components in use: the own ones, or their replacements in tests.
   admission::SlotBroker& slots();
   claims::ClaimClient& claims();
   const sessions::SessionClient& servingSession() const;
-  void connectParts();
+  // Wiring of the components, at the end of the construction.
+  void connectComponents();
+  void connectConfiguration();
+  void connectGossip();
+  void connectSession();
+  std::unique_ptr<ForwardFlow> createForwardFlow();
+
   void onConfiguration(const dissemination::ViewPtr& view);
-  void refreshPeers();
+  void refreshMembership();
+  /** Fetches the list of workers from a random core if this front that forwards has none. */
+  void pullMissingWorkers();
   void onGranted(const wire::SessionOpenReply& granted);
-  void awaitEndOfWork();
+  /** Next step of a graceful shutdown; closes the session once open work has ended. */
+  void continueStop();
   bool isIdle() const;
-  std::unique_ptr<ForwardFlow> createForwards();
   std::string metricsText() const;
   std::string nodeReport() const;
 
@@ -121,7 +135,7 @@
   routing::LearnedRouter router_;
   claims::PeerClaimClient claims_;
   admission::LedgerSlotBroker ledger_slots_;
-  std::unique_ptr<StateReporter> beliefs_;
+  std::unique_ptr<StateReporter> state_reporter_;
   RetryBudget retries_;
   WorkerCircuit circuit_;
   Counters counters_;
@@ -132,15 +146,16 @@
   QuotaLedgerClient quota_ledgers_;
   QuotaMeter quotas_;
   ForwardPlacer placer_;
-  /** Null where nothing is forwarded. */
+  /** Null if nothing is forwarded. */
   std::unique_ptr<ForwardFlow> forwards_;
   ControlForwarder control_;
   CallerService service_;
   SessionMonitor monitor_;
   FrontHistory history_;
-  base::TimerPtr peers_timer_;
+  base::TimerPtr membership_timer_;
   base::TimerPtr stop_timer_;
   base::TimePoint stop_deadline_;
+  /** Forwarded requests are accepted until this time of a graceful shutdown. */
   base::TimePoint stop_notice_until_;
   std::function<void()> stopped_;
 };
--- a/libraries/front/include/switchsaddle/front/quota_ledger_client.h
+++ b/libraries/front/include/switchsaddle/front/quota_ledger_client.h
@@ -10,63 +10,74 @@
 #include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/transport/peer_calls.h"
 #include "switchsaddle/wire/quota_messages.h"
 
 namespace switchsaddle::front {
 
-/** Where a request of a tenant near its quota is let in. */
+/** Decides on requests of tenants that are close to their quota. */
 class QuotaAuthority {
  public:
   virtual ~QuotaAuthority() = default;
-  /** The answer; nothing where no ledger could tell. */
+  /** Called with the decision; with nothing if no ledger could decide. */
   using Callback = std::function<void(std::optional<wire::QuotaReply>)>;
-  virtual void ask(const std::string& tenant, std::uint32_t urgency, double units,
-                   Callback callback) = 0;
-  /** Whether asking is worthwhile now. */
+  /**
+   * Requests units of a tenant's quota.
+   * @param urgency the request's priority; 0 is the highest.
+   */
+  virtual void request(const std::string& tenant, std::uint32_t urgency, double units,
+                       Callback callback) = 0;
+  /** Whether a request is likely to be answered now. */
   virtual bool reachable() const = 0;
 };
 
 /**
- * Asks the quota ledgers at the cores, each at the core that answered for the tenant's shard last.
- * Where none answers in time it asks nobody for a while, so that requests don't wait for a core
- * that is cut off. Each callback runs once, after ask() has returned, unless the client is
- * destroyed before. Runs on the control strand.
+ * Sends quota requests to the ledgers at the cores, each first to the core that last owned the
+ * tenant's shard. If no core answers in time, the client is unreachable for a backoff time, so that
+ * requests do not wait for cores behind a network partition.
+ *
+ * Invariant: each callback runs once, after request() has returned, unless the client is destroyed
+ * before. Runs on the control strand.
  */
 class QuotaLedgerClient : public QuotaAuthority {
  public:
   using CoreAddresses = std::function<std::vector<base::NodeAddress>()>;
 
+  /**
+   * @param instance id of this front's process.
+   * @param cores returns the addresses of the cores that are known now.
+   */
   QuotaLedgerClient(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
                     std::uint64_t instance, CoreAddresses cores);
 
-  void ask(const std::string& tenant, std::uint32_t urgency, double units,
-           Callback callback) override;
+  void request(const std::string& tenant, std::uint32_t urgency, double units,
+               Callback callback) override;
   bool reachable() const override;
-  /** Up to this number every ask has its answer, or will be given none. */
-  std::uint64_t settledRequests() const;
+  /** @return the number up to which every request has been answered or has timed out. */
+  std::uint64_t completedRequests() const;
 
  private:
-  struct Ask;
-  using AskPtr = std::shared_ptr<Ask>;
+  struct PendingRequest;
+  using PendingRequestPtr = std::shared_ptr<PendingRequest>;
 
-  void attemptNext(const AskPtr& ask);
-  void onAnswer(const AskPtr& ask, const transport::CallResult& result);
-  void end(const AskPtr& ask, const std::optional<wire::QuotaReply>& answer);
+  void sendToNextCore(const PendingRequestPtr& pending);
+  void onReply(const PendingRequestPtr& pending, const transport::CallResult& result);
+  void complete(const PendingRequestPtr& pending, const std::optional<wire::QuotaReply>& reply);
 
   base::Dispatcher& dispatcher_;
   transport::PeerCalls& calls_;
   std::uint64_t instance_;
   CoreAddresses cores_;
   std::uint64_t last_number_ = 0;
-  /** Asks under way, by number. */
-  std::set<std::uint64_t> open_;
-  /** The core that last was the ledger, by shard. */
+  /** Numbers of the requests in flight. */
+  std::set<std::uint64_t> pending_;
+  /** The core that last owned the ledger, by shard. */
   std::map<std::uint32_t, base::NodeAddress> ledgers_;
-  /** Nobody is asked before. */
+  /** The client is unreachable until this time. */
   base::TimePoint backoff_until_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/quota_meter.h
+++ b/libraries/front/include/switchsaddle/front/quota_meter.h
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/configuration/forwarding.h"
 #include "switchsaddle/configuration/quota_share.h"
@@ -17,64 +18,79 @@
 
 namespace switchsaddle::front {
 
-/** How a front keeps to its part of the quotas. */
+/** Parameters by which a front keeps to its share of the quotas. */
 struct QuotaOptions {
   configuration::QuotaBounds bounds;
-  /** Part of the bound that is used; the rest covers what fronts let in before they hear of each
-   * other. */
-  double used = configuration::UsedShareOfQuota;
-  /** What the fronts let in is known to each other after at most about this time. */
+  /** Share of the limit that is used; the remainder covers units that fronts admit before their
+   * peers know of them. */
+  double used_share = configuration::UsedShareOfQuota;
+  /** Upper bound, approximately, of the time until the fronts know what their peers have admitted.
+   */
   base::Duration knowledge_lag = std::chrono::milliseconds(750);
-  /** An allocation older than this is no longer relied on. */
+  /** Allocations expire after this time. */
   base::Duration allocation_lifetime = std::chrono::milliseconds(1'000);
-  /** While what is left is more than so many times what all fronts could use before they hear of
-   * each other, a front lets in what comes; else it asks the ledger. */
-  double comfortable = 3;
-  /** Part of the quota that a front may use between two reports for a tenant of which the cores say
-   * nothing. */
+  /** A front admits locally while the remaining quota is more than this multiple of the units that
+   * the fleet could admit within the knowledge lag; below, it requests units from the ledger. */
+  double headroom_factor = 3;
+  /** Share of the quota that a front may admit between two reports for a tenant for which the cores
+   * report no allocation. */
   double unreported_share = 0.25;
-  /** A front that has heard nothing since its start does not know how many others there are: it
-   * counts on at least so many. */
+  /** Number of fronts assumed at least by a front that has received no report since its start. */
   std::size_t assumed_fronts = 8;
-  /** Until a front is as old as the window, and while the cores tell it nothing, it uses at most so
-   * many times its equal part of what comes free, and this part of the quota besides: what was let
-   * in before its start may be known to nobody any more. */
-  double young_factor = 0.8;
-  double young_share = 0.015;
+  /** A front that is younger than the window and has no report admits at most this multiple of its
+   * equal share of the units that become available, and `startup_share` of the quota besides: no
+   * node may know any more what was admitted before its start. */
+  double startup_factor = 0.8;
+  double startup_share = 0.015;
+};
+
+/** What the caller of QuotaMeter::acquire() does with the admitted units. */
+enum class AdmittedUnits : std::uint8_t {
+  /** They are used, or the request was rejected. */
+  Keep,
+  /** The request has ended meanwhile: they are refunded. */
+  Refund,
 };
 
 /**
- * Holds tenants to their quotas, fleet-wide and without a call for a request: fronts tell the cores
- * with their sessions' renewals what they let in, and hear how much all of them did. While what is
- * left of the quota is more than all fronts could use before they hear of each other, each lets in
- * what comes; nearer to the bound each request is let in by the ledger, and where no ledger can be
- * reached each front keeps to its part of what is left. A front that hears nothing keeps the
- * smaller of an equal and its last part of the whole quota, so that all stay within it however many
- * are cut off. Runs on the control strand.
+ * Enforces the tenants' quotas over the fleet without a remote call for each request.
+ *
+ * Fronts report the units that they admit with the renewals of their sessions, and receive the sum
+ * over the fleet. While the remaining quota is more than all fronts could admit before they know of
+ * each other, each admits every request. Closer to the limit the ledger decides on each request,
+ * and if no ledger is reachable, each front admits within its share of the remainder. A front
+ * without recent reports admits within the smaller of an equal share and its last share of the
+ * complete quota.
+ *
+ * Invariant: the sum over all fronts stays within the quota however many of them are partitioned
+ * from the cores. Runs on the control strand.
  */
 class QuotaMeter {
  public:
-  /** `authority` may be left out; each front then keeps to its part. */
+  /** @param authority may be null: each front then admits within its share. Outlives the meter. */
   QuotaMeter(base::Dispatcher& dispatcher, QuotaOptions options,
              QuotaAuthority* authority = nullptr);
 
-  /** When to come back; nothing where the request is let in and its units are counted. */
+  /** Nothing if the request is admitted and its units are counted, else the Retry-After time. */
   using Decision = std::optional<base::Duration>;
-  /** Returns whether the request goes on; where it does not, its units are taken back. */
-  using DecisionCallback = std::function<bool(Decision)>;
-  /** Decides by the ledger where the tenant is near its quota, else at once, within the call. */
+  using DecisionCallback = std::function<AdmittedUnits(Decision)>;
+  /**
+   * Acquires units of the tenant's quota. Requests them from the ledger if the tenant is close to
+   * its quota, else decides before it returns.
+   */
   void acquire(const configuration::ForwardTenant& tenant, std::uint32_t urgency, double units,
                DecisionCallback callback);
-  /** Decides at once, by this front's part. */
-  Decision take(const configuration::ForwardTenant& tenant, double units);
-  /** Takes back what a request counted that in the end did not run. */
+  /** Acquires units within this front's share, without the ledger. */
+  Decision acquireLocally(const configuration::ForwardTenant& tenant, double units);
+  /** Returns the units of a request that was admitted and has not run. */
   void refund(const configuration::ForwardTenant& tenant, double units);
-  /** Whether any tenant with a quota has asked for something. */
-  bool holdsTenants() const { return !usages_.empty(); }
-  /** Fronts with live sessions, this one included. */
+  /** Whether any tenant with a quota has sent requests. */
+  bool hasTenants() const { return !usages_.empty(); }
+  /** @param fronts number of fronts with live sessions, including this one. */
   void setFronts(std::size_t fronts);
+  /** Applies the cores' report of what the fleet has admitted. */
   void setAllocations(const std::vector<wire::TenantAllocation>& allocations);
-  /** What each tenant asked for lately and was let in for; noted as told to the cores. */
+  /** @return the demand and the admitted units of each tenant; records them as reported. */
   std::vector<wire::TenantDemand> demand();
 
  private:
@@ -83,43 +99,49 @@
     double units = 0;
   };
   struct Usage {
-    /** Let in, oldest first. */
+    /** Admitted units in the window, oldest first; their sum is `in_window`. */
     std::deque<Slice> slices;
     double in_window = 0;
-    /** Let in ever; and of that, what the cores were told last, and what the allocation counts. */
+    /** Units admitted since the start; of these, the units in the last report to the cores, and
+     * those that the allocation includes. */
     double total = 0;
     double reported_total = 0;
     double allocated_total = 0;
-    /** The last one told; nothing where the cores last said nothing of the tenant. */
+    /** From the cores' last report; nothing if that did not include the tenant. */
     std::optional<wire::TenantAllocation> allocation;
-    /** The last part told, for when the cores fall silent. */
+    /** The last share received; used when the cores are unreachable. */
     std::optional<double> last_share;
-    /** The most that the fleet was told to have let in, as it has left the window since. */
+    /** The most units that the fleet was reported to have admitted, less what has left the window
+     * since. */
     double highest_reported = 0;
     base::TimePoint highest_reported_at;
-    /** Asked for since `demand_at`, and the mean before it. */
-    double asked = 0;
+    /** Units requested since `demand_at`, and the mean rate before. */
+    double requested = 0;
     double demand_per_s = 0;
     base::TimePoint demand_at;
   };
 
   Usage& usageOf(const std::string& tenant);
-  /** Whether the ledger has to be asked about so many units. */
+  /** Whether the ledger has to decide on this many units. */
   bool isNearQuota(const configuration::ForwardTenant& tenant, double limit, double units);
-  /** Tells the caller, and takes the units back where it no longer wants them. */
-  void tell(const configuration::ForwardTenant& tenant, double units, const Decision& decision,
-            const DecisionCallback& callback);
-  /** Decides by this front's part without noting what was asked for. */
+  /** Decides by the ledger's reply, or within this front's share if there is none. */
+  Decision decide(const configuration::ForwardTenant& tenant, double limit, double units,
+                  const std::optional<wire::QuotaReply>& reply);
+  /** Calls the callback, and refunds the units if it does not use them. */
+  void deliver(const configuration::ForwardTenant& tenant, double units, const Decision& decision,
+               const DecisionCallback& callback);
+  /** Decides within this front's share; does not count the units as requested. */
   Decision acquireFromShare(const configuration::ForwardTenant& tenant, double limit, double units);
   void expire(Usage& usage) const;
   void count(Usage& usage, double units);
-  /** Units that may be let in now, of a quota of `limit`. */
+  /** @return units that may be admitted now, of a quota of `limit`. */
   double availableUnits(double limit, const Usage& usage) const;
-  /** Whether the cores told lately how much the fleet lets in. */
+  /** Whether the cores' last report has not expired. */
   bool hasRecentReport() const;
   double availableByAllocation(double limit, const Usage& usage) const;
-  /** What is left of `highest_reported`: a core that has just started forgets what ended fronts let
-   * in. */
+  double availableWithoutReport(double limit, const Usage& usage) const;
+  /** @return units of `highest_reported` that are still in the window: a core that has just started
+   * does not know what fronts that have ended admitted. */
   double unexpiredReported(const Usage& usage) const;
 
   base::Dispatcher& dispatcher_;
@@ -127,11 +149,10 @@
   QuotaAuthority* authority_;
   base::TimePoint started_at_;
   std::size_t fronts_ = 1;
-  /** When the cores last told how much the fleet lets in. */
+  /** When the cores last reported what the fleet admits. */
   std::optional<base::TimePoint> reported_at_;
   std::map<std::string, Usage> usages_;
-  /** Expires with this object, so that answers do not outlive it. */
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/request_parser.h
+++ b/libraries/front/include/switchsaddle/front/request_parser.h
@@ -11,27 +11,33 @@
 struct CompletionBody {
   routing::Prompt prompt;
   bool stream = false;
-  /** The body for the worker, always asking for a stream and holding max_tokens. */
+  /** The body for the worker; it always requests a stream and contains max_tokens. */
   std::string worker_body;
 };
 
 /** The body of POST /v1/one-shots. */
 struct OneShotBody {
   std::string service;
-  /** Empty where there is none. */
+  /** Empty if the body has none. */
   std::string model;
-  /** Canonical text for the worker. */
+  /** The body for the worker, as canonical JSON. */
   std::string worker_body;
-  /** Equal for bodies that mean the same. */
+  /** Hash of the canonical body: equal for equivalent bodies. */
   std::uint64_t fingerprint = 0;
 };
 
-/** Parses the body, in which `default_maximum_tokens` stands in for an absent max_tokens; throws
- * base::Error with MalformedJson, UnknownField, MissingField or InvalidValue and the path of the
- * first fault. */
+/**
+ * Parses the body of a completion.
+ * @param default_maximum_tokens value of max_tokens if the body has none.
+ * @throws base::Error with MalformedJson, UnknownField, MissingField or InvalidValue, and the path
+ * of the first error.
+ */
 CompletionBody parseCompletionBody(const std::string& body, std::uint32_t default_maximum_tokens);
 
-/** As parseCompletionBody(), for one-shots. */
+/**
+ * Parses the body of a one-shot.
+ * @throws base::Error as parseCompletionBody().
+ */
 OneShotBody parseOneShotBody(const std::string& body);
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/retry_budget.h
+++ b/libraries/front/include/switchsaddle/front/retry_budget.h
@@ -10,31 +10,37 @@
 namespace switchsaddle::front {
 
 /**
- * Keeps the retries of each service below a share of its first tries over a sliding window. There
- * is no floor of its own: a service with few first tries has no retries, so that nothing adds up
- * over a fleet, unless the caller gives it this front's part of what the fleet may have besides.
- * Counted in slices; retries leave the window late by up to one slice, so that rounding never
- * allows a retry too many. First tries leave it early: each front's share was right when it spent
- * it, and the sum over the fleet must still be so when some of them have fewer first tries than
- * then. Runs on the control strand.
+ * Limits the retries of each service to a share of its first attempts in a sliding window.
+ *
+ * Invariant: the retries of a window stay within the share over the complete fleet. Therefore
+ * there is no minimum per front, unless the caller grants its share of a fleet-wide one; retries
+ * expire late by up to one slice, so that rounding never allows one too many; and first attempts
+ * expire early, since the fronts' loads vary while the budget spent on their behalf remains in the
+ * window. Runs on the control strand.
  */
 class RetryBudget {
  public:
   static constexpr base::Duration Window = std::chrono::seconds(10);
   static constexpr base::Duration Slice = std::chrono::milliseconds(100);
-  /** By how much first tries leave the window early, as each front's load goes up and down. */
+  /** First attempts expire earlier than retries by this time, as each front's load varies. */
   static constexpr base::Duration Headroom = std::chrono::milliseconds(500);
-  /** Within this time retries may be one more than their share, so that none pile up. */
+  /** Within this time retries may exceed their share by one, which prevents bursts. */
   static constexpr base::Duration ShortWindow = std::chrono::seconds(1);
 
   explicit RetryBudget(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
 
+  /** Counts the first attempt of a request. */
   void countFirstAttempt(const std::string& service);
-  /** Whether tryAcquire() would count one now. `extra`: repeats in a window beyond the share; the
-   * fronts of a fleet together must not be given more than it may have. */
+  /**
+   * @param share allowed retries as a share of the first attempts.
+   * @param extra retries allowed in a window beyond the share; the sum over the fleet must not
+   *     exceed the fleet's allowance.
+   * @return whether tryAcquire() would succeed now.
+   */
   bool mayAcquire(const std::string& service, double share, double extra = 0);
-  /** To be asked right before the retry is sent. Counts a retry and returns true where it stays
-   * within the share; else counts nothing.
+  /**
+   * Counts a retry if the budget allows it; to be called right before the retry is sent.
+   * @return whether the retry is allowed; if not, nothing is counted.
    */
   bool tryAcquire(const std::string& service, double share, double extra = 0);
 
@@ -52,8 +58,8 @@
     Counts retries;
   };
 
-  /** First tries that may be relied on while the load goes up and down by chance. */
-  static double dependable(std::uint64_t first_attempts);
+  /** @return a lower estimate of the first attempts, which allows for random variation. */
+  static double lowerEstimate(std::uint64_t first_attempts);
   std::uint64_t countWithin(const Counts& counts, base::Duration age) const;
   void count(Counts& counts);
   void expire(Counts& counts, base::Duration age);
--- a/libraries/front/include/switchsaddle/front/session_monitor.h
+++ b/libraries/front/include/switchsaddle/front/session_monitor.h
@@ -6,20 +6,21 @@
 
 namespace switchsaddle::front {
 
-/** The state's name in logs, metrics and pages, such as "serving". */
+/** @return the state's name in logs, metrics and pages, such as "serving". */
 std::string_view sessionStateName(sessions::SessionState state);
 
 /**
- * Tells the operator when a front's session lapses and when it serves again. Looks at the session
- * each 100 ms, since a session lapses by the clock alone. Runs on the control strand.
+ * Reports each change of the state of a front's session to the operator. Polls the session, since
+ * its lapse is no event: it follows from the clock. Runs on the control strand.
  */
 class SessionMonitor {
  public:
   SessionMonitor(base::Dispatcher& dispatcher, const sessions::SessionClient& session,
                  base::IncidentSink& incidents);
 
+  /** Reports the current state if the session is open, and each change from then on. */
   void start();
-  /** A session closed in order is not told. */
+  /** Ends the reports, so that closing the session is not reported as a lapse. */
   void stop() { timer_->disable(); }
 
  private:
@@ -28,7 +29,7 @@
   base::Dispatcher& dispatcher_;
   const sessions::SessionClient& session_;
   base::IncidentSink& incidents_;
-  /** The last state told. */
+  /** The last state that was reported. */
   sessions::SessionState reported_ = sessions::SessionState::Lapsed;
   base::TimePoint reported_at_;
   base::TimerPtr timer_;
--- a/libraries/front/include/switchsaddle/front/stage.h
+++ b/libraries/front/include/switchsaddle/front/stage.h
@@ -10,12 +10,12 @@
 
 namespace switchsaddle::front {
 
-/** A queue that refuses items beyond its bound. One strand. */
+/** A FIFO queue that rejects items beyond its bound. Used on one strand. */
 template <class Item>
 class BoundedQueue {
  public:
   explicit BoundedQueue(std::size_t bound) : bound_(bound) {}
-  /** False where the queue is full; the item is not taken. */
+  /** @return whether the item was added; false if the queue is full. */
   bool push(Item item) {
     if (items_.size() >= bound_) {
       return false;
@@ -23,6 +23,7 @@
     items_.push_back(std::move(item));
     return true;
   }
+  /** @return the oldest item, or nothing if the queue is empty. */
   std::optional<Item> pop() {
     if (items_.empty()) {
       return std::nullopt;
@@ -38,19 +39,25 @@
   std::deque<Item> items_;
 };
 
-/** Held by a task while it occupies its stage; the last copy's end lets the next task begin. */
+/** Owned by a task while it occupies its stage; when its last copy is destroyed, the next queued
+ * task begins. */
 using StageTicket = std::shared_ptr<void>;
 
 /**
- * One stage of request handling: runs up to `concurrency` tasks and queues up to `queue_bound`
- * more. Runs on one strand. Tickets may outlive the stage.
+ * One stage of request handling, with limits of concurrency and of its queue. Runs on one strand.
+ * Tickets may outlive the stage.
  */
 class Stage {
  public:
   using Task = std::function<void(StageTicket)>;
 
+  /**
+   * @param concurrency limit of running tasks.
+   * @param queue_bound limit of queued tasks.
+   */
   Stage(std::size_t concurrency, std::size_t queue_bound);
-  /** False where the queue is full: the task will never run, and the request is refused at once. */
+  /** Runs or queues the task.
+   * @return whether it was accepted; false if the queue is full: it will never run. */
   bool submit(Task task);
   std::size_t running() const;
   std::size_t queued() const;
@@ -61,7 +68,8 @@
     BoundedQueue<Task> queue;
     std::size_t concurrency = 0;
     std::size_t running = 0;
-    bool draining = false;
+    /** runNext() is on the stack. */
+    bool running_next = false;
   };
 
   static void runNext(const std::shared_ptr<State>& state);
--- a/libraries/front/include/switchsaddle/front/worker_circuit.h
+++ b/libraries/front/include/switchsaddle/front/worker_circuit.h
@@ -10,10 +10,10 @@
 namespace switchsaddle::front {
 
 /**
- * Keeps requests away from worker instances that refuse connections. A refusal opens the circuit
- * for a time that doubles up to a bound; then one request may probe, and the circuit closes once
- * the worker has answered. Another instance of the worker starts with a closed circuit. Runs on the
- * control strand.
+ * A circuit breaker for each worker instance that refuses connections. A refused connection opens
+ * the circuit for a backoff time that doubles up to a maximum; then one request may pass (half
+ * open), and the circuit closes when the worker responds. Another instance of the worker starts
+ * with a closed circuit. Runs on the control strand.
  */
 class WorkerCircuit {
  public:
@@ -22,14 +22,15 @@
 
   explicit WorkerCircuit(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
 
-  /** Whether a request may go to the worker now. Changes nothing. */
+  /** Whether a request may be dispatched to the worker now. Changes no state. */
   bool mayAttempt(const workers::Worker& worker) const;
-  /** A request goes to the worker; after an open time it is the probe. */
+  /** A request is dispatched to the worker; of a half-open circuit it is the trial request. */
   void onDispatch(const workers::Worker& worker);
+  /** The worker refused a connection. */
   void onRefused(const workers::Worker& worker);
-  /** The worker took a connection. */
+  /** The worker accepted a connection. */
   void onConnected(const workers::Worker& worker);
-  /** Ids of the workers to which no request may go now. */
+  /** @return ids of the workers to which no request may be dispatched now. */
   std::vector<std::string> openWorkers() const;
 
  private:
--- a/libraries/front/source/caller_answers.cc
+++ b/libraries/front/source/caller_answers.cc
@@ -26,7 +26,7 @@
   writer.endObject();
 }
 
-/** The worker's answer as JSON: as it is, or as a string where it is not JSON. */
+/** Writes the worker's response: unchanged if it is JSON, else as a string. */
 void writeAnswer(JsonWriter& writer, const std::string& answer) {
   std::vector<configuration::Fault> faults;
   const bool is_json =
--- a/libraries/front/source/caller_answers.h
+++ b/libraries/front/source/caller_answers.h
@@ -9,18 +9,21 @@
 
 namespace switchsaddle::front {
 
-/** What an error answer tells besides its code. */
+/** What an error response contains besides its code. */
 struct ErrorDetails {
   std::optional<Outcome> outcome;
-  /** Zero: no Retry-After header. */
+  /** No Retry-After header if zero. */
   std::uint32_t retry_after_ms = 0;
   std::string message;
-  /** The faulty place in the caller's body. */
+  /** The path of the invalid field in the caller's body. */
   std::string path;
 };
 
+/** @return the response to a request that failed with the code. */
 http::Response errorAnswer(base::ResultCode code, const ErrorDetails& details);
+/** @return the response to a one-shot. */
 http::Response oneShotAnswer(const OneShotAnswer& answer);
+/** @return a success response with the JSON text as its body. */
 http::Response jsonAnswer(std::string body);
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/control_forwarder.cc
+++ b/libraries/front/source/control_forwarder.cc
@@ -45,24 +45,21 @@
     return;
   }
   const std::size_t core = (preferred_ + attempts) % cores.size();
-  calls_.call(cores[core], request, CoreTimeout,
-              [this, alive = std::weak_ptr(alive_), request, attempts, core,
-               respond = std::move(respond)](const transport::CallResult& result) mutable {
-                if (alive.expired()) {
-                  return;
-                }
-                const auto* reply = result.as<wire::ControlReply>();
-                if (reply == nullptr) {
-                  attemptCore(std::move(request), attempts + 1, std::move(respond));
-                  return;
-                }
-                preferred_ = core;
-                http::Response response;
-                response.status = reply->status;
-                response.headers.push_back({"Content-Type", "application/json"});
-                response.body = reply->body;
-                respond(std::move(response));
-              });
+  auto on_reply = [this, request, attempts, core,
+                   respond = std::move(respond)](const transport::CallResult& result) mutable {
+    const auto* reply = result.as<wire::ControlReply>();
+    if (reply == nullptr) {
+      attemptCore(std::move(request), attempts + 1, std::move(respond));
+      return;
+    }
+    preferred_ = core;
+    http::Response response;
+    response.status = reply->status;
+    response.headers.push_back({"Content-Type", "application/json"});
+    response.body = reply->body;
+    respond(std::move(response));
+  };
+  calls_.call(cores[core], request, CoreTimeout, callbacks_.guard(std::move(on_reply)));
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/forward_placer.cc
+++ b/libraries/front/source/forward_placer.cc
@@ -10,17 +10,17 @@
 
 namespace {
 
-/** What the cores said of workers holds for so long without their word. */
+/** The cores' list of failing workers expires after this time without an update. */
 constexpr base::Duration AvoidedLifetime = std::chrono::seconds(3);
 
-/** A worker whose slots seem full counts as having this much of one free. */
-constexpr double LeastFreeSlots = 0.25;
+/** Free slots assumed of a worker that seems full, so that its weight is above zero. */
+constexpr double MinimumFreeSlots = 0.25;
 
-/** A worker whose connection lies idle since less than this takes the request on it: below the time
- * for which the port uses an idle connection for requests that may run only once. */
-constexpr base::Duration ConnectionKept = std::chrono::milliseconds(1'800);
-/** How many times as likely it is drawn for that. */
-constexpr double OpenConnectionFactor = 6;
+/** A connection that has been idle for less than this will be reused: below the idle time that the
+ * port accepts for requests that are not idempotent. */
+constexpr base::Duration IdleConnectionLifetime = std::chrono::milliseconds(1'800);
+/** Factor of the weight of a worker with an idle connection. */
+constexpr double IdleConnectionFactor = 6;
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
   return std::ranges::find(names, name) != names.end();
@@ -44,24 +44,24 @@
 
 std::optional<ForwardPlacement> ForwardPlacer::choose(const configuration::ForwardPool& pool,
                                                       const routing::Prompt& prompt,
-                                                      const std::vector<std::string>& attempted) {
+                                                      const std::vector<std::string>& excluded) {
   const bool model_served = contains(pool.models, prompt.model);
-  return model_served ? chooseLearned(pool, prompt, attempted) : chooseLeastLoaded(pool, attempted);
+  return model_served ? chooseLearned(pool, prompt, excluded) : chooseLeastLoaded(pool, excluded);
 }
 
 std::optional<ForwardPlacement> ForwardPlacer::chooseLearned(
     const configuration::ForwardPool& pool, const routing::Prompt& prompt,
-    const std::vector<std::string>& attempted) {
+    const std::vector<std::string>& excluded) {
   configuration::Route route;
   route.pool = pool.name;
-  std::vector<std::string> excluded = circuit_.openWorkers();
-  excluded.insert(excluded.end(), attempted.begin(), attempted.end());
+  std::vector<std::string> not_preferred = circuit_.openWorkers();
+  not_preferred.insert(not_preferred.end(), excluded.begin(), excluded.end());
   const std::vector<std::string> avoided = avoidedWorkers(pool);
-  excluded.insert(excluded.end(), avoided.begin(), avoided.end());
-  std::optional<routing::Placement> placement = router_.choose(prompt, route, excluded);
+  not_preferred.insert(not_preferred.end(), avoided.begin(), avoided.end());
+  std::optional<routing::Placement> placement = router_.choose(prompt, route, not_preferred);
   if (!placement) {
-    // A worker behind an open circuit, or one that fails at times, is better than none.
-    placement = router_.choose(prompt, route, attempted);
+    // A worker with an open circuit, or one that fails at times, is better than none.
+    placement = router_.choose(prompt, route, excluded);
   }
   if (!placement) {
     return std::nullopt;
@@ -99,15 +99,15 @@
 bool ForwardPlacer::mayUse(const workers::Worker& worker, const configuration::ForwardPool& pool) {
   Usage& usage = usage_[worker.entry.id];
   usage.load_key = workers::loadKey(worker.entry);
-  usage.cold.instance = base::hashBytes(worker.entry.id);
-  usage.cold.bearable_per_s = pool.slow_start_ms > 0 ? pool.slow_start_per_s : 0;
-  usage.cold.listed_warming_up = worker.entry.cold;
-  usage.cold.present_at_start = true;
-  return slow_start_limiter_.mayPlace(usage.cold, std::max(1U, worker.entry.slots),
+  usage.slow_start.instance = base::hashBytes(worker.entry.id);
+  usage.slow_start.bearable_per_s = pool.slow_start_ms > 0 ? pool.slow_start_per_s : 0;
+  usage.slow_start.listed_warming_up = worker.entry.cold;
+  usage.slow_start.present_at_start = true;
+  return slow_start_limiter_.mayPlace(usage.slow_start, std::max(1U, worker.entry.slots),
                                       dispatcher_.now());
 }
 
-void ForwardPlacer::forgetVanished(const workers::WorkerSnapshot& snapshot) {
+void ForwardPlacer::removeUnlisted(const workers::WorkerSnapshot& snapshot) {
   if (snapshot.revision == known_revision_) {
     return;
   }
@@ -123,42 +123,51 @@
     return eligible.load <= least_load ? 1.0 : 0.0;
   }
   const double slots = std::max(1U, eligible.worker->entry.slots);
-  const double free = std::max(LeastFreeSlots, slots - eligible.load);
-  return free * free * (eligible.has_connection ? OpenConnectionFactor : 1);
+  const double free = std::max(MinimumFreeSlots, slots - eligible.load);
+  return free * free * (eligible.has_idle_connection ? IdleConnectionFactor : 1);
 }
 
 std::vector<ForwardPlacer::Eligible> ForwardPlacer::eligibleWorkers(
     const configuration::ForwardPool& pool, const workers::WorkerSnapshot& snapshot,
-    const std::vector<std::string>& attempted) {
+    const std::vector<std::string>& excluded) {
   const std::shared_ptr<const configuration::View> view = fleet_view_.configuration();
   std::vector<Eligible> first_choice;
   std::vector<Eligible> last_choice;
   for (const auto& [id, worker] : snapshot.workers) {
     const bool eligible = worker.entry.service == pool.name && worker.usable() &&
-                          view->allowsWorker(worker.entry) && !contains(attempted, id) &&
+                          view->allowsWorker(worker.entry) && !contains(excluded, id) &&
                           mayUse(worker, pool);
     if (!eligible) {
       continue;
     }
     const Usage& usage = usage_[id];
-    const double others = peer_load_.of(usage.load_key, dispatcher_.now()).requests;
+    const double peer_requests = peer_load_.of(usage.load_key, dispatcher_.now()).requests;
     const bool last = !circuit_.mayAttempt(worker) || isAvoided(worker.entry);
-    const bool has_connection = usage.in_flight == 0 && usage.last_ended &&
-                                dispatcher_.now() - *usage.last_ended < ConnectionKept;
+    const bool has_idle_connection = usage.in_flight == 0 && usage.last_ended &&
+                                     dispatcher_.now() - *usage.last_ended < IdleConnectionLifetime;
     (last ? last_choice : first_choice)
-        .push_back({&worker, usage.in_flight + others, has_connection});
+        .push_back({&worker, usage.in_flight + peer_requests, has_idle_connection});
   }
   return first_choice.empty() ? last_choice : first_choice;
 }
 
 std::optional<ForwardPlacement> ForwardPlacer::chooseLeastLoaded(
-    const configuration::ForwardPool& pool, const std::vector<std::string>& attempted) {
+    const configuration::ForwardPool& pool, const std::vector<std::string>& excluded) {
   const workers::WorkerSnapshotPtr snapshot = fleet_view_.workers();
-  forgetVanished(*snapshot);
-  const std::vector<Eligible> eligible = eligibleWorkers(pool, *snapshot, attempted);
+  removeUnlisted(*snapshot);
+  const std::vector<Eligible> eligible = eligibleWorkers(pool, *snapshot, excluded);
   if (eligible.empty()) {
     return std::nullopt;
   }
+  const workers::Worker& chosen = draw(eligible);
+  Usage& usage = usage_[chosen.entry.id];
+  ++usage.in_flight;
+  usage.slow_start.placed = true;
+  usage.slow_start.last_placed = dispatcher_.now();
+  return ForwardPlacement{chosen, std::nullopt};
+}
+
+const workers::Worker& ForwardPlacer::draw(const std::vector<Eligible>& eligible) {
   const bool fleet_known = peer_load_.known(dispatcher_.now());
   const double least_load = std::ranges::min(eligible, {}, &Eligible::load).load;
   double total = 0;
@@ -178,14 +187,10 @@
       break;
     }
   }
-  Usage& usage = usage_[chosen->entry.id];
-  ++usage.in_flight;
-  usage.cold.placed = true;
-  usage.cold.last_placed = dispatcher_.now();
-  return ForwardPlacement{*chosen, std::nullopt};
+  return *chosen;
 }
 
-void ForwardPlacer::noteFirstToken(const ForwardPlacement& placement) {
+void ForwardPlacer::onFirstToken(const ForwardPlacement& placement) {
   if (placement.learned) {
     router_.noteFirstToken(placement.learned->ticket);
   }
--- a/libraries/front/source/forward_request.cc
+++ b/libraries/front/source/forward_request.cc
@@ -17,24 +17,25 @@
 
 constexpr std::uint32_t LowestPriority = 9;
 
-char lower(char character) {
+char toLower(char character) {
   return character >= 'A' && character <= 'Z' ? static_cast<char>(character - 'A' + 'a')
                                               : character;
 }
 
 bool sameName(std::string_view first, std::string_view second) {
-  return std::ranges::equal(first, second, {}, lower, lower);
+  return std::ranges::equal(first, second, {}, toLower, toLower);
 }
 
-/** Headers that concern one connection only; RFC 9110, section 7.6.1. */
-bool concernsConnection(std::string_view name) {
+/** Whether a header is hop-by-hop; RFC 9110, section 7.6.1. */
+bool isHopByHop(std::string_view name) {
   static constexpr std::array<std::string_view, 9> Names{
       "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
       "upgrade",    "expect",     "content-length"};
-  return std::ranges::any_of(Names, [name](std::string_view one) { return sameName(name, one); });
+  return std::ranges::any_of(Names,
+                             [name](std::string_view other) { return sameName(name, other); });
 }
 
-/** Names that the Connection header adds to those. */
+/** @return the names of further hop-by-hop headers, from the value of the Connection header. */
 std::vector<std::string> connectionNames(std::string_view value) {
   std::vector<std::string> names;
   while (!value.empty()) {
@@ -53,54 +54,58 @@
 }
 
 bool isNamed(const std::vector<std::string>& names, std::string_view name) {
-  return std::ranges::any_of(names, [name](const std::string& one) { return sameName(one, name); });
+  return std::ranges::any_of(names,
+                             [name](const std::string& other) { return sameName(other, name); });
 }
 
 std::optional<std::uint64_t> parseNumber(std::string_view text) {
   std::uint64_t number = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), number);
-  const bool whole = !text.empty() && fault == std::errc() && end == text.data() + text.size();
-  return whole ? std::optional(number) : std::nullopt;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  const bool complete = !text.empty() && error == std::errc() && end == text.data() + text.size();
+  return complete ? std::optional(number) : std::nullopt;
 }
 
 std::optional<std::uint32_t> parseTokens(std::string_view text) {
   const std::optional<std::uint64_t> number = parseNumber(text);
-  constexpr std::uint64_t Most = 1U << 30U;
-  return number && *number <= Most ? std::optional(static_cast<std::uint32_t>(*number))
-                                   : std::nullopt;
+  constexpr std::uint64_t MaximumTokens = 1U << 30U;
+  return number && *number <= MaximumTokens ? std::optional(static_cast<std::uint32_t>(*number))
+                                            : std::nullopt;
 }
 
-void readTokenCount(std::string_view text, ForwardRequest& request) {
+/** Parses "PROMPT,MAXIMUM OUTPUT" in tokens; ignores a malformed value. */
+void parseTokenCount(std::string_view text, ForwardRequest& request) {
   const std::size_t comma = text.find(',');
   if (comma == std::string_view::npos) {
     return;
   }
   const auto prompt = parseTokens(text.substr(0, comma));
-  const auto most_out = parseTokens(text.substr(comma + 1));
-  if (prompt && most_out) {
+  const auto maximum_output = parseTokens(text.substr(comma + 1));
+  if (prompt && maximum_output) {
     request.prompt.prompt_tokens = *prompt;
-    request.prompt.maximum_tokens = *most_out;
+    request.prompt.maximum_tokens = *maximum_output;
     request.reports_tokens = true;
   }
 }
 
-void readPrefixParts(std::string_view text, routing::Prompt& prompt) {
+/** Parses "ID:TOKENS,..."; ignores the segments from the first malformed one on. */
+void parsePrefixSegments(std::string_view text, routing::Prompt& prompt) {
   while (!text.empty()) {
     const std::size_t comma = std::min(text.find(','), text.size());
-    const std::string_view part = text.substr(0, comma);
+    const std::string_view segment = text.substr(0, comma);
     text.remove_prefix(std::min(comma + 1, text.size()));
-    const std::size_t colon = part.rfind(':');
+    const std::size_t colon = segment.rfind(':');
     if (colon == std::string_view::npos) {
       return;
     }
-    const auto tokens = parseTokens(part.substr(colon + 1));
+    const auto tokens = parseTokens(segment.substr(colon + 1));
     if (!tokens) {
       return;
     }
-    prompt.prefix_segments.push_back({std::string(part.substr(0, colon)), *tokens});
+    prompt.prefix_segments.push_back({std::string(segment.substr(0, colon)), *tokens});
   }
 }
 
+/** @return the tenant that owns the key; null if an open route accepts the request without one. */
 const configuration::ForwardTenant* findTenant(const configuration::Forwarding& forwarding,
                                                const configuration::ForwardRoute& route,
                                                std::string_view key) {
@@ -121,6 +126,26 @@
   return tenant;
 }
 
+/** Copies the caller's headers except hop-by-hop ones and those that the front sets itself. */
+void copyForwardedHeaders(const ForwardRequest& request, const ForwardHeaders& headers,
+                          bool sets_last_event_id, http::Request& message) {
+  const std::vector<std::string> connection_names =
+      connectionNames(request.message.header("Connection"));
+  const auto set_by_front = [&](std::string_view name) {
+    return sameName(name, headers.key) || sameName(name, headers.tenant) ||
+           sameName(name, headers.deadline_ms) || sameName(name, headers.priority) ||
+           sameName(name, headers.expect_instance) ||
+           (sets_last_event_id && sameName(name, headers.last_event_id));
+  };
+  for (const http::Header& header : request.message.headers) {
+    const bool forwarded = !isHopByHop(header.name) && !set_by_front(header.name) &&
+                           !isNamed(connection_names, header.name);
+    if (forwarded) {
+      message.headers.push_back(header);
+    }
+  }
+}
+
 }  // namespace
 
 double ForwardRequest::quotaUnits() const {
@@ -139,7 +164,7 @@
 
 std::string hostName(std::string_view host) {
   std::string name(host.substr(0, host.find(':')));
-  std::ranges::transform(name, name.begin(), lower);
+  std::ranges::transform(name, name.begin(), toLower);
   return name;
 }
 
@@ -159,8 +184,8 @@
     request.deadline = std::chrono::milliseconds(*deadline);
   }
   request.prompt.model = message.header(headers.model);
-  readTokenCount(message.header(headers.token_count), request);
-  readPrefixParts(message.header(headers.prefix_segments), request.prompt);
+  parseTokenCount(message.header(headers.token_count), request);
+  parsePrefixSegments(message.header(headers.prefix_segments), request.prompt);
   request.prompt.last_segment_private = true;
   request.prompt.event_gap_goal = std::chrono::milliseconds(request.route->event_gap_goal_ms);
   request.prompt.first_token_goal = std::chrono::milliseconds(request.route->answer_goal_ms);
@@ -170,29 +195,15 @@
 }
 
 http::Request workerMessage(const ForwardRequest& request, const ForwardHeaders& headers,
-                            const std::string& instance, base::Duration time_left,
+                            const std::string& instance, base::Duration remaining,
                             std::optional<std::uint64_t> last_event_id) {
   http::Request message;
   message.method = request.message.method;
   message.target = request.message.target;
   message.body = request.message.body;
-  const std::vector<std::string> connection_names =
-      connectionNames(request.message.header("Connection"));
-  const auto set_by_front = [&](std::string_view name) {
-    return sameName(name, headers.key) || sameName(name, headers.tenant) ||
-           sameName(name, headers.deadline_ms) || sameName(name, headers.priority) ||
-           sameName(name, headers.expect_instance) ||
-           (last_event_id && sameName(name, headers.last_event_id));
-  };
-  for (const http::Header& header : request.message.headers) {
-    const bool kept = !concernsConnection(header.name) && !set_by_front(header.name) &&
-                      !isNamed(connection_names, header.name);
-    if (kept) {
-      message.headers.push_back(header);
-    }
-  }
-  const std::int64_t left_ms = std::max<std::int64_t>(1, base::toMilliseconds(time_left));
-  message.headers.push_back({headers.deadline_ms, std::to_string(left_ms)});
+  copyForwardedHeaders(request, headers, last_event_id.has_value(), message);
+  const std::int64_t remaining_ms = std::max<std::int64_t>(1, base::toMilliseconds(remaining));
+  message.headers.push_back({headers.deadline_ms, std::to_string(remaining_ms)});
   message.headers.push_back({headers.expect_instance, instance});
   message.headers.push_back(
       {headers.priority, std::to_string(std::min(request.priority(), LowestPriority))});
@@ -205,12 +216,12 @@
   return message;
 }
 
-http::Response callerMessage(const http::Response& answer) {
+http::Response callerMessage(const http::Response& response) {
   http::Response message;
-  message.status = answer.status;
-  const std::vector<std::string> connection_names = connectionNames(answer.header("Connection"));
-  for (const http::Header& header : answer.headers) {
-    if (!concernsConnection(header.name) && !isNamed(connection_names, header.name)) {
+  message.status = response.status;
+  const std::vector<std::string> connection_names = connectionNames(response.header("Connection"));
+  for (const http::Header& header : response.headers) {
+    if (!isHopByHop(header.name) && !isNamed(connection_names, header.name)) {
       message.headers.push_back(header);
     }
   }
--- a/libraries/front/source/forward_run.cc
+++ b/libraries/front/source/forward_run.cc
@@ -86,22 +86,22 @@
       *request_.tenant, request_.route->priority, units,
       [weak = weak_from_this(), units](const QuotaMeter::Decision& retry_after) {
         const auto run = weak.lock();
-        return run && run->onQuota(retry_after, units);
+        return run ? run->onQuota(retry_after, units) : AdmittedUnits::Refund;
       });
 }
 
-bool ForwardRun::onQuota(const QuotaMeter::Decision& retry_after, double units) {
+AdmittedUnits ForwardRun::onQuota(const QuotaMeter::Decision& retry_after, double units) {
   if (over_) {
     // The caller has disconnected meanwhile, or the deadline has passed.
-    return false;
+    return AdmittedUnits::Refund;
   }
   if (retry_after) {
     refuse(ResultCode::QuotaSpent, *retry_after);
-    return true;
+    return AdmittedUnits::Keep;
   }
   acquired_quota_units_ = units;
   place();
-  return true;
+  return AdmittedUnits::Keep;
 }
 
 void ForwardRun::place() {
--- a/libraries/front/source/forward_run.h
+++ b/libraries/front/source/forward_run.h
@@ -47,8 +47,7 @@
   // Admission, placement and dispatch.
   /** Acquires the request's units of its tenant's quota, then places the request. */
   void acquireQuota();
-  /** @return whether the units are used: the request goes on or has been rejected. */
-  bool onQuota(const QuotaMeter::Decision& retry_after, double units);
+  AdmittedUnits onQuota(const QuotaMeter::Decision& retry_after, double units);
   void place();
   void send(ForwardPlacement placement);
   void resetDispatch(ForwardPlacement placement);
--- a/libraries/front/source/forward_run_events.cc
+++ b/libraries/front/source/forward_run_events.cc
@@ -43,7 +43,7 @@
 
 void ForwardRun::onFirstEvent() {
   completion_.time_to_first_token = environment_.dispatcher.now() - dispatched_at_;
-  environment_.placer.noteFirstToken(*placement_);
+  environment_.placer.onFirstToken(*placement_);
   recordLateness();
   environment_.counters.first_token.observe(completion_.time_to_first_token);
 }
--- a/libraries/front/source/front_node.cc
+++ b/libraries/front/source/front_node.cc
@@ -3,8 +3,6 @@
 #include <utility>
 
 #include "state_reporter.h"
-#include "switchsaddle/configuration/change_json.h"
-#include "switchsaddle/configuration/json_writer.h"
 #include "switchsaddle/node_options/node_options.h"
 #include "switchsaddle/workers/worker_journal.h"
 
@@ -12,10 +10,12 @@
 
 namespace {
 
-constexpr base::Duration PeersInterval = std::chrono::milliseconds(250);
-/** Part of the repeats that a deployment allows: the rest covers fronts that come, go and restart.
- */
-constexpr double RetriesUsed = 0.7;
+/** Interval of refreshing the membership of fronts and cores. */
+constexpr base::Duration MembershipInterval = std::chrono::milliseconds(250);
+/** Share of a deployment's retry allowance that is used; the remainder covers fronts that start,
+ * end and restart. */
+constexpr double UsedRetryShare = 0.7;
+/** Interval of checking whether open work has ended during a graceful shutdown. */
 constexpr base::Duration StopPollInterval = std::chrono::milliseconds(50);
 
 routing::RouterOptions routerOptions(const configuration::ForwardingSettings& settings) {
@@ -58,7 +58,7 @@
       ledger_slots_(
           environment.dispatcher, environment.calls, environment.instance,
           [this] { return session_.coreAddresses(); }, admission::SlotBrokerOptions{}),
-      beliefs_(std::make_unique<StateReporter>(
+      state_reporter_(std::make_unique<StateReporter>(
           environment.dispatcher, environment.journal,
           StateOwner{environment.calls.localAddress(), environment.instance}, session_,
           ledger_slots_)),
@@ -78,35 +78,36 @@
               &quota_ledgers_),
       placer_(environment.dispatcher, environment.random, router_, circuit_, *this,
               environment.calls.localAddress()),
-      forwards_(createForwards()),
+      forwards_(createForwardFlow()),
       control_(environment.calls, [this] { return session_.coreAddresses(); }),
       service_(CallerDependencies{
           environment.dispatcher, servingSession(), *this, router_, streams_, one_shots_, control_,
-          counters_, environment.settings.operator_hashes, [this] { return beliefs_->report(); },
-          [this] { return metricsText(); }, [this] { return nodeReport(); }, environment.incidents,
-          forwards_.get(), environment.forward_headers, environment.settings.lapsed_session}),
+          counters_, environment.settings.operator_hashes,
+          [this] { return state_reporter_->report(); }, [this] { return metricsText(); },
+          [this] { return nodeReport(); }, environment.incidents, forwards_.get(),
+          environment.forward_headers, environment.settings.lapsed_session}),
       monitor_(
           environment.dispatcher, session_,
           environment.incidents == nullptr ? base::ignoredIncidents() : *environment.incidents),
       history_(environment.dispatcher, environment.calls.localAddress()) {
-  connectParts();
+  connectComponents();
 }
 
 FrontNode::~FrontNode() {
-  // Before any part goes, and both before any run goes: a slot that one flow gives back must not
-  // set off work in the other.
+  // Both flows end before any component or run is destroyed: a slot that is released by one flow
+  // must not start work in the other.
   const auto ended_streams = streams_.abandon();
   const auto ended_one_shots = one_shots_.abandon();
   forwards_.reset();
 }
 
-std::unique_ptr<ForwardFlow> FrontNode::createForwards() {
+std::unique_ptr<ForwardFlow> FrontNode::createForwardFlow() {
   if (environment_.forward_port == nullptr) {
     return nullptr;
   }
   const configuration::ForwardingSettings& settings = environment_.settings.forwarding;
-  const RetryAllowance allowance{settings.retry_share * RetriesUsed,
-                                 settings.retry_extra * RetriesUsed};
+  const RetryAllowance allowance{settings.retry_share * UsedRetryShare,
+                                 settings.retry_extra * UsedRetryShare};
   return std::make_unique<ForwardFlow>(
       ForwardEnvironment{environment_.dispatcher, environment_.random, *environment_.forward_port,
                          placer_, *this, retries_, circuit_, quotas_, health_, counters_,
@@ -134,39 +135,51 @@
   return session_;
 }
 
-void FrontNode::connectParts() {
+void FrontNode::connectComponents() {
+  connectConfiguration();
+  connectGossip();
+  connectSession();
+  membership_timer_ = environment_.dispatcher.createTimer([this] { refreshMembership(); });
+  stop_timer_ = environment_.dispatcher.createTimer([this] { continueStop(); });
+  router_.setConfiguration(replica_.view());
+  router_.setWorkers(directory_.snapshot());
+}
+
+void FrontNode::connectConfiguration() {
   workers::journalChanges(directory_, environment_.journal);
   replica_.addListener([this](const dissemination::ViewPtr& view) { onConfiguration(view); });
   directory_.addListener(
       [this](const workers::WorkerSnapshotPtr& /*before*/,
              const workers::WorkerSnapshotPtr& after) { router_.setWorkers(after); });
+}
+
+void FrontNode::connectGossip() {
+  gossip_.setScoreSource([this] { return router_.exportScores(); });
+  gossip_.setScoreSink(
+      [this](const std::vector<wire::RouteScore>& scores) { router_.importScores(scores); });
+}
+
+void FrontNode::connectSession() {
   session_.setCommittedListener([this](std::uint64_t version, const base::NodeAddress& core) {
     if (version > replica_.version()) {
       gossip_.pullFrom(core);
     }
   });
-  gossip_.setScoreSource([this] { return router_.exportScores(); });
-  gossip_.setScoreSink(
-      [this](const std::vector<wire::RouteScore>& scores) { router_.importScores(scores); });
   session_.setRecordSource([this](wire::SessionRecord& record) {
     record.demand = quotas_.demand();
-    record.settled_requests = quota_ledgers_.settledRequests();
+    record.settled_requests = quota_ledgers_.completedRequests();
     record.health = health_.statement();
     record.load = placer_.load();
-    record.fleet_knowledge = history_.fleet_knowledge();
+    record.fleet_knowledge = history_.fleetKnowledge();
   });
   session_.setGrantListener([this](const wire::SessionOpenReply& granted) { onGranted(granted); });
-  peers_timer_ = environment_.dispatcher.createTimer([this] { refreshPeers(); });
-  stop_timer_ = environment_.dispatcher.createTimer([this] { awaitEndOfWork(); });
-  router_.setConfiguration(replica_.view());
-  router_.setWorkers(directory_.snapshot());
 }
 
 void FrontNode::onGranted(const wire::SessionOpenReply& granted) {
   if (granted.quotas_known) {
     quotas_.setAllocations(granted.allocations);
-  } else if (quotas_.holdsTenants()) {
-    // This core has lost its memory; another may know what the fleet let in.
+  } else if (quotas_.hasTenants()) {
+    // This core has restarted without state; another may know what the fleet has admitted.
     session_.turnToAnotherCore();
   }
   if (environment_.settings.forwarding.fleet_loads) {
@@ -182,7 +195,7 @@
   session_.start();
   gossip_.start();
   monitor_.start();
-  refreshPeers();
+  refreshMembership();
 }
 
 void FrontNode::onConfiguration(const dissemination::ViewPtr& view) {
@@ -195,9 +208,9 @@
   }
 }
 
-void FrontNode::refreshPeers() {
-  beliefs_->poll();
-  history_.see(session_.frontAddresses());
+void FrontNode::refreshMembership() {
+  state_reporter_->poll();
+  history_.update(session_.frontAddresses());
   const std::vector<base::NodeAddress> fronts = history_.recent();
   std::vector<base::NodeAddress> peers = session_.coreAddresses();
   peers.insert(peers.end(), fronts.begin(), fronts.end());
@@ -208,11 +221,15 @@
   if (forwards_) {
     forwards_->setFronts(fronts.size());
   }
+  pullMissingWorkers();
+  membership_timer_->enable(MembershipInterval);
+}
+
+void FrontNode::pullMissingWorkers() {
   const std::vector<base::NodeAddress>& cores = session_.coreAddresses();
   if (forwards_ && directory_.snapshot()->workers.empty() && !cores.empty()) {
     gossip_.pullFrom(cores[environment_.random.below(cores.size())]);
   }
-  peers_timer_->enable(PeersInterval);
 }
 
 std::shared_ptr<const configuration::View> FrontNode::configuration() const {
@@ -239,22 +256,22 @@
   const base::TimePoint now = environment_.dispatcher.now();
   stop_deadline_ = now + environment_.settings.times.stop_deadline;
   stop_notice_until_ = now + environment_.settings.times.stop_notice;
-  awaitEndOfWork();
+  continueStop();
 }
 
 bool FrontNode::isIdle() const {
-  const bool forwarding = forwards_ && forwards_->active() > 0;
-  return streams_.active() == 0 && one_shots_.active() == 0 && !forwarding;
+  const bool is_forwarding = forwards_ && forwards_->active() > 0;
+  return streams_.active() == 0 && one_shots_.active() == 0 && !is_forwarding;
 }
 
-void FrontNode::awaitEndOfWork() {
+void FrontNode::continueStop() {
   const base::TimePoint now = environment_.dispatcher.now();
-  const bool noticed = now >= stop_notice_until_;
-  if (noticed) {
-    // What came now could not end before the deadline; it has not run, and another front takes it.
+  const bool notice_passed = now >= stop_notice_until_;
+  if (notice_passed) {
+    // New requests could not end before the deadline; rejected, they are retried at another front.
     service_.stopForwarding();
   }
-  if (!(isIdle() && noticed) && now < stop_deadline_) {
+  if (!(isIdle() && notice_passed) && now < stop_deadline_) {
     stop_timer_->enable(StopPollInterval);
     return;
   }
@@ -263,47 +280,4 @@
   session_.close(std::exchange(stopped_, nullptr));
 }
 
-std::string FrontNode::metricsText() const {
-  metrics::Page page;
-  counters_.appendTo(page);
-  page.counter("queue_refusals_total", "Requests refused since too many waited for the strand.",
-               static_cast<double>(service_.queueRefusals()));
-  page.gauge("open_streams", "Streams not yet ended.", static_cast<double>(streams_.active()));
-  page.gauge("open_one_shots", "One-shots not yet ended.",
-             static_cast<double>(one_shots_.active()));
-  page.gauge("ready", "1 where this front takes new work.", service_.ready() ? 1 : 0);
-  const std::string state(sessionStateName(session_.state()));
-  page.gauge("session_state", "1 for the state the session is in.", 1, {{"state", state}});
-  page.gauge("configuration_version", "Version of the configuration in force here.",
-             static_cast<double>(replica_.version()));
-  page.gauge("workers", "Workers known here.",
-             static_cast<double>(directory_.snapshot()->workers.size()));
-  if (environment_.process_metrics) {
-    environment_.process_metrics(page);
-  }
-  return page.text();
-}
-
-std::string FrontNode::nodeReport() const {
-  const std::shared_ptr<const configuration::View> view = replica_.view();
-  configuration::JsonWriter writer;
-  writer.beginObject();
-  writer.name("address").string(environment_.calls.localAddress().toString());
-  writer.name("zone").string(environment_.settings.zone);
-  writer.name("ready").boolean(service_.ready());
-  writer.name("session").string(sessionStateName(session_.state()));
-  writer.name("version").unsignedInteger(replica_.version());
-  writer.name("digest").string(configuration::digestText(replica_.digest()));
-  writer.name("workers").unsignedInteger(directory_.snapshot()->workers.size());
-  writer.name("open_streams").unsignedInteger(streams_.active());
-  writer.name("open_one_shots").unsignedInteger(one_shots_.active());
-  writer.name("open_forwarded").unsignedInteger(forwards_ ? forwards_->active() : 0);
-  writer.name("evacuated_zones").beginArray();
-  for (const std::string& zone : view->evacuated_zones) {
-    writer.string(zone);
-  }
-  writer.endArray().endObject();
-  return writer.text();
-}
-
 }  // namespace switchsaddle::front
--- a/libraries/front/source/quota_ledger_client.cc
+++ b/libraries/front/source/quota_ledger_client.cc
@@ -9,22 +9,23 @@
 
 namespace {
 
-/** A core that is silent for so long is passed over. */
+/** Time-out of one core, after which the next one is tried. */
 constexpr base::Duration CoreTimeout = std::chrono::milliseconds(150);
-/** The whole of an ask: a request waits for it. */
+/** Time-out of a request over all cores: a caller's request waits for it. */
 constexpr base::Duration RequestDeadline = std::chrono::milliseconds(300);
-/** Pause after an ask that nobody could answer. */
-constexpr base::Duration UnansweredPause = std::chrono::milliseconds(500);
+/** Backoff after a request that no core could answer. */
+constexpr base::Duration UnansweredBackoff = std::chrono::milliseconds(500);
 
 }  // namespace
 
-struct QuotaLedgerClient::Ask {
+struct QuotaLedgerClient::PendingRequest {
   wire::QuotaRequest message;
   Callback callback;
   base::TimePoint deadline;
-  /** Cores to be asked, next one last. */
+  /** Cores that have not been tried; the next one is the last. */
   std::vector<base::NodeAddress> cores;
-  base::NodeAddress asked;
+  /** The core that the request was sent to last. */
+  base::NodeAddress core;
 };
 
 QuotaLedgerClient::QuotaLedgerClient(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
@@ -35,73 +36,69 @@
   return dispatcher_.now() >= backoff_until_;
 }
 
-std::uint64_t QuotaLedgerClient::settledRequests() const {
-  return open_.empty() ? last_number_ : *open_.begin() - 1;
+std::uint64_t QuotaLedgerClient::completedRequests() const {
+  return pending_.empty() ? last_number_ : *pending_.begin() - 1;
 }
 
-void QuotaLedgerClient::ask(const std::string& tenant, std::uint32_t urgency, double units,
-                            Callback callback) {
-  auto asked = std::make_shared<Ask>();
-  asked->message = {tenant,
-                    static_cast<float>(units),
-                    static_cast<std::uint8_t>(urgency),
-                    calls_.localAddress(),
-                    instance_,
-                    ++last_number_};
-  asked->callback = std::move(callback);
-  asked->deadline = dispatcher_.now() + RequestDeadline;
-  asked->cores = cores_();
+void QuotaLedgerClient::request(const std::string& tenant, std::uint32_t urgency, double units,
+                                Callback callback) {
+  auto pending = std::make_shared<PendingRequest>();
+  pending->message = {tenant,
+                      static_cast<float>(units),
+                      static_cast<std::uint8_t>(urgency),
+                      calls_.localAddress(),
+                      instance_,
+                      ++last_number_};
+  pending->callback = std::move(callback);
+  pending->deadline = dispatcher_.now() + RequestDeadline;
+  pending->cores = cores_();
   const auto known = ledgers_.find(admission::ledgerShardOf(tenant));
   if (known != ledgers_.end()) {
-    std::erase(asked->cores, known->second);
-    asked->cores.push_back(known->second);
+    std::erase(pending->cores, known->second);
+    pending->cores.push_back(known->second);
   }
-  open_.insert(last_number_);
-  attemptNext(asked);
+  pending_.insert(last_number_);
+  sendToNextCore(pending);
 }
 
-void QuotaLedgerClient::attemptNext(const AskPtr& ask) {
-  const base::Duration left = ask->deadline - dispatcher_.now();
-  if (ask->cores.empty() || left <= base::Duration::zero()) {
-    backoff_until_ = dispatcher_.now() + UnansweredPause;
-    dispatcher_.post([this, alive = std::weak_ptr(alive_), ask] {
-      if (!alive.expired()) {
-        end(ask, std::nullopt);
-      }
-    });
+void QuotaLedgerClient::sendToNextCore(const PendingRequestPtr& pending) {
+  const base::Duration remaining = pending->deadline - dispatcher_.now();
+  if (pending->cores.empty() || remaining <= base::Duration::zero()) {
+    backoff_until_ = dispatcher_.now() + UnansweredBackoff;
+    dispatcher_.post(callbacks_.guard([this, pending] { complete(pending, std::nullopt); }));
     return;
   }
-  ask->asked = ask->cores.back();
-  ask->cores.pop_back();
-  calls_.call(ask->asked, ask->message, std::min(left, CoreTimeout),
-              [this, alive = std::weak_ptr(alive_), ask](const transport::CallResult& result) {
-                if (!alive.expired()) {
-                  onAnswer(ask, result);
-                }
-              });
+  pending->core = pending->cores.back();
+  pending->cores.pop_back();
+  calls_.call(pending->core, pending->message, std::min(remaining, CoreTimeout),
+              callbacks_.guard([this, pending](const transport::CallResult& result) {
+                onReply(pending, result);
+              }));
 }
 
-void QuotaLedgerClient::onAnswer(const AskPtr& ask, const transport::CallResult& result) {
-  const std::uint32_t shard = admission::ledgerShardOf(ask->message.tenant);
-  const auto* answer = result.as<wire::QuotaReply>();
-  if (answer == nullptr || !answer->is_ledger) {
-    if (ledgers_[shard] == ask->asked) {
+void QuotaLedgerClient::onReply(const PendingRequestPtr& pending,
+                                const transport::CallResult& result) {
+  const std::uint32_t shard = admission::ledgerShardOf(pending->message.tenant);
+  const auto* reply = result.as<wire::QuotaReply>();
+  if (reply == nullptr || !reply->is_ledger) {
+    if (ledgers_[shard] == pending->core) {
       ledgers_.erase(shard);
     }
-    attemptNext(ask);
+    sendToNextCore(pending);
     return;
   }
-  ledgers_[shard] = ask->asked;
-  if (!answer->known) {
-    backoff_until_ = dispatcher_.now() + UnansweredPause;
+  ledgers_[shard] = pending->core;
+  if (!reply->known) {
+    backoff_until_ = dispatcher_.now() + UnansweredBackoff;
   }
-  end(ask, answer->known ? std::optional(*answer) : std::nullopt);
+  complete(pending, reply->known ? std::optional(*reply) : std::nullopt);
 }
 
-void QuotaLedgerClient::end(const AskPtr& ask, const std::optional<wire::QuotaReply>& answer) {
-  // The owner counts a grant within the callback; only then is it settled.
-  ask->callback(answer);
-  open_.erase(ask->message.number);
+void QuotaLedgerClient::complete(const PendingRequestPtr& pending,
+                                 const std::optional<wire::QuotaReply>& reply) {
+  // The callback counts the granted units; the request is complete only after that.
+  pending->callback(reply);
+  pending_.erase(pending->message.number);
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/quota_meter.cc
+++ b/libraries/front/source/quota_meter.cc
@@ -7,15 +7,19 @@
 
 namespace {
 
-/** Demand is a mean over about this time, in seconds. */
-constexpr double DemandTimeS = 0.7;
-constexpr double ShortestDemandS = 0.1;
-/** Less than this is not told. */
-constexpr double LeastDemandPerS = 0.01;
+/** Time constant of the exponential mean of the demand. */
+constexpr double DemandTimeConstantS = 0.7;
+/** The demand is updated at most once in this time. */
+constexpr double MinimumDemandIntervalS = 0.1;
+/** Demand below this is not reported. */
+constexpr double MinimumDemandPerS = 0.01;
 constexpr base::Duration SliceLength = std::chrono::milliseconds(100);
-/** What a refused caller is told at least and at most. */
-constexpr base::Duration ShortestWait = std::chrono::milliseconds(200);
-constexpr base::Duration LongestWait = std::chrono::seconds(2);
+/** Bounds of the Retry-After time of a rejected request. */
+constexpr base::Duration MinimumRetryAfter = std::chrono::milliseconds(200);
+constexpr base::Duration MaximumRetryAfter = std::chrono::seconds(2);
+
+/** Bound of the computed time, which keeps its conversion within range. */
+constexpr double MaximumWaitS = 60;
 
 double secondsOf(base::Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -62,17 +66,18 @@
 }
 
 double QuotaMeter::availableUnits(double limit, const Usage& usage) const {
-  const double room = availableByAllocation(limit, usage);
+  const double available = availableByAllocation(limit, usage);
   const double age_s = secondsOf(dispatcher_.now() - started_at_);
-  // Cores that tell have heard every front for a window, also this one's earlier life.
+  // Cores that report have received the reports of every front for a window, including those of
+  // this front's earlier incarnation.
   if (hasRecentReport() || age_s >= options_.bounds.window_s) {
-    return room;
+    return available;
   }
   const auto fronts =
       static_cast<double>(reported_at_ ? fronts_ : std::max(fronts_, options_.assumed_fronts));
-  const double part = limit / fronts * age_s / options_.bounds.window_s;
-  const double young = part * options_.young_factor + limit * options_.young_share;
-  return std::min(room, young - usage.in_window);
+  const double equal_share = limit / fronts * age_s / options_.bounds.window_s;
+  const double startup = equal_share * options_.startup_factor + limit * options_.startup_share;
+  return std::min(available, startup - usage.in_window);
 }
 
 bool QuotaMeter::hasRecentReport() const {
@@ -80,23 +85,30 @@
 }
 
 double QuotaMeter::availableByAllocation(double limit, const Usage& usage) const {
-  const double untold = usage.total - usage.allocated_total;
-  const double still_told = unexpiredReported(usage);
   if (!hasRecentReport()) {
-    const double equal = 1.0 / static_cast<double>(fronts_);
-    const double last = usage.last_share.value_or(equal);
-    const double alone = limit * std::min(equal, last) - usage.in_window;
-    // What others let in before the cores fell silent leaves the window only bit by bit.
-    const double freed = (limit - still_told) * std::max(equal, last) - untold;
-    return still_told > 0 ? std::min(alone, freed) : alone;
+    return availableWithoutReport(limit, usage);
   }
+  const double unreported = usage.total - usage.allocated_total;
+  const double still_reported = unexpiredReported(usage);
   if (!usage.allocation) {
-    return std::min(limit * options_.unreported_share, limit - still_told) - untold;
+    return std::min(limit * options_.unreported_share, limit - still_reported) - unreported;
   }
-  const double admitted = std::max<double>(usage.allocation->fleet_admitted, still_told);
-  const double left = limit - admitted;
-  const double soon_used = usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
-  return std::max(left * usage.allocation->share, left - soon_used) - untold;
+  const double admitted = std::max<double>(usage.allocation->fleet_admitted, still_reported);
+  const double remaining = limit - admitted;
+  const double used_in_lag =
+      usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
+  return std::max(remaining * usage.allocation->share, remaining - used_in_lag) - unreported;
+}
+
+double QuotaMeter::availableWithoutReport(double limit, const Usage& usage) const {
+  const double unreported = usage.total - usage.allocated_total;
+  const double still_reported = unexpiredReported(usage);
+  const double equal = 1.0 / static_cast<double>(fronts_);
+  const double last = usage.last_share.value_or(equal);
+  const double alone = limit * std::min(equal, last) - usage.in_window;
+  // What the peers admitted before the last report leaves the window only gradually.
+  const double freed = (limit - still_reported) * std::max(equal, last) - unreported;
+  return still_reported > 0 ? std::min(alone, freed) : alone;
 }
 
 double QuotaMeter::unexpiredReported(const Usage& usage) const {
@@ -113,75 +125,79 @@
   if (!usage.allocation) {
     return false;
   }
-  const double left = limit - usage.allocation->fleet_admitted;
-  const double soon_used = usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
-  const double untold = usage.total - usage.allocated_total;
-  return left - options_.comfortable * soon_used - untold < units;
+  const double remaining = limit - usage.allocation->fleet_admitted;
+  const double used_in_lag =
+      usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
+  const double unreported = usage.total - usage.allocated_total;
+  return remaining - options_.headroom_factor * used_in_lag - unreported < units;
 }
 
 void QuotaMeter::acquire(const configuration::ForwardTenant& tenant, std::uint32_t urgency,
                          double units, DecisionCallback callback) {
   const std::optional<double> bound = options_.bounds.limitOf(tenant);
   if (!bound) {
-    // Without a quota nothing is counted.
+    // Tenants without a quota are not metered.
     callback(std::nullopt);
     return;
   }
-  const double limit = *bound * options_.used;
-  usageOf(tenant.name).asked += units;
-  const bool asks = authority_ != nullptr && authority_->reachable();
-  if (!asks || !isNearQuota(tenant, limit, units)) {
-    tell(tenant, units, acquireFromShare(tenant, limit, units), callback);
+  const double limit = *bound * options_.used_share;
+  usageOf(tenant.name).requested += units;
+  const bool has_authority = authority_ != nullptr && authority_->reachable();
+  if (!has_authority || !isNearQuota(tenant, limit, units)) {
+    deliver(tenant, units, acquireFromShare(tenant, limit, units), callback);
     return;
   }
-  authority_->ask(tenant.name, urgency, units,
-                  [this, alive = std::weak_ptr(alive_), tenant, limit, units,
-                   callback = std::move(callback)](const std::optional<wire::QuotaReply>& answer) {
-                    if (alive.expired()) {
-                      return;
-                    }
-                    Decision decision;
-                    if (!answer) {
-                      decision = acquireFromShare(tenant, limit, units);
-                    } else if (answer->granted) {
-                      count(usageOf(tenant.name), units);
-                    } else {
-                      decision = std::chrono::milliseconds(answer->retry_after_ms);
-                    }
-                    tell(tenant, units, decision, callback);
-                  });
-}
-
-void QuotaMeter::tell(const configuration::ForwardTenant& tenant, double units,
-                      const Decision& decision, const DecisionCallback& callback) {
-  const bool goes_on = callback(decision);
-  if (!goes_on && !decision) {
+  auto on_reply = [this, tenant, limit, units,
+                   callback = std::move(callback)](const std::optional<wire::QuotaReply>& reply) {
+    deliver(tenant, units, decide(tenant, limit, units, reply), callback);
+  };
+  authority_->request(tenant.name, urgency, units, callbacks_.guard(std::move(on_reply)));
+}
+
+QuotaMeter::Decision QuotaMeter::decide(const configuration::ForwardTenant& tenant, double limit,
+                                        double units,
+                                        const std::optional<wire::QuotaReply>& reply) {
+  if (!reply) {
+    return acquireFromShare(tenant, limit, units);
+  }
+  if (!reply->granted) {
+    return std::chrono::milliseconds(reply->retry_after_ms);
+  }
+  count(usageOf(tenant.name), units);
+  return std::nullopt;
+}
+
+void QuotaMeter::deliver(const configuration::ForwardTenant& tenant, double units,
+                         const Decision& decision, const DecisionCallback& callback) {
+  const AdmittedUnits admitted = callback(decision);
+  if (admitted == AdmittedUnits::Refund && !decision) {
     refund(tenant, units);
   }
 }
 
-QuotaMeter::Decision QuotaMeter::take(const configuration::ForwardTenant& tenant, double units) {
+QuotaMeter::Decision QuotaMeter::acquireLocally(const configuration::ForwardTenant& tenant,
+                                                double units) {
   const std::optional<double> limit = options_.bounds.limitOf(tenant);
   if (!limit) {
     return std::nullopt;
   }
-  usageOf(tenant.name).asked += units;
-  return acquireFromShare(tenant, *limit * options_.used, units);
+  usageOf(tenant.name).requested += units;
+  return acquireFromShare(tenant, *limit * options_.used_share, units);
 }
 
 QuotaMeter::Decision QuotaMeter::acquireFromShare(const configuration::ForwardTenant& tenant,
                                                   double limit, double units) {
   Usage& usage = usageOf(tenant.name);
   expire(usage);
-  const double room = availableUnits(limit, usage);
-  if (units <= room) {
+  const double available = availableUnits(limit, usage);
+  if (units <= available) {
     count(usage, units);
     return std::nullopt;
   }
   const double rate = std::max(1.0, tenant.rate_per_s);
-  const auto wait = std::chrono::duration_cast<base::Duration>(
-      std::chrono::duration<double>(std::min(60.0, (units - room) / rate)));
-  return std::clamp(wait, ShortestWait, LongestWait);
+  const auto retry_after = std::chrono::duration_cast<base::Duration>(
+      std::chrono::duration<double>(std::min(MaximumWaitS, (units - available) / rate)));
+  return std::clamp(retry_after, MinimumRetryAfter, MaximumRetryAfter);
 }
 
 void QuotaMeter::refund(const configuration::ForwardTenant& tenant, double units) {
@@ -213,16 +229,16 @@
   const base::TimePoint now = dispatcher_.now();
   for (auto& [name, usage] : usages_) {
     const double elapsed_s = secondsOf(now - usage.demand_at);
-    if (elapsed_s >= ShortestDemandS) {
-      const double kept = std::exp(-elapsed_s / DemandTimeS);
-      usage.demand_per_s = usage.demand_per_s * kept + usage.asked / elapsed_s * (1 - kept);
-      usage.asked = 0;
+    if (elapsed_s >= MinimumDemandIntervalS) {
+      const double decay = std::exp(-elapsed_s / DemandTimeConstantS);
+      usage.demand_per_s = usage.demand_per_s * decay + usage.requested / elapsed_s * (1 - decay);
+      usage.requested = 0;
       usage.demand_at = now;
     }
     expire(usage);
     usage.reported_total = usage.total;
     const auto admitted = static_cast<float>(std::max(0.0, usage.in_window));
-    if (admitted > 0 || usage.demand_per_s >= LeastDemandPerS) {
+    if (admitted > 0 || usage.demand_per_s >= MinimumDemandPerS) {
       demands.push_back({name, static_cast<float>(usage.demand_per_s), admitted});
     }
   }
--- a/libraries/front/source/request_parser.cc
+++ b/libraries/front/source/request_parser.cc
@@ -24,7 +24,7 @@
 constexpr std::array<std::string_view, 3> OneShotFields{"service", "model", "payload"};
 constexpr std::array<std::string_view, 2> PrefixSegmentFields{"id", "tokens"};
 constexpr std::size_t MaximumDepth = 32;
-/** Rough length of a token in bytes, for prompts that do not tell their tokens. */
+/** Mean length of a token in bytes, for estimating the tokens of messages. */
 constexpr std::size_t BytesPerToken = 4;
 constexpr std::int64_t LargestCount = 1'000'000'000;
 
@@ -48,8 +48,8 @@
 }
 
 template <std::size_t Count>
-void refuseUnknown(const JsonValue& object, const std::array<std::string_view, Count>& known,
-                   const std::string& prefix) {
+void rejectUnknownFields(const JsonValue& object, const std::array<std::string_view, Count>& known,
+                         const std::string& prefix) {
   for (const std::string& name : object.names) {
     if (std::find(known.begin(), known.end(), name) == known.end()) {
       fail(ResultCode::UnknownField, prefix + name, "unknown field");
@@ -83,8 +83,8 @@
   return value.text;
 }
 
-void checkOptional(const JsonValue& object, const std::string& name, JsonKind kind,
-                   const char* expected) {
+void validateOptional(const JsonValue& object, const std::string& name, JsonKind kind,
+                      const char* expected) {
   if (const JsonValue* value = object.find(name)) {
     requireKind(*value, kind, name, expected);
   }
@@ -98,8 +98,9 @@
   return static_cast<std::uint32_t>(value.integer);
 }
 
-/** Checks the messages and returns the number of their bytes. */
-std::size_t checkMessages(const JsonValue& messages) {
+/** Validates the messages.
+ * @return the bytes of their contents. */
+std::size_t validateMessages(const JsonValue& messages) {
   requireKind(messages, JsonKind::Array, "messages", "an array");
   if (messages.elements.empty()) {
     fail(ResultCode::InvalidValue, "messages", "the array is empty");
@@ -119,22 +120,22 @@
   return bytes;
 }
 
-std::vector<routing::PrefixSegment> readPrefixParts(const JsonValue* parts) {
-  std::vector<routing::PrefixSegment> read;
-  if (parts == nullptr) {
-    return read;
+std::vector<routing::PrefixSegment> parsePrefixSegments(const JsonValue* segments) {
+  std::vector<routing::PrefixSegment> parsed;
+  if (segments == nullptr) {
+    return parsed;
   }
-  requireKind(*parts, JsonKind::Array, "prefix_parts", "an array");
-  for (std::size_t index = 0; index < parts->elements.size(); ++index) {
+  requireKind(*segments, JsonKind::Array, "prefix_parts", "an array");
+  for (std::size_t index = 0; index < segments->elements.size(); ++index) {
     const std::string path = "prefix_parts[" + std::to_string(index) + "]";
-    const JsonValue& part = parts->elements[index];
-    requireKind(part, JsonKind::Object, path, "an object");
-    refuseUnknown(part, PrefixSegmentFields, path + ".");
-    const std::string id = requireText(part, "id", path + ".");
-    const JsonValue& tokens = require(part, "tokens", path + ".");
-    read.push_back({id, requireCount(tokens, 0, path + ".tokens")});
-  }
-  return read;
+    const JsonValue& segment = segments->elements[index];
+    requireKind(segment, JsonKind::Object, path, "an object");
+    rejectUnknownFields(segment, PrefixSegmentFields, path + ".");
+    const std::string id = requireText(segment, "id", path + ".");
+    const JsonValue& tokens = require(segment, "tokens", path + ".");
+    parsed.push_back({id, requireCount(tokens, 0, path + ".tokens")});
+  }
+  return parsed;
 }
 
 void setMember(JsonValue& object, const std::string& name, JsonValue value) {
@@ -148,45 +149,54 @@
   object.elements.push_back(std::move(value));
 }
 
+std::uint32_t estimateTokens(std::size_t message_bytes,
+                             const std::vector<routing::PrefixSegment>& prefix_segments) {
+  std::uint64_t tokens = message_bytes / BytesPerToken;
+  for (const routing::PrefixSegment& segment : prefix_segments) {
+    tokens += segment.tokens;
+  }
+  return static_cast<std::uint32_t>(std::min<std::uint64_t>(tokens, LargestCount));
+}
+
+/** @return the canonical body with the fields that the worker always gets. */
+std::string streamingBody(JsonValue object, std::uint32_t maximum_tokens) {
+  JsonValue streaming;
+  streaming.kind = JsonKind::Boolean;
+  streaming.boolean = true;
+  setMember(object, "stream", std::move(streaming));
+  JsonValue token_limit;
+  token_limit.kind = JsonKind::Integer;
+  token_limit.integer = maximum_tokens;
+  setMember(object, "max_tokens", std::move(token_limit));
+  return object.canonical();
+}
+
 }  // namespace
 
 CompletionBody parseCompletionBody(const std::string& body, std::uint32_t default_maximum_tokens) {
   JsonValue object = parseObject(body);
-  refuseUnknown(object, CompletionFields, "");
+  rejectUnknownFields(object, CompletionFields, "");
   CompletionBody parsed;
   parsed.prompt.model = requireText(object, "model", "");
-  const std::size_t bytes = checkMessages(require(object, "messages", ""));
-  checkOptional(object, "stream", JsonKind::Boolean, "true or false");
-  checkOptional(object, "user", JsonKind::String, "a string");
-  checkOptional(object, "conversation", JsonKind::String, "a string");
+  const std::size_t message_bytes = validateMessages(require(object, "messages", ""));
+  validateOptional(object, "stream", JsonKind::Boolean, "true or false");
+  validateOptional(object, "user", JsonKind::String, "a string");
+  validateOptional(object, "conversation", JsonKind::String, "a string");
   if (const JsonValue* stream = object.find("stream")) {
     parsed.stream = stream->boolean;
   }
   const JsonValue* maximum = object.find("max_tokens");
   parsed.prompt.maximum_tokens =
       maximum == nullptr ? default_maximum_tokens : requireCount(*maximum, 1, "max_tokens");
-  parsed.prompt.prefix_segments = readPrefixParts(object.find("prefix_parts"));
-  std::uint64_t tokens = bytes / BytesPerToken;
-  for (const routing::PrefixSegment& part : parsed.prompt.prefix_segments) {
-    tokens += part.tokens;
-  }
-  parsed.prompt.prompt_tokens =
-      static_cast<std::uint32_t>(std::min<std::uint64_t>(tokens, LargestCount));
-  JsonValue streaming;
-  streaming.kind = JsonKind::Boolean;
-  streaming.boolean = true;
-  setMember(object, "stream", std::move(streaming));
-  JsonValue token_limit;
-  token_limit.kind = JsonKind::Integer;
-  token_limit.integer = parsed.prompt.maximum_tokens;
-  setMember(object, "max_tokens", std::move(token_limit));
-  parsed.worker_body = object.canonical();
+  parsed.prompt.prefix_segments = parsePrefixSegments(object.find("prefix_parts"));
+  parsed.prompt.prompt_tokens = estimateTokens(message_bytes, parsed.prompt.prefix_segments);
+  parsed.worker_body = streamingBody(std::move(object), parsed.prompt.maximum_tokens);
   return parsed;
 }
 
 OneShotBody parseOneShotBody(const std::string& body) {
   const JsonValue object = parseObject(body);
-  refuseUnknown(object, OneShotFields, "");
+  rejectUnknownFields(object, OneShotFields, "");
   OneShotBody parsed;
   parsed.service = requireText(object, "service", "");
   if (object.find("model") != nullptr) {
--- a/libraries/front/source/retry_budget.cc
+++ b/libraries/front/source/retry_budget.cc
@@ -14,7 +14,7 @@
   ServiceCounts& counts = services_[service];
   expire(counts.first_attempts, Window - Headroom);
   expire(counts.retries, Window + Slice);
-  const double allowed = share * dependable(counts.first_attempts.total) + extra;
+  const double allowed = share * lowerEstimate(counts.first_attempts.total) + extra;
   const double allowed_now =
       share * static_cast<double>(countWithin(counts.first_attempts, ShortWindow)) + extra;
   const bool within = static_cast<double>(counts.retries.total + 1) <= allowed;
@@ -30,8 +30,9 @@
   return true;
 }
 
-double RetryBudget::dependable(std::uint64_t first_attempts) {
-  // Independent arrivals vary by the root of their number. Small counts lose enough by rounding.
+double RetryBudget::lowerEstimate(std::uint64_t first_attempts) {
+  // The standard deviation of independent arrivals is the root of their number. For small counts
+  // the rounding of slices is margin enough.
   constexpr std::uint64_t SmallCount = 40;
   const auto counted = static_cast<double>(first_attempts);
   return first_attempts <= SmallCount ? counted : counted - std::sqrt(counted);
--- a/libraries/front/source/routing_page.h
+++ b/libraries/front/source/routing_page.h
@@ -4,7 +4,7 @@
 
 namespace switchsaddle::front {
 
-/** The HTML of GET /: the routing table of the front that serves it, live. */
+/** @return the HTML of GET /: a live view of the routing table of the front that serves it. */
 std::string routingPage();
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/stage.cc
+++ b/libraries/front/source/stage.cc
@@ -32,11 +32,11 @@
 }
 
 void Stage::runNext(const std::shared_ptr<State>& state) {
-  // A task may end within its own call; the outer loop then goes on, so that the stack stays flat.
-  if (state->draining) {
+  // A task may end within its own call; then the outer loop continues, which bounds the stack.
+  if (state->running_next) {
     return;
   }
-  state->draining = true;
+  state->running_next = true;
   while (state->running < state->concurrency) {
     std::optional<Task> task = state->queue.pop();
     if (!task) {
@@ -45,7 +45,7 @@
     ++state->running;
     (*task)(makeTicket(state));
   }
-  state->draining = false;
+  state->running_next = false;
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/state_reporter.cc
+++ b/libraries/front/source/state_reporter.cc
@@ -41,33 +41,35 @@
       session_(session),
       slots_(slots) {}
 
-void StateReporter::note(Subject subject, const std::string& key, const std::string& value,
-                         std::uint64_t version) {
-  const auto held = view_.entries().find({subject, key});
-  const bool known = held != view_.entries().end();
-  const bool same =
-      known ? held->second.value == value && held->second.version == version : value.empty();
-  if (!same) {
+void StateReporter::recordIfChanged(Subject subject, const std::string& key,
+                                    const std::string& value, std::uint64_t version) {
+  const auto entry = view_.entries().find({subject, key});
+  const bool known = entry != view_.entries().end();
+  const bool unchanged =
+      known ? entry->second.value == value && entry->second.version == version : value.empty();
+  if (!unchanged) {
     journal_.append(subject, key, value, version);
   }
 }
 
 void StateReporter::poll() {
   const SessionState state = session_.state();
-  // The same words as in the cores' session tables, so that the two can be compared.
-  note(Subject::Session, owner_.address.toString(),
-       isOpen(state) ? "live, instance " + std::to_string(owner_.instance) : std::string(), 0);
-  note(Subject::Session, "state", stateName(state), 0);
+  // The format of the cores' session tables, so that the two can be compared.
+  recordIfChanged(
+      Subject::Session, owner_.address.toString(),
+      isOpen(state) ? "live, instance " + std::to_string(owner_.instance) : std::string(), 0);
+  recordIfChanged(Subject::Session, "state", stateName(state), 0);
   for (const auto& [shard, term] : slots_.ledgerTerms()) {
-    note(Subject::Lease, "limit-ledger/" + std::to_string(shard) + ", term heard",
-         std::to_string(term), term);
+    recordIfChanged(Subject::Lease, "limit-ledger/" + std::to_string(shard) + ", term heard",
+                    std::to_string(term), term);
   }
   refreshSlots();
 }
 
 void StateReporter::refreshSlots() {
-  for (const auto& [branch, held, in_use] : slots_.allocations()) {
-    const std::string value = std::to_string(held) + " held, " + std::to_string(in_use) + " in use";
+  for (const auto& [branch, allocated, in_use] : slots_.allocations()) {
+    const std::string value =
+        std::to_string(allocated) + " held, " + std::to_string(in_use) + " in use";
     journal::StateEntry& entry = slot_state_[branch];
     if (entry.value != value) {
       entry = {value, 0, dispatcher_.now()};
--- a/libraries/front/source/state_reporter.h
+++ b/libraries/front/source/state_reporter.h
@@ -12,31 +12,33 @@
 
 namespace switchsaddle::front {
 
-/** Who reports its beliefs. */
+/** The process whose state is reported. */
 struct StateOwner {
   base::NodeAddress address;
   std::uint64_t instance = 0;
 };
 
 /**
- * What a front believes, for GET /v1/beliefs: the view of its journal, to which this class adds
- * what changes without an event, by looking at it at intervals: the state of the session, the terms
- * of the ledgers, and the slots held. Ages of the latter are exact to the interval. Runs on the
- * control strand.
+ * The state of a front, for GET /v1/beliefs: the view of its journal, and state that changes
+ * without an event, which this class polls: the session, the terms of the ledgers, and the
+ * allocated slots. The ages of polled state are exact to the polling interval. Runs on the control
+ * strand.
  */
 class StateReporter {
  public:
   StateReporter(base::Dispatcher& dispatcher, journal::Journal& journal, StateOwner owner,
                 const sessions::SessionClient& session, const admission::LedgerSlotBroker& slots);
 
-  /** Journals what has changed since the last look. */
+  /** Appends to the journal what has changed since the last poll. */
   void poll();
-  /** The body of GET /v1/beliefs, after a look. */
+  /** Polls.
+   * @return the body of GET /v1/beliefs. */
   std::string report();
 
  private:
-  void note(journal::Subject subject, const std::string& key, const std::string& value,
-            std::uint64_t version);
+  /** Appends the entry to the journal unless its value is unchanged. */
+  void recordIfChanged(journal::Subject subject, const std::string& key, const std::string& value,
+                       std::uint64_t version);
   void refreshSlots();
 
   base::Dispatcher& dispatcher_;
@@ -45,7 +47,7 @@
   StateOwner owner_;
   const sessions::SessionClient& session_;
   const admission::LedgerSlotBroker& slots_;
-  /** Slots change with every request, so that they stay out of the journal. */
+  /** Not in the journal, since slots change with each request. */
   std::map<std::string, journal::StateEntry> slot_state_;
 };
 
--- a/libraries/front/source/worker_circuit.cc
+++ b/libraries/front/source/worker_circuit.cc
@@ -21,7 +21,8 @@
     circuits_.erase(found);
     return;
   }
-  // This is the probe: others stay away until it has ended or as much time again has passed.
+  // The trial request of a half-open circuit: the circuit remains open for other requests until
+  // this one has ended or the backoff time has passed again.
   found->second.open_until = dispatcher_.now() + found->second.open_time;
 }
 
--- a/libraries/front/test/quota_ledger_test.cc
+++ b/libraries/front/test/quota_ledger_test.cc
@@ -1,5 +1,5 @@
-// Tenants near their quota at fleets of many fronts: a ledger that lets requests in one by one,
-// against parts that each front divides what is left into.
+// Tenants close to their quota in fleets of many fronts: a ledger that decides on each request,
+// compared with fronts that admit within their shares of the remainder.
 
 #include <gtest/gtest.h>
 
@@ -25,7 +25,7 @@
 constexpr configuration::QuotaBounds Bounds{8, 0.1, 140'000};
 constexpr double Rate = 100'000;
 
-/** A kind of request: how urgent, how large, and how many of a hundred. */
+/** A kind of request: its priority, its size, and its percentage of all requests. */
 struct Kind {
   std::uint32_t urgency;
   double units;
@@ -42,12 +42,13 @@
   return tenant;
 }
 
-/** What the fleet may let in within a window, and uses. */
+/** @return units that the fleet may admit within a window. */
 double usedLimit() {
   return *Bounds.limitOf(tenantOf()) * configuration::UsedShareOfQuota;
 }
 
-/** Many fronts that renew with one core each quarter of a second and ask its ledger. */
+/** Many fronts that renew with one core each quarter of a second and request units of its ledger.
+ */
 class LedgerFleet {
  public:
   LedgerFleet(std::uint64_t seed, std::size_t fronts, bool with_ledger = true)
@@ -63,20 +64,20 @@
     run(seconds(9), 0);
   }
 
-  /** Callers ask for so many units a second. */
+  /** Sends requests for this many units per second. */
   void run(base::Duration duration, double units_per_s) {
     constexpr base::Duration Step = milliseconds(10);
     for (base::Duration passed{}; passed < duration; passed += Step) {
       world_.runFor(Step);
       ++steps_;
       renew();
-      for (owed_ += units_per_s * 0.01; owed_ > 0; owed_ -= MeanUnits) {
+      for (due_units_ += units_per_s * 0.01; due_units_ > 0; due_units_ -= MeanUnits) {
         request();
       }
       noteWindow();
     }
   }
-  /** Another core, which has heard all fronts or none, holds the ledger's lease from now on. */
+  /** Moves the ledger's lease to another core, with or without the fronts' reports. */
   void takeOver(bool forgets) {
     ledger_.reset();
     if (forgets) {
@@ -111,13 +112,13 @@
   }
 
  private:
-  /** The way of one front to the ledger. */
+  /** Carries the requests of one front to the ledger. */
   class Authority : public QuotaAuthority {
    public:
     Authority(LedgerFleet& fleet, std::size_t front) : fleet_(fleet), front_(front) {}
-    void ask(const std::string& tenant, std::uint32_t urgency, double units,
-             Callback callback) override {
-      fleet_.ask(front_, tenant, urgency, units, std::move(callback));
+    void request(const std::string& tenant, std::uint32_t urgency, double units,
+                 Callback callback) override {
+      fleet_.requestUnits(front_, tenant, urgency, units, std::move(callback));
     }
     bool reachable() const override { return fleet_.with_ledger_; }
 
@@ -132,8 +133,8 @@
     std::unique_ptr<FrontHistory> history;
     bool is_cut = false;
     base::TimePoint last_seen{};
-    std::uint64_t asks = 0;
-    std::set<std::uint64_t> open_asks;
+    std::uint64_t last_request = 0;
+    std::set<std::uint64_t> pending_requests;
   };
 
   void start(std::size_t index) {
@@ -141,8 +142,8 @@
     front.entry.record.front = {"127.0.0.1", static_cast<std::uint16_t>(index + 1)};
     front.entry.record.demand.clear();
     front.entry.record.fleet_knowledge = {};
-    front.asks = 0;
-    front.open_asks.clear();
+    front.last_request = 0;
+    front.pending_requests.clear();
     front.authority = std::make_unique<Authority>(*this, index);
     QuotaOptions options;
     options.bounds = Bounds;
@@ -150,30 +151,30 @@
     front.history = std::make_unique<FrontHistory>(process_, front.entry.record.front);
   }
 
-  void ask(std::size_t index, const std::string& tenant, std::uint32_t urgency, double units,
-           QuotaAuthority::Callback callback) {
+  void requestUnits(std::size_t index, const std::string& tenant, std::uint32_t urgency,
+                    double units, QuotaAuthority::Callback callback) {
     Front& front = *fronts_[index];
-    const std::uint64_t number = ++front.asks;
-    front.open_asks.insert(number);
-    const wire::QuotaRequest ask{tenant,
-                                 static_cast<float>(units),
-                                 static_cast<std::uint8_t>(urgency),
-                                 front.entry.record.front,
-                                 front.entry.record.instance,
-                                 number};
-    process_.postAfter(milliseconds(1 + random().below(8)), [this, index, ask, callback] {
+    const std::uint64_t number = ++front.last_request;
+    front.pending_requests.insert(number);
+    const wire::QuotaRequest message{tenant,
+                                     static_cast<float>(units),
+                                     static_cast<std::uint8_t>(urgency),
+                                     front.entry.record.front,
+                                     front.entry.record.instance,
+                                     number};
+    process_.postAfter(milliseconds(1 + random().below(8)), [this, index, message, callback] {
       std::optional<wire::QuotaReply> answer;
       if (!fronts_[index]->is_cut) {
-        answer = ledger_->decide(ask);
+        answer = ledger_->decide(message);
       }
       const bool usable = answer && answer->is_ledger && answer->known;
       const base::Duration way = milliseconds(usable ? 1 + random().below(8) : 150);
-      process_.postAfter(way, [this, index, ask, usable, answer, callback] {
-        Front& asker = *fronts_[index];
-        const bool lives = asker.meter && asker.entry.record.instance == ask.instance;
-        if (lives) {
+      process_.postAfter(way, [this, index, message, usable, answer, callback] {
+        Front& sender = *fronts_[index];
+        const bool is_running = sender.meter && sender.entry.record.instance == message.instance;
+        if (is_running) {
           callback(usable ? answer : std::nullopt);
-          asker.open_asks.erase(ask.number);
+          sender.pending_requests.erase(message.number);
         }
       });
     });
@@ -193,10 +194,11 @@
       }
       wire::SessionRecord& record = front.entry.record;
       record.demand = front.meter->demand();
-      record.settled_requests = front.open_asks.empty() ? front.asks : *front.open_asks.begin() - 1;
+      record.settled_requests =
+          front.pending_requests.empty() ? front.last_request : *front.pending_requests.begin() - 1;
       front.meter->setFronts(fronts_.size());
-      front.history->see(listed);
-      record.fleet_knowledge = front.history->fleet_knowledge();
+      front.history->update(listed);
+      record.fleet_knowledge = front.history->fleetKnowledge();
       front.last_seen = world_.now();
       if (const auto allocations = allocator_->allocate(record)) {
         front.meter->setAllocations(*allocations);
@@ -233,7 +235,7 @@
                              let_in_ += Kinds[kind].units;
                              ++served_[kind];
                            }
-                           return true;
+                           return AdmittedUnits::Keep;
                          });
   }
   void noteWindow() {
@@ -259,13 +261,13 @@
   std::array<std::uint64_t, Kinds.size()> requested_{};
   std::array<std::uint64_t, Kinds.size()> served_{};
   std::uint64_t steps_ = 0;
-  double owed_ = 0;
+  double due_units_ = 0;
   double in_window_ = 0;
   double most_ = 0;
   double let_in_ = 0;
 };
 
-/** Part of what the quota allows that is let in while callers ask for `factor` times the rate. */
+/** @return the admitted share of the quota under a demand of `factor` times its rate. */
 double usedShare(std::uint64_t seed, std::size_t fronts, double factor, bool with_ledger) {
   LedgerFleet fleet(seed, fronts, with_ledger);
   fleet.run(seconds(10), Rate * factor);
--- a/libraries/front/test/quota_meter_test.cc
+++ b/libraries/front/test/quota_meter_test.cc
@@ -33,7 +33,7 @@
   simulation::World world{1};
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
-  EXPECT_FALSE(meter.take(tenantOf(0), 1e12).has_value());
+  EXPECT_FALSE(meter.acquireLocally(tenantOf(0), 1e12).has_value());
 }
 
 TEST(QuotaMeterTest, WithoutWordFromTheCoresAFrontKeepsAnEqualPart) {
@@ -46,12 +46,12 @@
   const configuration::ForwardTenant tenant = tenantOf(1'000);
   double let_in = 0;
   for (int request = 0; request < 10'000; ++request) {
-    let_in += meter.take(tenant, 10).has_value() ? 0 : 10;
+    let_in += meter.acquireLocally(tenant, 10).has_value() ? 0 : 10;
   }
   EXPECT_LE(let_in, *Bounds.limitOf(tenant) / 4);
   EXPECT_GT(let_in, *Bounds.limitOf(tenant) / 5);
   world.runFor(std::chrono::milliseconds(8'200));
-  EXPECT_FALSE(meter.take(tenant, 10).has_value());
+  EXPECT_FALSE(meter.acquireLocally(tenant, 10).has_value());
 }
 
 TEST(QuotaMeterTest, AFrontThatHasJustStartedBeginsWithNothing) {
@@ -59,11 +59,11 @@
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
   const configuration::ForwardTenant tenant = tenantOf(1'000);
-  EXPECT_TRUE(meter.take(tenant, 300).has_value());
+  EXPECT_TRUE(meter.acquireLocally(tenant, 300).has_value());
   world.runFor(std::chrono::seconds(1));
   double let_in = 0;
   for (int request = 0; request < 1'000; ++request) {
-    let_in += meter.take(tenant, 10).has_value() ? 0 : 10;
+    let_in += meter.acquireLocally(tenant, 10).has_value() ? 0 : 10;
   }
   // An eighth of what comes free in a second, and a little besides.
   EXPECT_LE(let_in, *Bounds.limitOf(tenant) * (1.0 / 8 / 8 + 0.02));
@@ -78,12 +78,12 @@
   meter.setAllocations({{"t", 1, 0, 0}});
   const configuration::ForwardTenant tenant = tenantOf(100);
   const double all = *Bounds.limitOf(tenant) * 0.84;
-  EXPECT_FALSE(meter.take(tenant, all - 1).has_value());
-  const auto wait = meter.take(tenant, 50);
+  EXPECT_FALSE(meter.acquireLocally(tenant, all - 1).has_value());
+  const auto wait = meter.acquireLocally(tenant, 50);
   ASSERT_TRUE(wait.has_value());
   EXPECT_GT(*wait, base::Duration::zero());
   meter.refund(tenant, all - 1);
-  EXPECT_FALSE(meter.take(tenant, 50).has_value());
+  EXPECT_FALSE(meter.acquireLocally(tenant, 50).has_value());
 }
 
 /** Fronts that report to one core each quarter of a second, under demand that jumps about. */
@@ -156,8 +156,8 @@
     for (std::size_t index = 0; index + cut < meters_.size(); ++index) {
       if ((steps_ + index * 7) % 25 == 0) {
         records_[index].record.demand = meters_[index]->demand();
-        histories_[index]->see(listed());
-        records_[index].record.fleet_knowledge = histories_[index]->fleet_knowledge();
+        histories_[index]->update(listed());
+        records_[index].record.fleet_knowledge = histories_[index]->fleetKnowledge();
         if (const auto allocations = allocator_->allocate(records_[index].record)) {
           meters_[index]->setAllocations(*allocations);
         }
@@ -182,7 +182,7 @@
       // Uneven, as callers are.
       const std::size_t first = world_.random().below(meters_.size());
       const std::size_t front = std::min(first, world_.random().below(meters_.size()));
-      if (!meters_[front]->take(tenant_, Request).has_value()) {
+      if (!meters_[front]->acquireLocally(tenant_, Request).has_value()) {
         admitted_.push_back({now, Request});
         let_in_ += Request;
       }
