--- a/libraries/front/test/caller_forwarding_test.cc
+++ b/libraries/front/test/caller_forwarding_test.cc
@@ -13,7 +13,7 @@
 class CallerForwardingTest : public ForwardFixture {
  protected:
   CallerForwardingTest() : ForwardFixture(RetryAllowance{}) {
-    configuration::Forwarding& forwarding = beliefs.view.forwarding;
+    configuration::Forwarding& forwarding = fleet_view.view.forwarding;
     forwarding.pools["shop"].name = "shop";
     configuration::ForwardRoute& route = forwarding.routes["r"];
     route.name = "r";
@@ -22,15 +22,15 @@
     route.kind = configuration::ForwardKind::AtMostOnce;
     route.targets = {{"shop", 1}};
     forwarding.index();
-    beliefs.view.version = 1;
-    beliefs.addWorker("w1", "shop");
+    fleet_view.view.version = 1;
+    fleet_view.addWorker("w1", "shop");
     create(LapsedSession::Serve);
   }
   void create(LapsedSession lapsed) {
     service =
         std::make_unique<CallerService>(CallerDependencies{process,
                                                            session,
-                                                           beliefs,
+                                                           fleet_view,
                                                            router,
                                                            streams,
                                                            one_shots,
@@ -64,14 +64,14 @@
   FakeWorkers workers;
   StreamStages stages;
   StreamFlow streams{StreamEnvironment{process, world.random(), slots, session, router, workers,
-                                       beliefs, retries, circuit, counters, stages}};
+                                       fleet_view, retries, circuit, counters, stages}};
   OneShotFlow one_shots{OneShotEnvironment{process, world.random(), claims, slots, session, workers,
-                                           beliefs, retries, circuit, counters}};
+                                           fleet_view, retries, circuit, counters}};
   ControlForwarder control{calls, [] { return std::vector<base::NodeAddress>{}; }};
   std::unique_ptr<CallerService> service;
 };
 
-TEST_F(CallerForwardingTest, AHostWithRoutesIsForwardingsAlone) {
+TEST_F(CallerForwardingTest, HostWithRoutesServesForwardingOnly) {
   EXPECT_EQ(statusOf("/metrics/x"), 200);
   EXPECT_EQ(port.sent.size(), 1U);
   EXPECT_EQ(statusOf("/metrics"), 404);
@@ -80,17 +80,17 @@
   EXPECT_EQ(port.sent.size(), 1U);
 }
 
-TEST_F(CallerForwardingTest, WithoutAConfigurationOrWorkersNothingIsDenied) {
-  beliefs.view = {};
+TEST_F(CallerForwardingTest, WithoutAConfigurationOrWorkersTheFrontIsNotReady) {
+  fleet_view.view = {};
   EXPECT_FALSE(service->ready());
   EXPECT_EQ(statusOf("/metrics/x"), 503);
   EXPECT_EQ(statusOf("/nowhere/"), 503);
-  beliefs.view.version = 1;
-  beliefs.snapshot.workers.clear();
+  fleet_view.view.version = 1;
+  fleet_view.snapshot.workers.clear();
   EXPECT_FALSE(service->ready());
 }
 
-TEST_F(CallerForwardingTest, ALapsedSessionServesOnlyWhereTheSettingsSaySo) {
+TEST_F(CallerForwardingTest, LapsedSessionServesOnlyIfConfigured) {
   session.now = sessions::SessionState::Lapsed;
   EXPECT_TRUE(service->ready());
   EXPECT_EQ(statusOf("/metrics/x"), 200);
@@ -99,7 +99,7 @@
   EXPECT_EQ(statusOf("/metrics/x"), 503);
 }
 
-TEST_F(CallerForwardingTest, AStoppingFrontIsNotReadyAndServesOnUntilItsNoticeHasPassed) {
+TEST_F(CallerForwardingTest, StoppingFrontIsNotReadyAndServesUntilItsNoticeHasPassed) {
   service->stop();
   EXPECT_FALSE(service->ready());
   EXPECT_EQ(statusOf("/readyz", "other"), 503);
--- a/libraries/front/test/caller_service_test.cc
+++ b/libraries/front/test/caller_service_test.cc
@@ -50,14 +50,14 @@
     configuration::Tenant tenant;
     tenant.name = "editors";
     tenant.shape.services = {"completions", "orders"};
-    beliefs.view.tenants["editors"] = tenant;
+    fleet_view.view.tenants["editors"] = tenant;
     const std::string hash = configuration::sha256Hex("secret");
-    beliefs.view.keys[hash] = configuration::Key{"k", hash, "editors"};
-    beliefs.view.routes["large"] =
+    fleet_view.view.keys[hash] = configuration::Key{"k", hash, "editors"};
+    fleet_view.view.routes["large"] =
         configuration::Route{"large", "completions", {"large"}, "models"};
-    beliefs.view.routes["orders"] = configuration::Route{"orders", "orders", {}, "ordinary"};
-    router.workers = {beliefs.addWorker("w1", "models")};
-    beliefs.addWorker("w2", "ordinary");
+    fleet_view.view.routes["orders"] = configuration::Route{"orders", "orders", {}, "ordinary"};
+    router.workers = {fleet_view.addWorker("w1", "models")};
+    fleet_view.addWorker("w2", "ordinary");
   }
   std::shared_ptr<FakeWriter> send(const std::string& method, const std::string& target,
                                    const std::string& body = "",
@@ -85,23 +85,23 @@
   FakeSession session;
   FakeRouter router;
   FakeWorkers workers;
-  FakeFleetView beliefs;
+  FakeFleetView fleet_view;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   Counters counters;
   simulation::CollectingIncidents incidents;
   StreamStages stages;
   StreamFlow streams{StreamEnvironment{process, world.random(), slots, session, router, workers,
-                                       beliefs, retries, circuit, counters, stages}};
+                                       fleet_view, retries, circuit, counters, stages}};
   OneShotFlow one_shots{OneShotEnvironment{process, world.random(), claims, slots, session, workers,
-                                           beliefs, retries, circuit, counters}};
+                                           fleet_view, retries, circuit, counters}};
   ControlForwarder control{
       calls, [] {
         return std::vector<base::NodeAddress>{{"127.0.0.2", 1}, {"127.0.0.3", 1}};
       }};
   CallerService service{CallerDependencies{process,
                                            session,
-                                           beliefs,
+                                           fleet_view,
                                            router,
                                            streams,
                                            one_shots,
@@ -118,7 +118,7 @@
                                            &incidents}};
 };
 
-TEST_F(CallerServiceTest, StreamsARun) {
+TEST_F(CallerServiceTest, RelaysARunAsEventStream) {
   const auto writer = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
   ASSERT_EQ(workers.sent.size(), 1U);
   EXPECT_NE(workers.sent[0].request.body.find("\"stream\":true"), std::string::npos);
@@ -131,8 +131,8 @@
   EXPECT_TRUE(writer->ended);
 }
 
-TEST_F(CallerServiceTest, TheWorkerIsToldTheShapesLimitWhereTheCallerSetsNone) {
-  beliefs.view.tenants["editors"].shape.maximum_tokens = 321;
+TEST_F(CallerServiceTest, WorkerGetsTheShapesLimitIfTheCallerSetsNone) {
+  fleet_view.view.tenants["editors"].shape.maximum_tokens = 321;
   send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
   send("POST", "/v1/chat/completions", chat + "\"stream\":true,\"max_tokens\":12}");
   ASSERT_EQ(workers.sent.size(), 2U);
@@ -140,7 +140,7 @@
   EXPECT_NE(workers.sent[1].request.body.find("\"max_tokens\":12"), std::string::npos);
 }
 
-TEST_F(CallerServiceTest, CollectsAWholeRunAndNothingLess) {
+TEST_F(CallerServiceTest, CollectsCompleteRunsOnly) {
   const auto whole = send("POST", "/v1/chat/completions", chat + "\"stream\":false}");
   workers.sent[0].head();
   workers.sent[0].bytes(
@@ -157,7 +157,7 @@
   EXPECT_EQ(broken->code(), 5001);
 }
 
-TEST_F(CallerServiceTest, AnswersAOneShotAndItsResend) {
+TEST_F(CallerServiceTest, RespondsToAOneShotAndItsRetry) {
   const auto first = send("POST", "/v1/one-shots", order);
   workers.sent[0].head();
   workers.sent[0].bytes("{\"done\":1}");
@@ -168,7 +168,7 @@
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(CallerServiceTest, AOneShotOfUnknownOutcomeIsToldWithItsKeyAndCounted) {
+TEST_F(CallerServiceTest, OneShotOfUnknownOutcomeIsReportedWithItsKeyAndCounted) {
   send("POST", "/v1/one-shots", order);
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
   settle();
@@ -182,7 +182,7 @@
   EXPECT_NE(metrics->response->body.find(line), std::string::npos) << metrics->response->body;
 }
 
-TEST_F(CallerServiceTest, ServesThePageAndRefusesOtherMethodsOnIt) {
+TEST_F(CallerServiceTest, ServesThePageAndRejectsOtherMethodsOnIt) {
   const auto page = send("GET", "/");
   EXPECT_EQ(page->response->header("Content-Type"), "text/html; charset=utf-8");
   EXPECT_NE(page->response->body.find("fetch(\"/v1/routing\""), std::string::npos);
@@ -192,7 +192,7 @@
   EXPECT_EQ(send("POST", "/")->code(), 1007);
 }
 
-TEST_F(CallerServiceTest, ACallerWhoGoesCancelsTheStream) {
+TEST_F(CallerServiceTest, DisconnectedCallerCancelsTheStream) {
   const auto writer = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
   writer->gone();
   settle();
@@ -200,7 +200,7 @@
   EXPECT_EQ(streams.active(), 0U);
 }
 
-TEST_F(CallerServiceTest, RefusesWhatItCannotUnderstandOrIdentify) {
+TEST_F(CallerServiceTest, RejectsInvalidAndUnauthenticatedRequests) {
   const auto code = [this](const std::string& target, const std::string& body,
                            const std::string& secret = "secret") {
     return send("POST", target, body, secret)->code();
@@ -221,12 +221,12 @@
   EXPECT_TRUE(workers.sent.empty());
 }
 
-TEST_F(CallerServiceTest, ARevokedKeyIsRefusedOnTheNextRequest) {
-  beliefs.view.keys.clear();
+TEST_F(CallerServiceTest, RevokedKeyIsRejectedOnTheNextRequest) {
+  fleet_view.view.keys.clear();
   EXPECT_EQ(send("POST", "/v1/one-shots", order)->code(), 2002);
 }
 
-TEST_F(CallerServiceTest, RefusesWorkWhileLapsedOrStopping) {
+TEST_F(CallerServiceTest, RejectsWorkWhileLapsedOrStopping) {
   EXPECT_EQ(send("GET", "/readyz")->response->status, 200);
   session.now = sessions::SessionState::Lapsed;
   const auto lapsed = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
@@ -244,7 +244,7 @@
   EXPECT_TRUE(workers.sent.empty());
 }
 
-TEST_F(CallerServiceTest, RefusesAtOnceWhatTheQueueCannotTake) {
+TEST_F(CallerServiceTest, RejectsAtOnceWhenTheQueueIsFull) {
   std::vector<std::shared_ptr<FakeWriter>> writers;
   for (std::size_t count = 0; count <= CallerService::QueueBound; ++count) {
     writers.push_back(std::make_shared<FakeWriter>());
@@ -256,7 +256,7 @@
   EXPECT_EQ(writers.front()->response->status, 200);
 }
 
-TEST_F(CallerServiceTest, ForwardsOperatorsToACoreThatAnswers) {
+TEST_F(CallerServiceTest, ForwardsOperatorsToACoreThatResponds) {
   simulation::Process core(world);
   const auto core_transport = network.attach({"127.0.0.3", 1}, core);
   transport::PeerCalls core_calls(core, *core_transport);
@@ -271,13 +271,13 @@
   EXPECT_EQ(writer->response->body, "GET/v1/configuration/historyBearer operator");
 }
 
-TEST_F(CallerServiceTest, TellsBeliefsToOperatorsOnly) {
+TEST_F(CallerServiceTest, ReportsStateToOperatorsOnly) {
   EXPECT_EQ(send("GET", "/v1/beliefs")->code(), 2003);
   EXPECT_EQ(send("GET", "/v1/beliefs", "", "")->code(), 2001);
   EXPECT_EQ(send("GET", "/v1/beliefs", "", "operator")->response->status, 200);
 }
 
-TEST(RequestParser, NamesThePathOfTheFault) {
+TEST(RequestParser, ReportsThePathOfTheError) {
   try {
     parseCompletionBody(
         R"({"model":"m","messages":[{"role":"u","content":""}],"prefix_parts":[{"id":"a"}]})", 100);
@@ -288,7 +288,7 @@
   }
 }
 
-TEST(WorkerHead, ReadsTheWorkersHeaders) {
+TEST(WorkerHead, ParsesTheWorkersHeaders) {
   http::Response head;
   head.headers = {{"Request-Id", "q"},     {"Run", "r"},
                   {"Cached-Tokens", "12"}, {"Worker-Load", "running=3,queued=1,slots=8"},
--- a/libraries/front/test/chaos_workers.cc
+++ b/libraries/front/test/chaos_workers.cc
@@ -7,7 +7,7 @@
 
 constexpr base::Duration VeryLate = std::chrono::seconds(9);
 
-/** What goes wrong with one request; the first for one-shots, the second for streams. */
+/** The fault of one request; the first for one-shots, the second for streams. */
 enum class Fault : std::uint8_t {
   Lost,
   Late,
@@ -147,7 +147,7 @@
       events = chunkEvent(id, "other-" + run, chunk);
     }
     if (now && fault == Fault::DoubledOrGap) {
-      // The piece before the gap is lost as well, so that the text shows it.
+      // The chunk before the gap is lost as well, so that the text shows it.
       events = chunkEvent(id, run, chunk + 1);
     }
     tell(call, observer, at, [events](WorkerObserver& to) { to.onBytes(events, [] {}); });
--- a/libraries/front/test/chaos_workers.h
+++ b/libraries/front/test/chaos_workers.h
@@ -29,7 +29,7 @@
   bool ended = false;
 };
 
-/** What all workers of a simulated fleet did, whoever was told. */
+/** What all workers of a simulated fleet ran, whether or not a response arrived. */
 struct WorkerLedger {
   std::vector<WorkerAttempt> attempts;
   /** Moments at which each one-shot key ran. */
@@ -45,7 +45,7 @@
   double refused = 0.04;
   /** Answered with 503 and Not-Run before anything ran. */
   double not_run = 0.04;
-  /** Each way of failing within a run. */
+  /** Each kind of fault within a run. */
   double each_fault = 0.03;
 };
 
--- a/libraries/front/test/contract/contract_test.cc
+++ b/libraries/front/test/contract/contract_test.cc
@@ -30,7 +30,7 @@
   return text;
 }
 
-/** Whether the node of this role serves the operation; callers' work goes to fronts alone. */
+/** Whether the node of this role serves the operation; callers' work is served by fronts only. */
 bool serves(const std::string& role, const std::string& path) {
   static const std::set<std::string> FrontOnly{"/v1/chat/completions", "/v1/one-shots", "/",
                                                "/v1/routing"};
@@ -98,7 +98,7 @@
     return request;
   }
 
-  /** Sends a request and holds status, content type and body against the operation. */
+  /** Sends a request and checks status, content type and body against the operation. */
   int sendAndCheck(const Operation& operation, const http::Request& request) {
     const std::optional<http::Response> response = fleet_.exchange(GetParam(), request);
     if (!response) {
@@ -181,7 +181,7 @@
   }
 }
 
-TEST_P(ContractTest, SecuredOperationsRefuseAMissingAndAnUnknownKey) {
+TEST_P(ContractTest, SecuredOperationsRejectAMissingAndAnUnknownKey) {
   for (const Operation& operation : operations_) {
     if (!operation.is_secured) {
       continue;
@@ -195,7 +195,7 @@
   }
 }
 
-TEST_P(ContractTest, OperatorsOperationsRefuseATenantsKey) {
+TEST_P(ContractTest, OperatorsOperationsRejectATenantsKey) {
   for (const Operation& operation : operations_) {
     if (!operation.is_secured || isCallers(operation)) {
       continue;
@@ -206,7 +206,7 @@
   }
 }
 
-TEST_P(ContractTest, BodiesThatAreNotJsonAreRefused) {
+TEST_P(ContractTest, BodiesThatAreNotJsonAreRejected) {
   for (const Operation& operation : operations_) {
     if (!bodySchema(operation).IsMap()) {
       continue;
@@ -218,7 +218,7 @@
   }
 }
 
-TEST_P(ContractTest, BodiesThatAreTooLargeAreRefused) {
+TEST_P(ContractTest, BodiesThatAreTooLargeAreRejected) {
   for (const Operation& operation : operations_) {
     if (bodySchema(operation).IsMap()) {
       http::Request request = goodRequest(operation);
@@ -228,7 +228,7 @@
   }
 }
 
-TEST_P(ContractTest, UnknownFieldsAreRefused) {
+TEST_P(ContractTest, UnknownFieldsAreRejected) {
   for (const Operation& operation : operations_) {
     if (!bodySchema(operation).IsMap()) {
       continue;
@@ -240,7 +240,7 @@
   }
 }
 
-TEST_P(ContractTest, MissingAndMistypedFieldsAreRefused) {
+TEST_P(ContractTest, MissingAndMistypedFieldsAreRejected) {
   for (const Operation& operation : operations_) {
     const YAML::Node schema = bodySchema(operation);
     if (!schema.IsMap()) {
@@ -267,7 +267,7 @@
   }
 }
 
-TEST_P(ContractTest, OtherMethodsAreRefused) {
+TEST_P(ContractTest, OtherMethodsAreRejected) {
   for (const Operation& operation : operations_) {
     for (const char* method : {"GET", "POST", "PUT", "PATCH", "DELETE"}) {
       bool is_declared = false;
@@ -283,7 +283,7 @@
   }
 }
 
-TEST_P(ContractTest, UnknownPathsAreRefused) {
+TEST_P(ContractTest, UnknownPathsAreRejected) {
   for (const char* path : {"/v1", "/v1/nothing", "/v1/configuration/nothing", "/v1/zones/south",
                            "/v1/status/more", "/v1/keys/", "/v1/keys/a/b", "/metrics/more"}) {
     expectError({"GET", path, {{"Authorization", "Bearer operator"}}, ""}, 404);
--- a/libraries/front/test/contract/live_fleet.h
+++ b/libraries/front/test/contract/live_fleet.h
@@ -70,7 +70,7 @@
   Fleet& fleet() { return fleet_; }
 
  private:
-  /** Simulated milliseconds that an exchange may take. */
+  /** Time-out of an exchange, in simulated milliseconds. */
   static constexpr int MostSteps = 60'000;
 
   boost::asio::io_context context_;
--- a/libraries/front/test/contract/schema_check_test.cc
+++ b/libraries/front/test/contract/schema_check_test.cc
@@ -26,7 +26,7 @@
   return check.violations(YAML::Load("{ $ref: '#/components/schemas/Thing' }"), *value);
 }
 
-TEST(SchemaCheckTest, TakesWhatIsRight) {
+TEST(SchemaCheckTest, AcceptsValidDocuments) {
   EXPECT_TRUE(violations(R"({"name":"a","kind":"bad","counts":[0,7],"anything":null})").empty());
 }
 
@@ -46,7 +46,7 @@
       (std::vector<std::string>{"$.counts[1]: below the minimum", "$.counts[2]: is no integer"}));
 }
 
-TEST(SchemaCheckTest, RefusesAWordItDoesNotKnow) {
+TEST(SchemaCheckTest, RejectsAnUnknownKeyword) {
   const SchemaCheck check(YAML::Load("{}"));
   EXPECT_THROW(check.violations(YAML::Load("{ oneOf: [] }"), {}), std::logic_error);
 }
--- a/libraries/front/test/fakes.h
+++ b/libraries/front/test/fakes.h
@@ -17,7 +17,7 @@
 
 namespace switchsaddle::front {
 
-/** Claims in memory by the rules of the core. */
+/** Claims in memory, with the state transitions of the core. */
 class FakeClaims : public claims::ClaimClient {
  public:
   void begin(const wire::ClaimBegin& request, claims::ClaimCallback callback) override {
@@ -41,17 +41,17 @@
     deliver(claim, claim.run == request.run && claim.state == request.state, finishes_available,
             std::move(callback));
   }
-  /** Hands the held answers out. */
+  /** Delivers the withheld replies. */
   void release() {
     held = false;
-    while (!held_answers.empty()) {
+    while (!pending_replies.empty()) {
       answerNext();
     }
   }
-  /** Hands the first held answer out. */
+  /** Delivers the oldest withheld reply. */
   void answerNext() {
-    const auto answer = std::move(held_answers.front());
-    held_answers.pop_front();
+    const auto answer = std::move(pending_replies.front());
+    pending_replies.pop_front();
     answer();
   }
   wire::ClaimState state(const std::string& key) { return records[key].state; }
@@ -60,10 +60,10 @@
   bool records_begins = true;
   bool finishes_available = true;
   bool held = false;
-  /** Runs before each answer of begin. */
+  /** Runs before each reply to begin(). */
   std::function<void()> before_begin_answer;
   std::map<std::string, wire::ClaimReply> records;
-  std::deque<std::function<void()>> held_answers;
+  std::deque<std::function<void()>> pending_replies;
 
  private:
   void deliver(const wire::ClaimReply& claim, bool won, bool available,
@@ -75,7 +75,7 @@
       reply.won = won;
     }
     if (held) {
-      held_answers.push_back([reply, callback = std::move(callback)] { callback(reply); });
+      pending_replies.push_back([reply, callback = std::move(callback)] { callback(reply); });
       return;
     }
     if (before_begin_answer) {
@@ -85,7 +85,7 @@
   }
 };
 
-/** Slots that are there or not; counts those in use. */
+/** Grants or rejects slots as the test sets; counts those in use. */
 class FakeSlots : public admission::SlotBroker {
  public:
   void acquire(const std::string& /*branch*/,
@@ -102,7 +102,7 @@
     callback(std::move(outcome));
   }
 
-  /** Gives a slot to the request that came last. */
+  /** Grants a slot to the latest queued request. */
   void grantWaiting() {
     const auto next = std::move(waiting.back());
     waiting.pop_back();
@@ -114,12 +114,12 @@
 
   base::ResultCode code = base::ResultCode::Ok;
   bool silent = false;
-  /** A slot given back goes to a waiting request at once. */
+  /** A released slot is granted to a queued request at once. */
   bool passes_on = false;
   std::vector<std::function<void(admission::SlotOutcome)>> waiting;
   std::shared_ptr<int> in_use = std::make_shared<int>(0);
 
-  /** Gives each waiting request its slot. */
+  /** Grants a slot to each queued request. */
   void serveWaiting() {
     for (const auto& callback : std::exchange(waiting, {})) {
       admission::SlotOutcome outcome;
@@ -180,7 +180,7 @@
       head.run = run;
       observer->onHead(head);
     }
-    /** A refusal that says whether something ran. */
+    /** Rejects the request, with or without Not-Run. */
     void refuse(bool not_run, const std::string& request_id) const {
       WorkerHead head;
       head.status = 503;
@@ -203,7 +203,7 @@
   std::deque<Sent> sent;
 };
 
-/** Beliefs the test sets; collects observations. */
+/** A view of the fleet that the test sets; records observations. */
 class FakeFleetView : public FleetView {
  public:
   /** A key which is in force until the test removes it. */
--- a/libraries/front/test/fleet_chaos_test.cc
+++ b/libraries/front/test/fleet_chaos_test.cc
@@ -80,7 +80,7 @@
   int answered_not_run = 0;
 };
 
-TEST_P(FleetChaos, NoOneShotRunsTwiceAndNotRunIsTrue) {
+TEST_P(FleetChaos, NoOneShotRunsTwiceAndNotRunIsCorrect) {
   std::unique_ptr<simulation::Process> worker;
   Fleet fleet(GetParam(), [&](simulation::World& world, simulation::Process& front) {
     if (!worker) {
--- a/libraries/front/test/fleet_loads_test.cc
+++ b/libraries/front/test/fleet_loads_test.cc
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/** More than the workers of which a front tells what it has seen of their health. */
+/** More workers than a front includes in its reports of health. */
 constexpr int WorkersPerPool = 24;
 constexpr int Streams = 60;
 
@@ -34,7 +34,7 @@
   std::size_t dispatchedBy(int front) const {
     return static_cast<const FakeWorkers&>(*fleet.fronts[front]->workers).sent.size();
   }
-  /** Requests on all workers together, as a core hears of them. */
+  /** Requests at all workers, as reported to a core. */
   std::uint32_t heardBy(int core) const {
     const core::CoreNode& node = fleet.cores[core]->incarnation->node;
     std::uint32_t requests = 0;
@@ -44,14 +44,14 @@
     return requests;
   }
 
-  /** Workers that take every request and answer none. */
+  /** Workers that accept every request and respond to none. */
   Fleet fleet{
       GetParam(),
       [](simulation::World&, simulation::Process&) { return std::make_unique<FakeWorkers>(); },
       WorkersPerPool};
 };
 
-TEST_P(FleetLoadsTest, EveryCoreKnowsTheRequestsOnEveryWorker) {
+TEST_P(FleetLoadsTest, EveryCoreKnowsTheRequestsAtEveryWorker) {
   ASSERT_TRUE(fleet.allReady());
   ASSERT_EQ(fleet.change(0, configurationOfManySlots()), 200);
   beginStreams();
@@ -63,7 +63,7 @@
   }
 }
 
-TEST_P(FleetLoadsTest, AFrontThatIsKilledCountsNoMore) {
+TEST_P(FleetLoadsTest, KilledFrontExpiresFromTheLoads) {
   ASSERT_TRUE(fleet.allReady());
   ASSERT_EQ(fleet.change(0, configurationOfManySlots()), 200);
   beginStreams();
--- a/libraries/front/test/fleet_test.cc
+++ b/libraries/front/test/fleet_test.cc
@@ -7,7 +7,7 @@
 
 class FleetTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FleetTest, ServesAndKeepsToItsConfigurationAcrossTheLossOfACore) {
+TEST_P(FleetTest, ServesAndKeepsItsConfigurationAcrossTheFailureOfACore) {
   Fleet fleet(GetParam(), [](simulation::World&, simulation::Process& process) {
     return std::make_unique<PromptWorkers>(process);
   });
@@ -18,7 +18,7 @@
   EXPECT_TRUE(stream->chunks.ends_with("id: 1\ndata: [DONE]\n\n")) << stream->chunks;
   const auto ran = fleet.oneShot(0, "order-1");
   EXPECT_EQ(ran->response->body, R"({"outcome":"ran","replayed":false,"answer":1})");
-  // Another front gives the recorded answer again.
+  // Another front replays the recorded answer.
   const auto again = fleet.oneShot(1, "order-1");
   EXPECT_EQ(again->response->body, R"({"outcome":"ran","replayed":true,"answer":1})");
 
--- a/libraries/front/test/forward_fakes.h
+++ b/libraries/front/test/forward_fakes.h
@@ -56,7 +56,7 @@
   std::deque<Sent> sent;
 };
 
-/** What the caller gets. */
+/** Records the response to the caller. */
 class ForwardWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override {
--- a/libraries/front/test/forward_fixture.h
+++ b/libraries/front/test/forward_fixture.h
@@ -9,7 +9,7 @@
 
 namespace switchsaddle::front {
 
-/** A flow of forwarded requests with all that it stands on, in a world of its own. */
+/** A flow of forwarded requests with its dependencies, in a simulated world. */
 class ForwardFixture : public testing::Test {
  protected:
   explicit ForwardFixture(RetryAllowance retry_allowance) : allowance(retry_allowance) {}
@@ -19,18 +19,18 @@
   simulation::Process process{world};
   FakeForwardPort port;
   FakeRouter router;
-  FakeFleetView beliefs;
+  FakeFleetView fleet_view;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   QuotaMeter quotas{process, {}};
   worker_health::EvidenceRecorder health{process};
-  ForwardPlacer placer{process, world.random(), router, circuit, beliefs, {"127.0.0.1", 1}};
+  ForwardPlacer placer{process, world.random(), router, circuit, fleet_view, {"127.0.0.1", 1}};
   Counters counters;
   ForwardFlow flow{ForwardEnvironment{process,
                                       world.random(),
                                       port,
                                       placer,
-                                      beliefs,
+                                      fleet_view,
                                       retries,
                                       circuit,
                                       quotas,
--- a/libraries/front/test/forward_flow_test.cc
+++ b/libraries/front/test/forward_flow_test.cc
@@ -15,7 +15,7 @@
 class ForwardFlowTest : public ForwardFixture {
  protected:
   ForwardFlowTest() : ForwardFixture(RetryAllowance{0.2, 10}) {
-    configuration::Forwarding& forwarding = beliefs.view.forwarding;
+    configuration::Forwarding& forwarding = fleet_view.view.forwarding;
     forwarding.pools["shop"].name = "shop";
     addRoute("once", ForwardKind::AtMostOnce, 1);
     addRoute("again", ForwardKind::Repeatable, 2);
@@ -28,7 +28,7 @@
     tenant.has_priority = true;
     forwarding.index();
     for (const char* name : {"w1", "w2", "w3"}) {
-      beliefs.addWorker(name, "shop");
+      fleet_view.addWorker(name, "shop");
     }
     for (int count = 0; count < 100; ++count) {
       retries.countFirstAttempt("shop");
@@ -36,7 +36,7 @@
     quotas.setAllocations({});
   }
   void addRoute(const std::string& name, ForwardKind kind, std::uint32_t attempts) {
-    configuration::ForwardRoute& route = beliefs.view.forwarding.routes[name];
+    configuration::ForwardRoute& route = fleet_view.view.forwarding.routes[name];
     route.name = name;
     route.host = "a.example";
     route.path_prefix = "/" + name + "/";
@@ -57,13 +57,13 @@
     message.headers.insert(message.headers.end(), more.begin(), more.end());
     message.body = "body";
     auto writer = std::make_shared<ForwardWriter>();
-    flow.run(parseForwardRequest(beliefs.configuration(), message, {}), writer);
+    flow.run(parseForwardRequest(fleet_view.configuration(), message, {}), writer);
     return writer;
   }
   FakeForwardPort::Sent& last() { return port.sent.back(); }
 };
 
-TEST_F(ForwardFlowTest, PassesTheMessageOnUnchangedButForWhatItSets) {
+TEST_F(ForwardFlowTest, ForwardsTheMessageUnchangedExceptForItsOwnHeaders) {
   const auto writer = run("once", {{"Deadline-Ms", "1500"}});
   const http::Request& message = last().dispatch.message;
   EXPECT_EQ(message.method, "POST");
@@ -85,17 +85,17 @@
   EXPECT_EQ(flow.active(), 0U);
 }
 
-TEST_F(ForwardFlowTest, RefusesWhatNoRouteOrKeyAllows) {
+TEST_F(ForwardFlowTest, RejectsRequestsWithoutRouteOrKey) {
   EXPECT_THROW(run("none"), base::Error);
   http::Request message;
   message.target = "/once/";
   message.headers = {{"Host", "a.example"}};
-  EXPECT_THROW(parseForwardRequest(beliefs.configuration(), message, {}), base::Error);
+  EXPECT_THROW(parseForwardRequest(fleet_view.configuration(), message, {}), base::Error);
   message.headers.push_back({"Caller-Key", "wrong"});
-  EXPECT_THROW(parseForwardRequest(beliefs.configuration(), message, {}), base::Error);
+  EXPECT_THROW(parseForwardRequest(fleet_view.configuration(), message, {}), base::Error);
 }
 
-TEST_F(ForwardFlowTest, WhatMayRunOnceIsNotSentAgainOnceItMayHaveRun) {
+TEST_F(ForwardFlowTest, NonIdempotentRequestIsNotRetriedOnceItMayHaveRun) {
   const auto writer = run("once");
   last().lose();
   EXPECT_EQ(port.sent.size(), 1U);
@@ -104,7 +104,7 @@
   EXPECT_EQ(writer->response->header("Seal"), "");
 }
 
-TEST_F(ForwardFlowTest, WhatAWorkerDidNotRunGoesToAnother) {
+TEST_F(ForwardFlowTest, RequestThatDidNotRunIsRetriedElsewhere) {
   const auto writer = run("once");
   last().refuse();
   ASSERT_EQ(port.sent.size(), 2U);
@@ -117,7 +117,7 @@
   EXPECT_FALSE(writer->response->header("Retry-After").empty());
 }
 
-TEST_F(ForwardFlowTest, ARepeatableRequestGoesToAnotherWithinItsAttempts) {
+TEST_F(ForwardFlowTest, IdempotentRequestIsRetriedWithinItsAttempts) {
   const auto writer = run("again");
   last().lose();
   ASSERT_EQ(port.sent.size(), 2U);
@@ -126,7 +126,7 @@
   EXPECT_EQ(writer->response->status, 502);
 }
 
-TEST_F(ForwardFlowTest, TheWorkersOwnFailureIsPassedOnWhereNoOtherDoesBetter) {
+TEST_F(ForwardFlowTest, WorkersErrorIsForwardedIfNoOtherSucceeds) {
   const auto writer = run("again");
   last().answer(500, "broken");
   ASSERT_EQ(port.sent.size(), 2U);
@@ -136,12 +136,12 @@
   EXPECT_EQ(writer->response->header("Seal"), "sealed");
 }
 
-TEST_F(ForwardFlowTest, NoRepeatBeyondTheBudget) {
+TEST_F(ForwardFlowTest, NoRetryBeyondTheBudget) {
   ForwardFlow poor{ForwardEnvironment{process,
                                       world.random(),
                                       port,
                                       placer,
-                                      beliefs,
+                                      fleet_view,
                                       retries,
                                       circuit,
                                       quotas,
@@ -154,13 +154,13 @@
   message.target = "/again/";
   message.headers = {{"Host", "a.example"}, {"Caller-Key", "secret"}};
   auto writer = std::make_shared<ForwardWriter>();
-  poor.run(parseForwardRequest(beliefs.configuration(), message, {}), writer);
+  poor.run(parseForwardRequest(fleet_view.configuration(), message, {}), writer);
   last().lose();
   EXPECT_EQ(port.sent.size(), 1U);
   EXPECT_EQ(writer->response->status, 502);
 }
 
-TEST_F(ForwardFlowTest, RelaysWholeEventsAndEndsWithTheWorker) {
+TEST_F(ForwardFlowTest, RelaysCompleteEventsAndEndsWithTheWorker) {
   const auto writer = run("stream");
   last().head(200, {{"Content-Type", "text/event-stream"}});
   EXPECT_FALSE(writer->started.has_value());
@@ -174,7 +174,7 @@
   EXPECT_EQ(flow.active(), 0U);
 }
 
-TEST_F(ForwardFlowTest, ABrokenStreamEndsVisibly) {
+TEST_F(ForwardFlowTest, BrokenStreamIsAborted) {
   for (const bool in_an_event : {false, true}) {
     const auto writer = run("stream");
     last().head(200);
@@ -190,7 +190,7 @@
   }
 }
 
-TEST_F(ForwardFlowTest, AResumableStreamGoesOnAfterItsLastWholeEvent) {
+TEST_F(ForwardFlowTest, ResumableStreamContinuesAfterItsLastCompleteEvent) {
   const auto writer = run("resumed");
   last().head(200, {{"Run", "first"}});
   last().bytes("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda");
@@ -205,13 +205,13 @@
   EXPECT_TRUE(writer->ended);
 }
 
-TEST_F(ForwardFlowTest, AResumableStreamLeavesAWorkerInMaintenanceAfterItsLastWholeEvent) {
+TEST_F(ForwardFlowTest, ResumableStreamLeavesAWorkerInMaintenanceAfterItsLastCompleteEvent) {
   const auto writer = run("resumed");
   const std::string left = last().header("Expect-Instance");
   last().head(200, {{"Run", "first"}});
   last().bytes("id: 1\ndata: a\n\nid: 2\nda");
-  beliefs.view.workers_in_maintenance = {left};
-  flow.migrateFromMaintenance(beliefs.view);
+  fleet_view.view.workers_in_maintenance = {left};
+  flow.migrateFromMaintenance(fleet_view.view);
   ASSERT_EQ(port.sent.size(), 2U);
   EXPECT_TRUE(port.sent.front().call->cancelled);
   EXPECT_NE(last().header("Expect-Instance"), left);
@@ -223,27 +223,27 @@
   EXPECT_TRUE(writer->ended);
 }
 
-TEST_F(ForwardFlowTest, WhatCannotGoOnEndsAtAWorkerInMaintenance) {
+TEST_F(ForwardFlowTest, NonResumableRequestEndsAtAWorkerInMaintenance) {
   const auto once = run("once");
-  beliefs.view.workers_in_maintenance = {last().header("Expect-Instance")};
-  flow.migrateFromMaintenance(beliefs.view);
+  fleet_view.view.workers_in_maintenance = {last().header("Expect-Instance")};
+  flow.migrateFromMaintenance(fleet_view.view);
   EXPECT_EQ(port.sent.size(), 1U);
   EXPECT_FALSE(last().call->cancelled);
   last().answer(200, "done");
   EXPECT_EQ(once->response->body, "done");
 }
 
-TEST_F(ForwardFlowTest, NothingNewGoesToAWorkerInMaintenance) {
-  beliefs.view.workers_in_maintenance = {"w1", "w3"};
+TEST_F(ForwardFlowTest, NoNewRequestIsSentToAWorkerInMaintenance) {
+  fleet_view.view.workers_in_maintenance = {"w1", "w3"};
   for (int count = 0; count < 5; ++count) {
     run("once");
     EXPECT_EQ(last().header("Expect-Instance"), "w2");
   }
 }
 
-TEST_F(ForwardFlowTest, AWorkerThatTheCoresFoundFailingIsTheLastChoice) {
+TEST_F(ForwardFlowTest, FailingWorkerIsTheLastChoice) {
   const auto keyOf = [this](const std::string& id) {
-    return worker_health::workerKey(beliefs.workers()->workers.at(id).entry);
+    return worker_health::workerKey(fleet_view.workers()->workers.at(id).entry);
   };
   placer.setAvoided({keyOf("w1"), keyOf("w2")});
   for (int count = 0; count < 5; ++count) {
@@ -256,9 +256,9 @@
   EXPECT_EQ(port.sent.size(), before + 1);
 }
 
-TEST_F(ForwardFlowTest, WhatTheCoresSaidOfWorkersIsForgotten) {
-  placer.setAvoided({worker_health::workerKey(beliefs.workers()->workers.at("w1").entry),
-                     worker_health::workerKey(beliefs.workers()->workers.at("w2").entry)});
+TEST_F(ForwardFlowTest, ListOfFailingWorkersExpires) {
+  placer.setAvoided({worker_health::workerKey(fleet_view.workers()->workers.at("w1").entry),
+                     worker_health::workerKey(fleet_view.workers()->workers.at("w2").entry)});
   world.runFor(std::chrono::seconds(4));
   std::set<std::string> used;
   for (int count = 0; count < 6; ++count) {
@@ -268,7 +268,7 @@
   EXPECT_EQ(used.size(), 3U);
 }
 
-TEST_F(ForwardFlowTest, FailuresOfAWorkerAreTold) {
+TEST_F(ForwardFlowTest, FailuresOfAWorkerAreReported) {
   run("once");
   last().lose();
   world.runFor(std::chrono::seconds(1));
@@ -277,7 +277,7 @@
   EXPECT_GT(told.workers.front().recent_failed, 0.5);
 }
 
-TEST_F(ForwardFlowTest, APieceGivenOnceIsNotGivenAgain) {
+TEST_F(ForwardFlowTest, RelayedEventIsNotRelayedAgain) {
   const auto writer = run("resumed");
   last().head(200);
   last().bytes("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
@@ -288,7 +288,7 @@
   EXPECT_EQ(writer->body, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
 }
 
-TEST_F(ForwardFlowTest, TheTimeLimitGivesAFinalAnswer) {
+TEST_F(ForwardFlowTest, DeadlineEndsTheRequestWithAResponse) {
   const auto sent = run("once");
   world.runFor(std::chrono::milliseconds(2'001));
   ASSERT_TRUE(sent->response.has_value());
@@ -302,7 +302,7 @@
   EXPECT_EQ(flow.active(), 0U);
 }
 
-TEST_F(ForwardFlowTest, ACallerThatLeavesFreesItsWorker) {
+TEST_F(ForwardFlowTest, DisconnectedCallerCancelsItsCall) {
   const auto writer = run("stream");
   last().head(200);
   writer->gone();
@@ -311,7 +311,7 @@
   EXPECT_EQ(flow.active(), 0U);
 }
 
-TEST_F(ForwardFlowTest, ASlowCallerHoldsItsWorkerBack) {
+TEST_F(ForwardFlowTest, SlowCallerPausesItsWorker) {
   const auto writer = run("stream");
   writer->slow = true;
   last().head(200);
@@ -326,8 +326,8 @@
   EXPECT_EQ(flow.active(), 1U);
 }
 
-TEST_F(ForwardFlowTest, ATenantBeyondItsQuotaIsToldWhenToComeBack) {
-  beliefs.view.forwarding.tenants["t"].rate_per_s = 1;
+TEST_F(ForwardFlowTest, TenantBeyondItsQuotaGetsARetryAfter) {
+  fleet_view.view.forwarding.tenants["t"].rate_per_s = 1;
   int refused = 0;
   for (int request = 0; request < 20; ++request) {
     const auto writer = run("once");
@@ -340,23 +340,23 @@
   EXPECT_GE(refused, 12);
 }
 
-TEST_F(ForwardFlowTest, NoWorkerOfAnEvacuatedZoneOrLeavingIsUsed) {
-  beliefs.view.evacuated_zones.insert("zone-w1");
-  beliefs.snapshot.workers["w2"].draining = true;
+TEST_F(ForwardFlowTest, EvacuatedAndDrainingWorkersAreNotUsed) {
+  fleet_view.view.evacuated_zones.insert("zone-w1");
+  fleet_view.snapshot.workers["w2"].draining = true;
   for (int request = 0; request < 20; ++request) {
     run("once");
     EXPECT_EQ(last().header("Expect-Instance"), "w3");
   }
-  beliefs.snapshot.workers["w3"].gone = true;
+  fleet_view.snapshot.workers["w3"].gone = true;
   EXPECT_EQ(run("once")->response->status, 503);
 }
 
-TEST_F(ForwardFlowTest, AColdWorkerGetsNoMoreThanItsPart) {
-  configuration::ForwardPool& pool = beliefs.view.forwarding.pools["shop"];
+TEST_F(ForwardFlowTest, WorkerInSlowStartGetsNoMoreThanItsLimit) {
+  configuration::ForwardPool& pool = fleet_view.view.forwarding.pools["shop"];
   pool.slow_start_ms = 3'000;
   pool.slow_start_per_s = 2;
   for (const char* name : {"w1", "w2", "w3"}) {
-    beliefs.snapshot.workers[name].entry.cold = true;
+    fleet_view.snapshot.workers[name].entry.cold = true;
   }
   for (int request = 0; request < 20; ++request) {
     run("once");
--- a/libraries/front/test/forward_placer_test.cc
+++ b/libraries/front/test/forward_placer_test.cc
@@ -27,11 +27,11 @@
       entry.slots = 6;
       snapshot->workers[id] = workers::Worker{entry, false, false};
     }
-    beliefs_.snapshot = *snapshot;
+    fleet_view_.snapshot = *snapshot;
   }
 
   void reportPeers(const std::string& worker, std::uint16_t requests) {
-    const std::uint32_t key = workers::loadKey(beliefs_.snapshot.workers.at(worker).entry);
+    const std::uint32_t key = workers::loadKey(fleet_view_.snapshot.workers.at(worker).entry);
     placer_.setPeerLoads({true, {{key, requests, 0}}, {}});
   }
   /** Places requests, each of which ends before the next, and counts them by worker. */
@@ -49,12 +49,13 @@
   simulation::Process process_{world_};
   FakeRouter router_;
   WorkerCircuit circuit_{process_};
-  FakeFleetView beliefs_;
+  FakeFleetView fleet_view_;
   configuration::ForwardPool pool_;
-  ForwardPlacer placer_{process_, world_.random(), router_, circuit_, beliefs_, {"127.0.0.1", 1}};
+  ForwardPlacer placer_{process_, world_.random(), router_,
+                        circuit_, fleet_view_,     {"127.0.0.1", 1}};
 };
 
-TEST_F(ForwardPlacerTest, AloneItTakesTheWorkerWithTheFewestOfItsOwn) {
+TEST_F(ForwardPlacerTest, WithoutPeerLoadsChoosesTheWorkerWithItsFewestRequests) {
   std::map<std::string, int> counts;
   for (int request = 0; request < 9; ++request) {
     ++counts[placer_.choose(pool_, {}, {})->worker.entry.id];
@@ -62,7 +63,7 @@
   EXPECT_THAT(counts, testing::Each(testing::Pair(testing::_, 3)));
 }
 
-TEST_F(ForwardPlacerTest, AWorkerThatTheOthersFilledGetsLittle) {
+TEST_F(ForwardPlacerTest, WorkerFilledByPeersGetsFewRequests) {
   reportPeers("a", 6);
   std::map<std::string, int> counts = placeInTurn();
   EXPECT_LT(counts["a"], Requests / 20);
@@ -70,18 +71,18 @@
   EXPECT_GT(counts["c"], Requests / 3);
 }
 
-TEST_F(ForwardPlacerTest, FrontsThatHearTheSameDoNotAllChooseTheLeastLoaded) {
+TEST_F(ForwardPlacerTest, FrontsWithEqualLoadsDoNotAllChooseTheLeastLoaded) {
   reportPeers("a", 1);
   const std::map<std::string, int> counts = placeInTurn();
   EXPECT_THAT(counts, testing::Each(testing::Pair(testing::_, testing::Gt(Requests / 6))));
 }
 
-TEST_F(ForwardPlacerTest, FullWorkersAreUsedWhereThereIsNoOther) {
+TEST_F(ForwardPlacerTest, FullWorkersAreUsedIfThereIsNoOther) {
   reportPeers("a", 40);
   EXPECT_EQ(placer_.choose(pool_, {}, {"b", "c"})->worker.entry.id, "a");
 }
 
-TEST_F(ForwardPlacerTest, TellsWhatItHasUnderWay) {
+TEST_F(ForwardPlacerTest, ReportsItsRequestsInFlight) {
   EXPECT_THAT(placer_.load().workers, testing::IsEmpty());
   const std::optional<ForwardPlacement> placement = placer_.choose(pool_, {}, {});
   const std::vector<wire::WorkerLoad> loads = placer_.load().workers;
--- a/libraries/front/test/forward_seeds_test.cc
+++ b/libraries/front/test/forward_seeds_test.cc
@@ -25,7 +25,8 @@
   return "id: " + std::to_string(id) + "\ndata: piece " + std::to_string(id) + "\n\n";
 }
 
-/** Workers that refuse, run, fail, cut and lose by chance, and count what they ran. */
+/** Workers with random faults: they reject, run, fail, truncate and lose requests, and count runs.
+ */
 class ChaosForwardPort : public ForwardPort {
  public:
   ChaosForwardPort(simulation::World& world, simulation::Process& process)
@@ -84,7 +85,7 @@
     if (chance < 28) {
       call->observer->onFailure(WorkerFailure::Lost, false);
     } else if (chance < 32) {
-      // Silent: the time limit has to end it.
+      // No response: the deadline has to end the request.
     } else if (chance < 36) {
       answer(call, 500, "failed");
     } else if (call->dispatch.message.target.find("stream") != std::string::npos) {
@@ -148,10 +149,10 @@
       addRoute("again", ForwardKind::Repeatable, 2);
       addRoute("stream", ForwardKind::EventStream, 1);
       addRoute("resumed-stream", ForwardKind::ResumableStream, 2);
-      beliefs_.view.forwarding.pools["shop"].name = "shop";
-      beliefs_.view.forwarding.index();
+      fleet_view_.view.forwarding.pools["shop"].name = "shop";
+      fleet_view_.view.forwarding.index();
       for (int worker = 0; worker < 6; ++worker) {
-        beliefs_.addWorker("w" + std::to_string(worker), "shop");
+        fleet_view_.addWorker("w" + std::to_string(worker), "shop");
       }
     }
 
@@ -175,7 +176,7 @@
 
    private:
     void addRoute(const std::string& name, ForwardKind kind, std::uint32_t attempts) {
-      configuration::ForwardRoute& route = beliefs_.view.forwarding.routes[name];
+      configuration::ForwardRoute& route = fleet_view_.view.forwarding.routes[name];
       route.name = name;
       route.host = "h";
       route.path_prefix = "/" + name + "/";
@@ -186,9 +187,9 @@
     }
     void ask(const std::string& route, const std::string& id) {
       http::Request message{"POST", "/" + route + "/", {{"Host", "h"}, {"Request-Id", id}}, "b"};
-      const ForwardKind kind = beliefs_.view.forwarding.routes.at(route).kind;
+      const ForwardKind kind = fleet_view_.view.forwarding.routes.at(route).kind;
       requested_.push_back({id, kind, std::make_shared<ForwardWriter>()});
-      flow_.run(parseForwardRequest(beliefs_.configuration(), std::move(message), {}),
+      flow_.run(parseForwardRequest(fleet_view_.configuration(), std::move(message), {}),
                 requested_.back().writer);
     }
     static int countOf(const std::map<std::string, int>& counts, const std::string& id) {
@@ -236,18 +237,19 @@
     simulation::Process process_{world_};
     ChaosForwardPort port_{world_, process_};
     FakeRouter router_;
-    FakeFleetView beliefs_;
+    FakeFleetView fleet_view_;
     RetryBudget retries_{process_};
     WorkerCircuit circuit_{process_};
     QuotaMeter quotas_{process_, {}};
     worker_health::EvidenceRecorder health_{process_};
-    ForwardPlacer placer_{process_, world_.random(), router_, circuit_, beliefs_, {"127.0.0.1", 1}};
+    ForwardPlacer placer_{process_, world_.random(), router_,
+                          circuit_, fleet_view_,     {"127.0.0.1", 1}};
     Counters counters_;
     ForwardFlow flow_{ForwardEnvironment{process_,
                                          world_.random(),
                                          port_,
                                          placer_,
-                                         beliefs_,
+                                         fleet_view_,
                                          retries_,
                                          circuit_,
                                          quotas_,
@@ -259,7 +261,7 @@
   };
 };
 
-TEST_F(ForwardSeedsTest, PromisesHoldWhateverWorkersDo) {
+TEST_F(ForwardSeedsTest, InvariantsHoldUnderWorkerFaults) {
   for (std::uint64_t seed = 1; seed <= 1'000; ++seed) {
     Play play(seed);
     play.run();
--- a/libraries/front/test/front_node_test.cc
+++ b/libraries/front/test/front_node_test.cc
@@ -61,7 +61,7 @@
   bool closed = false;
 };
 
-/** Takes whatever it is told. */
+/** A writer that records the response. */
 class QuietWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override { response = std::move(value); }
@@ -118,7 +118,7 @@
   std::unique_ptr<FrontNode> node;
 };
 
-TEST_F(FrontNodeTest, BecomesReadyOnceTheConfigurationIsInForceAndServes) {
+TEST_F(FrontNodeTest, BecomesReadyOnceTheConfigurationIsInForce) {
   EXPECT_FALSE(node->ready());
   ASSERT_TRUE(becomesReady());
   EXPECT_EQ(node->replica().version(), 1U);
@@ -130,7 +130,7 @@
   EXPECT_TRUE(writer->ended);
 }
 
-TEST_F(FrontNodeTest, AFrozenNodeWakesWithoutDispatching) {
+TEST_F(FrontNodeTest, FrozenNodeResumesWithoutDispatching) {
   ASSERT_TRUE(becomesReady());
   process.freeze();
   const auto writer = stream();
@@ -142,7 +142,7 @@
   EXPECT_EQ(writer->response->status, 503);
 }
 
-TEST_F(FrontNodeTest, ACutCoreEndsNewWorkButNotOpenStreams) {
+TEST_F(FrontNodeTest, PartitionedCoreEndsNewWorkButNotOpenStreams) {
   ASSERT_TRUE(becomesReady());
   const auto open = stream();
   network.cut(FrontAddress, CoreAddress);
@@ -173,7 +173,7 @@
   EXPECT_TRUE(core->closed);
 }
 
-TEST_F(FrontNodeTest, StopsAtItsDeadlineAllTheSame) {
+TEST_F(FrontNodeTest, StopsAtItsDeadlineWithOpenStreams) {
   ASSERT_TRUE(becomesReady());
   stream();
   bool stopped = false;
--- a/libraries/front/test/http_worker_port_test.cc
+++ b/libraries/front/test/http_worker_port_test.cc
@@ -69,7 +69,7 @@
   WorkerCallPtr call;
 };
 
-TEST_F(HttpWorkerPortTest, CarriesARequestAndItsAnswer) {
+TEST_F(HttpWorkerPortTest, SendsARequestAndReceivesItsResponse) {
   http::Request seen;
   serve([&seen](http::Request request, const http::ResponseWriterPtr& writer) {
     seen = request;
@@ -87,7 +87,7 @@
   EXPECT_EQ(seen.header("Tenant"), "editors");
 }
 
-TEST_F(HttpWorkerPortTest, ARefusedConnectionIsProvenNotSent) {
+TEST_F(HttpWorkerPortTest, RefusedConnectionIsProvenNotSent) {
   serve({});
   server.reset();
   const auto recorder = send();
@@ -96,14 +96,14 @@
   EXPECT_TRUE(recorder->refused);
 }
 
-TEST_F(HttpWorkerPortTest, AnAcceptedRequestWithoutAnswerIsLost) {
+TEST_F(HttpWorkerPortTest, AcceptedRequestWithoutResponseIsLost) {
   serve([](const http::Request&, const http::ResponseWriterPtr& writer) { writer->abort(); });
   const auto recorder = send();
   runUntilEnded(*recorder);
   EXPECT_EQ(recorder->failure, WorkerFailure::Lost);
 }
 
-TEST_F(HttpWorkerPortTest, ACancelledRequestSaysNothingMore) {
+TEST_F(HttpWorkerPortTest, CancelledRequestCallsNoObserver) {
   bool answered = false;
   serve([&](const http::Request&, const http::ResponseWriterPtr& writer) {
     call->cancel();
--- a/libraries/front/test/limits_test.cc
+++ b/libraries/front/test/limits_test.cc
@@ -40,12 +40,12 @@
   for (int count = 0; count < 20; ++count) {
     budget.countFirstAttempt("orders");
   }
-  // One of the retries is still within the window.
+  // One of the retries has not left the window.
   EXPECT_TRUE(budget.tryAcquire("orders", 0.1));
   EXPECT_FALSE(budget.tryAcquire("orders", 0.1));
 }
 
-TEST_F(LimitsTest, WhatACrowdEarnedIsNotSpentAsABurst) {
+TEST_F(LimitsTest, BudgetOfALoadPeakIsNotUsedInABurst) {
   RetryBudget budget(process);
   for (int second = 0; second < 9; ++second) {
     for (int count = 0; count < 100; ++count) {
@@ -63,7 +63,7 @@
   EXPECT_EQ(spent, 3) << "a tenth of the last second's, and one";
 }
 
-TEST_F(LimitsTest, TheCircuitLetsOneProbeThrough) {
+TEST_F(LimitsTest, CircuitAllowsOneTrialRequestWhenHalfOpen) {
   WorkerCircuit circuit(process);
   workers::Worker worker;
   worker.entry.id = "w1";
@@ -83,7 +83,7 @@
   EXPECT_TRUE(circuit.mayAttempt(worker));
 }
 
-TEST(Stage, BoundsWhatRunsAndWhatWaits) {
+TEST(Stage, LimitsConcurrencyAndQueue) {
   Stage stage(1, 1);
   std::vector<StageTicket> tickets;
   std::vector<int> ran;
--- a/libraries/front/test/one_shot_fixture.h
+++ b/libraries/front/test/one_shot_fixture.h
@@ -19,9 +19,9 @@
 class OneShotFlowTest : public testing::Test {
  protected:
   OneShotFlowTest() {
-    beliefs.view.routes["orders"] = configuration::Route{"orders", "orders", {}, "ordinary"};
-    beliefs.addWorker("w1", "ordinary");
-    beliefs.addWorker("w2", "ordinary");
+    fleet_view.view.routes["orders"] = configuration::Route{"orders", "orders", {}, "ordinary"};
+    fleet_view.addWorker("w1", "ordinary");
+    fleet_view.addWorker("w2", "ordinary");
   }
   std::shared_ptr<std::optional<OneShotAnswer>> run(
       std::uint64_t fingerprint = 7, const std::string& key_hash = FakeFleetView::KeyHash) {
@@ -39,7 +39,7 @@
     });
     return result;
   }
-  /** Many first tries, so that the budget allows retries. */
+  /** Counts many first attempts, so that the budget allows retries. */
   void fillBudget() {
     for (int count = 0; count < 100; ++count) {
       retries.countFirstAttempt("orders");
@@ -53,13 +53,13 @@
   FakeSlots slots;
   FakeSession session;
   FakeWorkers workers;
-  FakeFleetView beliefs;
+  FakeFleetView fleet_view;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   Counters counters;
   std::unique_ptr<OneShotFlow> flow = std::make_unique<OneShotFlow>(
-      OneShotEnvironment{process, world.random(), claims, slots, session, workers, beliefs, retries,
-                         circuit, counters});
+      OneShotEnvironment{process, world.random(), claims, slots, session, workers, fleet_view,
+                         retries, circuit, counters});
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/test/one_shot_flow_test.cc
+++ b/libraries/front/test/one_shot_flow_test.cc
@@ -34,11 +34,11 @@
   EXPECT_EQ(flow->active(), 0U);
 }
 
-TEST_F(OneShotFlowTest, AKeyRemovedWhileTheRequestWaitsIsNotRun) {
+TEST_F(OneShotFlowTest, KeyRemovedWhileTheRequestIsQueuedIsNotRun) {
   slots.silent = true;
-  beliefs.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
+  fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto result = run(7, "hash");
-  beliefs.view.keys.clear();
+  fleet_view.view.keys.clear();
   slots.serveWaiting();
   EXPECT_TRUE(workers.sent.empty());
   ASSERT_TRUE(result->has_value());
@@ -47,7 +47,7 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-/** Ways in which a sent request ends without its matching whole answer. */
+/** Ends of a sent request without its complete matching response. */
 using Ending = std::function<void(const FakeWorkers::Sent&)>;
 class AmbiguousEnd : public OneShotFlowTest, public testing::WithParamInterface<int> {};
 
@@ -78,7 +78,7 @@
   EXPECT_EQ((*result)->outcome, Outcome::Unknown);
   EXPECT_EQ((*result)->code, ResultCode::OutcomeUnknown);
   EXPECT_EQ(claims.state(Key), ClaimState::Unknown);
-  // The true answer comes late.
+  // The matching response arrives late.
   workers.sent[0].head();
   workers.sent[0].bytes("{}");
   workers.sent[0].observer->onComplete();
@@ -91,7 +91,7 @@
 INSTANTIATE_TEST_SUITE_P(Endings, AmbiguousEnd,
                          testing::Range(0, static_cast<int>(Endings.size())));
 
-TEST_F(OneShotFlowTest, NoAnswerByTheDeadlineIsUnknownForGood) {
+TEST_F(OneShotFlowTest, NoResponseByTheDeadlineIsUnknownForGood) {
   const auto result = run();
   passDeadline();
   ASSERT_TRUE(result->has_value());
@@ -102,7 +102,7 @@
   EXPECT_EQ(claims.state(Key), ClaimState::Unknown);
 }
 
-TEST_F(OneShotFlowTest, ADoubledAnswerIsTakenOnce) {
+TEST_F(OneShotFlowTest, DuplicateResponseIsAcceptedOnce) {
   const auto result = run();
   for (int copy = 0; copy < 2; ++copy) {
     workers.sent[0].head();
@@ -113,7 +113,7 @@
   EXPECT_EQ(claims.records[Key].answer, "1");
 }
 
-TEST_F(OneShotFlowTest, ARefusedWorkerIsReplacedUnderANewClaim) {
+TEST_F(OneShotFlowTest, WorkerThatRefusesConnectionsIsReplacedUnderANewClaim) {
   fillBudget();
   const auto result = run();
   const std::string first_run = claims.records[Key].run;
@@ -122,7 +122,7 @@
   EXPECT_NE(workers.sent[1].request.address, workers.sent[0].request.address);
   EXPECT_NE(claims.records[Key].run, first_run);
   EXPECT_EQ(workers.sent[1].request.request_id, claims.records[Key].run);
-  EXPECT_EQ(beliefs.refused.size(), 1U);
+  EXPECT_EQ(fleet_view.refused.size(), 1U);
   workers.sent[1].observer->onFailure(WorkerFailure::NotSent, true);
   ASSERT_TRUE(result->has_value());
   EXPECT_EQ((*result)->outcome, Outcome::NotRun);
@@ -130,7 +130,7 @@
   EXPECT_EQ(*slots.in_use, 0);
 }
 
-TEST_F(OneShotFlowTest, AWorkerThatRefusesBeforeRunningIsReplacedUnderANewClaim) {
+TEST_F(OneShotFlowTest, WorkerThatRejectsBeforeRunningIsReplacedUnderANewClaim) {
   fillBudget();
   const auto result = run();
   const std::string first_run = claims.records[Key].run;
@@ -139,14 +139,14 @@
   EXPECT_TRUE(workers.sent[0].call->cancelled);
   EXPECT_NE(workers.sent[1].request.address, workers.sent[0].request.address);
   EXPECT_NE(claims.records[Key].run, first_run);
-  EXPECT_TRUE(beliefs.refused.empty());
+  EXPECT_TRUE(fleet_view.refused.empty());
   workers.sent[1].refuse(true, workers.sent[1].request.request_id);
   ASSERT_TRUE(result->has_value());
   EXPECT_EQ((*result)->outcome, Outcome::NotRun);
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, ARefusalBeforeRunningIsToldOnlyOnceRecorded) {
+TEST_F(OneShotFlowTest, RejectionBeforeRunningIsAnsweredOnlyOnceRecorded) {
   fillBudget();
   const auto result = run();
   claims.finishes_available = false;
@@ -155,7 +155,7 @@
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, WhatWasNeverSentEarnsNoRetries) {
+TEST_F(OneShotFlowTest, RequestsNeverSentAddNothingToTheRetryBudget) {
   session.now = sessions::SessionState::Lapsed;
   for (int count = 0; count < 20; ++count) {
     run();
@@ -163,14 +163,14 @@
   EXPECT_FALSE(retries.tryAcquire("orders", 0.1));
 }
 
-TEST_F(OneShotFlowTest, ARetryIsMeasuredWhenItIsSent) {
+TEST_F(OneShotFlowTest, RetryIsChargedWhenItIsSent) {
   fillBudget();
   world.runFor(std::chrono::seconds(8));
   const auto result = run();
   claims.held = true;
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   claims.answerNext();
-  // Claiming anew takes so long that the first tries that allowed the retry leave the window.
+  // Claiming again takes so long that the first attempts that allowed the retry leave the window.
   world.runFor(std::chrono::seconds(3));
   claims.release();
   EXPECT_EQ(workers.sent.size(), 1U);
@@ -179,10 +179,10 @@
   EXPECT_EQ((*result)->code, ResultCode::RetryBudgetSpent);
 }
 
-TEST_F(OneShotFlowTest, AKeyRevokedBeforeTheDispatchIsRecordedNotRun) {
+TEST_F(OneShotFlowTest, KeyRevokedBeforeTheDispatchIsRecordedNotRun) {
   slots.silent = true;
   const auto result = run();
-  beliefs.view.keys.clear();
+  fleet_view.view.keys.clear();
   slots.grantWaiting();
   EXPECT_TRUE(workers.sent.empty());
   ASSERT_TRUE(result->has_value());
@@ -191,7 +191,7 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, ADestroyedFlowStartsNoWaitingWork) {
+TEST_F(OneShotFlowTest, DestroyedFlowStartsNoQueuedWork) {
   run();
   slots.silent = true;
   slots.passes_on = true;
@@ -209,7 +209,7 @@
   EXPECT_EQ(*slots.in_use, 0);
 }
 
-TEST_F(OneShotFlowTest, WithoutBudgetARefusedWorkerIsNotReplaced) {
+TEST_F(OneShotFlowTest, WithoutBudgetNoRetryFollowsARefusedConnection) {
   const auto result = run();
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   EXPECT_EQ(workers.sent.size(), 1U);
@@ -217,7 +217,7 @@
   EXPECT_EQ((*result)->code, ResultCode::RetryBudgetSpent);
 }
 
-TEST_F(OneShotFlowTest, NotRunIsToldOnlyOnceRecorded) {
+TEST_F(OneShotFlowTest, NotRunIsAnsweredOnlyOnceRecorded) {
   fillBudget();
   const auto result = run();
   claims.finishes_available = false;
@@ -226,7 +226,7 @@
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, ASessionLapsedAfterTheClaimIsRecordedNotRun) {
+TEST_F(OneShotFlowTest, SessionLapsedAfterTheClaimIsRecordedNotRun) {
   claims.before_begin_answer = [this] { session.now = sessions::SessionState::Lapsed; };
   const auto result = run();
   EXPECT_TRUE(workers.sent.empty());
@@ -235,17 +235,17 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, WithoutClaimsNothingIsSentAndNothingPromised) {
+TEST_F(OneShotFlowTest, WithoutClaimsNothingIsSentAndTheOutcomeIsUnknown) {
   claims.begins_available = false;
   const auto result = run();
   EXPECT_TRUE(workers.sent.empty());
   EXPECT_EQ((*result)->code, ResultCode::ClaimsUnavailable);
   EXPECT_EQ((*result)->outcome, Outcome::Unknown);
-  // The begin was recorded after all; it has been withdrawn.
+  // The begin was recorded nevertheless; it has been withdrawn.
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, AClaimThatIsWonAfterTheDeadlineIsWithdrawn) {
+TEST_F(OneShotFlowTest, ClaimWonAfterTheDeadlineIsWithdrawn) {
   claims.held = true;
   const auto result = run();
   passDeadline();
--- a/libraries/front/test/one_shot_resend_test.cc
+++ b/libraries/front/test/one_shot_resend_test.cc
@@ -11,10 +11,10 @@
 using base::ResultCode;
 using wire::ClaimState;
 
-TEST_F(OneShotFlowTest, AKilledFrontsKeyIsUnknownToAResend) {
+TEST_F(OneShotFlowTest, RetryOfAKilledFrontsKeyIsUnknown) {
   const auto lost = run();
   flow = std::make_unique<OneShotFlow>(OneShotEnvironment{process, world.random(), claims, slots,
-                                                          session, workers, beliefs, retries,
+                                                          session, workers, fleet_view, retries,
                                                           circuit, counters});
   const auto again = run();
   EXPECT_FALSE(again->has_value());
@@ -25,7 +25,7 @@
   EXPECT_FALSE(lost->has_value());
 }
 
-TEST_F(OneShotFlowTest, AResendWaitsForTheRecordOfTheRunElsewhere) {
+TEST_F(OneShotFlowTest, RetryWaitsForTheRecordOfTheRunElsewhere) {
   run();
   const auto again = run();
   world.runFor(std::chrono::seconds(1));
@@ -39,7 +39,7 @@
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, AnotherRequestUnderTheKeyIsRefused) {
+TEST_F(OneShotFlowTest, AnotherRequestUnderTheKeyIsRejected) {
   run(7);
   const auto other = run(8);
   ASSERT_TRUE(other->has_value());
@@ -47,20 +47,20 @@
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, RefusalsForWantOfSlotsOrWorkersAreRecordedNotRun) {
+TEST_F(OneShotFlowTest, RejectionsForLackOfSlotsOrWorkersAreRecordedNotRun) {
   slots.code = ResultCode::OverBranchLimit;
   EXPECT_EQ((**run()).code, ResultCode::OverBranchLimit);
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
   slots.code = ResultCode::Ok;
-  beliefs.view.evacuated_zones = {"zone-w1"};
-  beliefs.snapshot.workers["w2"].draining = true;
+  fleet_view.view.evacuated_zones = {"zone-w1"};
+  fleet_view.snapshot.workers["w2"].draining = true;
   const auto result = run();
   EXPECT_EQ((*result)->code, ResultCode::NoWorkerAvailable);
   EXPECT_EQ((*result)->outcome, Outcome::NotRun);
   EXPECT_TRUE(workers.sent.empty());
 }
 
-TEST_F(OneShotFlowTest, ASlotThatNeverComesEndsNotRunAtTheDeadline) {
+TEST_F(OneShotFlowTest, WithoutASlotEndsNotRunAtTheDeadline) {
   slots.silent = true;
   const auto result = run();
   passDeadline();
@@ -69,7 +69,7 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, SpreadsOverTheLeastBusyWorkersAndLearnsDraining) {
+TEST_F(OneShotFlowTest, SpreadsOverTheLeastLoadedWorkersAndReportsDraining) {
   run();
   claims.records.clear();
   run();
@@ -80,10 +80,10 @@
   head.request_id = workers.sent[0].request.request_id;
   head.draining = true;
   workers.sent[0].observer->onHead(head);
-  EXPECT_EQ(beliefs.draining.size(), 1U);
+  EXPECT_EQ(fleet_view.draining.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, KeepsNoSlotWhileAnEndIsBeingRecorded) {
+TEST_F(OneShotFlowTest, ReleasesTheSlotWhileAnEndIsBeingRecorded) {
   run();
   workers.sent[0].head();
   workers.sent[0].bytes("1");
@@ -97,10 +97,10 @@
   run();
   EXPECT_EQ(workers.sent.size(), 1U);
   EXPECT_EQ(*slots.in_use, 0);
-  EXPECT_EQ(claims.held_answers.size(), 1U);
+  EXPECT_EQ(claims.pending_replies.size(), 1U);
 }
 
-/** One slot, which goes to the next in line in the instant it is given back. */
+/** One slot, which is granted to the next queued request as soon as it is released. */
 class HandedOverSlot : public admission::SlotBroker {
  public:
   void acquire(const std::string& /*branch*/,
@@ -138,10 +138,10 @@
   bool taken_ = false;
 };
 
-TEST_F(OneShotFlowTest, DispatchesNothingWhileItEnds) {
+TEST_F(OneShotFlowTest, DispatchesNothingDuringDestruction) {
   HandedOverSlot slot;
   flow = std::make_unique<OneShotFlow>(OneShotEnvironment{process, world.random(), claims, slot,
-                                                          session, workers, beliefs, retries,
+                                                          session, workers, fleet_view, retries,
                                                           circuit, counters});
   run();
   claims.records.clear();
--- a/libraries/front/test/one_shot_seeds_test.cc
+++ b/libraries/front/test/one_shot_seeds_test.cc
@@ -19,10 +19,10 @@
 /** One front process with its own session; shares claims and workers with the others. */
 struct SeedFront {
   SeedFront(simulation::World& world, FakeClaims& claims, FaultyWorkers& workers,
-            FakeFleetView& beliefs)
+            FakeFleetView& fleet_view)
       : process(world),
-        flow(OneShotEnvironment{process, world.random(), claims, slots, session, workers, beliefs,
-                                retries, circuit, counters}) {
+        flow(OneShotEnvironment{process, world.random(), claims, slots, session, workers,
+                                fleet_view, retries, circuit, counters}) {
     for (int count = 0; count < 1'000; ++count) {
       retries.countFirstAttempt("orders");
     }
@@ -36,7 +36,7 @@
   OneShotFlow flow;
 };
 
-/** What callers were told of one key. */
+/** The outcomes that callers got for one key. */
 struct KeyHistory {
   int answers = 0;
   int ran = 0;
@@ -52,13 +52,13 @@
     FakeClaims claims;
     RunCounts runs;
     FaultyWorkers workers(world, worker_process, worker_process, runs);
-    FakeFleetView beliefs;
-    beliefs.view.routes["orders"] = configuration::Route{"orders", "orders", {}, "ordinary"};
-    beliefs.addWorker("w1", "ordinary");
-    beliefs.addWorker("w2", "ordinary");
+    FakeFleetView fleet_view;
+    fleet_view.view.routes["orders"] = configuration::Route{"orders", "orders", {}, "ordinary"};
+    fleet_view.addWorker("w1", "ordinary");
+    fleet_view.addWorker("w2", "ordinary");
     std::vector<std::unique_ptr<SeedFront>> fronts;
     for (int index = 0; index < Fronts; ++index) {
-      fronts.push_back(std::make_unique<SeedFront>(world, claims, workers, beliefs));
+      fronts.push_back(std::make_unique<SeedFront>(world, claims, workers, fleet_view));
     }
     std::map<std::string, KeyHistory> history;
     for (int index = 0; index < Keys * RequestsOfKey; ++index) {
@@ -93,7 +93,7 @@
     }
   }
 
-  /** Sessions lapse and come back, the core's answers fail, all by chance. */
+  /** Injects random faults: sessions lapse and reopen, the core's replies fail. */
   void disturb(simulation::World& world, FakeClaims& claims,
                std::vector<std::unique_ptr<SeedFront>>& fronts) {
     for (int second = 0; second < 25; ++second) {
@@ -113,7 +113,7 @@
   int keys_run = 0;
 };
 
-TEST_F(OneShotSeeds, NoKeyRunsTwiceAndNotRunIsTrue) {
+TEST_F(OneShotSeeds, NoKeyRunsTwiceAndNotRunIsCorrect) {
   for (std::uint64_t seed = 1; seed <= Seeds && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     runSeed(seed);
--- a/libraries/front/test/quota_ledger_test.cc
+++ b/libraries/front/test/quota_ledger_test.cc
@@ -106,7 +106,7 @@
   base::RandomSource& random() { return world_.random(); }
   double mostInAnyWindow() const { return most_; }
   double letIn() const { return let_in_; }
-  /** Of one kind, asked for and let in, in requests. */
+  /** Requests of one kind: sent and admitted. */
   double servedShare(std::size_t kind) const {
     return static_cast<double>(served_[kind]) / static_cast<double>(requested_[kind]);
   }
@@ -277,7 +277,7 @@
   return (fleet.letIn() - before) / 2 / usedLimit();
 }
 
-TEST(QuotaLedgerTest, TheWholeQuotaIsLetInHoweverManyFrontsThereAre) {
+TEST(QuotaLedgerTest, CompleteQuotaIsAdmittedForAnyNumberOfFronts) {
   for (const std::size_t fronts : {6U, 67U, 291U}) {
     for (const double factor : {1.5, 7.5}) {
       const double part = usedShare(fronts, fronts, factor, true);
@@ -287,13 +287,13 @@
   }
 }
 
-TEST(QuotaLedgerTest, WithoutTheLedgerManyFrontsLetInLess) {
+TEST(QuotaLedgerTest, WithoutTheLedgerManyFrontsAdmitLess) {
   const double part = usedShare(1, 291, 7.5, false);
   std::cout << "without the ledger: " << part << '\n';
   EXPECT_LT(part, 0.9);
 }
 
-TEST(QuotaLedgerTest, TheMoreUrgentGoesFirstAndNoKindStarves) {
+TEST(QuotaLedgerTest, HigherPriorityIsFirstAndNoKindStarves) {
   LedgerFleet fleet(1, 291);
   fleet.run(seconds(60), Rate * 2);
   for (std::size_t kind = 0; kind < Kinds.size(); ++kind) {
@@ -304,8 +304,8 @@
   EXPECT_GE(fleet.servedShare(2), 0.25);
 }
 
-/** All processes are killed and start again with no memory: the ledger lets in what surely fits. */
-TEST(QuotaLedgerTest, AfterALossOfAllMemoryTheLedgerGoesByWhatSurelyHasLeftTheWindow) {
+/** All processes are killed and restart without state: the ledger admits what surely fits. */
+TEST(QuotaLedgerTest, AfterALossOfAllStateTheLedgerAdmitsOnlyWhatHasSurelyLeftTheWindow) {
   for (const double factor : {0.77, 7.5}) {
     LedgerFleet fleet(1, 291);
     fleet.run(seconds(12), Rate * factor);
@@ -327,9 +327,10 @@
 
 class QuotaLedgerSeeds : public testing::TestWithParam<std::uint64_t> {};
 
-/** A tenant asks for many times its quota while fronts are killed and cut off and the ledger moves.
+/** A tenant's demand is many times its quota while fronts are killed and partitioned and the ledger
+ * moves.
  */
-TEST_P(QuotaLedgerSeeds, StaysWithinTheQuotaUnderKillsCutsAndTakeovers) {
+TEST_P(QuotaLedgerSeeds, StaysWithinTheQuotaUnderKillsPartitionsAndTakeovers) {
   LedgerFleet fleet(GetParam(), 291);
   fleet.run(seconds(9), Rate * 0.77);
   const double jump = 2 + 6 * fleet.random().uniform();
--- a/libraries/front/test/quota_meter_test.cc
+++ b/libraries/front/test/quota_meter_test.cc
@@ -29,14 +29,14 @@
   return options;
 }
 
-TEST(QuotaMeterTest, ATenantWithoutAQuotaIsNotLimited) {
+TEST(QuotaMeterTest, TenantWithoutAQuotaIsNotLimited) {
   simulation::World world{1};
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
   EXPECT_FALSE(meter.acquireLocally(tenantOf(0), 1e12).has_value());
 }
 
-TEST(QuotaMeterTest, WithoutWordFromTheCoresAFrontKeepsAnEqualPart) {
+TEST(QuotaMeterTest, WithoutReportsAFrontAdmitsAnEqualShare) {
   simulation::World world{1};
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
@@ -44,33 +44,33 @@
   meter.setAllocations({});
   world.runFor(std::chrono::seconds(9));
   const configuration::ForwardTenant tenant = tenantOf(1'000);
-  double let_in = 0;
+  double admitted = 0;
   for (int request = 0; request < 10'000; ++request) {
-    let_in += meter.acquireLocally(tenant, 10).has_value() ? 0 : 10;
+    admitted += meter.acquireLocally(tenant, 10).has_value() ? 0 : 10;
   }
-  EXPECT_LE(let_in, *Bounds.limitOf(tenant) / 4);
-  EXPECT_GT(let_in, *Bounds.limitOf(tenant) / 5);
+  EXPECT_LE(admitted, *Bounds.limitOf(tenant) / 4);
+  EXPECT_GT(admitted, *Bounds.limitOf(tenant) / 5);
   world.runFor(std::chrono::milliseconds(8'200));
   EXPECT_FALSE(meter.acquireLocally(tenant, 10).has_value());
 }
 
-TEST(QuotaMeterTest, AFrontThatHasJustStartedBeginsWithNothing) {
+TEST(QuotaMeterTest, FrontThatHasJustStartedAdmitsNothing) {
   simulation::World world{1};
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
   const configuration::ForwardTenant tenant = tenantOf(1'000);
   EXPECT_TRUE(meter.acquireLocally(tenant, 300).has_value());
   world.runFor(std::chrono::seconds(1));
-  double let_in = 0;
+  double admitted = 0;
   for (int request = 0; request < 1'000; ++request) {
-    let_in += meter.acquireLocally(tenant, 10).has_value() ? 0 : 10;
+    admitted += meter.acquireLocally(tenant, 10).has_value() ? 0 : 10;
   }
-  // An eighth of what comes free in a second, and a little besides.
-  EXPECT_LE(let_in, *Bounds.limitOf(tenant) * (1.0 / 8 / 8 + 0.02));
-  EXPECT_GT(let_in, 0);
+  // An eighth of the units that become available in a second, and the startup share.
+  EXPECT_LE(admitted, *Bounds.limitOf(tenant) * (1.0 / 8 / 8 + 0.02));
+  EXPECT_GT(admitted, 0);
 }
 
-TEST(QuotaMeterTest, ARefusalTellsWhenToComeBackAndGivenBackUnitsCountNoMore) {
+TEST(QuotaMeterTest, RejectionHasARetryAfterAndRefundedUnitsAreAvailable) {
   simulation::World world{1};
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
@@ -86,7 +86,7 @@
   EXPECT_FALSE(meter.acquireLocally(tenant, 50).has_value());
 }
 
-/** Fronts that report to one core each quarter of a second, under demand that jumps about. */
+/** Fronts that report to one core each quarter of a second, under changing demand. */
 class QuotaFleet {
  public:
   QuotaFleet(std::uint64_t seed, std::size_t fronts) : world_(seed), tenant_(tenantOf(1'000)) {
@@ -97,7 +97,7 @@
     for (std::size_t index = 0; index < fronts; ++index) {
       meters_.push_back(std::make_unique<QuotaMeter>(process_, optionsOf()));
       meters_.back()->setFronts(fronts);
-      // A front serves only once its session is open, which tells it this much.
+      // A front serves only once its session is open, with which it gets the allocations.
       meters_.back()->setAllocations({});
       records_.emplace_back();
       records_.back().record.front = {"127.0.0.1", static_cast<std::uint16_t>(index + 1)};
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Asks for `per_s` units a second for a while; the last `cut` fronts hear of no other. */
+  /** Requests `per_s` units per second for a while; the last `cut` fronts are partitioned. */
   void load(double per_s, base::Duration duration, std::size_t cut) {
     constexpr base::Duration Step = std::chrono::milliseconds(10);
     for (base::Duration passed{}; passed < duration; passed += Step) {
@@ -132,7 +132,7 @@
     records_.resize(meters_.size());
     histories_.resize(meters_.size());
   }
-  /** The core that all ask is replaced by one that knows the live sessions alone. */
+  /** Replaces the core of all fronts by one that knows only the live sessions. */
   void replaceCore() {
     allocator_ = std::make_unique<core::QuotaAllocator>(
         process_,
@@ -144,7 +144,7 @@
         Bounds);
     allocator_->setConfiguration(view_);
   }
-  /** Whether the core has forgotten what nobody can tell it any more. */
+  /** Whether the core has lost state that no front can report any more. */
   bool coreKnows() { return allocator_->allocate(records_[0].record).has_value(); }
   double mostInAnyWindow() const { return most_; }
   double letIn() const { return let_in_; }
@@ -164,7 +164,7 @@
       }
     }
   }
-  /** The records that a core has: those of fronts it hears. */
+  /** The records of a core: those of the fronts that are connected to it. */
   std::vector<wire::SessionTableEntry> heard() const {
     return {records_.begin(), records_.end() - static_cast<std::ptrdiff_t>(cut_)};
   }
@@ -215,12 +215,12 @@
 
 class QuotaFleetTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(QuotaFleetTest, TheFleetStaysWithinTheQuotaAndGivesOutWhatIsAsked) {
+TEST_P(QuotaFleetTest, FleetStaysWithinTheQuotaAndAdmitsTheDemand) {
   for (const std::size_t fronts : {6U, 40U}) {
     QuotaFleet fleet(GetParam(), fronts);
     fleet.load(0, std::chrono::seconds(9), 0);
     fleet.load(750, std::chrono::seconds(12), 0);
-    // All that lies well within the quota is let in.
+    // Demand well within the quota is admitted completely.
     EXPECT_GE(fleet.letIn(), 750 * 12 * 0.99) << fronts;
     fleet.load(6'000, std::chrono::seconds(3), 0);
     fleet.restart(fronts / 2);
@@ -229,7 +229,7 @@
     EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
     fleet.load(750, std::chrono::seconds(12), 0);
     fleet.load(6'000, std::chrono::milliseconds(700), 0);
-    // A third of the fronts is cut off just as a tenant begins to ask for eight times as much.
+    // A third of the fronts is partitioned just as a tenant's demand grows eightfold.
     fleet.load(6'000, std::chrono::seconds(12), fronts / 3);
     EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
     fleet.load(6'000, std::chrono::seconds(12), 0);
@@ -239,7 +239,7 @@
   }
 }
 
-TEST_P(QuotaFleetTest, CoresThatAllForgetKnowAgainAtOnceWhereNoFrontIsMissing) {
+TEST_P(QuotaFleetTest, CoresWithoutStateRecoverAtOnceIfNoFrontIsMissing) {
   constexpr std::size_t Fronts = 40;
   QuotaFleet fleet(GetParam(), Fronts);
   fleet.load(0, std::chrono::seconds(9), 0);
@@ -253,13 +253,13 @@
   EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant()));
 }
 
-TEST_P(QuotaFleetTest, FrontsThatEndWhileEveryCoreForgetsCountOn) {
+TEST_P(QuotaFleetTest, FrontsThatEndWhileAllCoresRestartStillCount) {
   constexpr std::size_t Fronts = 40;
   for (const bool for_good : {false, true}) {
     QuotaFleet fleet(GetParam(), Fronts);
     fleet.load(0, std::chrono::seconds(9), 0);
     fleet.load(6'000, std::chrono::seconds(9), 0);
-    // What they let in is known to nobody now.
+    // What they admitted is known to no node now.
     if (for_good) {
       fleet.end(Fronts / 2);
     } else {
--- a/libraries/front/test/retry_budget_test.cc
+++ b/libraries/front/test/retry_budget_test.cc
@@ -8,7 +8,7 @@
 namespace switchsaddle::front {
 namespace {
 
-TEST(RetryBudgetTest, HasNoFloorOfItsOwn) {
+TEST(RetryBudgetTest, HasNoMinimumPerFront) {
   simulation::World world{1};
   simulation::Process process{world};
   RetryBudget budget(process);
@@ -16,7 +16,7 @@
   EXPECT_FALSE(budget.tryAcquire("s", 0.2));
 }
 
-TEST(RetryBudgetTest, SpendsItsPartOfTheFleetsExtraOnceInAWindow) {
+TEST(RetryBudgetTest, UsesItsShareOfTheFleetsExtraOncePerWindow) {
   simulation::World world{1};
   simulation::Process process{world};
   RetryBudget budget(process);
--- a/libraries/front/test/session_monitor_test.cc
+++ b/libraries/front/test/session_monitor_test.cc
@@ -23,7 +23,7 @@
   SessionMonitor monitor_{process_, session_, incidents_};
 };
 
-TEST_F(SessionMonitorTest, TellsOfALapseOnceWithItsCodeAndAsksForADump) {
+TEST_F(SessionMonitorTest, ReportsALapseOnceWithItsCodeAndRequestsADump) {
   session_.now = sessions::SessionState::Serving;
   monitor_.start();
   become(sessions::SessionState::Lapsed);
@@ -34,7 +34,7 @@
   EXPECT_TRUE(incidents_.all[1].dumps_ring);
 }
 
-TEST_F(SessionMonitorTest, TellsWhenTheFrontServesAgain) {
+TEST_F(SessionMonitorTest, ReportsWhenTheFrontServesAgain) {
   session_.now = sessions::SessionState::Serving;
   monitor_.start();
   become(sessions::SessionState::Lapsed);
@@ -45,14 +45,14 @@
   EXPECT_FALSE(incidents_.all[2].dumps_ring);
 }
 
-TEST_F(SessionMonitorTest, AFrontThatStartsWithoutASessionHasNotLapsed) {
+TEST_F(SessionMonitorTest, FrontThatStartsWithoutASessionHasNotLapsed) {
   session_.now = sessions::SessionState::Lapsed;
   monitor_.start();
   world_.runFor(std::chrono::seconds(5));
   EXPECT_TRUE(incidents_.all.empty());
 }
 
-TEST_F(SessionMonitorTest, SaysNothingOnceStopped) {
+TEST_F(SessionMonitorTest, ReportsNothingOnceStopped) {
   session_.now = sessions::SessionState::Serving;
   monitor_.start();
   monitor_.stop();
--- a/libraries/front/test/simulated_fleet.h
+++ b/libraries/front/test/simulated_fleet.h
@@ -29,7 +29,7 @@
   return {"127.0.2." + std::to_string(number + 1), 1};
 }
 
-/** Workers stand in two zones in turn, pair by pair of a model worker and an ordinary one. */
+/** Workers alternate between two zones, in pairs of a model worker and an ordinary one. */
 inline std::string zoneOfWorker(const base::NodeAddress& address) {
   return (address.port - 1) / 2 % 2 == 0 ? "a" : "b";
 }
@@ -61,7 +61,7 @@
   int workers_per_pool_;
 };
 
-/** Answers every request at once, on the front's process. */
+/** Responds to every request at once, on the front's process. */
 class PromptWorkers : public WorkerPort {
  public:
   explicit PromptWorkers(simulation::Process& process) : process_(process) {}
@@ -92,7 +92,7 @@
   simulation::Process& process_;
 };
 
-/** Keeps what one caller was answered. */
+/** Records the response to one caller. */
 class CallerWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override {
@@ -112,14 +112,14 @@
   void onClientDisconnected(std::function<void()>) override {}
 
   std::optional<http::Response> response;
-  /** Runs with the answer, where set. */
+  /** Runs with the response, if set. */
   std::function<void(const http::Response&)> answered;
   std::string chunks;
   bool ended = false;
   bool aborted = false;
 };
 
-/** A core machine, whose process may be killed and started again on its disk. */
+/** A core whose process may be killed and restarted on its disk. */
 struct CoreProcess {
   CoreProcess(simulation::World& core_world, simulation::Network& core_network,
               const configuration::Settings& common, int number, int workers_per_pool)
--- a/libraries/front/test/slow_caller_test.cc
+++ b/libraries/front/test/slow_caller_test.cc
@@ -19,11 +19,11 @@
 
 constexpr std::size_t ChunkBytes = 32U << 10U;
 constexpr std::uint64_t Chunks = 2'000;
-/** Far above the kernel's socket buffers and the relay's own, far below the whole stream. */
+/** Far above the buffers of the kernel and the relay, far below the complete stream. */
 constexpr std::uint64_t MostUnread = 32U << 20U;
 constexpr int SmallReceiveBuffer = 64 << 10;
 
-/** A worker that writes pieces as fast as they are taken, one at a time. */
+/** A worker that writes chunks as fast as they are accepted, one at a time. */
 class EagerWorker : public std::enable_shared_from_this<EagerWorker> {
  public:
   EagerWorker(http::ResponseWriterPtr writer, std::uint64_t& written)
@@ -74,12 +74,12 @@
     configuration::Tenant tenant;
     tenant.name = "editors";
     tenant.shape.services = {"completions"};
-    beliefs.view.tenants["editors"] = tenant;
+    fleet_view.view.tenants["editors"] = tenant;
     const std::string hash = configuration::sha256Hex("secret");
-    beliefs.view.keys[hash] = configuration::Key{"k", hash, "editors"};
-    beliefs.view.routes["large"] =
+    fleet_view.view.keys[hash] = configuration::Key{"k", hash, "editors"};
+    fleet_view.view.routes["large"] =
         configuration::Route{"large", "completions", {"large"}, "models"};
-    workers::Worker& worker = beliefs.addWorker("w1", "models");
+    workers::Worker& worker = fleet_view.addWorker("w1", "models");
     worker.entry.address = worker_server->address();
     router.workers = {worker};
     front_server = http::startServer(context, {"127.0.0.1", 0}, {},
@@ -145,19 +145,19 @@
   FakeSlots slots;
   FakeSession session;
   FakeRouter router;
-  FakeFleetView beliefs;
+  FakeFleetView fleet_view;
   RetryBudget retries{dispatcher};
   WorkerCircuit circuit{dispatcher};
   Counters counters;
   StreamStages stages;
   StreamFlow streams{StreamEnvironment{dispatcher, world.random(), slots, session, router, port,
-                                       beliefs, retries, circuit, counters, stages}};
+                                       fleet_view, retries, circuit, counters, stages}};
   OneShotFlow one_shots{OneShotEnvironment{dispatcher, world.random(), claims, slots, session, port,
-                                           beliefs, retries, circuit, counters}};
+                                           fleet_view, retries, circuit, counters}};
   ControlForwarder control{calls, [] { return std::vector<base::NodeAddress>{}; }};
   CallerService service{CallerDependencies{dispatcher,
                                            session,
-                                           beliefs,
+                                           fleet_view,
                                            router,
                                            streams,
                                            one_shots,
@@ -174,10 +174,10 @@
   tcp::socket caller{context};
 };
 
-TEST_F(SlowCallerTest, SlowsItsWorkerAndLosesNothing) {
+TEST_F(SlowCallerTest, SlowCallerPausesItsWorkerAndLosesNothing) {
   connect();
   runUntilStill();
-  // The caller has read nothing: what the worker could write stands in bounded buffers.
+  // The caller has read nothing: what the worker could write is in bounded buffers.
   EXPECT_LT(written, MostUnread);
   const std::string text = readAll();
   EXPECT_LT(most_unread, MostUnread);
--- a/libraries/front/test/stream_flow_test.cc
+++ b/libraries/front/test/stream_flow_test.cc
@@ -23,7 +23,7 @@
   return "id: " + std::to_string(count) + "\ndata: [DONE]\n\n";
 }
 
-/** What one caller saw. */
+/** Records what one caller received. */
 class FakeSink : public StreamSink {
  public:
   void refuse(const StreamRefusal& value) override {
@@ -59,9 +59,9 @@
 class StreamFlowTest : public testing::Test {
  protected:
   StreamFlowTest() {
-    beliefs.view.routes["large"] =
+    fleet_view.view.routes["large"] =
         configuration::Route{"large", "completions", {"large"}, "models"};
-    router.workers = {beliefs.addWorker("w1", "models"), beliefs.addWorker("w2", "models")};
+    router.workers = {fleet_view.addWorker("w1", "models"), fleet_view.addWorker("w2", "models")};
     for (int count = 0; count < 100; ++count) {
       retries.countFirstAttempt("completions");
     }
@@ -87,18 +87,18 @@
   FakeSession session;
   FakeRouter router;
   FakeWorkers workers;
-  FakeFleetView beliefs;
+  FakeFleetView fleet_view;
   RetryBudget retries{process};
   WorkerCircuit circuit{process};
   Counters counters;
   StreamStages stages;
   simulation::CollectingIncidents incidents;
   StreamFlow flow{StreamEnvironment{process, world.random(), slots, session, router, workers,
-                                    beliefs, retries, circuit, counters, stages, &incidents}};
+                                    fleet_view, retries, circuit, counters, stages, &incidents}};
   std::shared_ptr<StreamHandle> handle;
 };
 
-TEST_F(StreamFlowTest, WhatWasNeverSentEarnsNoRetries) {
+TEST_F(StreamFlowTest, RequestsNeverSentAddNothingToTheRetryBudget) {
   while (retries.tryAcquire("completions", 0.1)) {
   }
   session.now = sessions::SessionState::Lapsed;
@@ -108,13 +108,13 @@
   EXPECT_FALSE(retries.tryAcquire("completions", 0.1));
 }
 
-TEST_F(StreamFlowTest, AKeyRevokedBeforeTheDispatchIsRefused) {
+TEST_F(StreamFlowTest, KeyRevokedBeforeTheDispatchIsRejected) {
   slots.silent = true;
   const auto waiting = run();
   slots.silent = false;
   const auto failing = run();
   ASSERT_EQ(workers.sent.size(), 1U);
-  beliefs.view.keys.clear();
+  fleet_view.view.keys.clear();
   slots.grantWaiting();
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   EXPECT_EQ(workers.sent.size(), 1U);
@@ -125,7 +125,7 @@
   }
 }
 
-TEST_F(StreamFlowTest, RelaysAWholeRun) {
+TEST_F(StreamFlowTest, RelaysACompleteRun) {
   const auto sink = run();
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0) + chunk(1));
@@ -138,7 +138,7 @@
   EXPECT_EQ(router.completions[0].output_tokens, 2U);
 }
 
-TEST_F(StreamFlowTest, ACrashBeforeTheFirstPieceIsRetriedElsewhere) {
+TEST_F(StreamFlowTest, CrashBeforeTheFirstChunkIsRetriedElsewhere) {
   const auto sink = run();
   workers.sent[0].head();
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
@@ -153,11 +153,11 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, AKeyRemovedWhileTheRequestWaitsIsNotServed) {
+TEST_F(StreamFlowTest, KeyRemovedWhileTheRequestIsQueuedIsNotServed) {
   slots.silent = true;
-  beliefs.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
+  fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto sink = run("hash");
-  beliefs.view.keys.clear();
+  fleet_view.view.keys.clear();
   slots.serveWaiting();
   EXPECT_TRUE(workers.sent.empty());
   ASSERT_TRUE(sink->refusal);
@@ -166,11 +166,11 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, AKeyRemovedBeforeARetryIsNotServed) {
-  beliefs.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
+TEST_F(StreamFlowTest, KeyRemovedBeforeARetryIsNotServed) {
+  fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto sink = run("hash");
   ASSERT_EQ(workers.sent.size(), 1U);
-  beliefs.view.keys.clear();
+  fleet_view.view.keys.clear();
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
   EXPECT_EQ(workers.sent.size(), 1U);
   ASSERT_TRUE(sink->refusal);
@@ -178,7 +178,7 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, ABrokenStreamIsToldWithItsRequestIdAndAWholeOneIsNot) {
+TEST_F(StreamFlowTest, BrokenStreamIsReportedWithItsRequestIdAndACompleteOneIsNot) {
   run();
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0) + done(1));
@@ -208,7 +208,7 @@
   EXPECT_EQ(counters.requests.size(), 3U);
 }
 
-TEST_F(StreamFlowTest, ACrashAfterTheFirstPieceEndsWithAnErrorEvent) {
+TEST_F(StreamFlowTest, CrashAfterTheFirstChunkEndsWithAnErrorEvent) {
   const auto sink = run();
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0));
@@ -238,7 +238,7 @@
                          testing::Values(chunk(2), chunk(0), chunk(1, "r2"), std::string(), done(2),
                                          std::string("data: [DONE]\n\n")));
 
-TEST_F(StreamFlowTest, WithoutBudgetAFailureIsRefusedWithoutPromise) {
+TEST_F(StreamFlowTest, WithoutBudgetAFailureIsRejectedWithUnknownOutcome) {
   world.runFor(std::chrono::seconds(11));
   const auto sink = run();
   workers.sent[0].head(503);
@@ -249,16 +249,16 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, ARefusedWorkerIsKeptOutOfTheNextPlacements) {
+TEST_F(StreamFlowTest, WorkerThatRefusesConnectionsIsExcludedFromTheNextPlacements) {
   run();
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
-  EXPECT_EQ(beliefs.refused, std::vector<std::string>{"w1"});
+  EXPECT_EQ(fleet_view.refused, std::vector<std::string>{"w1"});
   run();
   ASSERT_EQ(workers.sent.size(), 3U);
   EXPECT_EQ(workers.sent[2].request.address, workers.sent[1].request.address);
 }
 
-TEST_F(StreamFlowTest, ALapsedSessionDispatchesNothingButKeepsOpenStreams) {
+TEST_F(StreamFlowTest, LapsedSessionDispatchesNothingButKeepsOpenStreams) {
   const auto open = run();
   session.now = sessions::SessionState::Lapsed;
   const auto sink = run();
@@ -280,7 +280,7 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, RefusalsOfAdmissionAreTold) {
+TEST_F(StreamFlowTest, RejectionsOfAdmissionAreReported) {
   slots.code = ResultCode::OverBranchLimit;
   EXPECT_EQ(run()->refusal->code, ResultCode::OverBranchLimit);
   slots.code = ResultCode::Ok;
@@ -292,7 +292,7 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, AFullAdmissionQueueRefusesAtOnce) {
+TEST_F(StreamFlowTest, FullAdmissionQueueRejectsAtOnce) {
   slots.silent = true;
   std::vector<std::shared_ptr<FakeSink>> waiting;
   for (int count = 0; count < 512; ++count) {
@@ -302,7 +302,7 @@
   EXPECT_EQ(run()->refusal->code, ResultCode::QueueFull);
 }
 
-TEST_F(StreamFlowTest, ASlowCallerHoldsItsWorkerBack) {
+TEST_F(StreamFlowTest, SlowCallerPausesItsWorker) {
   const auto sink = run();
   sink->slow = true;
   workers.sent[0].head();
@@ -318,7 +318,7 @@
   EXPECT_TRUE(resumed);
 }
 
-TEST_F(StreamFlowTest, ACallerWhoGoesGivesTheSlotBack) {
+TEST_F(StreamFlowTest, DisconnectedCallerReleasesTheSlot) {
   const auto sink = run();
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0));
@@ -328,7 +328,7 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, TheStreamDeadlineEndsBeforeAndAfterTheFirstPiece) {
+TEST_F(StreamFlowTest, StreamDeadlineEndsBeforeAndAfterTheFirstChunk) {
   const auto before = run();
   const auto after = run();
   workers.sent[1].head();
--- a/libraries/front/test/traffic_scenario.cc
+++ b/libraries/front/test/traffic_scenario.cc
@@ -25,7 +25,7 @@
 /** How often an operator sends an order that has not been acknowledged. */
 constexpr int OrderAttempts = 25;
 
-/** A worker's lost requests told as not sent: the mechanism off. */
+/** Reports a worker's lost requests as not sent, which disables the mechanism under test. */
 class LossForgetter : public WorkerPort {
  public:
   explicit LossForgetter(std::unique_ptr<WorkerPort> inner) : inner_(std::move(inner)) {}
@@ -377,7 +377,7 @@
     fleet_->fronts[front]->node().service().enqueue(std::move(request), writer);
   }
   if (attempts_left > 0) {
-    // Asked again whether or not an answer comes, as an operator who has lost patience does.
+    // Sent again whether or not a response arrives, as an impatient operator would.
     world.schedule(milliseconds(700), [this, order_request, attempts_left, acknowledged] {
       order(order_request, attempts_left - 1, acknowledged);
     });
--- a/libraries/front/test/traffic_scenario.h
+++ b/libraries/front/test/traffic_scenario.h
@@ -95,7 +95,7 @@
   void checkHistory();
   void checkKeys();
   void checkStream(const StreamCall& call);
-  /** When first tries and retries were sent, in order. */
+  /** When first attempts and retries were sent, in order. */
   struct RetryTimes {
     std::vector<base::TimePoint> firsts;
     std::vector<base::TimePoint> retries;
--- a/libraries/front/test/traffic_scenario_test.cc
+++ b/libraries/front/test/traffic_scenario_test.cc
@@ -13,19 +13,19 @@
 
 class TrafficSeeds : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(TrafficSeeds, BreaksNoRuleUnderFailures) {
+TEST_P(TrafficSeeds, KeepsAllInvariantsUnderFailures) {
   const TrafficResult result = TrafficScenario(GetParam(), {}).run();
   for (const std::string& violation : result.violations) {
     ADD_FAILURE() << violation;
   }
-  // In 2 of 1,000 seeds no caller hears that a one-shot ran; the sums of many show that most do.
+  // In 2 of 1,000 seeds no caller gets the outcome "ran"; the sums of many seeds show that most do.
   EXPECT_GT(result.one_shots_ran + result.one_shots_unknown, 0);
   EXPECT_GT(result.streams_done, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, TrafficSeeds, testing::Range<std::uint64_t>(1, Seeds + 1));
 
-TEST(TrafficCoverage, TheSeedsBringAboutWhatTheyCheck) {
+TEST(TrafficCoverage, SeedsReachTheCheckedSituations) {
   TrafficResult sum;
   int revocations = 0;
   int evacuations = 0;
@@ -89,7 +89,7 @@
 
 class TrafficRedRuns : public testing::TestWithParam<RedRun> {};
 
-TEST_P(TrafficRedRuns, AMechanismSwitchedOffIsFoundOut) {
+TEST_P(TrafficRedRuns, DetectsADisabledMechanism) {
   std::uint64_t found_at = 0;
   for (std::uint64_t seed = 1; seed <= RedSeeds && found_at == 0; ++seed) {
     const TrafficResult result = TrafficScenario(seed, GetParam().options).run();
@@ -104,7 +104,7 @@
                            return std::string(run.param.name);
                          });
 
-TEST(TrafficStorm, RetriesStayWithinTheBudgetWhereMostWorkersRefuse) {
+TEST(TrafficStorm, RetriesStayWithinTheBudgetWhenMostWorkersReject) {
   TrafficOptions options;
   options.faults.not_run = 0.4;
   std::size_t retries = 0;
