--- a/libraries/front/include/switchsaddle/front/quota_meter.h
+++ b/libraries/front/include/switchsaddle/front/admission/quota_meter.h
@@ -13,7 +13,7 @@
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/configuration/forwarding.h"
 #include "switchsaddle/configuration/quota_share.h"
-#include "switchsaddle/front/quota_ledger_client.h"
+#include "switchsaddle/front/admission/quota_ledger_client.h"
 #include "switchsaddle/wire/session_messages.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/include/switchsaddle/front/http_forward_port.h
+++ b/libraries/front/include/switchsaddle/front/http_forward_port.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "switchsaddle/base/dispatcher.h"
-#include "switchsaddle/front/forward_port.h"
+#include "switchsaddle/front/worker_calls/forward_port.h"
 #include "switchsaddle/http/client.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/include/switchsaddle/front/one_shot_flow.h
+++ b/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
@@ -16,10 +16,10 @@
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/base/result_code.h"
 #include "switchsaddle/claims/claim_client.h"
+#include "switchsaddle/front/attempt/retry_budget.h"
+#include "switchsaddle/front/attempt/worker_circuit.h"
 #include "switchsaddle/front/counters.h"
-#include "switchsaddle/front/fleet_view.h"
-#include "switchsaddle/front/retry_budget.h"
-#include "switchsaddle/front/worker_circuit.h"
+#include "switchsaddle/front/node/fleet_view.h"
 #include "switchsaddle/front/worker_port.h"
 #include "switchsaddle/sessions/session_client.h"
 
--- a/libraries/front/source/admission_gate.cc
+++ b/libraries/front/source/admission/admission_gate.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/admission_gate.h"
+#include "switchsaddle/front/admission/admission_gate.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/quota_ledger_client.cc
+++ b/libraries/front/source/admission/quota_ledger_client.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/quota_ledger_client.h"
+#include "switchsaddle/front/admission/quota_ledger_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/libraries/front/source/quota_meter.cc
+++ b/libraries/front/source/admission/quota_meter.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/quota_meter.h"
+#include "switchsaddle/front/admission/quota_meter.h"
 
 #include <algorithm>
 #include <cmath>
--- a/libraries/front/source/stage.cc
+++ b/libraries/front/source/admission/stage.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/stage.h"
+#include "switchsaddle/front/admission/stage.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/attempt/attempt_list.h
+++ b/libraries/front/source/attempt/attempt_list.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
+#include "switchsaddle/front/attempt/retry_budget.h"
 #include "switchsaddle/front/counters.h"
-#include "switchsaddle/front/retry_budget.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/attempt/dispatch_guard.h
+++ b/libraries/front/source/attempt/dispatch_guard.h
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "switchsaddle/base/result_code.h"
-#include "switchsaddle/front/fleet_view.h"
+#include "switchsaddle/front/node/fleet_view.h"
 #include "switchsaddle/sessions/session_client.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/source/worker_circuit.cc
+++ b/libraries/front/source/attempt/worker_circuit.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/worker_circuit.h"
+#include "switchsaddle/front/attempt/worker_circuit.h"
 
 #include <algorithm>
 
--- a/libraries/front/source/caller_answers.h
+++ b/libraries/front/source/caller_answers.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "switchsaddle/base/result_code.h"
-#include "switchsaddle/front/one_shot_flow.h"
+#include "switchsaddle/front/one_shot/one_shot_flow.h"
 #include "switchsaddle/http/message.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/source/forward_flow.cc
+++ b/libraries/front/source/forward/forward_flow.cc
@@ -1,9 +1,9 @@
-#include "switchsaddle/front/forward_flow.h"
+#include "switchsaddle/front/forward/forward_flow.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "forward_run.h"
+#include "forward/forward_run.h"
 #include "switchsaddle/base/error.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/source/forward_losses.cc
+++ b/libraries/front/source/forward/forward_losses.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/forward_losses.h"
+#include "switchsaddle/front/forward/forward_losses.h"
 
 #include <utility>
 
--- a/libraries/front/source/forward_placer.cc
+++ b/libraries/front/source/forward/forward_placer.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/forward_placer.h"
+#include "switchsaddle/front/forward/forward_placer.h"
 
 #include <algorithm>
 #include <utility>
--- a/libraries/front/source/forward_request.cc
+++ b/libraries/front/source/forward/forward_request.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/forward_request.h"
+#include "switchsaddle/front/forward/forward_request.h"
 
 #include <algorithm>
 #include <array>
--- a/libraries/front/source/forward_run.cc
+++ b/libraries/front/source/forward/forward_run.cc
@@ -1,4 +1,4 @@
-#include "forward_run.h"
+#include "forward/forward_run.h"
 
 #include <algorithm>
 #include <utility>
--- a/libraries/front/source/forward_run.h
+++ b/libraries/front/source/forward/forward_run.h
@@ -10,7 +10,7 @@
 #include "attempt/active_call.h"
 #include "attempt/attempt_list.h"
 #include "attempt/request_deadline.h"
-#include "switchsaddle/front/forward_flow.h"
+#include "switchsaddle/front/forward/forward_flow.h"
 #include "switchsaddle/front/request/caller_connection.h"
 #include "switchsaddle/streams/event_splitter.h"
 #include "switchsaddle/worker_health/dispatch_sample.h"
--- a/libraries/front/source/forward_run_answers.cc
+++ b/libraries/front/source/forward/forward_run_answers.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "caller_answers.h"
-#include "forward_run.h"
+#include "forward/forward_run.h"
 
 // The ends of a forwarded request: rejected, answered, aborted, or cancelled by its caller.
 
--- a/libraries/front/source/forward_run_events.cc
+++ b/libraries/front/source/forward/forward_run_events.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "forward_run.h"
+#include "forward/forward_run.h"
 
 // The relay of a forwarded stream: checks, measures and writes its events.
 
--- a/libraries/front/source/front_history.cc
+++ b/libraries/front/source/node/front_history.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/front_history.h"
+#include "switchsaddle/front/node/front_history.h"
 
 #include <algorithm>
 #include <limits>
--- a/libraries/front/source/front_node.cc
+++ b/libraries/front/source/node/front_node.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "state_reporter.h"
+#include "node/state_reporter.h"
 #include "switchsaddle/node_options/node_options.h"
 #include "switchsaddle/workers/worker_journal.h"
 
--- a/libraries/front/source/session_monitor.cc
+++ b/libraries/front/source/node/session_monitor.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/session_monitor.h"
+#include "switchsaddle/front/node/session_monitor.h"
 
 #include <utility>
 
--- a/libraries/front/source/state_reporter.cc
+++ b/libraries/front/source/node/state_reporter.cc
@@ -1,4 +1,4 @@
-#include "state_reporter.h"
+#include "node/state_reporter.h"
 
 #include <utility>
 
--- a/libraries/front/source/one_shot_flow.cc
+++ b/libraries/front/source/one_shot/one_shot_flow.cc
@@ -1,11 +1,11 @@
-#include "switchsaddle/front/one_shot_flow.h"
+#include "switchsaddle/front/one_shot/one_shot_flow.h"
 
 #include <algorithm>
 #include <array>
 #include <cstdio>
 #include <utility>
 
-#include "one_shot_run.h"
+#include "one_shot/one_shot_run.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/one_shot_run.cc
+++ b/libraries/front/source/one_shot/one_shot_run.cc
@@ -1,4 +1,4 @@
-#include "one_shot_run.h"
+#include "one_shot/one_shot_run.h"
 
 #include <utility>
 
--- a/libraries/front/source/one_shot_run.h
+++ b/libraries/front/source/one_shot/one_shot_run.h
@@ -9,7 +9,7 @@
 #include "attempt/attempt_list.h"
 #include "attempt/dispatch_guard.h"
 #include "attempt/request_deadline.h"
-#include "switchsaddle/front/one_shot_flow.h"
+#include "switchsaddle/front/one_shot/one_shot_flow.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/caller_service.cc
+++ b/libraries/front/source/request/caller_service.cc
@@ -1,11 +1,11 @@
-#include "switchsaddle/front/caller_service.h"
+#include "switchsaddle/front/request/caller_service.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "caller_answers.h"
-#include "caller_sinks.h"
 #include "request/caller_authentication.h"
+#include "request/caller_sinks.h"
 #include "request/status_resources.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/front/request_parser.h"
--- a/libraries/front/source/caller_sinks.cc
+++ b/libraries/front/source/request/caller_sinks.cc
@@ -1,4 +1,4 @@
-#include "caller_sinks.h"
+#include "request/caller_sinks.h"
 
 #include <optional>
 #include <utility>
--- a/libraries/front/source/caller_sinks.h
+++ b/libraries/front/source/request/caller_sinks.h
@@ -5,7 +5,7 @@
 
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/front/request/caller_connection.h"
-#include "switchsaddle/front/stream_flow.h"
+#include "switchsaddle/front/stream/stream_flow.h"
 #include "switchsaddle/http/server.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/source/control_forwarder.cc
+++ b/libraries/front/source/request/control_forwarder.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/control_forwarder.h"
+#include "switchsaddle/front/request/control_forwarder.h"
 
 #include <array>
 #include <utility>
--- a/libraries/front/source/request/status_resources.h
+++ b/libraries/front/source/request/status_resources.h
@@ -2,7 +2,7 @@
 
 #include <string_view>
 
-#include "switchsaddle/front/caller_service.h"
+#include "switchsaddle/front/request/caller_service.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/stream_flow.cc
+++ b/libraries/front/source/stream/stream_flow.cc
@@ -1,8 +1,8 @@
-#include "switchsaddle/front/stream_flow.h"
+#include "switchsaddle/front/stream/stream_flow.h"
 
 #include <utility>
 
-#include "stream_run.h"
+#include "stream/stream_run.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/stream_run.cc
+++ b/libraries/front/source/stream/stream_run.cc
@@ -1,4 +1,4 @@
-#include "stream_run.h"
+#include "stream/stream_run.h"
 
 #include <utility>
 
--- a/libraries/front/source/stream_run.h
+++ b/libraries/front/source/stream/stream_run.h
@@ -9,8 +9,8 @@
 #include "attempt/attempt_list.h"
 #include "attempt/dispatch_guard.h"
 #include "attempt/request_deadline.h"
-#include "switchsaddle/front/admission_gate.h"
-#include "switchsaddle/front/stream_flow.h"
+#include "switchsaddle/front/admission/admission_gate.h"
+#include "switchsaddle/front/stream/stream_flow.h"
 #include "switchsaddle/streams/relay_machine.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/source/http_forward_port.cc
+++ b/libraries/front/source/worker_calls/http_forward_port.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "http_call.h"
+#include "worker_calls/http_call.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/http_worker_port.cc
+++ b/libraries/front/source/worker_calls/http_worker_port.cc
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <utility>
 
-#include "http_call.h"
+#include "worker_calls/http_call.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/test/quota_ledger_test.cc
+++ b/libraries/front/test/admission/quota_ledger_test.cc
@@ -11,8 +11,8 @@
 #include <set>
 
 #include "switchsaddle/core/quota_ledger.h"
-#include "switchsaddle/front/front_history.h"
-#include "switchsaddle/front/quota_meter.h"
+#include "switchsaddle/front/admission/quota_meter.h"
+#include "switchsaddle/front/node/front_history.h"
 #include "switchsaddle/simulation/network.h"
 #include "switchsaddle/simulation/process.h"
 
--- a/libraries/front/test/quota_meter_test.cc
+++ b/libraries/front/test/admission/quota_meter_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/quota_meter.h"
+#include "switchsaddle/front/admission/quota_meter.h"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 #include <memory>
 
 #include "switchsaddle/core/quota_allocator.h"
-#include "switchsaddle/front/front_history.h"
+#include "switchsaddle/front/node/front_history.h"
 #include "switchsaddle/simulation/process.h"
 #include "switchsaddle/simulation/world.h"
 
--- a/libraries/front/test/retry_budget_test.cc
+++ b/libraries/front/test/attempt/retry_budget_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/retry_budget.h"
+#include "switchsaddle/front/attempt/retry_budget.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/front/test/contract/live_fleet.h
+++ b/libraries/front/test/contract/live_fleet.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <optional>
 
-#include "simulated_fleet.h"
+#include "fleet/simulated_fleet.h"
 #include "switchsaddle/core/core_http_service.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
--- a/libraries/front/test/fakes.h
+++ b/libraries/front/test/fakes.h
@@ -10,7 +10,7 @@
 
 #include "switchsaddle/admission/slot_broker.h"
 #include "switchsaddle/claims/claim_client.h"
-#include "switchsaddle/front/fleet_view.h"
+#include "switchsaddle/front/node/fleet_view.h"
 #include "switchsaddle/front/worker_port.h"
 #include "switchsaddle/routing/router.h"
 #include "switchsaddle/sessions/session_client.h"
--- a/libraries/front/test/chaos_workers.cc
+++ b/libraries/front/test/fleet/chaos_workers.cc
@@ -1,4 +1,4 @@
-#include "chaos_workers.h"
+#include "fleet/chaos_workers.h"
 
 namespace switchsaddle::front {
 namespace {
--- a/libraries/front/test/fleet_chaos_test.cc
+++ b/libraries/front/test/fleet/fleet_chaos_test.cc
@@ -1,5 +1,5 @@
-#include "faulty_workers.h"
-#include "simulated_fleet.h"
+#include "fleet/simulated_fleet.h"
+#include "one_shot/faulty_workers.h"
 
 namespace switchsaddle::front {
 namespace {
--- a/libraries/front/test/fleet_loads_test.cc
+++ b/libraries/front/test/fleet/fleet_loads_test.cc
@@ -1,6 +1,6 @@
 // What fronts have under way at workers, as the cores hear it on whole nodes.
 
-#include "simulated_fleet.h"
+#include "fleet/simulated_fleet.h"
 
 namespace switchsaddle::front {
 namespace {
--- a/libraries/front/test/fleet_test.cc
+++ b/libraries/front/test/fleet/fleet_test.cc
@@ -1,4 +1,4 @@
-#include "simulated_fleet.h"
+#include "fleet/simulated_fleet.h"
 
 namespace switchsaddle::front {
 namespace {
--- a/libraries/front/test/traffic_scenario.h
+++ b/libraries/front/test/fleet/traffic_scenario.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "chaos_workers.h"
-#include "simulated_fleet.h"
+#include "fleet/chaos_workers.h"
+#include "fleet/simulated_fleet.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/test/traffic_scenario_checks.cc
+++ b/libraries/front/test/fleet/traffic_scenario_checks.cc
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "traffic_scenario.h"
+#include "fleet/traffic_scenario.h"
 
 // What must never have happened in a traffic scenario, judged by what callers and workers recorded.
 
--- a/libraries/front/test/traffic_scenario_test.cc
+++ b/libraries/front/test/fleet/traffic_scenario_test.cc
@@ -1,4 +1,4 @@
-#include "traffic_scenario.h"
+#include "fleet/traffic_scenario.h"
 
 #include <iostream>
 
--- a/libraries/front/test/forward_fakes.h
+++ b/libraries/front/test/forward/forward_fakes.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "switchsaddle/front/forward_port.h"
+#include "switchsaddle/front/worker_calls/forward_port.h"
 #include "switchsaddle/http/server.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/forward_fixture.h
+++ b/libraries/front/test/forward/forward_fixture.h
@@ -3,8 +3,8 @@
 #include <gtest/gtest.h>
 
 #include "fakes.h"
-#include "forward_fakes.h"
-#include "switchsaddle/front/forward_flow.h"
+#include "forward/forward_fakes.h"
+#include "switchsaddle/front/forward/forward_flow.h"
 #include "switchsaddle/simulation/process.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/forward_flow_test.cc
+++ b/libraries/front/test/forward/forward_flow_test.cc
@@ -1,9 +1,9 @@
-#include "switchsaddle/front/forward_flow.h"
+#include "switchsaddle/front/forward/forward_flow.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "forward_fixture.h"
+#include "forward/forward_fixture.h"
 #include "switchsaddle/base/error.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/forward_seeds_test.cc
+++ b/libraries/front/test/forward/forward_seeds_test.cc
@@ -5,8 +5,8 @@
 #include <map>
 
 #include "fakes.h"
-#include "forward_fakes.h"
-#include "switchsaddle/front/forward_flow.h"
+#include "forward/forward_fakes.h"
+#include "switchsaddle/front/forward/forward_flow.h"
 #include "switchsaddle/simulation/process.h"
 #include "switchsaddle/streams/event_splitter.h"
 
--- a/libraries/front/test/limits_test.cc
+++ b/libraries/front/test/limits_test.cc
@@ -1,8 +1,8 @@
 #include <gtest/gtest.h>
 
-#include "switchsaddle/front/retry_budget.h"
-#include "switchsaddle/front/stage.h"
-#include "switchsaddle/front/worker_circuit.h"
+#include "switchsaddle/front/admission/stage.h"
+#include "switchsaddle/front/attempt/retry_budget.h"
+#include "switchsaddle/front/attempt/worker_circuit.h"
 #include "switchsaddle/simulation/process.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/one_shot_fixture.h
+++ b/libraries/front/test/one_shot/one_shot_fixture.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "fakes.h"
-#include "switchsaddle/front/one_shot_flow.h"
+#include "switchsaddle/front/one_shot/one_shot_flow.h"
 #include "switchsaddle/simulation/process.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/one_shot_resend_test.cc
+++ b/libraries/front/test/one_shot/one_shot_resend_test.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <deque>
 
-#include "one_shot_fixture.h"
+#include "one_shot/one_shot_fixture.h"
 
 namespace switchsaddle::front {
 namespace {
--- a/libraries/front/test/one_shot_seeds_test.cc
+++ b/libraries/front/test/one_shot/one_shot_seeds_test.cc
@@ -4,8 +4,8 @@
 #include <set>
 
 #include "fakes.h"
-#include "faulty_workers.h"
-#include "switchsaddle/front/one_shot_flow.h"
+#include "one_shot/faulty_workers.h"
+#include "switchsaddle/front/one_shot/one_shot_flow.h"
 #include "switchsaddle/simulation/process.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/request/caller_connection_test.cc
+++ b/libraries/front/test/request/caller_connection_test.cc
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "forward_fakes.h"
+#include "forward/forward_fakes.h"
 #include "switchsaddle/simulation/process.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/caller_forwarding_test.cc
+++ b/libraries/front/test/request/caller_forwarding_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
-#include "forward_fixture.h"
-#include "switchsaddle/front/caller_service.h"
+#include "forward/forward_fixture.h"
+#include "switchsaddle/front/request/caller_service.h"
 #include "switchsaddle/simulation/network.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/test/caller_service_test.cc
+++ b/libraries/front/test/request/caller_service_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/caller_service.h"
+#include "switchsaddle/front/request/caller_service.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/front/test/stream_flow_test.cc
+++ b/libraries/front/test/stream/stream_flow_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/stream_flow.h"
+#include "switchsaddle/front/stream/stream_flow.h"
 
 #include <gtest/gtest.h>
 
