--- a/libraries/front/include/switchsaddle/front/attempt/retry_budget.h
+++ b/libraries/front/include/switchsaddle/front/attempt/retry_budget.h
@@ -15,7 +15,7 @@
  * Invariant: the retries of a window stay within the share over the complete fleet. Therefore
  * there is no minimum per front, unless the caller grants its share of a fleet-wide one; retries
  * expire late by up to one slice, so that rounding never allows one too many; and first attempts
- * expire early, since the fronts' loads vary while the budget spent on their behalf remains in the
+ * expire early, since the fronts' loads vary while retries that they allowed remain in the
  * window. Runs on the control strand.
  */
 class RetryBudget {
--- a/libraries/front/include/switchsaddle/front/forward/forward_request.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_request.h
@@ -24,7 +24,7 @@
   std::string request_id;
   /** The caller's time-out, if it sent one. */
   std::optional<base::Duration> deadline;
-  /** Model, prefix segments and tokens, as far as the caller sent them. */
+  /** Model, prefix segments and tokens; defaults for those that the caller did not send. */
   routing::Prompt prompt;
   /** Whether the caller sent its numbers of tokens. */
   bool reports_tokens = false;
--- a/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
+++ b/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
@@ -43,7 +43,7 @@
   base::Duration deadline = std::chrono::seconds(10);
 };
 
-/** Whether a request has run at a worker, as far as is proven. */
+/** Whether a request has run at a worker; Unknown unless proven. */
 enum class Outcome : std::uint8_t { Ran, NotRun, Unknown };
 
 /** @return "ran", "not-run" or "unknown". */
@@ -123,7 +123,7 @@
   std::set<std::shared_ptr<OneShotRun>> runs_;
   /** One-shots in flight by worker id; without entries of zero. */
   std::map<std::string, std::uint32_t> in_flight_;
-  /** Never empty; replaced by abandon(), which ends the callbacks under way. */
+  /** Never empty; replaced by abandon(), which ends the pending callbacks. */
   std::optional<base::CallbackScope> callbacks_{std::in_place};
 };
 
--- a/libraries/front/source/attempt/attempt_observer.h
+++ b/libraries/front/source/attempt/attempt_observer.h
@@ -15,7 +15,7 @@
  *
  * @tparam Head the parsed response header of the port.
  * @tparam Run has onHead(), onBytes(), onComplete() and onFailure(), each with the id first.
- * @tparam AttemptId what the run tells its attempts apart by.
+ * @tparam AttemptId the identifier by which the run distinguishes its attempts.
  */
 template <class Head, class Run, class AttemptId>
 class AttemptObserver : public ResponseObserver<Head> {
--- a/libraries/front/source/attempt/dispatch_guard.h
+++ b/libraries/front/source/attempt/dispatch_guard.h
@@ -9,7 +9,7 @@
 namespace switchsaddle::front {
 
 /**
- * Conditions that must hold at the moment a request is dispatched, whatever held when it was
+ * Conditions that must hold at the moment a request is dispatched, even if they held when it was
  * admitted. Keeps no state. Runs on the control strand.
  */
 class DispatchGuard {
--- a/libraries/front/test/attempt/retry_budget_test.cc
+++ b/libraries/front/test/attempt/retry_budget_test.cc
@@ -20,11 +20,11 @@
   simulation::World world{1};
   simulation::Process process{world};
   RetryBudget budget(process);
-  int spent = 0;
+  int acquired = 0;
   for (int attempt = 0; attempt < 100; ++attempt) {
-    spent += budget.tryAcquire("s", 0.2, 5) ? 1 : 0;
+    acquired += budget.tryAcquire("s", 0.2, 5) ? 1 : 0;
   }
-  EXPECT_EQ(spent, 5);
+  EXPECT_EQ(acquired, 5);
   world.runFor(std::chrono::seconds(9));
   EXPECT_FALSE(budget.tryAcquire("s", 0.2, 5));
   world.runFor(std::chrono::seconds(2));
--- a/libraries/front/test/fakes.h
+++ b/libraries/front/test/fakes.h
@@ -43,7 +43,7 @@
   }
   /** Delivers the withheld replies. */
   void release() {
-    held = false;
+    withheld = false;
     while (!pending_replies.empty()) {
       answerNext();
     }
@@ -59,7 +59,7 @@
   bool begins_available = true;
   bool records_begins = true;
   bool finishes_available = true;
-  bool held = false;
+  bool withheld = false;
   /** Runs before each reply to begin(). */
   std::function<void()> before_begin_answer;
   std::map<std::string, wire::ClaimReply> records;
@@ -74,7 +74,7 @@
       reply.available = true;
       reply.won = won;
     }
-    if (held) {
+    if (withheld) {
       pending_replies.push_back([reply, callback = std::move(callback)] { callback(reply); });
       return;
     }
@@ -90,7 +90,7 @@
  public:
   void acquire(const std::string& /*branch*/,
                std::function<void(admission::SlotOutcome)> callback) override {
-    if (silent) {
+    if (unresponsive) {
       waiting.push_back(std::move(callback));
       return;
     }
@@ -113,7 +113,7 @@
   }
 
   base::ResultCode code = base::ResultCode::Ok;
-  bool silent = false;
+  bool unresponsive = false;
   /** A released slot is granted to a queued request at once. */
   bool passes_on = false;
   std::vector<std::function<void(admission::SlotOutcome)>> waiting;
--- a/libraries/front/test/fleet/chaos_workers.cc
+++ b/libraries/front/test/fleet/chaos_workers.cc
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-void ChaosWorkers::tell(const Call& call, const std::shared_ptr<WorkerObserver>& observer,
-                        base::Duration delay, std::function<void(WorkerObserver&)> action) {
+void ChaosWorkers::deliver(const Call& call, const std::shared_ptr<WorkerObserver>& observer,
+                           base::Duration delay, std::function<void(WorkerObserver&)> action) {
   front_.postAfter(delay, [call, observer, action = std::move(action)] {
     if (!call->cancelled) {
       action(*observer);
@@ -65,15 +65,15 @@
   ledger_.attempts.push_back(
       {world_.now(), stream, front_incarnation_(), request.address, request.caller_request_id});
   if (world_.random().chance(rates_.refused)) {
-    tell(call, observer, delay,
-         [](WorkerObserver& to) { to.onFailure(WorkerFailure::NotSent, true); });
+    deliver(call, observer, delay,
+            [](WorkerObserver& to) { to.onFailure(WorkerFailure::NotSent, true); });
     return call;
   }
   if (world_.random().chance(rates_.not_run)) {
     WorkerHead head = headOf(request.request_id, "");
     head.status = 503;
     head.not_run = true;
-    tell(call, observer, delay, [head](WorkerObserver& to) { to.onHead(head); });
+    deliver(call, observer, delay, [head](WorkerObserver& to) { to.onHead(head); });
   } else if (stream) {
     runStream(request, call, observer);
   } else {
@@ -92,8 +92,8 @@
     });
   }
   if (fault == Fault::Lost || fault == Fault::LostUnrunOrChangedRun) {
-    tell(call, observer, delay,
-         [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
+    deliver(call, observer, delay,
+            [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
     return;
   }
   if (fault == Fault::StallOrCut) {
@@ -103,13 +103,13 @@
   const bool crossed = fault == Fault::CrossedOrRepeat;
   const WorkerHead head = headOf(crossed ? "another" : request.request_id, "");
   for (int copy = 0; copy < (fault == Fault::DoubledOrGap ? 2 : 1); ++copy) {
-    tell(call, observer, delay + late, [head](WorkerObserver& to) { to.onHead(head); });
+    deliver(call, observer, delay + late, [head](WorkerObserver& to) { to.onHead(head); });
     if (fault == Fault::CutOrSilentClose) {
-      tell(call, observer, delay, [](WorkerObserver& to) { to.onComplete(); });
+      deliver(call, observer, delay, [](WorkerObserver& to) { to.onComplete(); });
       return;
     }
-    tell(call, observer, delay + late, [](WorkerObserver& to) { to.onBytes("1", [] {}); });
-    tell(call, observer, delay + late, [](WorkerObserver& to) { to.onComplete(); });
+    deliver(call, observer, delay + late, [](WorkerObserver& to) { to.onBytes("1", [] {}); });
+    deliver(call, observer, delay + late, [](WorkerObserver& to) { to.onComplete(); });
   }
 }
 
@@ -121,12 +121,13 @@
   ++ledger_.stream_runs_by_request[request.caller_request_id];
   base::Duration at = milliseconds(world_.random().below(200));
   if (fault == Fault::Lost) {
-    tell(call, observer, at, [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
+    deliver(call, observer, at,
+            [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
     return;
   }
   at += fault == Fault::Late ? VeryLate : base::Duration::zero();
   const WorkerHead head = headOf(request.request_id, run);
-  tell(call, observer, at, [head](WorkerObserver& to) { to.onHead(head); });
+  deliver(call, observer, at, [head](WorkerObserver& to) { to.onHead(head); });
   const std::uint64_t chunks = 1 + world_.random().below(20);
   const std::uint64_t struck = world_.random().below(chunks);
   std::uint64_t id = 0;
@@ -134,9 +135,9 @@
     at += milliseconds(10 + world_.random().below(30));
     const bool now = chunk == struck;
     if (now && (fault == Fault::StallOrCut || fault == Fault::CutOrSilentClose)) {
-      const bool silent = fault == Fault::CutOrSilentClose;
-      tell(call, observer, at, [silent](WorkerObserver& to) {
-        silent ? to.onComplete() : to.onFailure(WorkerFailure::Lost, false);
+      const bool closes = fault == Fault::CutOrSilentClose;
+      deliver(call, observer, at, [closes](WorkerObserver& to) {
+        closes ? to.onComplete() : to.onFailure(WorkerFailure::Lost, false);
       });
       return;
     }
@@ -150,13 +151,13 @@
       // The chunk before the gap is lost as well, so that the text shows it.
       events = chunkEvent(id, run, chunk + 1);
     }
-    tell(call, observer, at, [events](WorkerObserver& to) { to.onBytes(events, [] {}); });
+    deliver(call, observer, at, [events](WorkerObserver& to) { to.onBytes(events, [] {}); });
     ++id;
   }
   record.chunks = chunks;
   record.ended = fault == Fault::None || fault == Fault::Late;
-  tell(call, observer, at, [id](WorkerObserver& to) { to.onBytes(doneEvent(id), [] {}); });
-  tell(call, observer, at, [](WorkerObserver& to) { to.onComplete(); });
+  deliver(call, observer, at, [id](WorkerObserver& to) { to.onBytes(doneEvent(id), [] {}); });
+  deliver(call, observer, at, [](WorkerObserver& to) { to.onComplete(); });
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/test/fleet/fleet_chaos_test.cc
+++ b/libraries/front/test/fleet/fleet_chaos_test.cc
@@ -9,7 +9,7 @@
 constexpr int RequestsOfKey = 4;
 constexpr int RoundsOfFaults = 80;
 
-/** A fleet whose network cuts and loses, whose fronts freeze and whose workers fail, by chance. */
+/** A fleet with random partitions, message losses, frozen fronts and failing workers. */
 class FleetChaos : public testing::TestWithParam<std::uint64_t> {
  protected:
   void scheduleRequests(Fleet& fleet) {
--- a/libraries/front/test/fleet/simulated_fleet.h
+++ b/libraries/front/test/fleet/simulated_fleet.h
@@ -34,7 +34,7 @@
   return (address.port - 1) / 2 % 2 == 0 ? "a" : "b";
 }
 
-/** A platform that always lists the same workers: so many of models, and of ordinary work. */
+/** A platform that always lists the same workers, of models and of ordinary services. */
 class FixedPlatform : public workers::PlatformSource {
  public:
   explicit FixedPlatform(int workers_per_pool) : workers_per_pool_(workers_per_pool) {}
@@ -142,7 +142,7 @@
     incarnation.reset();
     disk.resume();
   }
-  /** What dies with the process. */
+  /** State that is lost with the process. */
   struct Incarnation {
     explicit Incarnation(CoreProcess& core)
         : transport(core.network.attach(core.settings.peer_address, core.process)),
@@ -168,14 +168,14 @@
   std::unique_ptr<Incarnation> incarnation;
 };
 
-/** Makes the workers that one front reaches. */
+/** Creates the port to the workers of one front. */
 using WorkerPortFactory =
     std::function<std::unique_ptr<WorkerPort>(simulation::World&, simulation::Process&)>;
 
-/** Puts test doubles into a front's environment. */
+/** Replaces dependencies in a front's environment by test doubles. */
 using FrontAdjustment = std::function<void(FrontEnvironment&)>;
 
-/** A front machine, whose process may be killed and started again. */
+/** A front whose process may be killed and restarted. */
 struct FrontProcess {
   FrontProcess(simulation::World& front_world, simulation::Network& front_network,
                const configuration::Settings& common, int number,
@@ -200,7 +200,7 @@
   }
   bool running() const { return incarnation != nullptr; }
   FrontNode& node() { return *incarnation->node; }
-  /** What dies with the process. */
+  /** State that is lost with the process. */
   struct Incarnation {
     explicit Incarnation(FrontProcess& front)
         : transport(front.network.attach(front.settings.peer_address, front.process)),
@@ -228,7 +228,7 @@
   std::unique_ptr<Incarnation> incarnation;
 };
 
-/** Three cores and two fronts, all real but for network, disks, platform and workers. */
+/** Three cores and two fronts; network, disks, platform and workers are simulated. */
 class Fleet {
  public:
   Fleet(std::uint64_t seed, const WorkerPortFactory& make_workers, int pool_size = 1,
@@ -259,7 +259,8 @@
     EXPECT_TRUE(writer->response);
     return writer;
   }
-  /** Sends a change until it is acknowledged; the status of the last answer. */
+  /** Retries a change until it is acknowledged.
+   * @return the status of the last response. */
   int change(int front, const std::string& body) {
     int status = 0;
     for (int attempt = 0; attempt < 20 && status != 200; ++attempt) {
--- a/libraries/front/test/fleet/traffic_scenario.cc
+++ b/libraries/front/test/fleet/traffic_scenario.cc
@@ -14,15 +14,15 @@
 constexpr int WorkersPerPool = 4;
 constexpr int LoadMs = 20'000;
 constexpr int Disturbances = 30;
-/** Of one-shots whose front is killed or frozen while they are claimed or run. */
+/** Probability that the front of a one-shot is killed or frozen while it is claimed or runs. */
 constexpr double StrikeChance = 0.06;
-/** Long enough to sleep through an evacuation and its limit. */
+/** Longer than an evacuation and its time limit. */
 constexpr std::uint64_t LongestFreezeMs = 12'000;
-/** From the wake of a suspended front until it reaches everybody again. */
+/** From the resumption of a suspended front until its network is connected again. */
 constexpr std::uint64_t LongestReturnMs = 3'000;
-/** Of frozen fronts that also lose what is sent to them, as a suspended machine does. */
+/** Probability that a frozen front also loses what is sent to it, as a suspended machine does. */
 constexpr double SuspensionChance = 0.5;
-/** How often an operator sends an order that has not been acknowledged. */
+/** Interval at which an operator retries an order that has not been acknowledged. */
 constexpr int OrderAttempts = 25;
 
 /** Reports a worker's lost requests as not sent, which disables the mechanism under test. */
@@ -53,7 +53,7 @@
   std::unique_ptr<WorkerPort> inner_;
 };
 
-/** Claims that every attempt wins: the mechanism off. */
+/** Claims that every attempt wins, which disables the mechanism under test. */
 class NoClaims : public claims::ClaimClient {
  public:
   void begin(const wire::ClaimBegin& /*request*/, claims::ClaimCallback callback) override {
--- a/libraries/front/test/fleet/traffic_scenario.h
+++ b/libraries/front/test/fleet/traffic_scenario.h
@@ -13,10 +13,10 @@
 
 namespace switchsaddle::front {
 
-/** The zone that the scenario orders to be empty. */
+/** The zone that the scenario evacuates. */
 inline constexpr const char* EvacuatedZone = "a";
 
-/** Which mechanisms work; all but in tests that show what each prevents. */
+/** The enabled mechanisms; all, except in tests that show what each prevents. */
 struct TrafficOptions {
   bool claims = true;
   bool session_check = true;
@@ -27,7 +27,7 @@
   WorkerFaultRates faults;
 };
 
-/** What one seed came to. */
+/** The result of one seed. */
 struct TrafficResult {
   std::vector<std::string> violations;
   int one_shots_ran = 0;
@@ -43,7 +43,7 @@
 };
 
 /**
- * A whole simulated fleet under one-shots (each key sent several times, through any front) and
+ * A complete simulated fleet under one-shots (each key sent several times, through any front) and
  * streams, while fronts and cores are killed, frozen, started and cut off, workers fail in every
  * way, one of two keys is revoked and one of two zones emptied. Judged only by what callers and
  * workers saw.
@@ -58,7 +58,7 @@
     std::string key;
     base::TimePoint sent;
     std::shared_ptr<CallerWriter> writer;
-    /** Numbered lives of the front; the call is excused where its front was killed. */
+    /** Incarnation of the front; calls of killed incarnations need no response. */
     int front = 0;
     int incarnation = 0;
     std::string caller_request_id;
@@ -72,7 +72,7 @@
 
   void schedule();
   void sendOneShot(int index);
-  /** By chance, kills or freezes the front while its latest one-shot is claimed or runs. */
+  /** Kills or freezes the front at random while its latest one-shot is claimed or runs. */
   void strikeWithinOneShot(int front);
   void sendStream(int index);
   std::shared_ptr<CallerWriter> send(int front, http::Request request,
@@ -81,7 +81,7 @@
   void disturb();
   void disturbFront();
   void endSuspension(int number);
-  /** Cuts a front from all cores and other fronts, or heals that. */
+  /** Partitions a front from all cores and other fronts, or heals the partition. */
   void setReachable(int number, bool reachable);
   void disturbCore();
   void killFront(int front);
@@ -117,7 +117,7 @@
   std::deque<StreamCall> streams_;
   int fronts_made_ = 0;
   std::vector<int> lives_ = std::vector<int>(Fronts, 0);
-  /** Frozen fronts that nothing reaches until they wake. */
+  /** Frozen fronts that receive nothing until they resume. */
   std::set<int> suspended_;
   /** When the revocation was first acknowledged. */
   std::optional<base::TimePoint> revoked_;
--- a/libraries/front/test/fleet/traffic_scenario_checks.cc
+++ b/libraries/front/test/fleet/traffic_scenario_checks.cc
@@ -12,11 +12,11 @@
 
 constexpr base::Duration RevocationLimit = seconds(2);
 constexpr base::Duration EvacuationLimit = seconds(5);
-/** From the end of all failures until every front serves. */
+/** Time from the end of all failures until every front serves. */
 constexpr base::Duration ServingLimit = seconds(12);
 constexpr base::Duration RetryWindow = seconds(10);
 constexpr double RetryShare = 0.1;
-/** Rounding of the budgets' slices of time. */
+/** Tolerance for the rounding of the budgets' slices. */
 constexpr base::Duration RetrySlack = milliseconds(300);
 
 bool tells(const CallerWriter& writer, const std::string& outcome) {
--- a/libraries/front/test/fleet/traffic_scenario_test.cc
+++ b/libraries/front/test/fleet/traffic_scenario_test.cc
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr std::uint64_t Seeds = 100;
-/** Seeds whose sums must show what the scenario is for. */
+/** Seeds whose sums must show the situations that the scenario checks. */
 constexpr std::uint64_t CoverageSeeds = 20;
-/** Seeds within which a mechanism that is off has to be found out. */
+/** Seeds within which a disabled mechanism must be detected. */
 constexpr std::uint64_t RedSeeds = 100;
 
 class TrafficSeeds : public testing::TestWithParam<std::uint64_t> {};
@@ -55,7 +55,7 @@
   EXPECT_GT(evacuations, static_cast<int>(CoverageSeeds / 2));
 }
 
-/** A mechanism switched off, and the rule which is then broken. */
+/** A disabled mechanism, and the invariant that is violated without it. */
 struct RedRun {
   const char* name;
   TrafficOptions options;
--- a/libraries/front/test/forward/forward_fakes.h
+++ b/libraries/front/test/forward/forward_fakes.h
@@ -77,7 +77,9 @@
   }
   void endStream() override { ended = true; }
   void abort() override { aborted = true; }
-  void onClientDisconnected(std::function<void()> callback) override { gone = std::move(callback); }
+  void onClientDisconnected(std::function<void()> callback) override {
+    disconnected = std::move(callback);
+  }
 
   std::optional<http::Response> response;
   std::optional<http::Response> started;
@@ -86,7 +88,7 @@
   bool aborted = false;
   bool slow = false;
   std::deque<std::function<void(bool)>> waiting;
-  std::function<void()> gone;
+  std::function<void()> disconnected;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/test/forward/forward_flow_test.cc
+++ b/libraries/front/test/forward/forward_flow_test.cc
@@ -272,9 +272,9 @@
   run("once");
   last().lose();
   world.runFor(std::chrono::seconds(1));
-  const wire::HealthReport told = health.statement();
-  ASSERT_FALSE(told.workers.empty());
-  EXPECT_GT(told.workers.front().recent_failed, 0.5);
+  const wire::HealthReport report = health.statement();
+  ASSERT_FALSE(report.workers.empty());
+  EXPECT_GT(report.workers.front().recent_failed, 0.5);
 }
 
 TEST_F(ForwardFlowTest, RelayedEventIsNotRelayedAgain) {
@@ -305,7 +305,7 @@
 TEST_F(ForwardFlowTest, DisconnectedCallerCancelsItsCall) {
   const auto writer = run("stream");
   last().head(200);
-  writer->gone();
+  writer->disconnected();
   world.runFor(std::chrono::milliseconds(1));
   EXPECT_TRUE(last().call->cancelled);
   EXPECT_EQ(flow.active(), 0U);
--- a/libraries/front/test/limits_test.cc
+++ b/libraries/front/test/limits_test.cc
@@ -105,13 +105,13 @@
 
 TEST(Stage, RunsLongQueuesOfShortTasksOnAFlatStack) {
   Stage stage(1, 100'000);
-  StageTicket held;
+  StageTicket occupied;
   int ran = 0;
-  stage.submit([&held](StageTicket ticket) { held = std::move(ticket); });
+  stage.submit([&occupied](StageTicket ticket) { occupied = std::move(ticket); });
   for (int count = 0; count < 100'000; ++count) {
     EXPECT_TRUE(stage.submit([&ran](const StageTicket& /*ticket*/) { ++ran; }));
   }
-  held.reset();
+  occupied.reset();
   EXPECT_EQ(ran, 100'000);
   EXPECT_EQ(stage.running(), 0U);
 }
--- a/libraries/front/test/one_shot/faulty_workers.h
+++ b/libraries/front/test/one_shot/faulty_workers.h
@@ -9,10 +9,10 @@
 
 namespace switchsaddle::front {
 
-/** Runs of each one-shot key at all workers together. */
+/** Number of runs at all workers, by one-shot key. */
 using RunCounts = std::map<std::string, int>;
 
-/** Workers that run, refuse, lose, cross, delay and double answers by chance; counts runs by key.
+/** Workers that randomly run, refuse, lose, mix up, delay and duplicate; counts the runs by key.
  */
 class FaultyWorkers : public WorkerPort {
  public:
@@ -23,7 +23,7 @@
   WorkerCallPtr send(const WorkerRequest& request,
                      std::shared_ptr<WorkerObserver> observer) override {
     auto call = std::make_shared<FakeWorkers::Call>();
-    const auto tell = [this, call, observer](base::Duration delay, auto action) {
+    const auto deliver = [this, call, observer](base::Duration delay, auto action) {
       front_.postAfter(delay, [call, observer, action] {
         if (!call->cancelled) {
           action(*observer);
@@ -33,22 +33,22 @@
     const std::uint64_t fate = world_.random().below(10);
     const base::Duration delay = std::chrono::milliseconds(world_.random().below(400));
     if (fate < 3) {
-      tell(delay, [](WorkerObserver& to) { to.onFailure(WorkerFailure::NotSent, true); });
+      deliver(delay, [](WorkerObserver& to) { to.onFailure(WorkerFailure::NotSent, true); });
       return call;
     }
     worker_.postAfter(delay / 2,
                       [&counts = runs, key = request.idempotency_key] { ++counts[key]; });
     if (fate == 3) {
-      tell(delay, [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
+      deliver(delay, [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
     }
     const base::Duration late = fate == 4 ? std::chrono::seconds(9) : base::Duration::zero();
-    for (int copy = 0; fate > 3 && copy < (fate == 5 ? 2 : 1); ++copy) {
+    for (int response = 0; fate > 3 && response < (fate == 5 ? 2 : 1); ++response) {
       WorkerHead head;
       head.status = 200;
       head.request_id = fate == 6 ? "another" : request.request_id;
-      tell(delay + late, [head](WorkerObserver& to) { to.onHead(head); });
-      tell(delay + late, [](WorkerObserver& to) { to.onBytes("1", [] {}); });
-      tell(delay + late, [](WorkerObserver& to) { to.onComplete(); });
+      deliver(delay + late, [head](WorkerObserver& to) { to.onHead(head); });
+      deliver(delay + late, [](WorkerObserver& to) { to.onBytes("1", [] {}); });
+      deliver(delay + late, [](WorkerObserver& to) { to.onComplete(); });
     }
     return call;
   }
--- a/libraries/front/test/one_shot/one_shot_fixture.h
+++ b/libraries/front/test/one_shot/one_shot_fixture.h
@@ -15,7 +15,7 @@
 /** The idempotency key of the tests' requests. */
 inline const std::string Key = "k1";
 
-/** A flow of one-shots between fakes, with two workers. */
+/** A flow of one-shots with faked dependencies and two workers. */
 class OneShotFlowTest : public testing::Test {
  protected:
   OneShotFlowTest() {
--- a/libraries/front/test/one_shot/one_shot_flow_test.cc
+++ b/libraries/front/test/one_shot/one_shot_flow_test.cc
@@ -35,7 +35,7 @@
 }
 
 TEST_F(OneShotFlowTest, KeyRemovedWhileTheRequestIsQueuedIsNotRun) {
-  slots.silent = true;
+  slots.unresponsive = true;
   fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto result = run(7, "hash");
   fleet_view.view.keys.clear();
@@ -167,7 +167,7 @@
   fillBudget();
   world.runFor(std::chrono::seconds(8));
   const auto result = run();
-  claims.held = true;
+  claims.withheld = true;
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   claims.answerNext();
   // Claiming again takes so long that the first attempts that allowed the retry leave the window.
@@ -180,7 +180,7 @@
 }
 
 TEST_F(OneShotFlowTest, KeyRevokedBeforeTheDispatchIsRecordedNotRun) {
-  slots.silent = true;
+  slots.unresponsive = true;
   const auto result = run();
   fleet_view.view.keys.clear();
   slots.grantWaiting();
@@ -193,7 +193,7 @@
 
 TEST_F(OneShotFlowTest, DestroyedFlowStartsNoQueuedWork) {
   run();
-  slots.silent = true;
+  slots.unresponsive = true;
   slots.passes_on = true;
   for (int count = 0; count < 5; ++count) {
     OneShotRequest request;
@@ -246,7 +246,7 @@
 }
 
 TEST_F(OneShotFlowTest, ClaimWonAfterTheDeadlineIsWithdrawn) {
-  claims.held = true;
+  claims.withheld = true;
   const auto result = run();
   passDeadline();
   ASSERT_TRUE(result->has_value());
--- a/libraries/front/test/one_shot/one_shot_resend_test.cc
+++ b/libraries/front/test/one_shot/one_shot_resend_test.cc
@@ -61,7 +61,7 @@
 }
 
 TEST_F(OneShotFlowTest, WithoutASlotEndsNotRunAtTheDeadline) {
-  slots.silent = true;
+  slots.unresponsive = true;
   const auto result = run();
   passDeadline();
   ASSERT_TRUE(result->has_value());
@@ -87,13 +87,13 @@
   run();
   workers.sent[0].head();
   workers.sent[0].bytes("1");
-  claims.held = true;
+  claims.withheld = true;
   workers.sent[0].observer->onComplete();
   EXPECT_EQ(*slots.in_use, 0);
   claims.release();
   claims.records.clear();
   session.now = sessions::SessionState::Lapsed;
-  claims.before_begin_answer = [this] { claims.held = true; };
+  claims.before_begin_answer = [this] { claims.withheld = true; };
   run();
   EXPECT_EQ(workers.sent.size(), 1U);
   EXPECT_EQ(*slots.in_use, 0);
--- a/libraries/front/test/one_shot/one_shot_seeds_test.cc
+++ b/libraries/front/test/one_shot/one_shot_seeds_test.cc
@@ -16,7 +16,7 @@
 constexpr int Keys = 12;
 constexpr int RequestsOfKey = 4;
 
-/** One front process with its own session; shares claims and workers with the others. */
+/** One front process with its own session; shares claims and workers with its peers. */
 struct SeedFront {
   SeedFront(simulation::World& world, FakeClaims& claims, FaultyWorkers& workers,
             FakeFleetView& fleet_view)
--- a/libraries/front/test/request/caller_connection_test.cc
+++ b/libraries/front/test/request/caller_connection_test.cc
@@ -44,7 +44,7 @@
 TEST_F(CallerConnectionTest, PostsADisconnectToTheControlStrand) {
   int disconnects = 0;
   connection.onDisconnected([&disconnects] { ++disconnects; });
-  writer->gone();
+  writer->disconnected();
   EXPECT_EQ(disconnects, 0);
   runPosted();
   EXPECT_EQ(disconnects, 1);
--- a/libraries/front/test/request/caller_service_test.cc
+++ b/libraries/front/test/request/caller_service_test.cc
@@ -29,7 +29,9 @@
   }
   void endStream() override { ended = true; }
   void abort() override { ADD_FAILURE(); }
-  void onClientDisconnected(std::function<void()> callback) override { gone = std::move(callback); }
+  void onClientDisconnected(std::function<void()> callback) override {
+    disconnected = std::move(callback);
+  }
   /** The error's code; 0 where there is none. */
   std::int64_t code() const {
     std::vector<configuration::Fault> faults;
@@ -41,7 +43,7 @@
   std::optional<http::Response> response;
   std::string chunks;
   bool ended = false;
-  std::function<void()> gone;
+  std::function<void()> disconnected;
 };
 
 class CallerServiceTest : public testing::Test {
@@ -141,14 +143,14 @@
 }
 
 TEST_F(CallerServiceTest, CollectsCompleteRunsOnly) {
-  const auto whole = send("POST", "/v1/chat/completions", chat + "\"stream\":false}");
+  const auto complete = send("POST", "/v1/chat/completions", chat + "\"stream\":false}");
   workers.sent[0].head();
   workers.sent[0].bytes(
       "id: 0\ndata: {\"run\":\"r1\",\"text\":\"a\"}\n\nid: 1\ndata: {\"text\":\"b\"}\n\n");
-  EXPECT_FALSE(whole->response);
+  EXPECT_FALSE(complete->response);
   workers.sent[0].bytes("id: 2\ndata: [DONE]\n\n");
-  ASSERT_TRUE(whole->response);
-  EXPECT_NE(whole->response->body.find("\"content\":\"ab\""), std::string::npos);
+  ASSERT_TRUE(complete->response);
+  EXPECT_NE(complete->response->body.find("\"content\":\"ab\""), std::string::npos);
   const auto broken = send("POST", "/v1/chat/completions", chat + "\"stream\":false}");
   workers.sent[1].head();
   workers.sent[1].bytes("id: 0\ndata: {\"run\":\"r1\",\"text\":\"a\"}\n\n");
@@ -194,7 +196,7 @@
 
 TEST_F(CallerServiceTest, DisconnectedCallerCancelsTheStream) {
   const auto writer = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
-  writer->gone();
+  writer->disconnected();
   settle();
   EXPECT_TRUE(workers.sent[0].call->cancelled);
   EXPECT_EQ(streams.active(), 0U);
--- a/libraries/front/test/stream/stream_flow_test.cc
+++ b/libraries/front/test/stream/stream_flow_test.cc
@@ -109,9 +109,9 @@
 }
 
 TEST_F(StreamFlowTest, KeyRevokedBeforeTheDispatchIsRejected) {
-  slots.silent = true;
+  slots.unresponsive = true;
   const auto waiting = run();
-  slots.silent = false;
+  slots.unresponsive = false;
   const auto failing = run();
   ASSERT_EQ(workers.sent.size(), 1U);
   fleet_view.view.keys.clear();
@@ -154,7 +154,7 @@
 }
 
 TEST_F(StreamFlowTest, KeyRemovedWhileTheRequestIsQueuedIsNotServed) {
-  slots.silent = true;
+  slots.unresponsive = true;
   fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto sink = run("hash");
   fleet_view.view.keys.clear();
@@ -293,7 +293,7 @@
 }
 
 TEST_F(StreamFlowTest, FullAdmissionQueueRejectsAtOnce) {
-  slots.silent = true;
+  slots.unresponsive = true;
   std::vector<std::shared_ptr<FakeSink>> waiting;
   for (int count = 0; count < 512; ++count) {
     waiting.push_back(run());
