--- a/libraries/front/source/attempt/dispatch_guard.h
+++ b/libraries/front/source/attempt/dispatch_guard.h
@@ -3,13 +3,13 @@
 #include <string>
 
 #include "switchsaddle/base/result_code.h"
-#include "switchsaddle/front/fleet_view.h"
+#include "switchsaddle/front/node/fleet_view.h"
 #include "switchsaddle/sessions/session_client.h"
 
 namespace switchsaddle::front {
 
 /**
- * Conditions that must hold at the moment a request is dispatched, whatever held when it was
+ * Conditions that must hold at the moment a request is dispatched, even if they held when it was
  * admitted. Keeps no state. Runs on the control strand.
  */
 class DispatchGuard {
--- a/libraries/front/source/forward_run.h
+++ b/libraries/front/source/forward/forward_run.h
@@ -10,7 +10,7 @@
 #include "attempt/active_call.h"
 #include "attempt/attempt_list.h"
 #include "attempt/request_deadline.h"
-#include "switchsaddle/front/forward_flow.h"
+#include "switchsaddle/front/forward/forward_flow.h"
 #include "switchsaddle/front/request/caller_connection.h"
 #include "switchsaddle/streams/event_splitter.h"
 #include "switchsaddle/worker_health/dispatch_sample.h"
@@ -47,8 +47,7 @@
   // Admission, placement and dispatch.
   /** Acquires the request's units of its tenant's quota, then places the request. */
   void acquireQuota();
-  /** @return whether the units are used: the request goes on or has been rejected. */
-  bool onQuota(const QuotaMeter::Decision& retry_after, double units);
+  AdmittedUnits onQuota(const QuotaMeter::Decision& retry_after, double units);
   void place();
   void send(ForwardPlacement placement);
   void resetDispatch(ForwardPlacement placement);
--- a/libraries/front/source/forward_run_events.cc
+++ b/libraries/front/source/forward/forward_run_events.cc
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "forward_run.h"
+#include "forward/forward_run.h"
 
 // The relay of a forwarded stream: checks, measures and writes its events.
 
@@ -43,7 +43,7 @@
 
 void ForwardRun::onFirstEvent() {
   completion_.time_to_first_token = environment_.dispatcher.now() - dispatched_at_;
-  environment_.placer.noteFirstToken(*placement_);
+  environment_.placer.onFirstToken(*placement_);
   recordLateness();
   environment_.counters.first_token.observe(completion_.time_to_first_token);
 }
--- a/libraries/front/test/contract/live_fleet.h
+++ b/libraries/front/test/contract/live_fleet.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <optional>
 
-#include "simulated_fleet.h"
+#include "fleet/simulated_fleet.h"
 #include "switchsaddle/core/core_http_service.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
@@ -70,7 +70,7 @@
   Fleet& fleet() { return fleet_; }
 
  private:
-  /** Simulated milliseconds that an exchange may take. */
+  /** Time-out of an exchange, in simulated milliseconds. */
   static constexpr int MostSteps = 60'000;
 
   boost::asio::io_context context_;
--- a/libraries/front/test/fakes.h
+++ b/libraries/front/test/fakes.h
@@ -10,14 +10,14 @@
 
 #include "switchsaddle/admission/slot_broker.h"
 #include "switchsaddle/claims/claim_client.h"
-#include "switchsaddle/front/fleet_view.h"
+#include "switchsaddle/front/node/fleet_view.h"
 #include "switchsaddle/front/worker_port.h"
 #include "switchsaddle/routing/router.h"
 #include "switchsaddle/sessions/session_client.h"
 
 namespace switchsaddle::front {
 
-/** Claims in memory by the rules of the core. */
+/** Claims in memory, with the state transitions of the core. */
 class FakeClaims : public claims::ClaimClient {
  public:
   void begin(const wire::ClaimBegin& request, claims::ClaimCallback callback) override {
@@ -41,17 +41,17 @@
     deliver(claim, claim.run == request.run && claim.state == request.state, finishes_available,
             std::move(callback));
   }
-  /** Hands the held answers out. */
+  /** Delivers the withheld replies. */
   void release() {
-    held = false;
-    while (!held_answers.empty()) {
+    withheld = false;
+    while (!pending_replies.empty()) {
       answerNext();
     }
   }
-  /** Hands the first held answer out. */
+  /** Delivers the oldest withheld reply. */
   void answerNext() {
-    const auto answer = std::move(held_answers.front());
-    held_answers.pop_front();
+    const auto answer = std::move(pending_replies.front());
+    pending_replies.pop_front();
     answer();
   }
   wire::ClaimState state(const std::string& key) { return records[key].state; }
@@ -59,11 +59,11 @@
   bool begins_available = true;
   bool records_begins = true;
   bool finishes_available = true;
-  bool held = false;
-  /** Runs before each answer of begin. */
+  bool withheld = false;
+  /** Runs before each reply to begin(). */
   std::function<void()> before_begin_answer;
   std::map<std::string, wire::ClaimReply> records;
-  std::deque<std::function<void()>> held_answers;
+  std::deque<std::function<void()>> pending_replies;
 
  private:
   void deliver(const wire::ClaimReply& claim, bool won, bool available,
@@ -74,8 +74,8 @@
       reply.available = true;
       reply.won = won;
     }
-    if (held) {
-      held_answers.push_back([reply, callback = std::move(callback)] { callback(reply); });
+    if (withheld) {
+      pending_replies.push_back([reply, callback = std::move(callback)] { callback(reply); });
       return;
     }
     if (before_begin_answer) {
@@ -85,12 +85,12 @@
   }
 };
 
-/** Slots that are there or not; counts those in use. */
+/** Grants or rejects slots as the test sets; counts those in use. */
 class FakeSlots : public admission::SlotBroker {
  public:
   void acquire(const std::string& /*branch*/,
                std::function<void(admission::SlotOutcome)> callback) override {
-    if (silent) {
+    if (unresponsive) {
       waiting.push_back(std::move(callback));
       return;
     }
@@ -102,7 +102,7 @@
     callback(std::move(outcome));
   }
 
-  /** Gives a slot to the request that came last. */
+  /** Grants a slot to the latest queued request. */
   void grantWaiting() {
     const auto next = std::move(waiting.back());
     waiting.pop_back();
@@ -113,13 +113,13 @@
   }
 
   base::ResultCode code = base::ResultCode::Ok;
-  bool silent = false;
-  /** A slot given back goes to a waiting request at once. */
+  bool unresponsive = false;
+  /** A released slot is granted to a queued request at once. */
   bool passes_on = false;
   std::vector<std::function<void(admission::SlotOutcome)>> waiting;
   std::shared_ptr<int> in_use = std::make_shared<int>(0);
 
-  /** Gives each waiting request its slot. */
+  /** Grants a slot to each queued request. */
   void serveWaiting() {
     for (const auto& callback : std::exchange(waiting, {})) {
       admission::SlotOutcome outcome;
@@ -180,7 +180,7 @@
       head.run = run;
       observer->onHead(head);
     }
-    /** A refusal that says whether something ran. */
+    /** Rejects the request, with or without Not-Run. */
     void refuse(bool not_run, const std::string& request_id) const {
       WorkerHead head;
       head.status = 503;
@@ -203,7 +203,7 @@
   std::deque<Sent> sent;
 };
 
-/** Beliefs the test sets; collects observations. */
+/** A view of the fleet that the test sets; records observations. */
 class FakeFleetView : public FleetView {
  public:
   /** A key which is in force until the test removes it. */
--- a/libraries/front/test/fleet_chaos_test.cc
+++ b/libraries/front/test/fleet/fleet_chaos_test.cc
@@ -1,5 +1,5 @@
-#include "faulty_workers.h"
-#include "simulated_fleet.h"
+#include "fleet/simulated_fleet.h"
+#include "one_shot/faulty_workers.h"
 
 namespace switchsaddle::front {
 namespace {
@@ -9,7 +9,7 @@
 constexpr int RequestsOfKey = 4;
 constexpr int RoundsOfFaults = 80;
 
-/** A fleet whose network cuts and loses, whose fronts freeze and whose workers fail, by chance. */
+/** A fleet with random partitions, message losses, frozen fronts and failing workers. */
 class FleetChaos : public testing::TestWithParam<std::uint64_t> {
  protected:
   void scheduleRequests(Fleet& fleet) {
@@ -80,7 +80,7 @@
   int answered_not_run = 0;
 };
 
-TEST_P(FleetChaos, NoOneShotRunsTwiceAndNotRunIsTrue) {
+TEST_P(FleetChaos, NoOneShotRunsTwiceAndNotRunIsCorrect) {
   std::unique_ptr<simulation::Process> worker;
   Fleet fleet(GetParam(), [&](simulation::World& world, simulation::Process& front) {
     if (!worker) {
--- a/libraries/front/test/simulated_fleet.h
+++ b/libraries/front/test/fleet/simulated_fleet.h
@@ -29,12 +29,12 @@
   return {"127.0.2." + std::to_string(number + 1), 1};
 }
 
-/** Workers stand in two zones in turn, pair by pair of a model worker and an ordinary one. */
+/** Workers alternate between two zones, in pairs of a model worker and an ordinary one. */
 inline std::string zoneOfWorker(const base::NodeAddress& address) {
   return (address.port - 1) / 2 % 2 == 0 ? "a" : "b";
 }
 
-/** A platform that always lists the same workers: so many of models, and of ordinary work. */
+/** A platform that always lists the same workers, of models and of ordinary services. */
 class FixedPlatform : public workers::PlatformSource {
  public:
   explicit FixedPlatform(int workers_per_pool) : workers_per_pool_(workers_per_pool) {}
@@ -61,7 +61,7 @@
   int workers_per_pool_;
 };
 
-/** Answers every request at once, on the front's process. */
+/** Responds to every request at once, on the front's process. */
 class PromptWorkers : public WorkerPort {
  public:
   explicit PromptWorkers(simulation::Process& process) : process_(process) {}
@@ -92,7 +92,7 @@
   simulation::Process& process_;
 };
 
-/** Keeps what one caller was answered. */
+/** Records the response to one caller. */
 class CallerWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override {
@@ -112,14 +112,14 @@
   void onClientDisconnected(std::function<void()>) override {}
 
   std::optional<http::Response> response;
-  /** Runs with the answer, where set. */
+  /** Runs with the response, if set. */
   std::function<void(const http::Response&)> answered;
   std::string chunks;
   bool ended = false;
   bool aborted = false;
 };
 
-/** A core machine, whose process may be killed and started again on its disk. */
+/** A core whose process may be killed and restarted on its disk. */
 struct CoreProcess {
   CoreProcess(simulation::World& core_world, simulation::Network& core_network,
               const configuration::Settings& common, int number, int workers_per_pool)
@@ -142,7 +142,7 @@
     incarnation.reset();
     disk.resume();
   }
-  /** What dies with the process. */
+  /** State that is lost with the process. */
   struct Incarnation {
     explicit Incarnation(CoreProcess& core)
         : transport(core.network.attach(core.settings.peer_address, core.process)),
@@ -168,14 +168,14 @@
   std::unique_ptr<Incarnation> incarnation;
 };
 
-/** Makes the workers that one front reaches. */
+/** Creates the port to the workers of one front. */
 using WorkerPortFactory =
     std::function<std::unique_ptr<WorkerPort>(simulation::World&, simulation::Process&)>;
 
-/** Puts test doubles into a front's environment. */
+/** Replaces dependencies in a front's environment by test doubles. */
 using FrontAdjustment = std::function<void(FrontEnvironment&)>;
 
-/** A front machine, whose process may be killed and started again. */
+/** A front whose process may be killed and restarted. */
 struct FrontProcess {
   FrontProcess(simulation::World& front_world, simulation::Network& front_network,
                const configuration::Settings& common, int number,
@@ -200,7 +200,7 @@
   }
   bool running() const { return incarnation != nullptr; }
   FrontNode& node() { return *incarnation->node; }
-  /** What dies with the process. */
+  /** State that is lost with the process. */
   struct Incarnation {
     explicit Incarnation(FrontProcess& front)
         : transport(front.network.attach(front.settings.peer_address, front.process)),
@@ -228,7 +228,7 @@
   std::unique_ptr<Incarnation> incarnation;
 };
 
-/** Three cores and two fronts, all real but for network, disks, platform and workers. */
+/** Three cores and two fronts; network, disks, platform and workers are simulated. */
 class Fleet {
  public:
   Fleet(std::uint64_t seed, const WorkerPortFactory& make_workers, int pool_size = 1,
@@ -259,7 +259,8 @@
     EXPECT_TRUE(writer->response);
     return writer;
   }
-  /** Sends a change until it is acknowledged; the status of the last answer. */
+  /** Retries a change until it is acknowledged.
+   * @return the status of the last response. */
   int change(int front, const std::string& body) {
     int status = 0;
     for (int attempt = 0; attempt < 20 && status != 200; ++attempt) {
--- a/libraries/front/test/traffic_scenario.cc
+++ b/libraries/front/test/fleet/traffic_scenario.cc
@@ -1,4 +1,4 @@
-#include "traffic_scenario.h"
+#include "fleet/traffic_scenario.h"
 
 #include <algorithm>
 
@@ -14,18 +14,18 @@
 constexpr int WorkersPerPool = 4;
 constexpr int LoadMs = 20'000;
 constexpr int Disturbances = 30;
-/** Of one-shots whose front is killed or frozen while they are claimed or run. */
+/** Probability that the front of a one-shot is killed or frozen while it is claimed or runs. */
 constexpr double StrikeChance = 0.06;
-/** Long enough to sleep through an evacuation and its limit. */
+/** Longer than an evacuation and its time limit. */
 constexpr std::uint64_t LongestFreezeMs = 12'000;
-/** From the wake of a suspended front until it reaches everybody again. */
+/** From the resumption of a suspended front until its network is connected again. */
 constexpr std::uint64_t LongestReturnMs = 3'000;
-/** Of frozen fronts that also lose what is sent to them, as a suspended machine does. */
+/** Probability that a frozen front also loses what is sent to it, as a suspended machine does. */
 constexpr double SuspensionChance = 0.5;
-/** How often an operator sends an order that has not been acknowledged. */
+/** Interval at which an operator retries an order that has not been acknowledged. */
 constexpr int OrderAttempts = 25;
 
-/** A worker's lost requests told as not sent: the mechanism off. */
+/** Reports a worker's lost requests as not sent, which disables the mechanism under test. */
 class LossForgetter : public WorkerPort {
  public:
   explicit LossForgetter(std::unique_ptr<WorkerPort> inner) : inner_(std::move(inner)) {}
@@ -53,7 +53,7 @@
   std::unique_ptr<WorkerPort> inner_;
 };
 
-/** Claims that every attempt wins: the mechanism off. */
+/** Claims that every attempt wins, which disables the mechanism under test. */
 class NoClaims : public claims::ClaimClient {
  public:
   void begin(const wire::ClaimBegin& /*request*/, claims::ClaimCallback callback) override {
@@ -377,7 +377,7 @@
     fleet_->fronts[front]->node().service().enqueue(std::move(request), writer);
   }
   if (attempts_left > 0) {
-    // Asked again whether or not an answer comes, as an operator who has lost patience does.
+    // Sent again whether or not a response arrives, as an impatient operator would.
     world.schedule(milliseconds(700), [this, order_request, attempts_left, acknowledged] {
       order(order_request, attempts_left - 1, acknowledged);
     });
--- a/libraries/front/test/forward_fakes.h
+++ b/libraries/front/test/forward/forward_fakes.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "switchsaddle/front/forward_port.h"
+#include "switchsaddle/front/worker_calls/forward_port.h"
 #include "switchsaddle/http/server.h"
 
 namespace switchsaddle::front {
@@ -56,7 +56,7 @@
   std::deque<Sent> sent;
 };
 
-/** What the caller gets. */
+/** Records the response to the caller. */
 class ForwardWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override {
@@ -77,7 +77,9 @@
   }
   void endStream() override { ended = true; }
   void abort() override { aborted = true; }
-  void onClientDisconnected(std::function<void()> callback) override { gone = std::move(callback); }
+  void onClientDisconnected(std::function<void()> callback) override {
+    disconnected = std::move(callback);
+  }
 
   std::optional<http::Response> response;
   std::optional<http::Response> started;
@@ -86,7 +88,7 @@
   bool aborted = false;
   bool slow = false;
   std::deque<std::function<void(bool)>> waiting;
-  std::function<void()> gone;
+  std::function<void()> disconnected;
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/test/request/caller_connection_test.cc
+++ b/libraries/front/test/request/caller_connection_test.cc
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "forward_fakes.h"
+#include "forward/forward_fakes.h"
 #include "switchsaddle/simulation/process.h"
 
 namespace switchsaddle::front {
@@ -44,7 +44,7 @@
 TEST_F(CallerConnectionTest, PostsADisconnectToTheControlStrand) {
   int disconnects = 0;
   connection.onDisconnected([&disconnects] { ++disconnects; });
-  writer->gone();
+  writer->disconnected();
   EXPECT_EQ(disconnects, 0);
   runPosted();
   EXPECT_EQ(disconnects, 1);
