--- a/programs/switchsaddle/ctl_command_builder.cc
+++ b/programs/switchsaddle/ctl_command_builder.cc
@@ -120,14 +120,16 @@
 }
 
 ExitCode showResource(OperatorClient& client, const std::string& target, bool watch) {
-  ExitCode code = client.show(target);
-  while (watch) {
+  const ExitCode code = client.show(target);
+  if (!watch) {
+    return code;
+  }
+  while (true) {
     std::this_thread::sleep_for(WatchInterval);
     std::cout << (isatty(STDOUT_FILENO) != 0 ? ClearScreen : "\n");
-    code = client.show(target);
+    client.show(target);
     std::cout << std::flush;
   }
-  return code;
 }
 
 std::string readInputFile(const std::string& path) {
