--- a/libraries/registers/source/operation_batch.h
+++ b/libraries/registers/source/operation_batch.h
@@ -14,7 +14,7 @@
   ChangeFunction function;
   RegisterCallback callback;
   base::TimePoint deadline;
-  /** Whether the value is proposed anew even where it is known to be chosen. */
+  /** Whether the value is proposed again even where it is known to be chosen. */
   bool rewrite = false;
   /** Set once the callback has been posted. */
   bool ended = false;
--- a/libraries/storage/include/switchsaddle/storage/file_record_store.h
+++ b/libraries/storage/include/switchsaddle/storage/file_record_store.h
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+#include "switchsaddle/base/callback_scope.h"
 #include "switchsaddle/base/dispatcher.h"
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/storage/file_system.h"
@@ -18,7 +19,7 @@
 
 /** Bounds of a FileRecordStore. */
 struct FileRecordStoreOptions {
-  /** A commit not durable after this long is answered StorageSlow. */
+  /** A commit that is not durable after this time is answered StorageSlow. */
   base::Duration commit_timeout = std::chrono::seconds(2);
   /** Commit files are merged into one run at this many, or at this many bytes. */
   std::size_t commits_for_run = 64;
@@ -26,19 +27,22 @@
   /** Runs are merged into the bucket files at this many, or at this many bytes. */
   std::size_t runs_for_merge = 256;
   std::size_t bytes_for_merge = 16U << 20U;
-  /** Parts the whole state is cut into by key; positive, and fixed when a folder is made. More of
-   * them make the steps of a merge shorter: at 64 and 900,000 records of 200 bytes, a commit waited
-   * at most some 0.3 s for one in a trial. */
+  /** Number of buckets into which the state is divided by key; positive, and fixed when a folder is
+   * created. More buckets make the steps of a merge shorter, and with them the longest wait of a
+   * commit. */
   std::size_t bucket_count = 64;
 };
 
+class CommitQueue;
 class RecordDirectory;
+class ScrubJob;
 
 /**
- * The RecordStore over a FileSystem: queues commits on the strand, and hands the disk work to the
- * executor one bounded piece at a time, commits before scrubbing and compaction. At most one piece
- * is under way. Values are not kept in memory. The file system and the executor must outlive the
- * store; a destroyed store answers no callback. Lives on the dispatcher's strand.
+ * The RecordStore over a FileSystem. It queues commits on the strand and runs the disk work on the
+ * executor in bounded steps, one at a time: opening, then commits, then scrubbing, then compaction.
+ * Values are not kept in memory. The file system and the executor must outlive the store. No
+ * callback runs after its destruction, which may happen within a callback. Runs on the dispatcher's
+ * strand.
  */
 class FileRecordStore : public RecordStore {
  public:
@@ -46,48 +50,36 @@
                   base::RandomSource& random, FileRecordStoreOptions options = {});
   ~FileRecordStore() override;
 
-  /** Fails the commits not begun with StorageFailed, then reads the folder again. Answers
-   * StorageFailed or StorageFull where the disk refuses; open() may be called again. */
+  /** Fails the queued commits with StorageFailed, then reads the folder again. Answers
+   * StorageFailed or StorageFull where the disk fails; open() may then be called again. */
   void open(OpenCallback callback) override;
   /** Answers Ok once durable. StorageFull: nothing was written. StorageSlow: the outcome is unknown
    * until the store has been opened again. StorageFailed: not open, or a sync has failed. */
   void commit(std::vector<Record> records, CommitCallback callback) override;
   void rewrite(std::vector<Record> state) override;
-  /** Answers RecordCorrupt where any byte fails. Keys are complete unless a file's table of keys is
-   * itself damaged or the file is gone. */
+  /** Answers RecordCorrupt where any byte is damaged. The keys are complete unless a file's table
+   * of keys is itself damaged or the file is missing. */
   void scrub(
       std::function<void(base::ResultCode, const std::vector<std::string>&)> callback) override;
 
  private:
   using ScrubCallback = std::function<void(base::ResultCode, const std::vector<std::string>&)>;
-  struct PendingCommit {
-    std::vector<Record> records;
-    CommitCallback callback;
-    base::TimePoint deadline;
-    /** The records are the whole state, to replace all files. */
-    bool replaces_all = false;
-  };
-  struct Scrub {
-    ScrubCallback callback;
-    std::vector<std::string> files;
-    std::vector<std::string> damaged_keys;
-    bool started = false;
-    bool damaged = false;
-  };
 
+  /** Starts the most urgent step where none is in progress. */
   void startNext();
+  /** Runs `work` on the executor, and then `completion` here. */
+  void run(std::function<void()> work, std::function<void()> completion);
   void startOpen();
+  void finishOpen(base::ResultCode code, const OpenedStore& opened);
+  void enqueue(std::vector<Record> records, CommitCallback callback, bool is_rewrite);
   void startCommits();
+  void finishCommits(base::ResultCode code);
   void startRewrite();
   void startScrubStep();
-  void startCompactionStep();
-  void finishOpen(base::ResultCode code, const OpenedStore& opened);
-  void finishCommits(base::ResultCode code);
   void finishScrubStep();
-  /** Runs `work` on the executor and `completion` here, unless the store is gone by then. */
-  void run(std::function<void()> work, std::function<void()> completion);
-  void armTimeout();
-  void onTimeout();
+  void startCompactionStep();
+  void armCommitTimer();
+  void onCommitTimeout();
   void answerLater(CommitCallback callback, base::ResultCode code);
 
   base::Dispatcher& dispatcher_;
@@ -96,19 +88,19 @@
   const FileRecordStoreOptions options_;
   /** Used on the executor only. */
   std::shared_ptr<RecordDirectory> directory_;
-  base::TimerPtr timeout_;
   std::deque<OpenCallback> opens_;
-  std::deque<PendingCommit> queued_;
-  std::vector<PendingCommit> under_way_;
-  std::deque<std::shared_ptr<Scrub>> scrubs_;
+  std::unique_ptr<CommitQueue> commits_;
+  std::deque<std::shared_ptr<ScrubJob>> scrubs_;
+  /** Whether a step is in progress on the executor. */
   bool busy_ = false;
   bool open_ = false;
-  /** The piece under way has outlasted the bound of a commit. */
+  /** Whether the step in progress has taken longer than the time-out of a commit. */
   bool slow_ = false;
   bool compaction_due_ = false;
-  /** Compaction met a corrupt file; it rests until the store is opened again. */
+  /** Set when compaction found a corrupt file, until the store is opened or rewritten. */
   bool compaction_blocked_ = false;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  base::TimerPtr commit_timer_;
+  base::CallbackScope callbacks_;
 };
 
 }  // namespace switchsaddle::storage
--- a/libraries/storage/include/switchsaddle/storage/file_system.h
+++ b/libraries/storage/include/switchsaddle/storage/file_system.h
@@ -6,16 +6,16 @@
 namespace switchsaddle::storage {
 
 /**
- * The few operations the record store needs of a disk. Paths are relative to the data folder, with
- * '/' between parts. Every method blocks and throws base::Error with StorageFailed or StorageFull.
- * A file's bytes last only after syncFile(), its name only after syncFolder() of its folder; the
- * simulated disk drops whatever was not synced. Called only on the storage executor.
+ * The file operations of the record store. Paths are relative to the data folder and separated by
+ * '/'. Every method blocks and throws base::Error with StorageFailed or StorageFull. A file's bytes
+ * are durable only after syncFile(), its name only after syncFolder() of its folder; the simulated
+ * disk drops everything that was not synced. Called only on the storage executor.
  */
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
   virtual void createFolder(const std::string& path) = 0;
-  /** Names in a folder, sorted; a missing folder is empty. */
+  /** @return the names in a folder, sorted; none where the folder is missing. */
   virtual std::vector<std::string> list(const std::string& folder) = 0;
   virtual std::string read(const std::string& path) = 0;
   /** Creates or replaces a file; not durable. */
--- a/libraries/storage/include/switchsaddle/storage/posix_file_system.h
+++ b/libraries/storage/include/switchsaddle/storage/posix_file_system.h
@@ -8,13 +8,14 @@
 namespace switchsaddle::storage {
 
 /**
- * A FileSystem under one data folder of the machine. The folder is created where it is missing and
- * locked for the lifetime of the object, so that two processes never share it. Called on the
- * storage executor only, except for construction.
+ * A FileSystem in one data folder of the machine. The folder is created where it is missing and is
+ * locked for the lifetime of the object, so that two processes never share it. Called only on the
+ * storage executor, except for construction.
  */
 class PosixFileSystem : public FileSystem {
  public:
-  /** Throws base::Error with StorageFailed where the folder cannot be made or is locked already. */
+  /** @throws base::Error with StorageFailed where the folder cannot be created or is locked
+   * already. */
   explicit PosixFileSystem(std::string root);
   ~PosixFileSystem() override;
   PosixFileSystem(const PosixFileSystem&) = delete;
--- a/libraries/storage/include/switchsaddle/storage/storage_executor.h
+++ b/libraries/storage/include/switchsaddle/storage/storage_executor.h
@@ -4,8 +4,7 @@
 
 namespace switchsaddle::storage {
 
-/** Runs blocking disk work one piece after the other: on a thread of its own, or in the simulation.
- */
+/** Runs blocking disk work sequentially: on a thread of its own, or in the simulation. */
 class StorageExecutor {
  public:
   virtual ~StorageExecutor() = default;
--- a/libraries/storage/include/switchsaddle/storage/thread_storage_executor.h
+++ b/libraries/storage/include/switchsaddle/storage/thread_storage_executor.h
@@ -12,8 +12,8 @@
 
 /**
  * Runs disk work in order on one thread of its own and posts completions to the dispatcher, which
- * must outlive it. Destruction waits for the work under way and drops what has not begun, along
- * with its completions.
+ * must outlive it. Destruction waits for the work in progress and drops the work in the queue with
+ * its completions.
  */
 class ThreadStorageExecutor : public StorageExecutor {
  public:
@@ -34,7 +34,7 @@
   std::condition_variable changed_;
   std::deque<Job> jobs_;
   bool stopping_ = false;
-  /** Last, so that it starts when all else is made. */
+  /** Declared last, so that it starts after the other members are constructed. */
   std::thread thread_;
 };
 
--- a/libraries/storage/source/file_record_store.cc
+++ b/libraries/storage/source/file_record_store.cc
@@ -5,14 +5,17 @@
 #include <iterator>
 #include <utility>
 
+#include "commit_queue.h"
 #include "record_directory.h"
+#include "scrub_job.h"
 #include "switchsaddle/base/error.h"
 
 namespace switchsaddle::storage {
 
 namespace {
 
-/** Runs disk work and tells its result. What is not an error of the disk becomes StorageFailed. */
+/** Runs disk work. @return Ok, or the code of its error; StorageFailed for errors without a code.
+ */
 base::ResultCode resultOf(const std::function<void()>& work) {
   try {
     work();
@@ -34,49 +37,50 @@
       random_(random),
       options_(options),
       directory_(std::make_shared<RecordDirectory>(file_system, options)),
-      timeout_(dispatcher.createTimer([this] { onTimeout(); })) {}
+      commits_(std::make_unique<CommitQueue>()),
+      commit_timer_(dispatcher.createTimer([this] { onCommitTimeout(); })) {}
 
 FileRecordStore::~FileRecordStore() = default;
 
 void FileRecordStore::open(OpenCallback callback) {
   open_ = false;
   opens_.push_back(std::move(callback));
-  std::deque<PendingCommit> refused = std::exchange(queued_, {});
-  for (PendingCommit& commit : refused) {
-    answerLater(std::move(commit.callback), base::ResultCode::StorageFailed);
+  for (CommitCallback& rejected : commits_->takeQueued()) {
+    answerLater(std::move(rejected), base::ResultCode::StorageFailed);
   }
   startNext();
 }
 
 void FileRecordStore::commit(std::vector<Record> records, CommitCallback callback) {
+  CommitCallback guarded = callbacks_.guard(std::move(callback));
   if (!open_) {
-    answerLater(std::move(callback), base::ResultCode::StorageFailed);
+    answerLater(std::move(guarded), base::ResultCode::StorageFailed);
     return;
   }
   if (slow_) {
-    answerLater(std::move(callback), base::ResultCode::StorageSlow);
+    answerLater(std::move(guarded), base::ResultCode::StorageSlow);
     return;
   }
-  const base::TimePoint deadline = dispatcher_.now() + options_.commit_timeout;
-  queued_.push_back(PendingCommit{std::move(records), std::move(callback), deadline, false});
-  startNext();
-  armTimeout();
+  enqueue(std::move(records), std::move(guarded), false);
 }
 
 void FileRecordStore::rewrite(std::vector<Record> state) {
-  if (!open_ || slow_) {
-    return;
+  if (open_ && !slow_) {
+    enqueue(
+        std::move(state), [](base::ResultCode) {}, true);
   }
+}
+
+void FileRecordStore::enqueue(std::vector<Record> records, CommitCallback callback,
+                              bool is_rewrite) {
   const base::TimePoint deadline = dispatcher_.now() + options_.commit_timeout;
-  queued_.push_back(PendingCommit{std::move(state), [](base::ResultCode) {}, deadline, true});
+  commits_->add(PendingCommit{std::move(records), std::move(callback), deadline, is_rewrite});
   startNext();
-  armTimeout();
+  armCommitTimer();
 }
 
 void FileRecordStore::scrub(ScrubCallback callback) {
-  auto scrub = std::make_shared<Scrub>();
-  scrub->callback = std::move(callback);
-  scrubs_.push_back(std::move(scrub));
+  scrubs_.push_back(std::make_shared<ScrubJob>(std::move(callback)));
   startNext();
 }
 
@@ -86,7 +90,9 @@
   }
   if (!opens_.empty()) {
     startOpen();
-  } else if (!queued_.empty()) {
+  } else if (commits_->nextIsRewrite()) {
+    startRewrite();
+  } else if (!commits_->queueEmpty()) {
     startCommits();
   } else if (!scrubs_.empty()) {
     startScrubStep();
@@ -97,18 +103,16 @@
 
 void FileRecordStore::run(std::function<void()> work, std::function<void()> completion) {
   busy_ = true;
-  executor_.execute(std::move(work), [this, alive = std::weak_ptr<bool>(alive_),
-                                      completion = std::move(completion)] {
-    if (alive.expired()) {
-      return;
-    }
-    busy_ = false;
-    slow_ = false;
-    completion();
-    if (!alive.expired()) {
-      startNext();
-    }
-  });
+  executor_.execute(
+      std::move(work),
+      callbacks_.guard([this, completion = std::move(completion),
+                        start_next = callbacks_.guard([this] { startNext(); })]() mutable {
+        busy_ = false;
+        slow_ = false;
+        // Calls callbacks of the store's users, which may destroy the store.
+        completion();
+        start_next();
+      }));
 }
 
 void FileRecordStore::startOpen() {
@@ -122,7 +126,7 @@
 }
 
 void FileRecordStore::finishOpen(base::ResultCode code, const OpenedStore& opened) {
-  OpenCallback callback = std::move(opens_.front());
+  const OpenCallback callback = std::move(opens_.front());
   opens_.pop_front();
   open_ = code == base::ResultCode::Ok && opens_.empty();
   compaction_due_ = true;
@@ -131,18 +135,7 @@
 }
 
 void FileRecordStore::startCommits() {
-  if (queued_.front().replaces_all) {
-    startRewrite();
-    return;
-  }
-  auto records = std::make_shared<std::vector<Record>>();
-  while (!queued_.empty() && !queued_.front().replaces_all) {
-    PendingCommit commit = std::move(queued_.front());
-    queued_.pop_front();
-    std::move(commit.records.begin(), commit.records.end(), std::back_inserter(*records));
-    commit.records.clear();
-    under_way_.push_back(std::move(commit));
-  }
+  auto records = std::make_shared<std::vector<Record>>(commits_->startCommits());
   auto code = std::make_shared<base::ResultCode>();
   run([directory = directory_, records,
        code] { *code = resultOf([&] { directory->append(std::move(*records)); }); },
@@ -151,21 +144,16 @@
 
 void FileRecordStore::finishCommits(base::ResultCode code) {
   compaction_due_ = true;
-  const std::vector<PendingCommit> finished = std::exchange(under_way_, {});
-  armTimeout();
-  const std::weak_ptr<bool> alive = alive_;
-  for (const PendingCommit& commit : finished) {
-    commit.callback(code);
-    if (alive.expired()) {
-      return;
-    }
+  const CommitQueue::Callbacks callbacks = commits_->takeInFlight();
+  armCommitTimer();
+  for (const CommitCallback& callback : callbacks) {
+    callback(code);
   }
 }
 
 void FileRecordStore::startRewrite() {
-  auto state = std::make_shared<std::vector<Record>>(std::move(queued_.front().records));
-  queued_.pop_front();
-  armTimeout();
+  auto state = std::make_shared<std::vector<Record>>(commits_->takeRewrite());
+  armCommitTimer();
   run([directory = directory_, state] { directory->beginRewrite(std::move(*state)); },
       [this] {
         compaction_due_ = true;
@@ -174,32 +162,16 @@
 }
 
 void FileRecordStore::startScrubStep() {
-  const std::shared_ptr<Scrub> scrub = scrubs_.front();
-  run(
-      [directory = directory_, scrub] {
-        if (!scrub->started) {
-          scrub->files = directory->liveFiles();
-          scrub->started = true;
-          return;
-        }
-        ScrubbedFile found = directory->scrub(scrub->files.back());
-        scrub->files.pop_back();
-        scrub->damaged = scrub->damaged || !found.intact;
-        std::move(found.damaged_keys.begin(), found.damaged_keys.end(),
-                  std::back_inserter(scrub->damaged_keys));
-      },
+  run([directory = directory_, scrub = scrubs_.front()] { scrub->step(*directory); },
       [this] { finishScrubStep(); });
 }
 
 void FileRecordStore::finishScrubStep() {
-  const std::shared_ptr<Scrub> scrub = scrubs_.front();
-  if (!scrub->files.empty()) {
-    return;
+  const std::shared_ptr<ScrubJob> scrub = scrubs_.front();
+  if (scrub->done()) {
+    scrubs_.pop_front();
+    scrub->report();
   }
-  scrubs_.pop_front();
-  const base::ResultCode code =
-      scrub->damaged ? base::ResultCode::RecordCorrupt : base::ResultCode::Ok;
-  scrub->callback(code, scrub->damaged_keys);
 }
 
 void FileRecordStore::startCompactionStep() {
@@ -208,42 +180,33 @@
   run([directory = directory_, code,
        more] { *code = resultOf([&] { *more = directory->compact(); }); },
       [this, code, more] {
-        // A full disk is tried again after the next commit.
+        // After a failure, such as a full disk, the next commit makes compaction due again.
         compaction_due_ = *more;
         compaction_blocked_ = *code == base::ResultCode::RecordCorrupt;
       });
 }
 
-void FileRecordStore::armTimeout() {
-  // Commits under way are older than those queued, and both are in order of their deadlines.
-  if (under_way_.empty() && queued_.empty()) {
-    timeout_->disable();
+void FileRecordStore::armCommitTimer() {
+  const std::optional<base::TimePoint> deadline = commits_->nextDeadline();
+  if (!deadline) {
+    commit_timer_->disable();
     return;
   }
-  const PendingCommit& oldest = under_way_.empty() ? queued_.front() : under_way_.front();
-  timeout_->enable(std::max(base::Duration::zero(), oldest.deadline - dispatcher_.now()));
+  commit_timer_->enable(std::max(base::Duration::zero(), *deadline - dispatcher_.now()));
 }
 
-void FileRecordStore::onTimeout() {
+void FileRecordStore::onCommitTimeout() {
   slow_ = true;
-  std::vector<PendingCommit> late = std::exchange(under_way_, {});
-  std::move(queued_.begin(), queued_.end(), std::back_inserter(late));
-  queued_.clear();
-  const std::weak_ptr<bool> alive = alive_;
-  for (const PendingCommit& commit : late) {
-    commit.callback(base::ResultCode::StorageSlow);
-    if (alive.expired()) {
-      return;
-    }
+  CommitQueue::Callbacks callbacks = commits_->takeInFlight();
+  CommitQueue::Callbacks queued = commits_->takeQueued();
+  std::move(queued.begin(), queued.end(), std::back_inserter(callbacks));
+  for (const CommitCallback& callback : callbacks) {
+    callback(base::ResultCode::StorageSlow);
   }
 }
 
 void FileRecordStore::answerLater(CommitCallback callback, base::ResultCode code) {
-  dispatcher_.post([alive = std::weak_ptr<bool>(alive_), callback = std::move(callback), code] {
-    if (!alive.expired()) {
-      callback(code);
-    }
-  });
+  dispatcher_.post([callback = std::move(callback), code] { callback(code); });
 }
 
 }  // namespace switchsaddle::storage
--- a/libraries/storage/source/identity_file.cc
+++ b/libraries/storage/source/identity_file.cc
@@ -6,21 +6,17 @@
 
 namespace switchsaddle::storage {
 
-namespace {
-constexpr std::size_t NumberDigits = 20;
-}
-
 std::string paddedNumber(std::uint64_t value) {
   const std::string digits = std::to_string(value);
-  return std::string(NumberDigits - digits.size(), '0') + digits;
+  return std::string(PaddedNumberDigits - digits.size(), '0') + digits;
 }
 
 std::optional<std::uint64_t> parsePaddedNumber(const std::string& name, std::size_t offset) {
-  if (name.size() < offset + NumberDigits) {
+  if (name.size() < offset + PaddedNumberDigits) {
     return std::nullopt;
   }
   const char* begin = name.data() + offset;
-  const char* end = begin + NumberDigits;
+  const char* end = begin + PaddedNumberDigits;
   std::uint64_t value = 0;
   const std::from_chars_result result = std::from_chars(begin, end, value);
   if (result.ec != std::errc() || result.ptr != end) {
@@ -37,7 +33,8 @@
 
 std::optional<Identity> decodeIdentity(const std::string& bytes) {
   const std::optional<std::uint64_t> instance = parsePaddedNumber(bytes, 0);
-  const std::optional<std::uint64_t> bucket_count = parsePaddedNumber(bytes, NumberDigits + 1);
+  const std::optional<std::uint64_t> bucket_count =
+      parsePaddedNumber(bytes, PaddedNumberDigits + 1);
   if (!instance || !bucket_count) {
     return std::nullopt;
   }
--- a/libraries/storage/source/identity_file.h
+++ b/libraries/storage/source/identity_file.h
@@ -6,22 +6,25 @@
 
 namespace switchsaddle::storage {
 
-/** What is fixed when a data folder is made. */
+/** What is fixed when a data folder is created. */
 struct Identity {
   std::uint64_t instance = 0;
   std::uint64_t bucket_count = 0;
 };
 
-/** The bytes of an identity file, with their checksum. */
+/** @return the bytes of an identity file, with their checksum. */
 std::string encodeIdentity(const Identity& identity);
 
-/** The identity; empty where the bytes are torn or altered. */
+/** @return the identity; nothing where the bytes are torn or altered. */
 std::optional<Identity> decodeIdentity(const std::string& bytes);
 
-/** `value` in decimal, with leading zeros up to 20 digits, so that names sort by number. */
+/** Digits of a padded number. */
+inline constexpr std::size_t PaddedNumberDigits = 20;
+
+/** @return `value` in decimal with leading zeros, so that names sort by number. */
 std::string paddedNumber(std::uint64_t value);
 
-/** The number in 20 digits at `offset` of the name; empty where there is none. */
+/** @return the padded number at `offset` of the name; nothing where there is none. */
 std::optional<std::uint64_t> parsePaddedNumber(const std::string& name, std::size_t offset);
 
 }  // namespace switchsaddle::storage
--- a/libraries/storage/source/posix_file_system.cc
+++ b/libraries/storage/source/posix_file_system.cc
@@ -51,7 +51,7 @@
       fail("sync", path_, errno);
     }
   }
-  /** Closes and reports what a network or quota file system says only then. */
+  /** Closes the file, since network and quota file systems report some errors only then. */
   void close() {
     const int result = ::close(std::exchange(value_, -1));
     if (result != 0 && errno != EINTR) {
--- a/libraries/storage/source/record_directory.cc
+++ b/libraries/storage/source/record_directory.cc
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "identity_file.h"
+#include "newest_records.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/base/hash.h"
 
@@ -12,34 +13,13 @@
 namespace {
 
 const std::string RootFolder;
-const std::string RecordsFolder = "records";
 const std::string LostFolder = "lost";
 const std::string IdentityName = "identity";
-const std::string TemporarySuffix = ".tmp";
-constexpr std::uint64_t GenesisCommit = 1;
-
-std::string join(const std::string& folder, const std::string& name) {
-  return folder.empty() ? name : folder + "/" + name;
-}
-
-std::string inRecords(const std::string& name) {
-  return join(RecordsFolder, name);
-}
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/** The records of a map of each key's newest record, in order of key. */
-std::vector<Record> applyRecords(std::map<std::string, Record>& newest) {
-  std::vector<Record> records;
-  records.reserve(newest.size());
-  for (auto& [key, record] : newest) {
-    records.push_back(std::move(record));
-  }
-  return records;
-}
-
 }  // namespace
 
 RecordDirectory::RecordDirectory(FileSystem& file_system, FileRecordStoreOptions options)
@@ -50,7 +30,7 @@
   merge_.reset();
   const bool has_identity = contains(file_system_.list(RootFolder), IdentityName);
   if (!has_identity) {
-    return create(candidate_instance, holdsCommits() ? "records without an identity" : "");
+    return create(candidate_instance, hasCommits() ? "records without an identity" : "");
   }
   const std::optional<Identity> identity = decodeIdentity(file_system_.read(IdentityName));
   if (!identity || identity->bucket_count == 0) {
@@ -58,20 +38,20 @@
   }
   OpenedStore opened;
   opened.instance = identity->instance;
-  bucket_last_.assign(identity->bucket_count, 0);
+  bucket_commits_.assign(identity->bucket_count, 0);
   const std::string loss = loadRecords(opened.records);
   if (!loss.empty()) {
     return create(candidate_instance, loss);
   }
   makeDurable(*identity);
-  opened.is_new = next_commit_ == GenesisCommit + 1;
+  opened.is_new = next_commit_ == FirstCommit + 1;
   return opened;
 }
 
 void RecordDirectory::makeDurable(const Identity& identity) {
   republish(RootFolder, IdentityName, encodeIdentity(identity));
   const std::string newest = liveFiles().back();
-  republish(RecordsFolder, newest, file_system_.read(inRecords(newest)));
+  republish(RecordsFolder, newest, file_system_.read(recordPath(newest)));
   failed_ = false;
 }
 
@@ -89,16 +69,16 @@
 
 OpenedStore RecordDirectory::create(std::uint64_t instance, const std::string& loss) {
   if (!loss.empty()) {
-    moveAside(instance);
+    moveToLost(instance);
   }
   segments_.clear();
-  bucket_last_.assign(options_.bucket_count, 0);
-  next_commit_ = GenesisCommit;
+  bucket_commits_.assign(options_.bucket_count, 0);
+  next_commit_ = FirstCommit;
   file_system_.createFolder(RecordsFolder);
   file_system_.syncFolder(RootFolder);
   failed_ = false;
   // The first commit is empty and precedes the identity, so that an identity without any record
-  // file always tells of a loss.
+  // file always shows a loss.
   append({});
   publish(RootFolder, IdentityName, encodeIdentity(Identity{instance, options_.bucket_count}));
   OpenedStore opened;
@@ -108,27 +88,27 @@
   return opened;
 }
 
-bool RecordDirectory::holdsCommits() {
+bool RecordDirectory::hasCommits() {
   // The first commit alone, or its temporary file, is what an unfinished create() leaves.
-  const std::string genesis = nameOf(Segment{GenesisCommit, GenesisCommit, 0, false});
+  const std::string first_commit = segmentName(Segment{FirstCommit, FirstCommit, 0, false});
   const std::vector<std::string> names = file_system_.list(RecordsFolder);
   return std::any_of(names.begin(), names.end(),
-                     [&](const std::string& name) { return !name.starts_with(genesis); });
+                     [&](const std::string& name) { return !name.starts_with(first_commit); });
 }
 
-void RecordDirectory::moveAside(std::uint64_t instance) {
-  const std::string target = join(LostFolder, paddedNumber(instance));
+void RecordDirectory::moveToLost(std::uint64_t instance) {
+  const std::string target = joinPath(LostFolder, paddedNumber(instance));
   file_system_.createFolder(LostFolder);
   file_system_.createFolder(target);
   file_system_.syncFolder(LostFolder);
-  // The identity goes first: without it, a folder moved by half is never taken for a whole one.
+  // The identity is moved first, so that a partly moved folder is never taken for a complete one.
   if (contains(file_system_.list(RootFolder), IdentityName)) {
-    file_system_.rename(IdentityName, join(target, IdentityName));
+    file_system_.rename(IdentityName, joinPath(target, IdentityName));
     file_system_.syncFolder(target);
   }
   file_system_.syncFolder(RootFolder);
   for (const std::string& name : file_system_.list(RecordsFolder)) {
-    file_system_.rename(inRecords(name), join(target, name));
+    file_system_.rename(recordPath(name), joinPath(target, name));
   }
   file_system_.syncFolder(target);
   if (contains(file_system_.list(RootFolder), RecordsFolder)) {
@@ -140,28 +120,26 @@
   if (failed_) {
     throw base::Error(base::ResultCode::StorageFailed, "the store must be opened again");
   }
-  std::map<std::string, Record> newest;
-  for (Record& record : records) {
-    std::string key = record.key;
-    newest.insert_or_assign(std::move(key), std::move(record));
-  }
+  NewestRecords newest;
+  newest.add(std::move(records));
   const std::uint64_t commit = next_commit_;
-  const std::string bytes = encodeRecordFile(RecordFile{commit, commit, applyRecords(newest)});
+  const std::string bytes = encodeRecordFile(RecordFile{commit, commit, newest.take()});
   const Segment segment{commit, commit, bytes.size(), false};
-  publish(RecordsFolder, nameOf(segment), bytes);
+  publish(RecordsFolder, segmentName(segment), bytes);
   segments_.push_back(segment);
   ++next_commit_;
 }
 
 void RecordDirectory::publish(const std::string& folder, const std::string& name,
                               const std::string& bytes) {
-  const std::string path = join(folder, name);
+  const std::string path = joinPath(folder, name);
   const std::string temporary = path + TemporarySuffix;
-  // A write that fails leaves only the temporary file; what follows may leave more.
+  // A failed write leaves only the temporary file; a failure of a later step may leave the result
+  // unknown.
   try {
     file_system_.write(temporary, bytes);
   } catch (const base::Error&) {
-    removeQuietly(temporary);
+    removeObsolete(temporary);
     throw;
   }
   failed_ = true;
@@ -173,13 +151,13 @@
 
 std::vector<std::string> RecordDirectory::liveFiles() const {
   std::vector<std::string> names;
-  for (std::size_t bucket = 0; bucket < bucket_last_.size(); ++bucket) {
-    if (bucket_last_[bucket] != 0) {
-      names.push_back(bucketName(bucket, bucket_last_[bucket]));
+  for (std::size_t bucket = 0; bucket < bucket_commits_.size(); ++bucket) {
+    if (bucket_commits_[bucket] != 0) {
+      names.push_back(bucketName(bucket, bucket_commits_[bucket]));
     }
   }
   for (const Segment& segment : segments_) {
-    names.push_back(nameOf(segment));
+    names.push_back(segmentName(segment));
   }
   return names;
 }
@@ -190,7 +168,7 @@
   }
   DecodedFile decoded;
   try {
-    decoded = decodeRecordFile(file_system_.read(inRecords(name)));
+    decoded = decodeRecordFile(file_system_.read(recordPath(name)));
   } catch (const base::Error&) {
     decoded.intact = false;
   }
@@ -198,38 +176,27 @@
 }
 
 RecordFile RecordDirectory::readIntact(const std::string& name) {
-  DecodedFile decoded = decodeRecordFile(file_system_.read(inRecords(name)));
+  DecodedFile decoded = decodeRecordFile(file_system_.read(recordPath(name)));
   if (!decoded.intact) {
     throw base::Error(base::ResultCode::RecordCorrupt, "corrupt record file " + name);
   }
   return std::move(decoded.file);
 }
 
-void RecordDirectory::removeQuietly(const std::string& path) {
+void RecordDirectory::removeObsolete(const std::string& path) {
   try {
     file_system_.remove(path);
   } catch (const base::Error&) {
-    // Opening the store removes what is covered by other files.
+    // open() removes files that others cover.
   }
 }
 
 std::size_t RecordDirectory::bucketOf(const std::string& key) const {
-  return base::hashBytes(key) % bucket_last_.size();
+  return base::hashBytes(key) % bucket_commits_.size();
 }
 
 std::uint64_t RecordDirectory::bucketFloor() const {
-  return *std::min_element(bucket_last_.begin(), bucket_last_.end());
-}
-
-std::string RecordDirectory::nameOf(const Segment& segment) {
-  if (segment.run) {
-    return paddedNumber(segment.first) + "-" + paddedNumber(segment.last) + ".run";
-  }
-  return paddedNumber(segment.first) + ".rec";
-}
-
-std::string RecordDirectory::bucketName(std::size_t bucket, std::uint64_t last) {
-  return "bucket-" + paddedNumber(bucket) + "-" + paddedNumber(last) + ".snap";
+  return *std::min_element(bucket_commits_.begin(), bucket_commits_.end());
 }
 
 }  // namespace switchsaddle::storage
--- a/libraries/storage/source/record_directory.h
+++ b/libraries/storage/source/record_directory.h
@@ -8,12 +8,13 @@
 
 #include "identity_file.h"
 #include "record_file.h"
+#include "record_file_names.h"
 #include "switchsaddle/storage/file_record_store.h"
 #include "switchsaddle/storage/file_system.h"
 
 namespace switchsaddle::storage {
 
-/** What reading one file again found. */
+/** The result of verifying one file. */
 struct ScrubbedFile {
   bool intact = true;
   std::vector<std::string> damaged_keys;
@@ -22,88 +23,101 @@
 /**
  * The data folder of a FileRecordStore. All methods block and run on the storage executor.
  *
- * `identity` holds the instance id. In `records/` lie commit files (`N.rec`), runs made of
+ * `identity` contains the instance id. In `records/` are commit files (`N.rec`), runs made of
  * consecutive commit files (`FIRST-LAST.run`) and, for each bucket of keys, one file with the
- * bucket's whole state up to a commit (`bucket-B-LAST.snap`). Files are written aside, synced,
- * renamed and their folder synced before those they replace are removed, so that at every moment
- * the buckets, runs and commits on disk cover all commits without a gap: that is what opening
- * checks; only the loss of the newest file leaves no gap. A folder that fails the check is moved
- * into `lost/` and a new instance begins.
+ * bucket's complete state up to a commit (`bucket-B-LAST.snap`). Files are written under a
+ * temporary name, synced, renamed and their folder synced before those they replace are removed.
+ * Invariant: the buckets, runs and commits on disk cover all commits without a gap at all times.
+ * Opening checks this; only the loss of the newest file leaves no gap. A folder that fails the
+ * check is moved into `lost/` and a new instance begins.
  */
 class RecordDirectory {
  public:
   RecordDirectory(FileSystem& file_system, FileRecordStoreOptions options);
 
-  /** Reads the folder, or begins a new one as `candidate_instance`. Throws base::Error where the
-   * disk refuses. */
+  /**
+   * Reads the folder, or creates a new one.
+   * @param candidate_instance the instance of a new folder.
+   * @throws base::Error with StorageFailed or StorageFull.
+   */
   OpenedStore open(std::uint64_t candidate_instance);
-  /** Makes the records durable as the next commit. Throws base::Error. */
+  /** Makes the records durable as the next commit. @throws base::Error as open(). */
   void append(std::vector<Record> records);
-  /** Lets the steps of compaction write these records, the whole state after the newest commit, in
-   * place of every file there is. Nothing where the store must be opened again. */
+  /** Has the next steps of compaction write these records, the complete state after the newest
+   * commit, and replace every file. Does nothing where the store must be opened again. */
   void beginRewrite(std::vector<Record> state);
-  /** Does one bounded step of compaction; true where another is due. Throws base::Error. */
+  /** Does one bounded step of compaction. @return whether another is due. @throws base::Error as
+   * open(), or with RecordCorrupt. */
   bool compact();
-  /** Names of the files that make up the state. */
+  /** @return the names of the files that make up the state. */
   std::vector<std::string> liveFiles() const;
-  /** Reads one file again; a file replaced in the meantime counts as intact. */
+  /** Verifies one file; one that was replaced in the meantime counts as intact. */
   ScrubbedFile scrub(const std::string& name);
 
  private:
-  struct Segment {
-    std::uint64_t first;
-    std::uint64_t last;
-    std::size_t bytes;
-    bool run;
-  };
   /** Runs, or a state given in their place, being merged into the buckets over several steps. */
   struct Merge {
-    std::uint64_t last = 0;
-    /** The parts are the whole state: no file is read. */
-    bool full_state = false;
+    std::uint64_t last_commit = 0;
+    /** The records are the complete state, so that no file is read. */
+    bool is_rewrite = false;
     std::size_t next_bucket = 0;
-    /** Records of all the runs for each bucket, in order of their commits. */
-    std::vector<std::vector<Record>> parts;
+    /** The records of each bucket in the order of their commits. */
+    std::vector<std::vector<Record>> bucket_records;
+  };
+  /** The result of listing a folder. */
+  struct FolderScan {
+    /** Files that are not part of the state. */
+    std::vector<std::string> obsolete;
+    /** Why the folder is incomplete; empty where it is not. */
+    std::string loss;
   };
-  struct Leftovers;
 
-  /** Makes what was read last. A former process may have died between a rename and the sync of its
-   * folder, or that sync may have failed, after which a bare sync can succeed without effect. Each
-   * folder gets a change anew, so that its sync covers all its names; a full disk gets the sync
-   * alone. */
+  /** Makes durable what was read last. An earlier process may have died between a rename and the
+   * sync of its folder, or that sync may have failed, after which another sync alone can succeed
+   * without effect. Each folder therefore gets a change, so that its sync covers all its names; a
+   * full disk gets the sync alone. */
   void makeDurable(const Identity& identity);
   void republish(const std::string& folder, const std::string& name, const std::string& bytes);
   OpenedStore create(std::uint64_t instance, const std::string& loss);
-  /** Whether `records/` holds more than an unfinished create() leaves. */
-  bool holdsCommits();
-  void moveAside(std::uint64_t instance);
-  void scanNames(Leftovers& leftovers);
-  void scanName(const std::string& name, Leftovers& leftovers);
-  void dropCovered(Leftovers& leftovers);
+  /** Whether `records/` has more than an unfinished create() leaves. */
+  bool hasCommits();
+  void moveToLost(std::uint64_t instance);
+
+  // Loading, in record_directory_load.cc. Those with a string return why the folder is incomplete,
+  // or an empty string.
+  FolderScan scanFolder();
+  void scanName(const std::string& name, FolderScan& scan);
+  /** Drops the segments that buckets or longer segments cover, and checks for gaps. */
+  void dropCovered(FolderScan& scan);
   std::string loadRecords(std::map<std::string, std::string>& records);
   std::string loadBuckets(std::map<std::string, std::string>& records);
   std::string loadSegments(std::map<std::string, std::string>& records);
+
+  /** Writes a file so that it is complete under its name, or absent, after any failure. */
   void publish(const std::string& folder, const std::string& name, const std::string& bytes);
-  void makeRun(std::size_t begin, std::size_t end);
-  void beginMerge();
-  void mergeNextBucket();
-  void finishMerge();
-  /** Removes a file nothing depends on; a failure is left to the next open(). */
-  void removeQuietly(const std::string& path);
+  /** Removes a file that nothing depends on; after a failure open() removes it. */
+  void removeObsolete(const std::string& path);
   RecordFile readIntact(const std::string& name);
   std::size_t bucketOf(const std::string& key) const;
+  /** @return the commit up to which every bucket file is complete. */
   std::uint64_t bucketFloor() const;
-  static std::string nameOf(const Segment& segment);
-  static std::string bucketName(std::size_t bucket, std::uint64_t last);
+
+  // Compaction, in record_directory_compaction.cc.
+  /** Merges commit files from `begin` on into one run of bounded size. */
+  void makeRun(std::size_t begin);
+  void beginMerge();
+  void mergeNextBucket();
+  void mergeBucket(std::size_t bucket);
+  void finishMerge();
 
   FileSystem& file_system_;
   const FileRecordStoreOptions options_;
   /** Sorted by range and without overlap. */
   std::vector<Segment> segments_;
   /** Last commit in each bucket's file; 0 where it has none. */
-  std::vector<std::uint64_t> bucket_last_;
+  std::vector<std::uint64_t> bucket_commits_;
   std::uint64_t next_commit_ = 1;
-  /** After a failed sync: what the disk holds is unknown until open(). */
+  /** Set after a failed sync: the content of the disk is unknown until open(). */
   bool failed_ = true;
   std::optional<Merge> merge_;
 };
--- a/libraries/storage/source/record_directory_load.cc
+++ b/libraries/storage/source/record_directory_load.cc
@@ -1,4 +1,4 @@
-// The part of RecordDirectory that reads a folder back and decides whether it is whole.
+// The loading of RecordDirectory, which reads a folder and decides whether it is complete.
 
 #include <algorithm>
 #include <utility>
@@ -10,12 +10,6 @@
 
 namespace {
 
-const std::string CommitSuffix = ".rec";
-const std::string RunSuffix = ".run";
-const std::string BucketSuffix = ".snap";
-const std::string BucketPrefix = "bucket-";
-constexpr std::size_t NumberDigits = 20;
-
 void applyRecord(std::map<std::string, std::string>& records, Record record) {
   if (record.removed) {
     records.erase(record.key);
@@ -26,17 +20,10 @@
 
 }  // namespace
 
-/** Names found that hold nothing of the state, and why the folder is not whole, if it is not. */
-struct RecordDirectory::Leftovers {
-  std::vector<std::string> names;
-  std::string loss;
-};
-
 std::string RecordDirectory::loadRecords(std::map<std::string, std::string>& records) {
-  Leftovers leftovers;
-  scanNames(leftovers);
-  if (!leftovers.loss.empty()) {
-    return leftovers.loss;
+  const FolderScan scan = scanFolder();
+  if (!scan.loss.empty()) {
+    return scan.loss;
   }
   std::string loss = loadBuckets(records);
   if (loss.empty()) {
@@ -45,34 +32,37 @@
   if (!loss.empty()) {
     return loss;
   }
-  // Only now, since a folder which is given up is kept as it was found.
-  for (const std::string& name : leftovers.names) {
-    removeQuietly("records/" + name);
+  // Only now, since the files of an incomplete folder are kept as they were found.
+  for (const std::string& name : scan.obsolete) {
+    removeObsolete(recordPath(name));
   }
   return {};
 }
 
-void RecordDirectory::scanNames(Leftovers& leftovers) {
+RecordDirectory::FolderScan RecordDirectory::scanFolder() {
+  FolderScan scan;
   segments_.clear();
-  for (const std::string& name : file_system_.list("records")) {
-    scanName(name, leftovers);
+  for (const std::string& name : file_system_.list(RecordsFolder)) {
+    scanName(name, scan);
   }
-  dropCovered(leftovers);
+  dropCovered(scan);
+  return scan;
 }
 
-void RecordDirectory::scanName(const std::string& name, Leftovers& leftovers) {
-  if (name.ends_with(".tmp")) {
-    leftovers.names.push_back(name);
+void RecordDirectory::scanName(const std::string& name, FolderScan& scan) {
+  if (name.ends_with(TemporarySuffix)) {
+    scan.obsolete.push_back(name);
     return;
   }
   const bool is_bucket = name.starts_with(BucketPrefix) && name.ends_with(BucketSuffix);
   const std::size_t offset = is_bucket ? BucketPrefix.size() : 0;
   const std::optional<std::uint64_t> first = parsePaddedNumber(name, offset);
-  const std::optional<std::uint64_t> second = parsePaddedNumber(name, offset + NumberDigits + 1);
-  if (is_bucket && first && second && *first < bucket_last_.size()) {
-    std::uint64_t& last = bucket_last_[*first];
+  const std::optional<std::uint64_t> second =
+      parsePaddedNumber(name, offset + PaddedNumberDigits + 1);
+  if (is_bucket && first && second && *first < bucket_commits_.size()) {
+    std::uint64_t& last = bucket_commits_[*first];
     if (last != 0) {
-      leftovers.names.push_back(bucketName(*first, std::min(last, *second)));
+      scan.obsolete.push_back(bucketName(*first, std::min(last, *second)));
     }
     last = std::max(last, *second);
   } else if (!is_bucket && name.ends_with(RunSuffix) && first && second) {
@@ -80,35 +70,37 @@
   } else if (!is_bucket && name.ends_with(CommitSuffix) && first) {
     segments_.push_back(Segment{*first, *first, 0, false});
   } else {
-    leftovers.loss = "unknown record file " + name;
+    scan.loss = "unknown record file " + name;
   }
 }
 
-void RecordDirectory::dropCovered(Leftovers& leftovers) {
-  // Of two that begin alike the longer comes first, and a run before its only commit.
+void RecordDirectory::dropCovered(FolderScan& scan) {
+  // Of two segments with the same first commit the longer comes first, and a run precedes a commit.
   std::sort(segments_.begin(), segments_.end(), [](const Segment& left, const Segment& right) {
-    if (left.first != right.first) {
-      return left.first < right.first;
+    if (left.first_commit != right.first_commit) {
+      return left.first_commit < right.first_commit;
     }
-    return left.last != right.last ? left.last > right.last : left.run > right.run;
+    return left.last_commit != right.last_commit ? left.last_commit > right.last_commit
+                                                 : left.is_run > right.is_run;
   });
   std::uint64_t covered = bucketFloor();
   std::vector<Segment> live;
   for (const Segment& segment : segments_) {
-    if (segment.last <= covered) {
-      leftovers.names.push_back(nameOf(segment));
+    if (segment.last_commit <= covered) {
+      scan.obsolete.push_back(segmentName(segment));
       continue;
     }
-    if (segment.first != covered + 1) {
-      leftovers.loss = "commit " + std::to_string(covered + 1) + " is missing";
+    if (segment.first_commit != covered + 1) {
+      scan.loss = "commit " + std::to_string(covered + 1) + " is missing";
       return;
     }
     live.push_back(segment);
-    covered = segment.last;
+    covered = segment.last_commit;
   }
-  const std::uint64_t newest_bucket = *std::max_element(bucket_last_.begin(), bucket_last_.end());
+  const std::uint64_t newest_bucket =
+      *std::max_element(bucket_commits_.begin(), bucket_commits_.end());
   if (covered == 0 || covered < newest_bucket) {
-    leftovers.loss = "commit " + std::to_string(covered + 1) + " is missing";
+    scan.loss = "commit " + std::to_string(covered + 1) + " is missing";
     return;
   }
   segments_ = std::move(live);
@@ -116,13 +108,13 @@
 }
 
 std::string RecordDirectory::loadBuckets(std::map<std::string, std::string>& records) {
-  for (std::size_t bucket = 0; bucket < bucket_last_.size(); ++bucket) {
-    if (bucket_last_[bucket] == 0) {
+  for (std::size_t bucket = 0; bucket < bucket_commits_.size(); ++bucket) {
+    if (bucket_commits_[bucket] == 0) {
       continue;
     }
-    const std::string name = bucketName(bucket, bucket_last_[bucket]);
-    DecodedFile decoded = decodeRecordFile(file_system_.read("records/" + name));
-    if (!decoded.intact || decoded.file.last != bucket_last_[bucket]) {
+    const std::string name = bucketName(bucket, bucket_commits_[bucket]);
+    DecodedFile decoded = decodeRecordFile(file_system_.read(recordPath(name)));
+    if (!decoded.intact || decoded.file.last != bucket_commits_[bucket]) {
       return "corrupt record file " + name;
     }
     for (Record& record : decoded.file.records) {
@@ -137,16 +129,16 @@
 
 std::string RecordDirectory::loadSegments(std::map<std::string, std::string>& records) {
   for (Segment& segment : segments_) {
-    const std::string name = nameOf(segment);
-    const std::string bytes = file_system_.read("records/" + name);
+    const std::string name = segmentName(segment);
+    const std::string bytes = file_system_.read(recordPath(name));
     segment.bytes = bytes.size();
     DecodedFile decoded = decodeRecordFile(bytes);
     const bool range_matches =
-        decoded.file.first == segment.first && decoded.file.last == segment.last;
+        decoded.file.first == segment.first_commit && decoded.file.last == segment.last_commit;
     if (!decoded.intact || !range_matches) {
       return "corrupt record file " + name;
     }
-    // Buckets ahead of the others see some records again; all that came later follow as well.
+    // Buckets that are newer than others receive some records again, and all later ones after them.
     for (Record& record : decoded.file.records) {
       applyRecord(records, std::move(record));
     }
--- a/libraries/storage/source/record_file.cc
+++ b/libraries/storage/source/record_file.cc
@@ -19,16 +19,18 @@
   }
 }
 
-/** Reads integers and strings in turn; `failed` after the first which lies beyond the end. */
+/** Reads integers and strings in order. Fails at the first that extends beyond the end, and returns
+ * zero or an empty string from then on. */
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
 
   std::uint64_t integer() {
-    const std::string_view part = text(IntegerBytes);
+    const std::string_view encoded = text(IntegerBytes);
     std::uint64_t value = 0;
-    for (std::size_t index = 0; index < part.size(); ++index) {
-      value |= static_cast<std::uint64_t>(static_cast<unsigned char>(part[index])) << (8 * index);
+    for (std::size_t index = 0; index < encoded.size(); ++index) {
+      value |= static_cast<std::uint64_t>(static_cast<unsigned char>(encoded[index]))
+               << (8 * index);
     }
     return value;
   }
@@ -37,9 +39,9 @@
       failed_ = true;
       return {};
     }
-    const std::string_view part = bytes_.substr(0, length);
+    const std::string_view result = bytes_.substr(0, length);
     bytes_.remove_prefix(length);
-    return part;
+    return result;
   }
   bool failed() const { return failed_; }
   bool atEnd() const { return bytes_.empty(); }
@@ -49,6 +51,7 @@
   bool failed_ = false;
 };
 
+/** One record in the table of a file. */
 struct TableEntry {
   std::string key;
   bool removed;
--- a/libraries/storage/source/record_file.h
+++ b/libraries/storage/source/record_file.h
@@ -9,9 +9,10 @@
 namespace switchsaddle::storage {
 
 /**
- * The content of one file of the store: what the commits `first` to `last` left, at most one record
- * a key. On disk a header and a table of keys come first under one checksum; the values follow,
- * each with its checksum in the table, so that damage to a value still tells its key.
+ * The content of one file of the store: the result of the commits `first` to `last`, with at most
+ * one record for each key. On disk a header and a table of keys come first under one checksum; the
+ * values follow, each with its checksum in the table, so that the key of a damaged value is still
+ * known.
  */
 struct RecordFile {
   std::uint64_t first = 0;
@@ -19,12 +20,12 @@
   std::vector<Record> records;
 };
 
-/** What reading a file back found. */
+/** The result of decoding a file. */
 struct DecodedFile {
   RecordFile file;
-  /** False where any byte is not as written. */
+  /** Whether every byte is as written. */
   bool intact = false;
-  /** Keys of the values which fail; empty too where the table itself cannot be read. */
+  /** Keys of the damaged values; also empty where the table itself is damaged. */
   std::vector<std::string> damaged_keys;
 };
 
--- a/libraries/storage/test/file_record_store_damage_test.cc
+++ b/libraries/storage/test/file_record_store_damage_test.cc
@@ -1,4 +1,5 @@
-// Files damaged behind the store's back: opening must find each, and scrubbing must name the keys.
+// Files damaged without the store's knowledge: opening must detect each, and scrubbing must report
+// the keys.
 
 #include <gtest/gtest.h>
 
@@ -21,7 +22,7 @@
       bench_.put("key" + std::to_string(index), "value" + std::to_string(index));
     }
     bench_.world.runFor(std::chrono::seconds(1));
-    // One commit follows the run: a gap shows, the loss of the newest file would not.
+    // One commit follows the run, since the loss of the newest file would leave no gap.
     bench_.put("key14", "value14");
     instance_ = bench_.open().instance;
     bench_.world.runFor(std::chrono::seconds(1));
@@ -61,7 +62,7 @@
   }
 };
 
-TEST_P(DamagedFile, FlippedAnywhereGivesANewInstance) {
+TEST_P(DamagedFile, FlippedByteStartsANewInstance) {
   const std::string damaged = path();
   const std::size_t size = bench_.disk.read(damaged).size();
   for (std::size_t offset = 0; offset < size; ++offset) {
@@ -80,17 +81,17 @@
   expectNewInstance();
 }
 
-TEST_P(DamagedFile, TruncatedGivesANewInstance) {
+TEST_P(DamagedFile, TruncationStartsANewInstance) {
   bench_.disk.truncate(path(), bench_.disk.read(path()).size() - 1);
   expectNewInstance();
 }
 
-TEST_P(DamagedFile, EmptiedGivesANewInstance) {
+TEST_P(DamagedFile, EmptyFileStartsANewInstance) {
   bench_.disk.truncate(path(), 0);
   expectNewInstance();
 }
 
-TEST_P(DamagedFile, GoneGivesANewInstance) {
+TEST_P(DamagedFile, MissingFileStartsANewInstance) {
   bench_.disk.remove(path());
   bench_.disk.syncFolder("records");
   expectNewInstance();
@@ -98,14 +99,14 @@
 
 INSTANTIATE_TEST_SUITE_P(Files, DamagedFile, testing::Values("identity", ".run", ".snap"));
 
-TEST_F(FileRecordStoreDamage, ADamagedCommitGivesANewInstance) {
+TEST_F(FileRecordStoreDamage, DamagedCommitStartsANewInstance) {
   bench_.put("key", "value");
   const std::string path = fileEndingWith(".rec");
   bench_.disk.flipByte(path, bench_.disk.read(path).size() - 1);
   expectNewInstance();
 }
 
-TEST_F(FileRecordStoreDamage, AGapBetweenCommitsGivesANewInstance) {
+TEST_F(FileRecordStoreDamage, GapBetweenCommitsStartsANewInstance) {
   bench_.put("key", "1");
   const std::string first = fileEndingWith(".rec");
   bench_.put("key", "2");
@@ -113,13 +114,13 @@
   expectNewInstance();
 }
 
-TEST_F(FileRecordStoreDamage, ATornWriteGivesANewInstance) {
+TEST_F(FileRecordStoreDamage, TornWriteStartsANewInstance) {
   bench_.disk.tearWrite(1);
   bench_.put("key", "a value long enough to be torn");
   expectNewInstance();
 }
 
-TEST_F(FileRecordStoreDamage, AnEmptiedFolderIsANewInstance) {
+TEST_F(FileRecordStoreDamage, EmptiedFolderStartsANewInstance) {
   bench_.disk.wipe();
   bench_.restart();
   const OpenedStore opened = bench_.open();
@@ -128,7 +129,7 @@
   EXPECT_TRUE(opened.records.empty());
 }
 
-TEST_F(FileRecordStoreDamage, AnUnfinishedWriteIsNoDamage) {
+TEST_F(FileRecordStoreDamage, UnfinishedWriteIsNoDamage) {
   bench_.disk.write("records/00000000000000000099.rec.tmp", "torn");
   bench_.restart();
   const OpenedStore opened = bench_.open();
@@ -136,14 +137,14 @@
   EXPECT_EQ(opened.records.size(), 15U);
 }
 
-TEST_F(FileRecordStoreDamage, ScrubNamesTheKeyOfADamagedValue) {
+TEST_F(FileRecordStoreDamage, ScrubReportsTheKeyOfADamagedValue) {
   bench_.put("other", "value");
   bench_.put("damaged", "value");
   const std::vector<std::string> names = bench_.disk.list("records");
   for (const std::string& name : names) {
     const std::string path = "records/" + name;
-    const std::size_t place = bench_.disk.read(path).find("damaged");
-    if (place != std::string::npos) {
+    const std::size_t offset = bench_.disk.read(path).find("damaged");
+    if (offset != std::string::npos) {
       bench_.disk.flipByte(path, bench_.disk.read(path).size() - 1);
     }
   }
@@ -152,7 +153,7 @@
   EXPECT_EQ(keys, std::vector<std::string>{"damaged"});
 }
 
-TEST_F(FileRecordStoreDamage, ScrubFindsDamageOfEachFile) {
+TEST_F(FileRecordStoreDamage, ScrubDetectsDamageInEachFile) {
   for (const std::string& name : bench_.disk.list("records")) {
     SCOPED_TRACE(name);
     std::vector<std::string> keys;
@@ -163,7 +164,7 @@
   }
 }
 
-TEST_F(FileRecordStoreDamage, RewritingTheStateGivesUpEachDamagedFile) {
+TEST_F(FileRecordStoreDamage, RewriteReplacesEachDamagedFile) {
   for (const std::string& name : bench_.disk.list("records")) {
     SCOPED_TRACE(name);
     const std::map<std::string, std::string> state = bench_.open().records;
@@ -179,7 +180,7 @@
       records.push_back({key, bytes, false});
     }
     bench_.store().rewrite(std::move(records));
-    // Commits handed over later are kept on top of it.
+    // Commits submitted later apply on top of it.
     bench_.put("later", name);
     bench_.put("key0", name);
     bench_.world.runFor(std::chrono::seconds(1));
@@ -194,12 +195,12 @@
   }
 }
 
-TEST_F(FileRecordStoreDamage, ARewriteCutShortByPowerLossLosesNothing) {
+TEST_F(FileRecordStoreDamage, RewriteInterruptedByPowerLossLosesNothing) {
   const std::map<std::string, std::string> state = bench_.open().records;
   bench_.world.runFor(std::chrono::seconds(1));
   const simulation::SimulatedDisk before = bench_.disk;
-  bool cut_short = true;
-  for (std::uint64_t operation = 1; cut_short; ++operation) {
+  bool was_interrupted = true;
+  for (std::uint64_t operation = 1; was_interrupted; ++operation) {
     SCOPED_TRACE("operation " + std::to_string(operation));
     bench_.disk = before;
     bench_.restart();
@@ -212,7 +213,7 @@
     }
     bench_.store().rewrite(std::move(records));
     bench_.world.runFor(std::chrono::seconds(1));
-    cut_short = bench_.disk.interrupted();
+    was_interrupted = bench_.disk.interrupted();
     bench_.disk.powerLoss();
     bench_.restart();
     const OpenedStore opened = bench_.open();
@@ -221,7 +222,7 @@
   }
 }
 
-TEST_F(FileRecordStoreDamage, ScrubFindsAMissingFile) {
+TEST_F(FileRecordStoreDamage, ScrubDetectsAMissingFile) {
   bench_.disk.remove(fileEndingWith(".snap"));
   std::vector<std::string> keys;
   EXPECT_EQ(bench_.scrub(keys), ResultCode::RecordCorrupt);
--- a/libraries/storage/test/file_record_store_fault_test.cc
+++ b/libraries/storage/test/file_record_store_fault_test.cc
@@ -1,5 +1,5 @@
-// Faults of the disk in turn: each operation fails once, and the process dies or loses its power at
-// each operation.
+// Disk faults: each operation fails once, and at each operation the process is killed or loses
+// power.
 
 #include <gtest/gtest.h>
 
@@ -15,12 +15,12 @@
 constexpr int Commits = 40;
 constexpr int Pairs = 7;
 
-/** Opens a store and commits to it in turn, whatever becomes of it. */
+/** Opens a store and submits commits one after the other, whatever their results. */
 class Scenario {
  public:
   explicit Scenario(std::uint64_t seed) : bench(smallOptions(), seed) {}
 
-  /** False where the disk was interrupted. */
+  /** @return false where the disk was interrupted. */
   bool run() {
     opened_code = bench.openCode();
     if (bench.disk.interrupted()) {
@@ -32,7 +32,7 @@
     return !bench.disk.interrupted();
   }
   ResultCode commit(int pair, const std::string& tag) {
-    last_number = possible.handedIn(pair, tag);
+    last_number = possible.submitted(pair, tag);
     const ResultCode code = bench.commit(PossibleRecords::makeCommit(pair, tag));
     if (code == ResultCode::Ok) {
       possible.acknowledged(pair, last_number);
@@ -46,8 +46,8 @@
     EXPECT_EQ(opened.loss, "");
     return opened;
   }
-  /** What was read must last without any further commit, and the store must go on. */
-  void expectSound() {
+  /** Expects that what was read is durable without any further commit, and that commits succeed. */
+  void expectConsistent() {
     const OpenedStore first = reopen();
     bench.disk.powerLoss();
     const OpenedStore second = reopen();
@@ -69,7 +69,7 @@
   return scenario.bench.disk.operations();
 }
 
-TEST(FileRecordStoreFaults, PowerLostAtEachOperation) {
+TEST(FileRecordStoreFaults, SurvivesPowerLossAtEachOperation) {
   const std::uint64_t operations = operationsWithoutFault();
   ASSERT_GT(operations, 200U);
   for (std::uint64_t at = 1; at <= operations; ++at) {
@@ -79,13 +79,13 @@
       scenario.bench.disk.interruptAt(at);
       scenario.run();
       scenario.bench.disk.powerLoss();
-      scenario.expectSound();
+      scenario.expectConsistent();
       ASSERT_FALSE(testing::Test::HasFailure());
     }
   }
 }
 
-TEST(FileRecordStoreFaults, KilledAtEachOperation) {
+TEST(FileRecordStoreFaults, SurvivesAKillAtEachOperation) {
   const std::uint64_t operations = operationsWithoutFault();
   for (std::uint64_t at = 1; at <= operations; ++at) {
     SCOPED_TRACE("operation " + std::to_string(at));
@@ -93,17 +93,17 @@
     scenario.bench.disk.interruptAt(at);
     scenario.run();
     scenario.bench.disk.resume();
-    scenario.expectSound();
+    scenario.expectConsistent();
     ASSERT_FALSE(testing::Test::HasFailure());
   }
 }
 
 class FailingOperation : public testing::TestWithParam<DiskOperation> {};
 
-TEST_P(FailingOperation, LosesNothingAcknowledged) {
-  Scenario whole(1);
-  ASSERT_TRUE(whole.run());
-  const std::uint64_t count = whole.bench.disk.operations(GetParam());
+TEST_P(FailingOperation, LosesNoAcknowledgedCommit) {
+  Scenario without_fault(1);
+  ASSERT_TRUE(without_fault.run());
+  const std::uint64_t count = without_fault.bench.disk.operations(GetParam());
   ASSERT_GT(count, 0U);
   for (std::uint64_t nth = 1; nth <= count; ++nth) {
     SCOPED_TRACE("operation " + std::to_string(nth) + " of the kind");
@@ -111,20 +111,20 @@
     scenario.bench.disk.failOnce(GetParam(), nth);
     scenario.run();
     scenario.bench.disk.powerLoss();
-    scenario.expectSound();
+    scenario.expectConsistent();
     ASSERT_FALSE(testing::Test::HasFailure());
   }
 }
 
-TEST_P(FailingOperation, ReopenedAtOnceItReadsOnlyWhatLasts) {
-  Scenario whole(1);
-  ASSERT_TRUE(whole.run());
-  for (std::uint64_t nth = 1; nth <= whole.bench.disk.operations(GetParam()); ++nth) {
+TEST_P(FailingOperation, ReopenedStoreReadsOnlyDurableRecords) {
+  Scenario without_fault(1);
+  ASSERT_TRUE(without_fault.run());
+  for (std::uint64_t nth = 1; nth <= without_fault.bench.disk.operations(GetParam()); ++nth) {
     SCOPED_TRACE("operation " + std::to_string(nth) + " of the kind");
     Scenario scenario(nth);
     scenario.bench.disk.failOnce(GetParam(), nth);
     scenario.run();
-    scenario.expectSound();
+    scenario.expectConsistent();
     ASSERT_FALSE(testing::Test::HasFailure());
   }
 }
@@ -136,39 +136,39 @@
 
 class FailingCommit : public testing::TestWithParam<DiskOperation> {};
 
-TEST_P(FailingCommit, StopsAllCommitsUntilOpenedAgain) {
+TEST_P(FailingCommit, FailsAllCommitsUntilReopened) {
   Scenario scenario(1);
   scenario.bench.open();
   scenario.bench.disk.failOnce(GetParam(), 1);
   EXPECT_EQ(scenario.commit(0, "failed"), ResultCode::StorageFailed);
-  EXPECT_EQ(scenario.commit(1, "refused"), ResultCode::StorageFailed);
-  EXPECT_EQ(scenario.commit(2, "refused"), ResultCode::StorageFailed);
+  EXPECT_EQ(scenario.commit(1, "rejected"), ResultCode::StorageFailed);
+  EXPECT_EQ(scenario.commit(2, "rejected"), ResultCode::StorageFailed);
   scenario.possible.expect(scenario.bench.open().records);
-  EXPECT_EQ(scenario.commit(1, "taken"), ResultCode::Ok);
+  EXPECT_EQ(scenario.commit(1, "accepted"), ResultCode::Ok);
 }
 
 INSTANTIATE_TEST_SUITE_P(Operations, FailingCommit,
                          testing::Values(DiskOperation::SyncFile, DiskOperation::SyncFolder,
                                          DiskOperation::Rename));
 
-TEST(FileRecordStoreFaults, AFullDiskRefusesAndRecovers) {
+TEST(FileRecordStoreFaults, FullDiskRejectsCommitsAndRecovers) {
   Scenario scenario(1);
   scenario.bench.open();
   EXPECT_EQ(scenario.commit(0, "before"), ResultCode::Ok);
   scenario.bench.disk.setFull(true);
-  EXPECT_EQ(scenario.commit(0, "refused"), ResultCode::StorageFull);
+  EXPECT_EQ(scenario.commit(0, "rejected"), ResultCode::StorageFull);
   scenario.possible.notWritten(0, scenario.last_number);
-  EXPECT_EQ(scenario.commit(1, "refused"), ResultCode::StorageFull);
+  EXPECT_EQ(scenario.commit(1, "rejected"), ResultCode::StorageFull);
   scenario.possible.notWritten(1, scenario.last_number);
   scenario.reopen();
   EXPECT_EQ(scenario.commit(0, "again"), ResultCode::StorageFull);
   scenario.possible.notWritten(0, scenario.last_number);
   scenario.bench.disk.setFull(false);
   EXPECT_EQ(scenario.commit(1, "after"), ResultCode::Ok);
-  scenario.expectSound();
+  scenario.expectConsistent();
 }
 
-TEST(FileRecordStoreFaults, AFullDiskCannotBeginAnInstance) {
+TEST(FileRecordStoreFaults, FullDiskCannotCreateAnInstance) {
   SimulatedBench bench(smallOptions());
   bench.disk.setFull(true);
   EXPECT_EQ(bench.openCode(), ResultCode::StorageFull);
@@ -176,10 +176,10 @@
   EXPECT_EQ(bench.open().loss, "");
 }
 
-TEST(FileRecordStoreFaults, CompactionOnAFullDiskIsTriedAgain) {
+TEST(FileRecordStoreFaults, CompactionIsRetriedAfterAFullDisk) {
   Scenario scenario(1);
   scenario.bench.open();
-  // The write after that of the second commit, with which three files are there, is the run's.
+  // The third write is that of the run, since the second commit is the third file.
   scenario.bench.disk.failOnce(DiskOperation::Write, 3, ResultCode::StorageFull);
   for (int index = 0; index < 4; ++index) {
     EXPECT_EQ(scenario.commit(index, "tag"), ResultCode::Ok);
@@ -188,10 +188,10 @@
   const std::vector<std::string> names = scenario.bench.disk.list("records");
   const auto is_run = [](const std::string& name) { return name.ends_with(".run"); };
   EXPECT_EQ(std::count_if(names.begin(), names.end(), is_run), 1);
-  scenario.expectSound();
+  scenario.expectConsistent();
 }
 
-TEST(FileRecordStoreFaults, AStalledDiskAnswersWithinTheBound) {
+TEST(FileRecordStoreFaults, StalledDiskAnswersWithinTheTimeout) {
   Scenario scenario(1);
   SimulatedBench& bench = scenario.bench;
   bench.open();
@@ -200,24 +200,24 @@
   const base::TimePoint begin = bench.world.now();
   EXPECT_EQ(scenario.commit(0, "stalled"), ResultCode::StorageSlow);
   EXPECT_EQ(bench.world.now() - begin, FileRecordStoreOptions{}.commit_timeout);
-  // While it lasts, nothing waits for it.
-  EXPECT_EQ(scenario.commit(1, "refused"), ResultCode::StorageSlow);
+  // During the stall further commits are answered at once.
+  EXPECT_EQ(scenario.commit(1, "rejected"), ResultCode::StorageSlow);
   EXPECT_EQ(bench.world.now() - begin, FileRecordStoreOptions{}.commit_timeout);
   scenario.possible.notWritten(1, scenario.last_number);
   bench.world.runFor(std::chrono::seconds(21));
   EXPECT_EQ(scenario.commit(2, "after"), ResultCode::Ok);
-  scenario.expectSound();
+  scenario.expectConsistent();
 }
 
-TEST(FileRecordStoreFaults, CommitsQueuedBehindAStallAreDropped) {
+TEST(FileRecordStoreFaults, CommitsQueuedDuringAStallAreDropped) {
   Scenario scenario(1);
   SimulatedBench& bench = scenario.bench;
   bench.open();
   bench.world.runFor(std::chrono::seconds(1));
   bench.executor().stallNext(std::chrono::seconds(20));
-  scenario.possible.handedIn(0, "stalled");
-  const std::uint64_t second = scenario.possible.handedIn(1, "stalled");
-  const std::uint64_t third = scenario.possible.handedIn(2, "stalled");
+  scenario.possible.submitted(0, "stalled");
+  const std::uint64_t second = scenario.possible.submitted(1, "stalled");
+  const std::uint64_t third = scenario.possible.submitted(2, "stalled");
   std::vector<ResultCode> codes;
   for (int pair = 0; pair < 3; ++pair) {
     bench.store().commit(PossibleRecords::makeCommit(pair, "stalled"),
@@ -227,7 +227,7 @@
   EXPECT_EQ(codes, std::vector<ResultCode>(3, ResultCode::StorageSlow));
   scenario.possible.notWritten(1, second);
   scenario.possible.notWritten(2, third);
-  scenario.expectSound();
+  scenario.expectConsistent();
 }
 
 }  // namespace
--- a/libraries/storage/test/file_record_store_property_test.cc
+++ b/libraries/storage/test/file_record_store_property_test.cc
@@ -1,4 +1,4 @@
-// Random commits, deaths, power losses and faults over many seeds.
+// Random commits, kills, power losses and faults over many seeds.
 
 #include <gtest/gtest.h>
 
@@ -16,17 +16,17 @@
 constexpr int Pairs = 9;
 constexpr std::uint64_t MaximumCommits = 40;
 
-/** One seed's life of a store, checked against what it acknowledged. */
-class RandomLife {
+/** Random operations on one store under one seed, checked against its acknowledged commits. */
+class RandomRun {
  public:
-  explicit RandomLife(std::uint64_t seed) : random_(seed), bench_(smallOptions(), seed) {}
+  explicit RandomRun(std::uint64_t seed) : random_(seed), bench_(smallOptions(), seed) {}
 
   void run() {
     reopen();
     for (int round = 0; round < Rounds && !testing::Test::HasFailure(); ++round) {
       injectFault();
       commitSome();
-      end();
+      endIncarnation();
       reopen();
     }
   }
@@ -65,17 +65,18 @@
   void commitOne() {
     const int pair = static_cast<int>(random_.below(Pairs));
     const std::string tag = random_.chance(0.2) ? "" : "tag" + std::to_string(next_tag_++);
-    const std::uint64_t number = possible_.handedIn(pair, tag);
-    bench_.store().commit(PossibleRecords::makeCommit(pair, tag),
-                          [this, pair, number](ResultCode code) { answered(pair, number, code); });
+    const std::uint64_t number = possible_.submitted(pair, tag);
+    bench_.store().commit(
+        PossibleRecords::makeCommit(pair, tag),
+        [this, pair, number](ResultCode code) { onCommitted(pair, number, code); });
   }
-  void answered(int pair, std::uint64_t number, ResultCode code) {
+  void onCommitted(int pair, std::uint64_t number, ResultCode code) {
     if (code == ResultCode::Ok) {
       possible_.acknowledged(pair, number);
       ++acknowledged_;
     }
   }
-  void end() {
+  void endIncarnation() {
     if (random_.chance(0.5)) {
       bench_.world.runFor(std::chrono::seconds(30));
     }
@@ -89,7 +90,7 @@
   }
   void reopen() {
     bench_.restart();
-    // A fault of the last round may still be due; the second opening is free of it.
+    // A fault of the last round may still be pending; the second opening is free of it.
     bench_.openCode();
     bench_.disk.clearFaults();
     bench_.restart();
@@ -110,13 +111,13 @@
   std::uint64_t acknowledged_ = 0;
 };
 
-TEST(FileRecordStoreProperty, WhatIsAcknowledgedLasts) {
+TEST(FileRecordStoreProperty, AcknowledgedCommitsAreDurable) {
   std::uint64_t acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    RandomLife incarnation(seed);
-    incarnation.run();
-    acknowledged += incarnation.acknowledged();
+    RandomRun run(seed);
+    run.run();
+    acknowledged += run.acknowledged();
     ASSERT_FALSE(testing::Test::HasFailure());
   }
   EXPECT_GT(acknowledged, Seeds * 20);
--- a/libraries/storage/test/file_system_contract_test.cc
+++ b/libraries/storage/test/file_system_contract_test.cc
@@ -6,7 +6,7 @@
 namespace switchsaddle::storage {
 namespace {
 
-/** Each file system with what it needs below it. */
+/** Fixtures: each file system with its resources. */
 struct PosixFixture {
   TemporaryFolder folder;
   PosixFileSystem file_system{folder.path()};
@@ -86,7 +86,7 @@
   EXPECT_EQ(this->fileSystem().read("file"), "bytes");
 }
 
-TYPED_TEST(FileSystemContract, WhatIsMissingFails) {
+TYPED_TEST(FileSystemContract, MissingFilesAndFoldersFail) {
   const auto failed = base::ResultCode::StorageFailed;
   FileSystem& files = this->fileSystem();
   EXPECT_EQ(this->codeOf([&] { files.read("missing"); }), failed);
@@ -98,7 +98,7 @@
   EXPECT_EQ(this->codeOf([&] { files.createFolder("missing/folder"); }), failed);
 }
 
-TEST(PosixFileSystem, OneFolderIsOpenedOnce) {
+TEST(PosixFileSystem, FolderIsLocked) {
   const TemporaryFolder folder;
   {
     const PosixFileSystem first(folder.path());
@@ -114,8 +114,8 @@
   EXPECT_TRUE(std::filesystem::exists(folder.path() + "/data/file"));
 }
 
-TEST(PosixFileSystem, AFullDeviceIsStorageFull) {
-  // /dev/full refuses each write with ENOSPC.
+TEST(PosixFileSystem, FullDeviceFailsWithStorageFull) {
+  // /dev/full fails each write with ENOSPC.
   const TemporaryFolder folder;
   PosixFileSystem files(folder.path());
   std::filesystem::create_symlink("/dev/full", folder.path() + "/file");
--- a/libraries/storage/test/record_store_contract_test.cc
+++ b/libraries/storage/test/record_store_contract_test.cc
@@ -17,14 +17,14 @@
 using Benches = testing::Types<PosixBench, SimulatedBench>;
 TYPED_TEST_SUITE(RecordStoreContract, Benches);
 
-TYPED_TEST(RecordStoreContract, AnEmptyFolderIsANewInstance) {
+TYPED_TEST(RecordStoreContract, EmptyFolderStartsANewInstance) {
   const OpenedStore opened = this->bench_.open();
   EXPECT_TRUE(opened.is_new);
   EXPECT_EQ(opened.loss, "");
   EXPECT_EQ(opened.records, Records{});
 }
 
-TYPED_TEST(RecordStoreContract, KeepsInstanceAndRecordsOverARestart) {
+TYPED_TEST(RecordStoreContract, KeepsInstanceAndRecordsAfterARestart) {
   const OpenedStore first = this->bench_.open();
   EXPECT_EQ(this->bench_.put("key", std::string("by\0tes", 6)), ResultCode::Ok);
   EXPECT_EQ(this->bench_.put("empty", ""), ResultCode::Ok);
@@ -43,7 +43,7 @@
   EXPECT_TRUE(second.is_new);
 }
 
-TYPED_TEST(RecordStoreContract, TheLastWriteOfAKeyHolds) {
+TYPED_TEST(RecordStoreContract, LastWriteOfAKeyWins) {
   this->bench_.open();
   this->bench_.put("kept", "1");
   this->bench_.put("erased", "1");
@@ -57,7 +57,7 @@
   EXPECT_EQ(this->bench_.open().records, Records{});
 }
 
-TYPED_TEST(RecordStoreContract, CommitsHandedInTogetherShareAFile) {
+TYPED_TEST(RecordStoreContract, CommitsSubmittedTogetherShareAFile) {
   this->bench_.open();
   constexpr int Commits = 50;
   int answered = 0;
@@ -69,7 +69,7 @@
                                 });
   }
   this->bench_.runUntil([&] { return answered == Commits; });
-  // The first of all, the one that went alone and the one of those that waited.
+  // The initial commit, the first one, which is written alone, and the queued ones together.
   EXPECT_LE(this->bench_.fileSystem().list("records").size(), 3U);
   this->bench_.restart();
   EXPECT_EQ(this->bench_.open().records.size(), static_cast<std::size_t>(Commits));
@@ -99,7 +99,7 @@
   EXPECT_EQ(std::count_if(names.begin(), names.end(), is_bucket), 3);
 }
 
-TYPED_TEST(RecordStoreContract, OpeningAgainIsAllowed) {
+TYPED_TEST(RecordStoreContract, MayBeOpenedAgain) {
   const OpenedStore first = this->bench_.open();
   this->bench_.put("key", "bytes");
   const OpenedStore second = this->bench_.open();
--- a/libraries/storage/test/store_bench.cc
+++ b/libraries/storage/test/store_bench.cc
@@ -65,7 +65,7 @@
 }
 
 base::ResultCode StoreBench::openCode() {
-  // Shared, since an interrupted disk ends runUntil() before the answer.
+  // Shared, since an interrupted disk ends runUntil() before the callback.
   auto result = std::make_shared<std::optional<base::ResultCode>>();
   store().open([result](base::ResultCode code, const OpenedStore&) { *result = code; });
   runUntil([result] { return result->has_value(); });
@@ -114,7 +114,7 @@
 void SimulatedBench::runUntil(const std::function<bool()>& condition) {
   const auto ended = [&] { return disk.interrupted() || condition(); };
   if (!world.runUntil(ended, SimulatedLimit)) {
-    throw std::runtime_error("nothing came about within the limit");
+    throw std::runtime_error("the condition did not become true within the limit");
   }
 }
 
--- a/libraries/storage/test/store_bench.h
+++ b/libraries/storage/test/store_bench.h
@@ -19,7 +19,7 @@
 
 namespace switchsaddle::storage {
 
-/** A new folder below the system's temporary one, removed with the object. */
+/** A new folder in the system's temporary one, removed with the object. */
 class TemporaryFolder {
  public:
   TemporaryFolder();
@@ -30,13 +30,13 @@
   std::string path_;
 };
 
-/** A dispatcher run by the test's own thread. Its timers never fire. */
+/** A dispatcher that runs on the test's own thread. Its timers never expire. */
 class ManualDispatcher : public base::Dispatcher {
  public:
   base::TimePoint now() const override { return {}; }
   base::TimerPtr createTimer(std::function<void()> callback) override;
   void post(std::function<void()> callback) override;
-  /** Runs callbacks, waiting for them, until the condition holds. */
+  /** Runs callbacks, and waits for further ones, until the condition is true. */
   void runUntil(const std::function<bool()>& condition);
 
  private:
@@ -45,13 +45,13 @@
   std::deque<std::function<void()>> callbacks_;
 };
 
-/** A store and all below it, of either kind, for tests of the contract. */
+/** A record store with its file system and executor, for tests. */
 class StoreBench {
  public:
   virtual ~StoreBench() = default;
   virtual FileSystem& fileSystem() = 0;
   virtual RecordStore& store() = 0;
-  /** Destroys the store and makes one over the same files. */
+  /** Destroys the store and creates another one on the same files. */
   virtual void restart() = 0;
   virtual void runUntil(const std::function<bool()>& condition) = 0;
 
@@ -63,6 +63,7 @@
   base::ResultCode scrub(std::vector<std::string>& damaged_keys);
 };
 
+/** A store on a simulated disk, whose faults the test controls. */
 class SimulatedBench : public StoreBench {
  public:
   explicit SimulatedBench(FileRecordStoreOptions options, std::uint64_t seed = 1);
@@ -84,6 +85,7 @@
   std::unique_ptr<FileRecordStore> store_;
 };
 
+/** A store on the file system of the machine. */
 class PosixBench : public StoreBench {
  public:
   explicit PosixBench(FileRecordStoreOptions options);
@@ -104,7 +106,7 @@
   std::unique_ptr<FileRecordStore> store_;
 };
 
-/** Options under which a few commits bring about runs and merges. */
+/** @return options with which a few commits cause runs and merges. */
 FileRecordStoreOptions smallOptions();
 
 }  // namespace switchsaddle::storage
--- a/libraries/storage/test/thread_storage_executor_test.cc
+++ b/libraries/storage/test/thread_storage_executor_test.cc
@@ -30,7 +30,7 @@
   EXPECT_TRUE(std::is_sorted(order.begin(), order.end()));
 }
 
-TEST(ThreadStorageExecutor, DestructionWaitsForTheWorkUnderWay) {
+TEST(ThreadStorageExecutor, DestructionWaitsForTheWorkInProgress) {
   ManualDispatcher dispatcher;
   std::promise<void> begun;
   std::promise<void> released;
