--- a/libraries/journal/include/switchsaddle/journal/incident_of.h
+++ b/libraries/journal/include/switchsaddle/journal/incident_of.h
@@ -8,9 +8,10 @@
 namespace switchsaddle::journal {
 
 /**
- * The incident that an event of the journal stands for, where an operator must see it: a changed
- * acceptor set, a replaced core node, a storage fault, a configuration in force or refused, and the
- * platform's list read again or kept.
+ * Maps the events of the journal that an operator must see to incidents: a changed acceptor set, a
+ * replaced core node, a storage fault, a configuration in force or rejected, and the platform's
+ * worker list updated or kept.
+ * @return nothing for all other events.
  */
 std::optional<base::Incident> incidentOf(const Event& event);
 
--- a/libraries/journal/include/switchsaddle/journal/journal.h
+++ b/libraries/journal/include/switchsaddle/journal/journal.h
@@ -10,7 +10,7 @@
 
 namespace switchsaddle::journal {
 
-/** What an event is about; one view folds each subject. */
+/** The kind of state that an event changes. */
 enum class Subject : std::uint8_t {
   Configuration,
   Workers,
@@ -22,28 +22,32 @@
   Storage
 };
 
-/** Something this node came to believe. */
+/** A change of this node's view of one item of the fleet's state. */
 struct Event {
   std::uint64_t sequence = 0;
   base::TimePoint at;
   Subject subject = Subject::Configuration;
-  /** The item the belief is about, such as "tenants/editors" or a worker's id. */
+  /** The item, such as "tenants/editors" or a worker's id. */
   std::string key;
-  /** The belief, as canonical text; empty where it was given up. */
+  /** The new state as canonical text; empty where the item was removed. */
   std::string value;
-  /** Orders beliefs about one key between nodes, such as a configuration version or a term. */
+  /** Orders the states of one key between nodes, such as a configuration version or a term; 0 where
+   * there is no order. */
   std::uint64_t version = 0;
 };
 
 /**
- * The in-memory journal: events are appended, listeners fold them into views. Keeps the newest
- * `capacity` events for inspection. Runs on the control strand.
+ * The in-memory journal of a node: events are appended, and listeners fold them into views. Keeps
+ * the newest events, up to its capacity, for inspection. Runs on the control strand.
  */
 class Journal {
  public:
   using Listener = std::function<void(const Event&)>;
+
   explicit Journal(base::Dispatcher& dispatcher, std::size_t capacity = 20'000);
+  /** Appends an event and calls each listener with it. */
   void append(Subject subject, std::string key, std::string value, std::uint64_t version);
+  /** @param listener called for each event appended from now on. */
   void addListener(Listener listener);
   const std::deque<Event>& events() const { return events_; }
 
@@ -55,7 +59,7 @@
   std::vector<Listener> listeners_;
 };
 
-/** The name used in logs and in GET /v1/beliefs. */
+/** @return the name used in logs and in GET /v1/beliefs. */
 const char* subjectName(Subject subject);
 
 }  // namespace switchsaddle::journal
--- a/libraries/journal/source/incident_of.cc
+++ b/libraries/journal/source/incident_of.cc
@@ -10,7 +10,7 @@
 using base::ResultCode;
 using base::Severity;
 
-/** Faults that the storage names by their code have it; the others count as failed storage. */
+/** @return the result code that the event names; StorageFailed where it names none. */
 ResultCode storageCode(const Event& event) {
   if (event.value == "damaged") {
     return ResultCode::RecordCorrupt;
@@ -21,7 +21,7 @@
   return found == table.end() ? ResultCode::StorageFailed : found->code;
 }
 
-Incident make(std::string_view name, Severity severity, const Event& event) {
+Incident makeIncident(std::string_view name, Severity severity, const Event& event) {
   Incident incident;
   incident.event = name;
   incident.severity = severity;
@@ -33,9 +33,9 @@
 
 std::optional<Incident> storageIncident(const Event& event) {
   if (event.key == "instance") {
-    return make("storage-open", Severity::Notice, event);
+    return makeIncident("storage-open", Severity::Notice, event);
   }
-  Incident incident = make("storage-fault", Severity::Error, event);
+  Incident incident = makeIncident("storage-fault", Severity::Error, event);
   incident.code = storageCode(event);
   incident.dumps_ring = true;
   return incident;
@@ -43,10 +43,10 @@
 
 std::optional<Incident> configurationIncident(const Event& event) {
   if (event.key == "version") {
-    return make("configuration-in-force", Severity::Notice, event);
+    return makeIncident("configuration-in-force", Severity::Notice, event);
   }
   if (event.key == "refused") {
-    Incident incident = make("configuration-refused", Severity::Error, event);
+    Incident incident = makeIncident("configuration-refused", Severity::Error, event);
     incident.code = ResultCode::ConfigurationInvalid;
     return incident;
   }
@@ -57,9 +57,9 @@
   if (event.key != "platform") {
     return std::nullopt;
   }
-  const bool is_read = event.value == "list read";
-  return make(is_read ? "platform-list-read" : "platform-list-kept",
-              is_read ? Severity::Notice : Severity::Warning, event);
+  const bool is_updated = event.value == "list read";
+  return makeIncident(is_updated ? "platform-list-read" : "platform-list-kept",
+                      is_updated ? Severity::Notice : Severity::Warning, event);
 }
 
 }  // namespace
@@ -69,8 +69,8 @@
     case Subject::Storage:
       return storageIncident(event);
     case Subject::AcceptorSet:
-      return make(event.key == "replacement" ? "core-replacement" : "acceptor-set-changed",
-                  Severity::Notice, event);
+      return makeIncident(event.key == "replacement" ? "core-replacement" : "acceptor-set-changed",
+                          Severity::Notice, event);
     case Subject::Configuration:
       return configurationIncident(event);
     case Subject::Workers:
--- a/libraries/journal/source/state_view.cc
+++ b/libraries/journal/source/state_view.cc
@@ -8,7 +8,7 @@
   for (const Event& event : journal.events()) {
     fold(event);
   }
-  journal.addListener([this](const Event& event) { fold(event); });
+  journal.addListener(callbacks_.guard([this](const Event& event) { fold(event); }));
 }
 
 void StateView::fold(const Event& event) {
--- a/libraries/journal/test/state_view_test.cc
+++ b/libraries/journal/test/state_view_test.cc
@@ -5,16 +5,16 @@
 namespace switchsaddle::journal {
 namespace {
 
-/** A dispatcher whose clock stands still. */
-class StillDispatcher : public base::Dispatcher {
+/** A dispatcher whose clock does not advance. */
+class FixedClockDispatcher : public base::Dispatcher {
  public:
   base::TimePoint now() const override { return {}; }
   base::TimerPtr createTimer(std::function<void()> /*callback*/) override { return nullptr; }
   void post(std::function<void()> /*callback*/) override {}
 };
 
-TEST(StateViewTest, KeepsTheNewestBeliefAndForgetsWithdrawnOnes) {
-  StillDispatcher dispatcher;
+TEST(StateViewTest, KeepsTheNewestStateAndDropsRemovedEntries) {
+  FixedClockDispatcher dispatcher;
   Journal journal(dispatcher, 2);
   journal.append(Subject::Lease, "early", "x", 1);
   StateView view(journal);
@@ -27,8 +27,8 @@
   EXPECT_EQ(view.entries().at({Subject::Lease, "early"}).version, 1U);
 }
 
-TEST(StateViewTest, DigestsAgreeWhereBeliefsDo) {
-  StillDispatcher dispatcher;
+TEST(StateViewTest, EqualStatesHaveEqualDigests) {
+  FixedClockDispatcher dispatcher;
   Journal first_journal(dispatcher);
   Journal second_journal(dispatcher);
   StateView first(first_journal);
