--- a/libraries/admission/include/switchsaddle/admission/slot_broker.h
+++ b/libraries/admission/include/switchsaddle/admission/slot_broker.h
@@ -21,7 +21,7 @@
 struct SlotOutcome {
   base::ResultCode code = base::ResultCode::LimitsUnavailable;
   /** Null unless the code is Ok. */
-  SlotPermitPtr hold;
+  SlotPermitPtr permit;
   /** Recommended delay before a retry, in milliseconds. */
   std::uint32_t retry_after_ms = 1'000;
 };
--- a/libraries/admission/source/branch_allocations.cc
+++ b/libraries/admission/source/branch_allocations.cc
@@ -47,7 +47,7 @@
 
 void BranchAllocations::recordReport(const FrontIdentity& front, const wire::SlotAllocation& report,
                                      base::TimePoint now) {
-  allocations_[front] = Allocation{report.sequence, report.held, report.in_use, true, now, {}};
+  allocations_[front] = Allocation{report.sequence, report.allocated, report.in_use, true, now, {}};
 }
 
 std::uint32_t BranchAllocations::addGrant(const FrontIdentity& front, std::uint32_t slots) {
--- a/libraries/admission/source/branch_table.cc
+++ b/libraries/admission/source/branch_table.cc
@@ -12,7 +12,7 @@
   for (QueuedSlotRequest& queued : state.queue) {
     if (queued.front() == front) {
       queued.request.sequence = report.sequence;
-      queued.request.held = report.held;
+      queued.request.allocated = report.allocated;
       queued.request.in_use = report.in_use;
     }
   }
--- a/libraries/admission/source/ledger_slot_broker.cc
+++ b/libraries/admission/source/ledger_slot_broker.cc
@@ -169,9 +169,9 @@
   request.front_instance = front_instance_;
   request.front = calls_.localAddress();
   request.sequence = ++pool.sequence;
-  request.held = pool.allocated;
+  request.allocated = pool.allocated;
   request.in_use = pool.in_use;
-  request.wanted = static_cast<std::uint32_t>(pool.queue.size());
+  request.requested = static_cast<std::uint32_t>(pool.queue.size());
   return request;
 }
 
--- a/libraries/admission/source/reservation_writer.cc
+++ b/libraries/admission/source/reservation_writer.cc
@@ -109,7 +109,7 @@
     return false;
   }
   const auto branch = front->second.find(request.request.branch);
-  return branch != front->second.end() && branch->second >= request.request.held + granted;
+  return branch != front->second.end() && branch->second >= request.request.allocated + granted;
 }
 
 ReservationTable ReservationWriter::tableToWrite() {
--- a/libraries/admission/source/slot_ledger.cc
+++ b/libraries/admission/source/slot_ledger.cc
@@ -170,13 +170,14 @@
   const FrontIdentity front = queued.front();
   BranchState& state = branches_[request.branch];
   state.allocations.recordReport(
-      front, wire::SlotAllocation{request.branch, request.sequence, request.held, request.in_use},
+      front,
+      wire::SlotAllocation{request.branch, request.sequence, request.allocated, request.in_use},
       dispatcher_.now());
   replyToEarlierRequests(front, state);
-  if (request.held == 0 && request.wanted == 0) {
+  if (request.allocated == 0 && request.requested == 0) {
     state.allocations.erase(front);
   }
-  if (request.wanted == 0) {
+  if (request.requested == 0) {
     reply(queued, 0, false);
   } else {
     state.queue.push_back(queued);
@@ -215,7 +216,7 @@
   BranchState& state = branches_[branch];
   QueuedSlotRequest queued = std::move(state.queue.front());
   state.queue.pop_front();
-  const std::uint32_t slots = std::min(branches_.freeSlots(branch), queued.request.wanted);
+  const std::uint32_t slots = std::min(branches_.freeSlots(branch), queued.request.requested);
   const std::uint32_t allocated = state.allocations.addGrant(queued.front(), slots);
   reservations_.grant(std::move(queued), slots, allocated);
 }
--- a/libraries/admission/test/branch_table_test.cc
+++ b/libraries/admission/test/branch_table_test.cc
@@ -45,7 +45,7 @@
   table_[Branch].queue.push_back(queued);
   report(9, 2);
   EXPECT_EQ(table_[Branch].queue.front().request.sequence, 9U);
-  EXPECT_EQ(table_[Branch].queue.front().request.held, 2U);
+  EXPECT_EQ(table_[Branch].queue.front().request.allocated, 2U);
 }
 
 TEST_F(BranchTableTest, IsExhaustedOnlyByRecentReports) {
--- a/libraries/admission/test/ledger_protocol_test.cc
+++ b/libraries/admission/test/ledger_protocol_test.cc
@@ -29,9 +29,9 @@
     request.front = address;
     request.front_instance = instance;
     request.sequence = sequence;
-    request.held = allocated;
+    request.allocated = allocated;
     request.in_use = allocated;
-    request.wanted = wanted;
+    request.requested = wanted;
     return request;
   }
   wire::SlotReport reportOf(std::uint64_t sequence, std::uint32_t allocated) const {
@@ -243,7 +243,7 @@
   request.branch = branch;
   request.front = {"127.0.0.9", 1};
   request.sequence = 1;
-  request.wanted = 1;
+  request.requested = 1;
   cores[0]->ledger->onRequest(request, [](const wire::Message&) {});
   shared.extra_delay = {};
   cores[0]->has_lease = false;
--- a/libraries/admission/test/slot_fleet.h
+++ b/libraries/admission/test/slot_fleet.h
@@ -200,13 +200,13 @@
     ++requests;
     broker->acquire(branch, [this, duration, arrival = process.now()](SlotOutcome outcome) {
       ++outcomes[outcome.code];
-      if (outcome.hold == nullptr) {
+      if (outcome.permit == nullptr) {
         if (outcome.code == base::ResultCode::OverBranchLimit && observer_ != nullptr) {
           observer_->onRejection(arrival);
         }
         return;
       }
-      auto permit = std::make_shared<SlotPermitPtr>(std::move(outcome.hold));
+      auto permit = std::make_shared<SlotPermitPtr>(std::move(outcome.permit));
       permits.push_back(permit);
       noteUse(1);
       process.postAfter(duration, [this, permit] {
--- a/libraries/claims/source/claim_service.cc
+++ b/libraries/claims/source/claim_service.cc
@@ -76,7 +76,7 @@
   if (!claim) {
     return reply;
   }
-  reply.won = claim->run == run && claim->state == expected;
+  reply.recorded = claim->run == run && claim->state == expected;
   reply.state = claim->state;
   reply.fingerprint = claim->fingerprint;
   reply.run = claim->run;
--- a/libraries/claims/test/claim_service_test.cc
+++ b/libraries/claims/test/claim_service_test.cc
@@ -50,11 +50,11 @@
 };
 
 TEST_F(ClaimServiceTest, OneRunWinsAndMayRetry) {
-  EXPECT_TRUE(begin(beginOf("a")).won);
-  EXPECT_TRUE(begin(beginOf("a")).won);
+  EXPECT_TRUE(begin(beginOf("a")).recorded);
+  EXPECT_TRUE(begin(beginOf("a")).recorded);
   const wire::ClaimReply other = begin(beginOf("b"));
   EXPECT_TRUE(other.available);
-  EXPECT_FALSE(other.won);
+  EXPECT_FALSE(other.recorded);
   EXPECT_EQ(other.state, ClaimState::InFlight);
   EXPECT_EQ(other.run, "a");
 }
@@ -62,7 +62,7 @@
 TEST_F(ClaimServiceTest, AnotherRequestWithTheKeyGetsTheFirstFingerprint) {
   begin(beginOf("a", 7));
   const wire::ClaimReply other = begin(beginOf("b", 8));
-  EXPECT_FALSE(other.won);
+  EXPECT_FALSE(other.recorded);
   EXPECT_EQ(other.fingerprint, 7U);
 }
 
@@ -70,12 +70,12 @@
   for (const ClaimState state : {ClaimState::Ran, ClaimState::Unknown}) {
     proposer.values.clear();
     begin(beginOf("a"));
-    EXPECT_TRUE(finish(finishOf("a", state, "answer")).won);
-    EXPECT_TRUE(finish(finishOf("a", state, "answer")).won);
-    EXPECT_FALSE(finish(finishOf("a", ClaimState::NotRun)).won);
+    EXPECT_TRUE(finish(finishOf("a", state, "answer")).recorded);
+    EXPECT_TRUE(finish(finishOf("a", state, "answer")).recorded);
+    EXPECT_FALSE(finish(finishOf("a", ClaimState::NotRun)).recorded);
     for (const char* run : {"a", "b"}) {
       const wire::ClaimReply again = begin(beginOf(run));
-      EXPECT_FALSE(again.won);
+      EXPECT_FALSE(again.recorded);
       EXPECT_EQ(again.state, state);
       EXPECT_EQ(again.answer, state == ClaimState::Ran ? "answer" : "");
     }
@@ -84,40 +84,40 @@
 
 TEST_F(ClaimServiceTest, NotRunMayBeClaimedAgainByAnotherRunOnly) {
   begin(beginOf("a"));
-  EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).won);
-  EXPECT_FALSE(begin(beginOf("a")).won);
-  EXPECT_TRUE(begin(beginOf("b")).won);
-  EXPECT_FALSE(finish(finishOf("a", ClaimState::NotRun)).won);
+  EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).recorded);
+  EXPECT_FALSE(begin(beginOf("a")).recorded);
+  EXPECT_TRUE(begin(beginOf("b")).recorded);
+  EXPECT_FALSE(finish(finishOf("a", ClaimState::NotRun)).recorded);
   EXPECT_EQ(begin(beginOf("c")).state, ClaimState::InFlight);
 }
 
 TEST_F(ClaimServiceTest, OnlyTheOwnerEndsAClaim) {
   begin(beginOf("a"));
-  EXPECT_FALSE(finish(finishOf("b", ClaimState::Ran, "forged")).won);
+  EXPECT_FALSE(finish(finishOf("b", ClaimState::Ran, "forged")).recorded);
   EXPECT_FALSE(finish(finishOf("a", ClaimState::InFlight)).available == false);
   EXPECT_EQ(begin(beginOf("c")).state, ClaimState::InFlight);
 }
 
 TEST_F(ClaimServiceTest, AWithdrawnClaimIsNotGrantedToItsLateBegin) {
-  EXPECT_FALSE(finish(finishOf("z", ClaimState::Ran, "x")).won);
-  EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).won);
-  EXPECT_FALSE(begin(beginOf("a")).won);
-  EXPECT_TRUE(begin(beginOf("b")).won);
+  EXPECT_FALSE(finish(finishOf("z", ClaimState::Ran, "x")).recorded);
+  EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).recorded);
+  EXPECT_FALSE(begin(beginOf("a")).recorded);
+  EXPECT_TRUE(begin(beginOf("b")).recorded);
 }
 
 TEST_F(ClaimServiceTest, WithoutQuorumItIsNotAvailable) {
   proposer.outage = MemoryProposer::Outage::AfterChange;
   const wire::ClaimReply lost = begin(beginOf("a"));
   EXPECT_FALSE(lost.available);
-  EXPECT_FALSE(lost.won);
+  EXPECT_FALSE(lost.recorded);
   proposer.outage = MemoryProposer::Outage::None;
-  EXPECT_TRUE(begin(beginOf("a")).won);
+  EXPECT_TRUE(begin(beginOf("a")).recorded);
 }
 
 TEST_F(ClaimServiceTest, ACorruptClaimNeverRuns) {
   proposer.values[claimKey("editors", "k1")] = "torn";
   const wire::ClaimReply reply = begin(beginOf("a"));
-  EXPECT_FALSE(reply.won);
+  EXPECT_FALSE(reply.recorded);
   EXPECT_EQ(reply.state, ClaimState::Unknown);
 }
 
@@ -163,7 +163,7 @@
 
 TEST_F(PeerClaimClientTest, SkipsAnUnresponsiveCore) {
   network.cut(FrontAddress, FirstCore);
-  EXPECT_TRUE(begin("a").won);
+  EXPECT_TRUE(begin("a").recorded);
   const base::TimePoint requested_at = world.now();
   EXPECT_EQ(begin("b").run, "a");
   EXPECT_LT(world.now() - requested_at, std::chrono::milliseconds(300));
@@ -171,7 +171,7 @@
 
 TEST_F(PeerClaimClientTest, SkipsACoreThatRefusesConnections) {
   first.reset();
-  EXPECT_TRUE(begin("a").won);
+  EXPECT_TRUE(begin("a").recorded);
 }
 
 TEST_F(PeerClaimClientTest, EndsAsUnavailableAtItsDeadline) {
@@ -186,7 +186,7 @@
   proposer.outage = MemoryProposer::Outage::AfterChange;
   process.postAfter(std::chrono::milliseconds(700),
                     [this] { proposer.outage = MemoryProposer::Outage::None; });
-  EXPECT_TRUE(begin("a").won);
+  EXPECT_TRUE(begin("a").recorded);
 }
 
 }  // namespace
--- a/libraries/compatibility/test/data_folder_test.cc
+++ b/libraries/compatibility/test/data_folder_test.cc
@@ -101,7 +101,7 @@
   const configuration::RegisterValue configuration = configuration::decodeRegisterValue(*value);
   text << "configuration " << configuration.document.version << " "
        << configuration.document.digest() << " " << configuration.document.toJson() << "\n";
-  for (const configuration::HistoryLine& line : configuration.history) {
+  for (const configuration::HistoryEntry& line : configuration.history) {
     text << "change " << line.version << " " << line.change_id << "\n";
   }
   for (const auto& [key, bytes] : openedRecords()) {
--- a/libraries/compatibility/test/json_format_test.cc
+++ b/libraries/compatibility/test/json_format_test.cc
@@ -1,12 +1,12 @@
 #include <gtest/gtest.h>
 
-#include "caller_answers.h"
 #include "golden_file.h"
 #include "health_json.h"
+#include "request/caller_answers.h"
 #include "status_json.h"
 #include "switchsaddle/configuration/change_json.h"
 #include "switchsaddle/configuration/state_report.h"
-#include "switchsaddle/front/counters.h"
+#include "switchsaddle/front/node/counters.h"
 #include "switchsaddle/streams/relay_machine.h"
 #include "value_filler.h"
 
@@ -45,7 +45,7 @@
   expectGolden(
       "configuration_pages.txt",
       joined({configuration::renderConfiguration(ValueFiller::filled<configuration::Document>()),
-              configuration::renderHistory({ValueFiller::filled<configuration::HistoryLine>()}),
+              configuration::renderHistory({ValueFiller::filled<configuration::HistoryEntry>()}),
               configuration::renderFaults({ValueFiller::filled<Fault>()}),
               configuration::renderError(base::ResultCode::NoQuorum, "message",
                                          {ValueFiller::filled<Fault>()}),
--- a/libraries/configuration/include/switchsaddle/configuration/change_json.h
+++ b/libraries/configuration/include/switchsaddle/configuration/change_json.h
@@ -23,7 +23,7 @@
 std::string renderConfiguration(const Document& document);
 
 /** @return {"changes": [{"version", "change_id", "set", "removed"}]}, oldest first. */
-std::string renderHistory(const std::vector<HistoryLine>& history);
+std::string renderHistory(const std::vector<HistoryEntry>& history);
 
 /** @return [{"path", "code", "message"}]. */
 std::string renderFaults(const std::vector<Fault>& faults);
--- a/libraries/configuration/include/switchsaddle/configuration/document.h
+++ b/libraries/configuration/include/switchsaddle/configuration/document.h
@@ -66,7 +66,7 @@
   /** Paths of the entries to remove. */
   std::vector<std::string> remove;
   /** Replace the complete configuration: remove the entries that `set` does not name. */
-  bool whole = false;
+  bool replace_all = false;
 
   /**
    * @return a hash of all fields but change_id, independent of the order of `set` and `remove`. It
--- a/libraries/configuration/include/switchsaddle/configuration/forwarding.h
+++ b/libraries/configuration/include/switchsaddle/configuration/forwarding.h
@@ -19,7 +19,7 @@
 /** Execution semantics of a forwarded request, and the type of its response. */
 enum class ForwardKind : std::uint8_t {
   /** Idempotent: may run more than once. */
-  Repeatable,
+  Idempotent,
   /** May run at most once. */
   AtMostOnce,
   /** Responds with an event stream; may run at most once. */
@@ -34,8 +34,8 @@
 }
 
 /** @return whether a request that may have run can be retried. */
-constexpr bool mayRepeat(ForwardKind kind) {
-  return kind == ForwardKind::Repeatable || kind == ForwardKind::ResumableStream;
+constexpr bool isIdempotent(ForwardKind kind) {
+  return kind == ForwardKind::Idempotent || kind == ForwardKind::ResumableStream;
 }
 
 /** One pool of a route, with its weight in load balancing. */
@@ -50,14 +50,14 @@
   std::string host;
   /** Starts and ends with a slash. */
   std::string path_prefix;
-  ForwardKind kind = ForwardKind::Repeatable;
+  ForwardKind kind = ForwardKind::Idempotent;
   std::vector<ForwardTarget> targets;
   /** Deadline of the complete response, from the request's arrival. */
   std::uint32_t time_limit_ms = 60'000;
   /** Latency target (SLO) of the response, or of a stream's first event. */
-  std::uint32_t answer_goal_ms = 1'000;
+  std::uint32_t response_target_ms = 1'000;
   /** Latency target (SLO) between two events of a stream; zero for none. */
-  std::uint32_t event_gap_goal_ms = 0;
+  std::uint32_t event_gap_target_ms = 0;
   /** Maximum number of workers that one request is sent to. */
   std::uint32_t attempts = 1;
   /** 0 is the most urgent. */
@@ -128,7 +128,7 @@
   /** @return the route of the host with the longest matching path prefix, or nullptr. */
   const ForwardRoute* find(std::string_view host, std::string_view path) const;
   /** @return whether a route has this host. */
-  bool knowsHost(std::string_view host) const { return by_host_.find(host) != by_host_.end(); }
+  bool hasHost(std::string_view host) const { return by_host_.find(host) != by_host_.end(); }
   /** @return the pool, or nullptr. */
   const ForwardPool* findPool(const std::string& name) const;
   /** @return the tenant that owns the key, or nullptr. */
--- a/libraries/configuration/include/switchsaddle/configuration/maintenance.h
+++ b/libraries/configuration/include/switchsaddle/configuration/maintenance.h
@@ -52,7 +52,8 @@
                                     const std::string& worker);
 
 /** @return the worker that the change put into maintenance; nothing if it is not in the history. */
-std::optional<std::string> workerTakenOut(const RegisterValue& value, const std::string& change_id);
+std::optional<std::string> workerPutIntoMaintenance(const RegisterValue& value,
+                                                    const std::string& change_id);
 
 /** @return the ids of the workers in maintenance. */
 std::set<std::string> workersInMaintenance(const Document& document);
--- a/libraries/configuration/include/switchsaddle/configuration/quota_share.h
+++ b/libraries/configuration/include/switchsaddle/configuration/quota_share.h
@@ -11,6 +11,6 @@
  * Share of a quota's bound that is allocated. The remainder covers requests that fronts admit
  * before they learn of each other's admissions.
  */
-inline constexpr double UsedShareOfQuota = 0.84;
+inline constexpr double UsableQuotaShare = 0.84;
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/register_value.h
+++ b/libraries/configuration/include/switchsaddle/configuration/register_value.h
@@ -20,7 +20,7 @@
 };
 
 /** One entry of the history: the change that committed a version. */
-struct HistoryLine {
+struct HistoryEntry {
   std::uint64_t version = 0;
   std::string change_id;
   /** Paths of the entries set. */
@@ -45,8 +45,8 @@
   Document document;
   /** Oldest first; at most MaximumRecordedChanges. */
   std::vector<RecordedChange> recorded;
-  /** Oldest first; at most MaximumHistoryLines. */
-  std::vector<HistoryLine> history;
+  /** Oldest first; at most MaximumHistoryEntries. */
+  std::vector<HistoryEntry> history;
   SourceDocument source = {};
 
   /** @return the recorded result of the change, or nullptr. */
@@ -54,7 +54,7 @@
 };
 
 inline constexpr std::size_t MaximumRecordedChanges = 10'000;
-inline constexpr std::size_t MaximumHistoryLines = 1'000;
+inline constexpr std::size_t MaximumHistoryEntries = 1'000;
 
 /** @return the stored form of the value. */
 std::string encodeRegisterValue(const RegisterValue& value);
--- a/libraries/configuration/source/change.cc
+++ b/libraries/configuration/source/change.cc
@@ -140,10 +140,10 @@
   checkChangeId(change.change_id, faults);
   reader.required("base_version");
   change.base_version = static_cast<std::uint64_t>(reader.integer("base_version", VersionRange, 0));
-  change.whole = reader.has("document");
+  change.replace_all = reader.has("document");
   checkMembers(reader);
   readEntries(reader, "document", change.set);
-  if (!change.whole) {
+  if (!change.replace_all) {
     readEntries(reader, "set", change.set);
   }
   change.remove = reader.texts("remove");
@@ -155,7 +155,7 @@
 Document applyChange(const Document& document, const Change& change) {
   Document next = document;
   next.version = document.version + 1;
-  if (change.whole) {
+  if (change.replace_all) {
     removeAllBut(next, change.set);
   }
   for (const std::string& path : change.remove) {
--- a/libraries/configuration/source/change_decision.cc
+++ b/libraries/configuration/source/change_decision.cc
@@ -21,8 +21,8 @@
 }
 
 /** @return the history line of a change: the entries that it actually set and removed. */
-HistoryLine describeChange(const Document& next, const Change& change) {
-  HistoryLine line;
+HistoryEntry describeChange(const Document& next, const Change& change) {
+  HistoryEntry line;
   line.version = next.version;
   line.change_id = change.change_id;
   for (const auto& [path, entry] : next.entries) {
@@ -77,7 +77,7 @@
   decision.next = present;
   decision.next.document = std::move(next);
   decision.next.history.push_back(describeChange(decision.next.document, change));
-  keepNewest(decision.next.history, MaximumHistoryLines);
+  keepNewest(decision.next.history, MaximumHistoryEntries);
   record(decision.next, change, decision.code, decision.version);
   return decision;
 }
--- a/libraries/configuration/source/change_json.cc
+++ b/libraries/configuration/source/change_json.cc
@@ -66,10 +66,10 @@
   return writer.text();
 }
 
-std::string renderHistory(const std::vector<HistoryLine>& history) {
+std::string renderHistory(const std::vector<HistoryEntry>& history) {
   JsonWriter writer;
   writer.beginObject().name("changes").beginArray();
-  for (const HistoryLine& line : history) {
+  for (const HistoryEntry& line : history) {
     writer.beginObject();
     writer.name("version").unsignedInteger(line.version);
     writer.name("change_id").string(line.change_id);
--- a/libraries/configuration/source/checks/forwarding.cc
+++ b/libraries/configuration/source/checks/forwarding.cc
@@ -22,7 +22,7 @@
 };
 
 constexpr std::array KindNames{
-    KindName{"repeatable", ForwardKind::Repeatable},
+    KindName{"repeatable", ForwardKind::Idempotent},
     KindName{"at-most-once", ForwardKind::AtMostOnce},
     KindName{"event-stream", ForwardKind::EventStream},
     KindName{"resumable-stream", ForwardKind::ResumableStream},
@@ -128,8 +128,9 @@
   route.kind = readKind(reader);
   route.targets = readTargets(reader, entry, faults);
   route.time_limit_ms = readCount(reader, "time_limit_ms", MillisecondRange, route.time_limit_ms);
-  route.answer_goal_ms = readCount(reader, "answer_goal_ms", TargetRange, route.answer_goal_ms);
-  route.event_gap_goal_ms = readCount(reader, "event_gap_goal_ms", TargetRange, 0);
+  route.response_target_ms =
+      readCount(reader, "answer_goal_ms", TargetRange, route.response_target_ms);
+  route.event_gap_target_ms = readCount(reader, "event_gap_goal_ms", TargetRange, 0);
   route.attempts = readCount(reader, "attempts", AttemptRange, 1);
   route.priority = readCount(reader, "priority", CountRange, route.priority);
   route.open = reader.boolean("open", false);
--- a/libraries/configuration/source/maintenance.cc
+++ b/libraries/configuration/source/maintenance.cc
@@ -99,12 +99,12 @@
 }
 
 /** @return the history line of the recorded change; nullptr if it did not start a maintenance. */
-const HistoryLine* maintenanceLine(const RegisterValue& value, const std::string& change_id) {
+const HistoryEntry* maintenanceLine(const RegisterValue& value, const std::string& change_id) {
   const RecordedChange* recorded = value.findRecorded(change_id);
   if (recorded == nullptr || recorded->code != ResultCode::Ok) {
     return nullptr;
   }
-  const auto line = std::ranges::find(value.history, recorded->version, &HistoryLine::version);
+  const auto line = std::ranges::find(value.history, recorded->version, &HistoryEntry::version);
   const bool is_maintenance = line != value.history.end() && line->set.size() == 1 &&
                               line->set.front().starts_with(MaintenancePrefix);
   return is_maintenance ? &*line : nullptr;
@@ -112,7 +112,7 @@
 
 /** Decides on an order whose change_id is recorded. */
 ChangeDecision repeatOrder(const RegisterValue& present, const MaintenanceOrder& order) {
-  const std::optional<std::string> worker = workerTakenOut(present, order.change_id);
+  const std::optional<std::string> worker = workerPutIntoMaintenance(present, order.change_id);
   const bool same = worker && (!order.is_chosen || order.wanted.front() == *worker);
   if (!same) {
     return reject(present, ResultCode::ChangeIdReused, "change_id", "is that of another change");
@@ -123,7 +123,7 @@
 /** Decides on the end of a maintenance whose change_id is recorded. */
 ChangeDecision repeatEnd(const RegisterValue& present, const RecordedChange& recorded,
                          const std::string& worker) {
-  const auto line = std::ranges::find(present.history, recorded.version, &HistoryLine::version);
+  const auto line = std::ranges::find(present.history, recorded.version, &HistoryEntry::version);
   const bool same =
       line != present.history.end() && line->removed == std::vector<std::string>{pathOf(worker)};
   if (!same) {
@@ -177,9 +177,9 @@
   return workers;
 }
 
-std::optional<std::string> workerTakenOut(const RegisterValue& value,
-                                          const std::string& change_id) {
-  const HistoryLine* line = maintenanceLine(value, change_id);
+std::optional<std::string> workerPutIntoMaintenance(const RegisterValue& value,
+                                                    const std::string& change_id) {
+  const HistoryEntry* line = maintenanceLine(value, change_id);
   if (line == nullptr) {
     return std::nullopt;
   }
--- a/libraries/configuration/source/register_value.cc
+++ b/libraries/configuration/source/register_value.cc
@@ -80,7 +80,7 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, HistoryLine& line) {
+void serialize(Archive& archive, HistoryEntry& line) {
   archive(line.version, line.change_id, line.set, line.removed);
 }
 
--- a/libraries/configuration/test/document_test.cc
+++ b/libraries/configuration/test/document_test.cc
@@ -11,7 +11,7 @@
 
 Change randomChange(base::RandomSource& random) {
   Change change;
-  change.whole = random.chance(0.05);
+  change.replace_all = random.chance(0.05);
   for (std::uint64_t count = 1 + random.below(4); count > 0; --count) {
     const std::string path = "evacuations/zone-" + std::to_string(random.below(12));
     if (random.chance(0.4)) {
@@ -82,7 +82,7 @@
 
 TEST(DocumentTest, RemovalLeavesATombstoneAndUnchangedEntriesKeepTheirVersion) {
   Change change;
-  change.whole = true;
+  change.replace_all = true;
   change.set.push_back({"evacuations/north", " { } "});
   const Document next = applyChange(sampleDocument(), change);
   EXPECT_EQ(next.version, 2);
--- a/libraries/configuration/test/forwarding_test.cc
+++ b/libraries/configuration/test/forwarding_test.cc
@@ -43,8 +43,8 @@
   EXPECT_EQ(forwarding.find("a.example", "/other/"), nullptr);
   EXPECT_EQ(forwarding.find("b.example", "/chat/"), nullptr);
   EXPECT_EQ(forwarding.find("a.example", ""), nullptr);
-  EXPECT_TRUE(forwarding.knowsHost("a.example"));
-  EXPECT_FALSE(forwarding.knowsHost("b.example"));
+  EXPECT_TRUE(forwarding.hasHost("a.example"));
+  EXPECT_FALSE(forwarding.hasHost("b.example"));
 }
 
 TEST(ForwardingTest, ReadsEveryField) {
--- a/libraries/configuration/test/maintenance_test.cc
+++ b/libraries/configuration/test/maintenance_test.cc
@@ -53,7 +53,7 @@
 TEST_F(MaintenanceTest, TheFirstCandidateEntersMaintenance) {
   EXPECT_EQ(next({"w3", "w4"}, "a").code, ResultCode::Ok);
   EXPECT_EQ(inMaintenance(), std::set<std::string>{"w3"});
-  EXPECT_EQ(workerTakenOut(value, "a"), "w3");
+  EXPECT_EQ(workerPutIntoMaintenance(value, "a"), "w3");
 }
 
 TEST_F(MaintenanceTest, ReplacingTheConfigurationKeepsWorkersInMaintenance) {
@@ -91,7 +91,7 @@
   tune("maintenance-pool-share", "0.3");
   next({"w3", "w4"}, "a");
   EXPECT_EQ(next({"w3", "w4"}, "b").code, ResultCode::Ok);
-  EXPECT_EQ(workerTakenOut(value, "b"), "w4");
+  EXPECT_EQ(workerPutIntoMaintenance(value, "b"), "w4");
 }
 
 TEST_F(MaintenanceTest, ThePoolShareInMaintenanceIsLimited) {
--- a/libraries/configuration/test/register_value_test.cc
+++ b/libraries/configuration/test/register_value_test.cc
@@ -119,11 +119,11 @@
 TEST(DecideChangeTest, RecordedChangesAndHistoryAreBounded) {
   RegisterValue value = sampleValue();
   value.recorded.resize(MaximumRecordedChanges);
-  value.history.resize(MaximumHistoryLines);
+  value.history.resize(MaximumHistoryEntries);
   value.recorded.front().change_id = "oldest";
   const RegisterValue next = decideChange(value, evacuate("a", 1, "south")).next;
   EXPECT_EQ(next.recorded.size(), MaximumRecordedChanges);
-  EXPECT_EQ(next.history.size(), MaximumHistoryLines);
+  EXPECT_EQ(next.history.size(), MaximumHistoryEntries);
   EXPECT_EQ(next.findRecorded("oldest"), nullptr);
   EXPECT_NE(next.findRecorded("a"), nullptr);
 }
--- a/libraries/core/include/switchsaddle/core/fleet_demand.h
+++ b/libraries/core/include/switchsaddle/core/fleet_demand.h
@@ -57,14 +57,14 @@
   /** @return the units that the front had admitted by the records last read, by tenant. */
   std::map<std::string, double> admittedBy(const FrontKey& key) const;
   /** @return the quota requests settled by the front's record; unset where it is unknown. */
-  std::optional<std::uint64_t> settledRequests(const FrontKey& key) const;
+  std::optional<std::uint64_t> completedRequests(const FrontKey& key) const;
 
  private:
   struct Front {
     base::TimePoint last_seen;
     std::vector<wire::TenantDemand> demand;
     wire::FleetKnowledge fleet_knowledge;
-    std::uint64_t settled_requests = 0;
+    std::uint64_t completed_requests = 0;
   };
 
   bool isLive(const Front& front) const { return front.last_seen == updated_at_; }
--- a/libraries/core/include/switchsaddle/core/fleet_telemetry.h
+++ b/libraries/core/include/switchsaddle/core/fleet_telemetry.h
@@ -12,7 +12,7 @@
 #include "switchsaddle/core/quota_allocator.h"
 #include "switchsaddle/sessions/session_table.h"
 #include "switchsaddle/worker_health/health_ranking.h"
-#include "switchsaddle/worker_health/suspicion.h"
+#include "switchsaddle/worker_health/outlier_detector.h"
 #include "switchsaddle/workers/worker_directory.h"
 
 namespace switchsaddle::core {
@@ -56,7 +56,7 @@
   QuotaAllocator quotas_;
   LoadLedger loads_;
   worker_health::EvidenceLedger evidence_;
-  worker_health::Suspicion suspicion_;
+  worker_health::OutlierDetector outlier_detector_;
   worker_health::HealthRanking ranking_;
   RankingListener ranking_listener_;
   /** Null until a configuration is in force. */
--- a/libraries/core/include/switchsaddle/core/quota_allocator.h
+++ b/libraries/core/include/switchsaddle/core/quota_allocator.h
@@ -57,9 +57,9 @@
    * @return the number up to which the front's requests to the quota ledger are settled by its
    * record; unset where the front is unknown.
    */
-  std::optional<std::uint64_t> settledRequests(const base::NodeAddress& front,
-                                               std::uint64_t instance) const {
-    return demand_.settledRequests(FrontKey{front, instance});
+  std::optional<std::uint64_t> completedRequests(const base::NodeAddress& front,
+                                                 std::uint64_t instance) const {
+    return demand_.completedRequests(FrontKey{front, instance});
   }
   /**
    * @return whether there are quotas and this core may decide for all fronts: it knows what they
--- a/libraries/core/source/core_node.cc
+++ b/libraries/core/source/core_node.cc
@@ -97,8 +97,8 @@
       [this] { return registers_.acceptor.mayVote() && !registers_.membership.joining(); });
   granter_.setEpochSource([this] { return registers_.membership.setEpoch(); });
   granter_.setCommitFailureListener(
-      [this](base::ResultCode code) { registers_.acceptor.noteCommitFailure(code); });
-  registers_.scrubber.setOtherRecords([this] { return granter_.records(); });
+      [this](base::ResultCode code) { registers_.acceptor.reportCommitFailure(code); });
+  registers_.scrubber.setSharedStoreRecords([this] { return granter_.records(); });
   registers_.acceptor.addSetListener([this](const wire::AcceptorSet&) { updateCampaigns(); });
 }
 
--- a/libraries/core/source/fleet_demand.cc
+++ b/libraries/core/source/fleet_demand.cc
@@ -28,7 +28,7 @@
     front.last_seen = updated_at_;
     front.demand = record.demand;
     front.fleet_knowledge = record.fleet_knowledge;
-    front.settled_requests = record.settled_requests;
+    front.completed_requests = record.completed_requests;
   });
 }
 
@@ -110,9 +110,9 @@
   return admitted;
 }
 
-std::optional<std::uint64_t> FleetDemand::settledRequests(const FrontKey& key) const {
+std::optional<std::uint64_t> FleetDemand::completedRequests(const FrontKey& key) const {
   const auto front = fronts_.find(key);
-  return front == fronts_.end() ? std::nullopt : std::optional(front->second.settled_requests);
+  return front == fronts_.end() ? std::nullopt : std::optional(front->second.completed_requests);
 }
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/fleet_telemetry.cc
+++ b/libraries/core/source/fleet_telemetry.cc
@@ -26,7 +26,7 @@
           environment.settings.forwarding.quotas),
       loads_(environment.dispatcher, environment.settings.times.session_core_limit),
       evidence_(environment.dispatcher),
-      suspicion_(environment.dispatcher, evidence_),
+      outlier_detector_(environment.dispatcher, evidence_),
       ranking_(environment.dispatcher, evidence_) {}
 
 void FleetTelemetry::update(const wire::SessionRecord& record) {
@@ -35,7 +35,7 @@
 }
 
 void FleetTelemetry::setWorkers(const workers::WorkerSnapshotPtr& workers) {
-  suspicion_.setWorkers(workers);
+  outlier_detector_.setWorkers(workers);
   ranking_.setWorkers(workers);
   if (ranking_.ranks().empty()) {
     ranked_at_.reset();
@@ -54,10 +54,10 @@
     quotas_.stopReceiving();
   }
   if (auto allocations = quotas_.allocate(record)) {
-    granted.quotas_known = true;
+    granted.quotas_complete = true;
     granted.allocations = std::move(*allocations);
   }
-  granted.health = suspicion_.advice(record.zone);
+  granted.health = outlier_detector_.advice(record.zone);
   granted.health.watched = watchedWorkers(std::move(granted.health.watched));
   if (!sessions_.recovering()) {
     granted.load = loads_.loadFor(record);
--- a/libraries/core/source/health_json.cc
+++ b/libraries/core/source/health_json.cc
@@ -83,7 +83,7 @@
   writer.endObject();
   writer.name("compared_streams")
       .unsignedInteger(static_cast<std::uint64_t>(rank->evidence.counts.timed));
-  writer.name("fronts_telling").unsignedInteger(rank->evidence.telling_fronts);
+  writer.name("fronts_telling").unsignedInteger(rank->evidence.reporting_fronts);
   writer.name("in_flight").unsignedInteger(rank->evidence.in_flight);
   writer.endObject();
   return writer.text();
--- a/libraries/core/source/load_ledger.cc
+++ b/libraries/core/source/load_ledger.cc
@@ -77,7 +77,7 @@
       sum.kind = work.kind;
       sum.prompts += work.prompts;
       sum.prompt_tokens += work.prompt_tokens;
-      sum.read_tokens += work.read_tokens;
+      sum.prefilled_tokens += work.prefilled_tokens;
     }
   }
   kinds_.clear();
@@ -106,24 +106,24 @@
 }
 
 void LoadLedger::limitReported(wire::FleetLoad& load) {
-  if (load.others.size() <= MaximumReportedWorkers) {
+  if (load.peer_loads.size() <= MaximumReportedWorkers) {
     return;
   }
-  const auto end_of_reported = load.others.begin() + MaximumReportedWorkers;
-  std::nth_element(load.others.begin(), end_of_reported, load.others.end(),
+  const auto end_of_reported = load.peer_loads.begin() + MaximumReportedWorkers;
+  std::nth_element(load.peer_loads.begin(), end_of_reported, load.peer_loads.end(),
                    [](const wire::WorkerLoad& first, const wire::WorkerLoad& second) {
                      return weightOf(first) > weightOf(second);
                    });
   double requests = 0;
   double prefill_ms = 0;
-  for (auto rest = end_of_reported; rest != load.others.end(); ++rest) {
+  for (auto rest = end_of_reported; rest != load.peer_loads.end(); ++rest) {
     requests += rest->requests;
     prefill_ms += rest->prefill_ms;
   }
-  const auto count = static_cast<double>(load.others.end() - end_of_reported);
-  load.rest_requests = static_cast<float>(requests / count);
-  load.rest_prefill_ms = static_cast<float>(prefill_ms / count);
-  load.others.erase(end_of_reported, load.others.end());
+  const auto count = static_cast<double>(load.peer_loads.end() - end_of_reported);
+  load.unlisted_mean_requests = static_cast<float>(requests / count);
+  load.unlisted_mean_prefill_ms = static_cast<float>(prefill_ms / count);
+  load.peer_loads.erase(end_of_reported, load.peer_loads.end());
 }
 
 std::uint32_t LoadLedger::requestsOn(std::uint32_t worker) const {
--- a/libraries/core/source/maintenance_handlers.cc
+++ b/libraries/core/source/maintenance_handlers.cc
@@ -18,7 +18,7 @@
 std::vector<configuration::FleetWorker> fleetOf(const workers::WorkerSnapshot& snapshot) {
   std::vector<configuration::FleetWorker> fleet;
   for (const auto& [id, worker] : snapshot.workers) {
-    if (!worker.gone) {
+    if (!worker.unreachable) {
       fleet.push_back({id, worker.entry.service, worker.entry.zone, worker.usable()});
     }
   }
@@ -108,7 +108,7 @@
   // The register records the worker, also where an earlier attempt of the change decided.
   reader_.read(
       [answer, change_id, status](const RegisterValue& value, const Respond& then) {
-        const auto worker = configuration::workerTakenOut(value, change_id);
+        const auto worker = configuration::workerPutIntoMaintenance(value, change_id);
         then(jsonResponse(status, renderMaintenanceResult(answer, worker.value_or(""))));
       },
       respond);
--- a/libraries/core/source/quota_allocator.cc
+++ b/libraries/core/source/quota_allocator.cc
@@ -73,7 +73,7 @@
   if (!limit || (!is_known && !demand_.mostFrontsAreYoung())) {
     return std::nullopt;
   }
-  const double unknown = is_known ? 0 : unknownShare() * *limit * configuration::UsedShareOfQuota;
+  const double unknown = is_known ? 0 : unknownShare() * *limit * configuration::UsableQuotaShare;
   const auto total = demand_.totals().find(tenant);
   const double admitted = total == demand_.totals().end() ? 0 : total->second.admitted;
   return QuotaUse{*limit, admitted + unknown};
--- a/libraries/core/source/quota_ledger.cc
+++ b/libraries/core/source/quota_ledger.cc
@@ -57,7 +57,7 @@
   const base::TimePoint now = dispatcher_.now();
   Tenant& tenant = tenants_[request.tenant];
   tenant.unsettled.removeSettled(allocator_, now);
-  const double limit = use.limit * configuration::UsedShareOfQuota * StaleUseFactor;
+  const double limit = use.limit * configuration::UsableQuotaShare * StaleUseFactor;
   const double units_per_s = limit / std::max(MinimumWindowS, window_s_);
   tenant.pacer.advance(units_per_s, now);
   const double remaining = limit - use.admitted - tenant.unsettled.units();
--- a/libraries/core/source/unsettled_grants.cc
+++ b/libraries/core/source/unsettled_grants.cc
@@ -20,7 +20,7 @@
   }
   refreshes_ = allocator.refreshes();
   std::erase_if(grants_, [this, &allocator, now](const Grant& grant) {
-    const auto settled = allocator.settledRequests(grant.front, grant.instance);
+    const auto settled = allocator.completedRequests(grant.front, grant.instance);
     const bool is_over =
         (settled && *settled >= grant.number) || now - grant.granted_at > GrantLifetime;
     units_ -= is_over ? grant.units : 0;
--- a/libraries/core/test/load_ledger_test.cc
+++ b/libraries/core/test/load_ledger_test.cc
@@ -57,12 +57,13 @@
   }
   ledger.update(recordOf(1, loads));
   const wire::FleetLoad load = ledger.loadFor(second);
-  ASSERT_EQ(load.others.size(), LoadLedger::MaximumReportedWorkers);
-  for (const wire::WorkerLoad& reported : load.others) {
+  ASSERT_EQ(load.peer_loads.size(), LoadLedger::MaximumReportedWorkers);
+  for (const wire::WorkerLoad& reported : load.peer_loads) {
     EXPECT_GE(reported.worker, 2'100 - LoadLedger::MaximumReportedWorkers);
   }
-  EXPECT_FLOAT_EQ(load.rest_requests, 1);
-  EXPECT_FLOAT_EQ(load.rest_prefill_ms, (2'100 - LoadLedger::MaximumReportedWorkers - 1) / 2.0);
+  EXPECT_FLOAT_EQ(load.unlisted_mean_requests, 1);
+  EXPECT_FLOAT_EQ(load.unlisted_mean_prefill_ms,
+                  (2'100 - LoadLedger::MaximumReportedWorkers - 1) / 2.0);
 }
 
 TEST_F(LoadLedgerTest, ARecordReplacesThePreviousOne) {
@@ -114,7 +115,7 @@
   EXPECT_EQ(kinds[0].kind, 7U);
   EXPECT_FLOAT_EQ(kinds[0].prompts, 15);
   EXPECT_FLOAT_EQ(kinds[0].prompt_tokens, 1'500);
-  EXPECT_FLOAT_EQ(kinds[0].read_tokens, 600);
+  EXPECT_FLOAT_EQ(kinds[0].prefilled_tokens, 600);
 }
 
 TEST_F(LoadLedgerTest, SumsSaturateAtTheRangeOfTheMessage) {
--- a/libraries/front/include/switchsaddle/front/admission/quota_meter.h
+++ b/libraries/front/include/switchsaddle/front/admission/quota_meter.h
@@ -23,7 +23,7 @@
   configuration::QuotaBounds bounds;
   /** Share of the limit that is used; the remainder covers units that fronts admit before their
    * peers know of them. */
-  double used_share = configuration::UsedShareOfQuota;
+  double used_share = configuration::UsableQuotaShare;
   /** Upper bound, approximately, of the time until the fronts know what their peers have admitted.
    */
   base::Duration knowledge_lag = std::chrono::milliseconds(750);
--- a/libraries/front/include/switchsaddle/front/forward/forward_placer.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_placer.h
@@ -62,7 +62,7 @@
    * Sets the workers that the cores found failing; they are the last choice until this expires.
    * @param workers keys by worker_health::workerKey().
    */
-  void setAvoided(const std::vector<std::uint64_t>& workers);
+  void setEjected(const std::vector<std::uint64_t>& workers);
 
  private:
   struct Usage {
@@ -98,8 +98,8 @@
                                                     const std::vector<std::string>& excluded);
   /** Draws one of the workers by their weights. */
   const workers::Worker& draw(const std::vector<Eligible>& eligible);
-  bool isAvoided(const wire::WorkerEntry& entry) const;
-  std::vector<std::string> avoidedWorkers(const configuration::ForwardPool& pool) const;
+  bool isEjected(const wire::WorkerEntry& entry) const;
+  std::vector<std::string> ejectedWorkers(const configuration::ForwardPool& pool) const;
   /** Whether slow start allows another request at the worker. */
   bool mayUse(const workers::Worker& worker, const configuration::ForwardPool& pool);
   /** Drops the state of workers that are no longer listed. */
@@ -115,9 +115,9 @@
   std::map<std::string, Usage> usage_;
   routing::PeerLoad peer_load_;
   std::uint64_t known_revision_ = 0;
-  /** Keys of failing workers; expires at `avoided_until_`. */
-  std::set<std::uint64_t> avoided_;
-  base::TimePoint avoided_until_{};
+  /** Keys of failing workers; expires at `ejected_until_`. */
+  std::set<std::uint64_t> ejected_;
+  base::TimePoint ejected_until_{};
 };
 
 }  // namespace switchsaddle::front
--- a/libraries/front/include/switchsaddle/front/forward/forward_request.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_request.h
@@ -8,7 +8,7 @@
 
 #include "switchsaddle/base/time.h"
 #include "switchsaddle/configuration/view.h"
-#include "switchsaddle/front/forward_headers.h"
+#include "switchsaddle/front/forward/forward_headers.h"
 #include "switchsaddle/http/message.h"
 #include "switchsaddle/routing/router.h"
 
--- a/libraries/front/include/switchsaddle/front/counters.h
+++ b/libraries/front/include/switchsaddle/front/node/counters.h
@@ -29,7 +29,7 @@
   std::map<std::tuple<std::string_view, std::string_view, base::ResultCode>, std::uint64_t>
       requests;
   /** Time to first token, from the dispatch that produced it. */
-  metrics::Histogram first_token{metrics::callerWaitBounds()};
+  metrics::Histogram first_token{metrics::requestLatencyBounds()};
 
   /** Counts an ended request.
    * @param kind and @param outcome string constants: only views of them are stored. */
--- a/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
+++ b/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
@@ -18,9 +18,9 @@
 #include "switchsaddle/claims/claim_client.h"
 #include "switchsaddle/front/attempt/retry_budget.h"
 #include "switchsaddle/front/attempt/worker_circuit.h"
-#include "switchsaddle/front/counters.h"
+#include "switchsaddle/front/node/counters.h"
 #include "switchsaddle/front/node/fleet_view.h"
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 #include "switchsaddle/sessions/session_client.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/include/switchsaddle/front/stream/stream_flow.h
+++ b/libraries/front/include/switchsaddle/front/stream/stream_flow.h
@@ -15,10 +15,10 @@
 #include "switchsaddle/front/admission/stage.h"
 #include "switchsaddle/front/attempt/retry_budget.h"
 #include "switchsaddle/front/attempt/worker_circuit.h"
-#include "switchsaddle/front/counters.h"
+#include "switchsaddle/front/node/counters.h"
 #include "switchsaddle/front/node/fleet_view.h"
 #include "switchsaddle/front/request/caller_connection.h"
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 #include "switchsaddle/routing/router.h"
 #include "switchsaddle/sessions/session_client.h"
 
--- a/libraries/front/include/switchsaddle/front/worker_calls/forward_port.h
+++ b/libraries/front/include/switchsaddle/front/worker_calls/forward_port.h
@@ -5,7 +5,7 @@
 
 #include "switchsaddle/base/node_address.h"
 #include "switchsaddle/base/time.h"
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 #include "switchsaddle/http/message.h"
 
 namespace switchsaddle::front {
@@ -19,7 +19,7 @@
   std::string request_id_header;
   std::string request_id;
   /** Idle connections older than this are not reused. */
-  base::Duration reuse_within = std::chrono::seconds(30);
+  base::Duration maximum_idle_time = std::chrono::seconds(30);
 };
 
 /** Receives the response of one dispatch; the header is passed on with an empty body. */
--- a/libraries/front/include/switchsaddle/front/http_worker_port.h
+++ b/libraries/front/include/switchsaddle/front/worker_calls/http_worker_port.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "switchsaddle/base/dispatcher.h"
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 #include "switchsaddle/http/client.h"
 
 namespace switchsaddle::front {
--- a/libraries/front/source/attempt/active_call.h
+++ b/libraries/front/source/attempt/active_call.h
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/attempt/attempt_list.h
+++ b/libraries/front/source/attempt/attempt_list.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "switchsaddle/front/attempt/retry_budget.h"
-#include "switchsaddle/front/counters.h"
+#include "switchsaddle/front/node/counters.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/attempt/attempt_observer.h
+++ b/libraries/front/source/attempt/attempt_observer.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/forward/forward_placer.cc
+++ b/libraries/front/source/forward/forward_placer.cc
@@ -56,7 +56,7 @@
   route.pool = pool.name;
   std::vector<std::string> not_preferred = circuit_.openWorkers();
   not_preferred.insert(not_preferred.end(), excluded.begin(), excluded.end());
-  const std::vector<std::string> avoided = avoidedWorkers(pool);
+  const std::vector<std::string> avoided = ejectedWorkers(pool);
   not_preferred.insert(not_preferred.end(), avoided.begin(), avoided.end());
   std::optional<routing::Placement> placement = router_.choose(prompt, route, not_preferred);
   if (!placement) {
@@ -72,24 +72,24 @@
   return chosen;
 }
 
-void ForwardPlacer::setAvoided(const std::vector<std::uint64_t>& workers) {
-  avoided_ = {workers.begin(), workers.end()};
-  avoided_until_ = dispatcher_.now() + AvoidedLifetime;
+void ForwardPlacer::setEjected(const std::vector<std::uint64_t>& workers) {
+  ejected_ = {workers.begin(), workers.end()};
+  ejected_until_ = dispatcher_.now() + AvoidedLifetime;
 }
 
-bool ForwardPlacer::isAvoided(const wire::WorkerEntry& entry) const {
-  return !avoided_.empty() && dispatcher_.now() < avoided_until_ &&
-         avoided_.contains(worker_health::workerKey(entry));
+bool ForwardPlacer::isEjected(const wire::WorkerEntry& entry) const {
+  return !ejected_.empty() && dispatcher_.now() < ejected_until_ &&
+         ejected_.contains(worker_health::workerKey(entry));
 }
 
-std::vector<std::string> ForwardPlacer::avoidedWorkers(
+std::vector<std::string> ForwardPlacer::ejectedWorkers(
     const configuration::ForwardPool& pool) const {
   std::vector<std::string> workers;
-  if (avoided_.empty()) {
+  if (ejected_.empty()) {
     return workers;
   }
   for (const auto& [id, worker] : fleet_view_.workers()->workers) {
-    if (worker.entry.service == pool.name && isAvoided(worker.entry)) {
+    if (worker.entry.service == pool.name && isEjected(worker.entry)) {
       workers.push_back(id);
     }
   }
@@ -100,8 +100,8 @@
   Usage& usage = usage_[worker.entry.id];
   usage.load_key = workers::loadKey(worker.entry);
   usage.slow_start.instance = base::hashBytes(worker.entry.id);
-  usage.slow_start.bearable_per_s = pool.slow_start_ms > 0 ? pool.slow_start_per_s : 0;
-  usage.slow_start.listed_warming_up = worker.entry.cold;
+  usage.slow_start.rate_limit_per_s = pool.slow_start_ms > 0 ? pool.slow_start_per_s : 0;
+  usage.slow_start.listed_warming_up = worker.entry.warming_up;
   usage.slow_start.present_at_start = true;
   return slow_start_limiter_.mayPlace(usage.slow_start, std::max(1U, worker.entry.slots),
                                       dispatcher_.now());
@@ -142,7 +142,7 @@
     }
     const Usage& usage = usage_[id];
     const double peer_requests = peer_load_.of(usage.load_key, dispatcher_.now()).requests;
-    const bool last = !circuit_.mayAttempt(worker) || isAvoided(worker.entry);
+    const bool last = !circuit_.mayAttempt(worker) || isEjected(worker.entry);
     const bool has_idle_connection = usage.in_flight == 0 && usage.last_ended &&
                                      dispatcher_.now() - *usage.last_ended < IdleConnectionLifetime;
     (last ? last_choice : first_choice)
@@ -192,7 +192,7 @@
 
 void ForwardPlacer::onFirstToken(const ForwardPlacement& placement) {
   if (placement.learned) {
-    router_.noteFirstToken(placement.learned->ticket);
+    router_.recordFirstToken(placement.learned->ticket);
   }
 }
 
--- a/libraries/front/source/forward/forward_request.cc
+++ b/libraries/front/source/forward/forward_request.cc
@@ -187,8 +187,8 @@
   parseTokenCount(message.header(headers.token_count), request);
   parsePrefixSegments(message.header(headers.prefix_segments), request.prompt);
   request.prompt.last_segment_private = true;
-  request.prompt.event_gap_goal = std::chrono::milliseconds(request.route->event_gap_goal_ms);
-  request.prompt.first_token_goal = std::chrono::milliseconds(request.route->answer_goal_ms);
+  request.prompt.event_gap_goal = std::chrono::milliseconds(request.route->event_gap_target_ms);
+  request.prompt.first_token_goal = std::chrono::milliseconds(request.route->response_target_ms);
   request.prompt.kind = base::hashBytes(request.route->name);
   request.message = std::move(message);
   return request;
--- a/libraries/front/source/forward/forward_run.cc
+++ b/libraries/front/source/forward/forward_run.cc
@@ -154,8 +154,8 @@
                                    stream_started_ ? last_event_id_ : std::nullopt);
   dispatch.request_id_header = environment_.headers.request_id;
   dispatch.request_id = request_.request_id;
-  const bool idempotent = configuration::mayRepeat(request_.route->kind);
-  dispatch.reuse_within = idempotent ? ReuseForIdempotent : ReuseForNonIdempotent;
+  const bool idempotent = configuration::isIdempotent(request_.route->kind);
+  dispatch.maximum_idle_time = idempotent ? ReuseForIdempotent : ReuseForNonIdempotent;
   return dispatch;
 }
 
@@ -307,7 +307,7 @@
 }
 
 bool ForwardRun::mayRetryAfterLoss() {
-  const bool idempotent = configuration::mayRepeat(request_.route->kind);
+  const bool idempotent = configuration::isIdempotent(request_.route->kind);
   const bool allowed = idempotent && may_have_run_ < request_.route->attempts;
   const bool can_continue = !stream_started_ || canResumeElsewhere();
   return allowed && can_continue && hasTimeForRetry() && acquireRetry();
--- a/libraries/front/source/forward/forward_run_answers.cc
+++ b/libraries/front/source/forward/forward_run_answers.cc
@@ -2,8 +2,8 @@
 #include <string>
 #include <utility>
 
-#include "caller_answers.h"
 #include "forward/forward_run.h"
+#include "request/caller_answers.h"
 
 // The ends of a forwarded request: rejected, answered, aborted, or cancelled by its caller.
 
--- a/libraries/front/source/forward/forward_run_events.cc
+++ b/libraries/front/source/forward/forward_run_events.cc
@@ -63,7 +63,7 @@
 }
 
 void ForwardRun::recordLateness() {
-  const base::Duration goal = std::chrono::milliseconds(request_.route->answer_goal_ms);
+  const base::Duration goal = std::chrono::milliseconds(request_.route->response_target_ms);
   const bool late = environment_.dispatcher.now() - started_at_ > goal;
   if (!late || stream_started_ || !placement_->learned) {
     return;
@@ -119,7 +119,7 @@
 void ForwardRun::finishStream() {
   beginStream();
   ++environment_.counters.streams_finished;
-  const base::Duration gap_goal = std::chrono::milliseconds(request_.route->event_gap_goal_ms);
+  const base::Duration gap_goal = std::chrono::milliseconds(request_.route->event_gap_target_ms);
   if (gap_goal > base::Duration::zero() && sample_.longest_pause > gap_goal) {
     recordLoss(ForwardLoss::LatePause);
   }
--- a/libraries/front/source/node/counters.cc
+++ b/libraries/front/source/node/counters.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/counters.h"
+#include "switchsaddle/front/node/counters.h"
 
 namespace switchsaddle::front {
 
--- a/libraries/front/source/node/front_node.cc
+++ b/libraries/front/source/node/front_node.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/front_node.h"
+#include "switchsaddle/front/node/front_node.h"
 
 #include <utility>
 
@@ -167,7 +167,7 @@
   });
   session_.setRecordSource([this](wire::SessionRecord& record) {
     record.demand = quotas_.demand();
-    record.settled_requests = quota_ledgers_.completedRequests();
+    record.completed_requests = quota_ledgers_.completedRequests();
     record.health = health_.statement();
     record.load = placer_.load();
     record.fleet_knowledge = history_.fleetKnowledge();
@@ -176,18 +176,18 @@
 }
 
 void FrontNode::onGranted(const wire::SessionOpenReply& granted) {
-  if (granted.quotas_known) {
+  if (granted.quotas_complete) {
     quotas_.setAllocations(granted.allocations);
   } else if (quotas_.hasTenants()) {
     // This core has restarted without state; another may know what the fleet has admitted.
-    session_.turnToAnotherCore();
+    session_.switchToAnotherCore();
   }
   if (environment_.settings.forwarding.fleet_loads) {
     placer_.setPeerLoads(granted.load);
   }
   if (granted.health.known) {
     health_.setWatched(granted.health.watched);
-    placer_.setAvoided(granted.health.avoided);
+    placer_.setEjected(granted.health.ejected);
   }
 }
 
@@ -200,7 +200,7 @@
 
 void FrontNode::onConfiguration(const dissemination::ViewPtr& view) {
   router_.setConfiguration(view);
-  session_.noteNewerVersionSeen(replica_.version());
+  session_.observeNewerVersion(replica_.version());
   session_.setApplied(replica_.version(), replica_.digest());
   const bool has_workers_in_maintenance = !view->workers_in_maintenance.empty();
   if (forwards_ && has_workers_in_maintenance) {
--- a/libraries/front/source/node/front_node_reports.cc
+++ b/libraries/front/source/node/front_node_reports.cc
@@ -1,6 +1,6 @@
 #include "switchsaddle/configuration/change_json.h"
 #include "switchsaddle/configuration/json_writer.h"
-#include "switchsaddle/front/front_node.h"
+#include "switchsaddle/front/node/front_node.h"
 
 // How a front describes itself: the page of metrics and the node's part of the routing table.
 
--- a/libraries/front/source/one_shot/one_shot_run.cc
+++ b/libraries/front/source/one_shot/one_shot_run.cc
@@ -75,7 +75,7 @@
                    withdrawal = finishOf(ClaimState::NotRun)](const wire::ClaimReply& reply) {
     const auto run = weak.lock();
     const bool awaited = run && run->state_ == State::Claiming && run->run_ == withdrawal.run;
-    if (!reply.available || (reply.won && !awaited)) {
+    if (!reply.available || (reply.recorded && !awaited)) {
       // The key must not remain claimed by an attempt that will never dispatch.
       flow->record(withdrawal, {}, RecordAttempts);
     }
@@ -92,7 +92,7 @@
     answer(unknown(ResultCode::ClaimsUnavailable));
     return;
   }
-  if (reply.won) {
+  if (reply.recorded) {
     acquireSlot();
     return;
   }
@@ -134,11 +134,11 @@
   if (state_ != State::AwaitingSlot) {
     return;
   }
-  if (!outcome.hold) {
+  if (!outcome.permit) {
     reject(outcome.code, outcome.retry_after_ms);
     return;
   }
-  slot_ = std::move(outcome.hold);
+  slot_ = std::move(outcome.permit);
   dispatch();
 }
 
@@ -273,7 +273,7 @@
         if (!run || run->state_ != State::Recording) {
           return;
         }
-        if (!reply.won) {
+        if (!reply.recorded) {
           run->answer(unknown(ResultCode::OutcomeUnknown));
           return;
         }
@@ -306,8 +306,8 @@
       [weak = weak_from_this(), code, retry_after_ms](const wire::ClaimReply& reply) {
         const auto run = weak.lock();
         if (run && run->state_ == State::Recording) {
-          run->answer(reply.won ? notRun(code, retry_after_ms)
-                                : unknown(ResultCode::OutcomeUnknown));
+          run->answer(reply.recorded ? notRun(code, retry_after_ms)
+                                     : unknown(ResultCode::OutcomeUnknown));
         }
       },
       RecordAttempts);
--- a/libraries/front/source/caller_answers.cc
+++ b/libraries/front/source/request/caller_answers.cc
@@ -1,4 +1,4 @@
-#include "caller_answers.h"
+#include "request/caller_answers.h"
 
 #include <vector>
 
--- a/libraries/front/source/request/caller_service.cc
+++ b/libraries/front/source/request/caller_service.cc
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <utility>
 
-#include "caller_answers.h"
+#include "request/caller_answers.h"
 #include "request/caller_authentication.h"
 #include "request/caller_sinks.h"
 #include "request/status_resources.h"
 #include "switchsaddle/base/error.h"
-#include "switchsaddle/front/request_parser.h"
+#include "switchsaddle/front/request/request_parser.h"
 
 namespace switchsaddle::front {
 
@@ -110,7 +110,7 @@
   const std::string_view path = http::targetPath(request.target);
   const configuration::Forwarding& forwarding =
       dependencies_.fleet_view.configuration()->forwarding;
-  if (forwarding.knowsHost(hostName(request.header("Host")))) {
+  if (forwarding.hasHost(hostName(request.header("Host")))) {
     return true;
   }
   const bool own = StatusResources::serves(path) || path == CompletionsPath ||
--- a/libraries/front/source/request/caller_sinks.cc
+++ b/libraries/front/source/request/caller_sinks.cc
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-#include "caller_answers.h"
+#include "request/caller_answers.h"
 #include "switchsaddle/configuration/json_value.h"
 #include "switchsaddle/configuration/json_writer.h"
 
--- a/libraries/front/source/request/request_parser.cc
+++ b/libraries/front/source/request/request_parser.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/request_parser.h"
+#include "switchsaddle/front/request/request_parser.h"
 
 #include <algorithm>
 #include <array>
--- a/libraries/front/source/request/status_resources.cc
+++ b/libraries/front/source/request/status_resources.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <array>
 
-#include "caller_answers.h"
+#include "request/caller_answers.h"
 #include "request/caller_authentication.h"
 #include "routing_page.h"
 #include "switchsaddle/base/error.h"
--- a/libraries/front/source/stream/stream_run.cc
+++ b/libraries/front/source/stream/stream_run.cc
@@ -76,11 +76,11 @@
 }
 
 void StreamRun::onSlot(admission::SlotOutcome outcome) {
-  if (!outcome.hold) {
+  if (!outcome.permit) {
     refuse(outcome.code, outcome.retry_after_ms);
     return;
   }
-  slot_ = std::move(outcome.hold);
+  slot_ = std::move(outcome.permit);
   const StageTicket admitted = std::exchange(ticket_, {});
   const bool queued = environment_.stages.relay.submit([weak = weak_from_this()](auto ticket) {
     if (const auto run = weak.lock(); run && !run->over_) {
--- a/libraries/front/source/worker_calls/http_forward_port.cc
+++ b/libraries/front/source/worker_calls/http_forward_port.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/http_forward_port.h"
+#include "switchsaddle/front/worker_calls/http_forward_port.h"
 
 #include <utility>
 
@@ -20,11 +20,11 @@
   // The run's deadline ends requests that take too long.
   options.response_timeout = {};
   options.idle_timeout = {};
-  options.unacknowledged_limit = UnacknowledgedLimit;
-  options.reuse_within = dispatch.reuse_within;
-  options.resend_lost_get = false;
-  options.is_answer = [name = dispatch.request_id_header,
-                       id = dispatch.request_id](const http::Response& head) {
+  options.tcp_user_timeout = UnacknowledgedLimit;
+  options.maximum_idle_time = dispatch.maximum_idle_time;
+  options.retry_lost_get = false;
+  options.accepts_response = [name = dispatch.request_id_header,
+                              id = dispatch.request_id](const http::Response& head) {
     const std::string_view echoed = head.header(name);
     // An error response that was sent before the request was read may carry no id.
     return echoed.empty() ? head.status >= FirstFailureStatus : echoed == id;
--- a/libraries/front/source/worker_calls/http_worker_port.cc
+++ b/libraries/front/source/worker_calls/http_worker_port.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/http_worker_port.h"
+#include "switchsaddle/front/worker_calls/http_worker_port.h"
 
 #include <charconv>
 #include <utility>
--- a/libraries/front/test/admission/quota_ledger_test.cc
+++ b/libraries/front/test/admission/quota_ledger_test.cc
@@ -44,7 +44,7 @@
 
 /** @return units that the fleet may admit within a window. */
 double usedLimit() {
-  return *Bounds.limitOf(tenantOf()) * configuration::UsedShareOfQuota;
+  return *Bounds.limitOf(tenantOf()) * configuration::UsableQuotaShare;
 }
 
 /** Many fronts that renew with one core each quarter of a second and request units of its ledger.
@@ -194,7 +194,7 @@
       }
       wire::SessionRecord& record = front.entry.record;
       record.demand = front.meter->demand();
-      record.settled_requests =
+      record.completed_requests =
           front.pending_requests.empty() ? front.last_request : *front.pending_requests.begin() - 1;
       front.meter->setFronts(fronts_.size());
       front.history->update(listed);
--- a/libraries/front/test/fakes.h
+++ b/libraries/front/test/fakes.h
@@ -11,7 +11,7 @@
 #include "switchsaddle/admission/slot_broker.h"
 #include "switchsaddle/claims/claim_client.h"
 #include "switchsaddle/front/node/fleet_view.h"
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 #include "switchsaddle/routing/router.h"
 #include "switchsaddle/sessions/session_client.h"
 
@@ -72,7 +72,7 @@
     if (available) {
       reply = claim;
       reply.available = true;
-      reply.won = won;
+      reply.recorded = won;
     }
     if (withheld) {
       pending_replies.push_back([reply, callback = std::move(callback)] { callback(reply); });
@@ -97,7 +97,7 @@
     admission::SlotOutcome outcome;
     outcome.code = code;
     if (code == base::ResultCode::Ok) {
-      outcome.hold = std::make_unique<Hold>(*this);
+      outcome.permit = std::make_unique<Hold>(*this);
     }
     callback(std::move(outcome));
   }
@@ -108,7 +108,7 @@
     waiting.pop_back();
     admission::SlotOutcome outcome;
     outcome.code = base::ResultCode::Ok;
-    outcome.hold = std::make_unique<Hold>(*this);
+    outcome.permit = std::make_unique<Hold>(*this);
     next(std::move(outcome));
   }
 
@@ -124,7 +124,7 @@
     for (const auto& callback : std::exchange(waiting, {})) {
       admission::SlotOutcome outcome;
       outcome.code = base::ResultCode::Ok;
-      outcome.hold = std::make_unique<Hold>(*this);
+      outcome.permit = std::make_unique<Hold>(*this);
       callback(std::move(outcome));
     }
   }
@@ -259,7 +259,7 @@
   void complete(const routing::Completion& completion) override {
     completions.push_back(completion);
   }
-  void noteFirstToken(std::uint64_t) override { ++first_tokens; }
+  void recordFirstToken(std::uint64_t) override { ++first_tokens; }
   wire::FrontLoad exportLoads() const override { return {}; }
   void importLoads(const wire::FleetLoad&) override {}
   std::vector<routing::RoutingRow> table(const std::string&) const override { return {}; }
--- a/libraries/front/test/fleet/simulated_fleet.h
+++ b/libraries/front/test/fleet/simulated_fleet.h
@@ -10,7 +10,7 @@
 
 #include "fakes.h"
 #include "switchsaddle/core/core_node.h"
-#include "switchsaddle/front/front_node.h"
+#include "switchsaddle/front/node/front_node.h"
 #include "switchsaddle/simulation/network.h"
 #include "switchsaddle/simulation/simulated_disk.h"
 #include "switchsaddle/simulation/simulated_storage_executor.h"
--- a/libraries/front/test/fleet/traffic_scenario.cc
+++ b/libraries/front/test/fleet/traffic_scenario.cc
@@ -67,7 +67,7 @@
   static wire::ClaimReply won() {
     wire::ClaimReply reply;
     reply.available = true;
-    reply.won = true;
+    reply.recorded = true;
     return reply;
   }
 };
--- a/libraries/front/test/forward/forward_flow_test.cc
+++ b/libraries/front/test/forward/forward_flow_test.cc
@@ -18,7 +18,7 @@
     configuration::Forwarding& forwarding = fleet_view.view.forwarding;
     forwarding.pools["shop"].name = "shop";
     addRoute("once", ForwardKind::AtMostOnce, 1);
-    addRoute("again", ForwardKind::Repeatable, 2);
+    addRoute("again", ForwardKind::Idempotent, 2);
     addRoute("stream", ForwardKind::EventStream, 1);
     addRoute("resumed", ForwardKind::ResumableStream, 2);
     configuration::ForwardTenant& tenant = forwarding.tenants["t"];
@@ -245,19 +245,19 @@
   const auto keyOf = [this](const std::string& id) {
     return worker_health::workerKey(fleet_view.workers()->workers.at(id).entry);
   };
-  placer.setAvoided({keyOf("w1"), keyOf("w2")});
+  placer.setEjected({keyOf("w1"), keyOf("w2")});
   for (int count = 0; count < 5; ++count) {
     run("once");
     EXPECT_EQ(last().header("Expect-Instance"), "w3");
   }
-  placer.setAvoided({keyOf("w1"), keyOf("w2"), keyOf("w3")});
+  placer.setEjected({keyOf("w1"), keyOf("w2"), keyOf("w3")});
   const std::size_t before = port.sent.size();
   run("once");
   EXPECT_EQ(port.sent.size(), before + 1);
 }
 
 TEST_F(ForwardFlowTest, ListOfFailingWorkersExpires) {
-  placer.setAvoided({worker_health::workerKey(fleet_view.workers()->workers.at("w1").entry),
+  placer.setEjected({worker_health::workerKey(fleet_view.workers()->workers.at("w1").entry),
                      worker_health::workerKey(fleet_view.workers()->workers.at("w2").entry)});
   world.runFor(std::chrono::seconds(4));
   std::set<std::string> used;
@@ -347,7 +347,7 @@
     run("once");
     EXPECT_EQ(last().header("Expect-Instance"), "w3");
   }
-  fleet_view.snapshot.workers["w3"].gone = true;
+  fleet_view.snapshot.workers["w3"].unreachable = true;
   EXPECT_EQ(run("once")->response->status, 503);
 }
 
@@ -356,7 +356,7 @@
   pool.slow_start_ms = 3'000;
   pool.slow_start_per_s = 2;
   for (const char* name : {"w1", "w2", "w3"}) {
-    fleet_view.snapshot.workers[name].entry.cold = true;
+    fleet_view.snapshot.workers[name].entry.warming_up = true;
   }
   for (int request = 0; request < 20; ++request) {
     run("once");
--- a/libraries/front/test/forward/forward_seeds_test.cc
+++ b/libraries/front/test/forward/forward_seeds_test.cc
@@ -146,7 +146,7 @@
    public:
     explicit Play(std::uint64_t seed) : world_(seed) {
       addRoute("once", ForwardKind::AtMostOnce, 1);
-      addRoute("again", ForwardKind::Repeatable, 2);
+      addRoute("again", ForwardKind::Idempotent, 2);
       addRoute("stream", ForwardKind::EventStream, 1);
       addRoute("resumed-stream", ForwardKind::ResumableStream, 2);
       fleet_view_.view.forwarding.pools["shop"].name = "shop";
@@ -198,7 +198,7 @@
     }
     void checkOne(const Asked& asked) const {
       const int runs = countOf(port_.runs, asked.id);
-      const bool repeatable = configuration::mayRepeat(asked.kind);
+      const bool repeatable = configuration::isIdempotent(asked.kind);
       EXPECT_LE(runs, repeatable ? 2 : 1) << asked.id;
       const ForwardWriter& writer = *asked.writer;
       EXPECT_TRUE(writer.response || writer.ended || writer.aborted) << asked.id;
--- a/libraries/front/test/node/front_node_test.cc
+++ b/libraries/front/test/node/front_node_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/front/front_node.h"
+#include "switchsaddle/front/node/front_node.h"
 
 #include <gtest/gtest.h>
 
--- a/libraries/front/test/request/caller_service_test.cc
+++ b/libraries/front/test/request/caller_service_test.cc
@@ -5,8 +5,8 @@
 #include "fakes.h"
 #include "switchsaddle/base/error.h"
 #include "switchsaddle/configuration/json_value.h"
-#include "switchsaddle/front/http_worker_port.h"
-#include "switchsaddle/front/request_parser.h"
+#include "switchsaddle/front/request/request_parser.h"
+#include "switchsaddle/front/worker_calls/http_worker_port.h"
 #include "switchsaddle/simulation/collecting_incidents.h"
 #include "switchsaddle/simulation/network.h"
 
--- a/libraries/front/test/stream/slow_caller_test.cc
+++ b/libraries/front/test/stream/slow_caller_test.cc
@@ -6,8 +6,8 @@
 #include <boost/asio/write.hpp>
 
 #include "fakes.h"
-#include "switchsaddle/front/http_worker_port.h"
 #include "switchsaddle/front/request/caller_service.h"
+#include "switchsaddle/front/worker_calls/http_worker_port.h"
 #include "switchsaddle/http/server.h"
 #include "switchsaddle/simulation/network.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
--- a/libraries/fuzz/source/text_targets.cc
+++ b/libraries/fuzz/source/text_targets.cc
@@ -5,8 +5,8 @@
 #include "switchsaddle/configuration/json_value.h"
 #include "switchsaddle/configuration/settings.h"
 #include "switchsaddle/configuration/state_report.h"
-#include "switchsaddle/front/http_worker_port.h"
-#include "switchsaddle/front/request_parser.h"
+#include "switchsaddle/front/request/request_parser.h"
+#include "switchsaddle/front/worker_calls/http_worker_port.h"
 #include "switchsaddle/streams/event_stream_parser.h"
 #include "switchsaddle/workers/platform_list.h"
 
--- a/libraries/http/include/switchsaddle/http/client.h
+++ b/libraries/http/include/switchsaddle/http/client.h
@@ -21,7 +21,7 @@
   /** Bytes of the request may have reached the server; no response header was received. */
   NoResponse,
   /** The response header was received, but the body was truncated. */
-  BodyCut,
+  BodyTruncated,
   /** A time-out expired. */
   TimedOut,
 };
@@ -65,16 +65,16 @@
    * TCP_USER_TIMEOUT: time for which sent bytes or keep-alive probes may stay unacknowledged. Zero
    * keeps the system's default.
    */
-  base::Duration unacknowledged_limit{};
+  base::Duration tcp_user_timeout{};
   /** Maximum idle time of a pooled connection that is reused. */
-  base::Duration reuse_within = std::chrono::seconds(30);
+  base::Duration maximum_idle_time = std::chrono::seconds(30);
   /** Retry a GET once if it was lost on a reused connection. */
-  bool resend_lost_get = true;
+  bool retry_lost_get = true;
   /**
    * Predicate that recognises the response to this request. A response for which it is false is
    * read and discarded. Empty accepts any response.
    */
-  std::function<bool(const Response& head)> is_answer;
+  std::function<bool(const Response& head)> accepts_response;
   /** Use a new connection for this exchange only. */
   bool fresh_connection = false;
   /** Numeric local address to connect from; empty for any. */
--- a/libraries/http/include/switchsaddle/http/server.h
+++ b/libraries/http/include/switchsaddle/http/server.h
@@ -64,7 +64,7 @@
   /** Accepts no more connections; open ones close after their next response. */
   virtual void stopAccepting() = 0;
   /** Closes each connection after its next response ("Connection: close"); accepts new ones. */
-  virtual void closeAfterAnswers() = 0;
+  virtual void closeAfterResponses() = 0;
   virtual std::size_t openConnections() const = 0;
 };
 
--- a/libraries/http/source/client.cc
+++ b/libraries/http/source/client.cc
@@ -30,7 +30,7 @@
     if (const auto exchange = exchange_.lock()) {
       exchange->cancel();
     }
-    callback_(nullptr, ExchangeFailure::BodyCut);
+    callback_(nullptr, ExchangeFailure::BodyTruncated);
   }
   void onComplete() override { callback_(&response_, ExchangeFailure::NoResponse); }
   void onFailure(ExchangeFailure failure, bool /*refused*/) override {
--- a/libraries/http/source/client_exchange.cc
+++ b/libraries/http/source/client_exchange.cc
@@ -38,7 +38,7 @@
   }
   std::optional<tcp::socket> pooled;
   if (!options_.fresh_connection) {
-    pooled = client_->pool.acquire(poolKey(), options_.reuse_within);
+    pooled = client_->pool.acquire(poolKey(), options_.maximum_idle_time);
   }
   if (!pooled) {
     connect();
@@ -86,7 +86,7 @@
     fail(ExchangeFailure::NotConnected, refused);
     return;
   }
-  setClientSocketOptions(socket_, options_.unacknowledged_limit);
+  setClientSocketOptions(socket_, options_.tcp_user_timeout);
   sendRequest();
 }
 
@@ -164,7 +164,7 @@
 
 void ClientExchange::deliverHead() {
   const Response head = parser_.head();
-  discarding_ = options_.is_answer && !options_.is_answer(head);
+  discarding_ = options_.accepts_response && !options_.accepts_response(head);
   if (discarding_) {
     readBody();
     return;
@@ -200,7 +200,7 @@
   } else if (!parser_.bodyBytes().empty()) {
     deliverBody(truncated);
   } else if (truncated) {
-    fail(ExchangeFailure::BodyCut);
+    fail(ExchangeFailure::BodyTruncated);
   } else {
     readBody();
   }
@@ -229,7 +229,7 @@
   }
   ++chunk_;
   if (truncated_) {
-    fail(ExchangeFailure::BodyCut);
+    fail(ExchangeFailure::BodyTruncated);
   } else {
     readBody();
   }
@@ -269,7 +269,7 @@
 }
 
 bool ClientExchange::mayRetry(bool any_byte_sent) const {
-  const bool is_safe = !any_byte_sent || (options_.resend_lost_get && method_ == "GET");
+  const bool is_safe = !any_byte_sent || (options_.retry_lost_get && method_ == "GET");
   const bool has_no_response = buffer_.size() == 0 && !parser_.hasStarted();
   return reused_ && !retried_ && is_safe && has_no_response;
 }
--- a/libraries/http/source/server.cc
+++ b/libraries/http/source/server.cc
@@ -113,7 +113,7 @@
     state_->draining = true;
     listener_->close();
   }
-  void closeAfterAnswers() override { state_->draining = true; }
+  void closeAfterResponses() override { state_->draining = true; }
   std::size_t openConnections() const override { return state_->connections.size(); }
 
  private:
--- a/libraries/http/test/client_test.cc
+++ b/libraries/http/test/client_test.cc
@@ -110,7 +110,7 @@
 TEST_F(ClientTest, ReportsATruncatedBody) {
   const base::NodeAddress address = serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
   const auto observer = runAt(address, {"GET", "/", {}, ""});
-  EXPECT_EQ(observer->failure, ExchangeFailure::BodyCut);
+  EXPECT_EQ(observer->failure, ExchangeFailure::BodyTruncated);
   EXPECT_EQ(observer->body, "abc");
   EXPECT_EQ(raw_connections, 1);
 }
@@ -119,7 +119,7 @@
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   const auto observer = runAt(address, {"GET", "/", {}, ""});
-  EXPECT_EQ(observer->failure, ExchangeFailure::BodyCut);
+  EXPECT_EQ(observer->failure, ExchangeFailure::BodyTruncated);
   EXPECT_EQ(observer->body, "abc");
 }
 
@@ -141,7 +141,7 @@
 TEST_F(ClientTest, AHugeContentLengthAllocatesNoMemory) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nContent-Length: 9000000000000000000\r\n\r\nabc");
-  EXPECT_EQ(runAt(address, {"GET", "/", {}, ""})->failure, ExchangeFailure::BodyCut);
+  EXPECT_EQ(runAt(address, {"GET", "/", {}, ""})->failure, ExchangeFailure::BodyTruncated);
 }
 
 TEST_F(ClientTest, TimesOutWithoutAResponse) {
@@ -274,7 +274,9 @@
 /** Accepts only responses that name the request. */
 ExchangeOptions onlyNamed() {
   ExchangeOptions options;
-  options.is_answer = [](const Response& head) { return head.header("Request-Id") == "mine"; };
+  options.accepts_response = [](const Response& head) {
+    return head.header("Request-Id") == "mine";
+  };
   return options;
 }
 
@@ -314,7 +316,7 @@
   run({"POST", "/", {}, "x"});
   EXPECT_TRUE(runUntil([&] { return server->openConnections() <= 1; }));
   ExchangeOptions never;
-  never.reuse_within = {};
+  never.maximum_idle_time = {};
   EXPECT_EQ(run({"POST", "/", {}, "x"}, never)->body, "x");
 }
 
@@ -329,7 +331,7 @@
       }
     });
     ExchangeOptions options;
-    options.resend_lost_get = resend;
+    options.retry_lost_get = resend;
     run({"GET", "/", {}, ""}, options);
     const auto second = run({"GET", "/", {}, ""}, options);
     EXPECT_EQ(second->completions, resend ? 1 : 0);
--- a/libraries/http/test/server_test.cc
+++ b/libraries/http/test/server_test.cc
@@ -132,7 +132,7 @@
     writer->writeChunk("piece", [writer](bool) {});
   });
   const auto observer = run({"GET", "/", {}, ""});
-  EXPECT_EQ(observer->failure, ExchangeFailure::BodyCut);
+  EXPECT_EQ(observer->failure, ExchangeFailure::BodyTruncated);
   EXPECT_EQ(observer->body, "piece");
 }
 
@@ -301,7 +301,7 @@
   kept->writeChunk("late", [&](bool) { ++calls; });
   kept.reset();
   EXPECT_TRUE(runUntil([&] { return observer->ended(); }));
-  EXPECT_EQ(observer->failure, ExchangeFailure::BodyCut);
+  EXPECT_EQ(observer->failure, ExchangeFailure::BodyTruncated);
   EXPECT_EQ(calls, 0);
 }
 
@@ -325,7 +325,7 @@
 TEST_F(ServerTest, ClosesConnectionsAfterTheirResponsesAndAcceptsMore) {
   serve([](const Request&, const ResponseWriterPtr& writer) { writer->respond({200, {}, "x"}); });
   EXPECT_EQ(run({"POST", "/", {}, "x"})->head->header("Connection"), "keep-alive");
-  server->closeAfterAnswers();
+  server->closeAfterResponses();
   EXPECT_EQ(run({"POST", "/", {}, "x"})->head->header("Connection"), "close");
   EXPECT_EQ(run({"POST", "/", {}, "x"})->head->header("Connection"), "close");
 }
--- a/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/lightweight_front.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/lightweight_front.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "switchsaddle/configuration/settings.h"
-#include "switchsaddle/front/front_node.h"
+#include "switchsaddle/front/node/front_node.h"
 
 namespace switchsaddle::lightweight_fronts {
 
@@ -46,8 +46,8 @@
   void placePrompts(std::size_t count);
 
   /** @return granted and rejected slot requests; zero unless the options acquire slots. */
-  std::uint64_t slotsGot() const { return slots_got_; }
-  std::uint64_t slotsRefused() const { return slots_refused_; }
+  std::uint64_t slotsGranted() const { return slots_got_; }
+  std::uint64_t slotsRejected() const { return slots_refused_; }
 
  private:
   std::unique_ptr<admission::SlotBroker> makeSlots(base::Dispatcher& dispatcher);
--- a/libraries/lightweight_fronts/source/lightweight_front.cc
+++ b/libraries/lightweight_fronts/source/lightweight_front.cc
@@ -83,9 +83,9 @@
   const auto chosen =
       std::next(tenants.begin(), static_cast<std::ptrdiff_t>(random_.below(tenants.size())));
   slots_->acquire(chosen->second.stream_branch, [this](admission::SlotOutcome outcome) {
-    if (outcome.hold) {
+    if (outcome.permit) {
       ++slots_got_;
-      permits_.push_back(std::move(outcome.hold));
+      permits_.push_back(std::move(outcome.permit));
     } else {
       ++slots_refused_;
     }
--- a/libraries/metrics/include/switchsaddle/metrics/histogram.h
+++ b/libraries/metrics/include/switchsaddle/metrics/histogram.h
@@ -28,7 +28,7 @@
 };
 
 /** @return bounds for the latency of requests, from 5 ms to 30 s. */
-std::vector<double> callerWaitBounds();
+std::vector<double> requestLatencyBounds();
 /** @return bounds for round trips between nodes, from 1 ms to 5 s. */
 std::vector<double> roundTripBounds();
 
--- a/libraries/metrics/source/histogram.cc
+++ b/libraries/metrics/source/histogram.cc
@@ -14,7 +14,7 @@
   sum_ += seconds;
 }
 
-std::vector<double> callerWaitBounds() {
+std::vector<double> requestLatencyBounds() {
   return {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30};
 }
 
--- a/libraries/registers/include/switchsaddle/registers/acceptor.h
+++ b/libraries/registers/include/switchsaddle/registers/acceptor.h
@@ -128,7 +128,7 @@
    * Called for each failed commit of another user of the same store. The acceptor stops voting and
    * reopens the store after a pause, so that every user of it recovers.
    */
-  void noteCommitFailure(base::ResultCode code);
+  void reportCommitFailure(base::ResultCode code);
   /** @return all records of this acceptor, as they are after the commits submitted so far; nothing
    * while the store fails. */
   std::vector<storage::Record> records() const;
--- a/libraries/registers/include/switchsaddle/registers/scrubber.h
+++ b/libraries/registers/include/switchsaddle/registers/scrubber.h
@@ -50,7 +50,7 @@
 
   /** @param other_records returns the records of the other users of the store, which a rewrite of
    * the complete state includes. */
-  void setOtherRecords(std::function<std::vector<storage::Record>()> other_records) {
+  void setSharedStoreRecords(std::function<std::vector<storage::Record>()> other_records) {
     other_records_ = std::move(other_records);
   }
   void start();
--- a/libraries/registers/source/acceptor.cc
+++ b/libraries/registers/source/acceptor.cc
@@ -191,7 +191,7 @@
       });
 }
 
-void Acceptor::noteCommitFailure(base::ResultCode code) {
+void Acceptor::reportCommitFailure(base::ResultCode code) {
   storage_->reportCommitFailure(code);
 }
 
--- a/libraries/routing/include/switchsaddle/routing/learned_router.h
+++ b/libraries/routing/include/switchsaddle/routing/learned_router.h
@@ -44,7 +44,7 @@
   std::optional<Placement> choose(const Prompt& prompt, const configuration::Route& route,
                                   const std::vector<std::string>& excluded) override;
   void complete(const Completion& completion) override;
-  void noteFirstToken(std::uint64_t ticket) override;
+  void recordFirstToken(std::uint64_t ticket) override;
   wire::FrontLoad exportLoads() const override;
   void importLoads(const wire::FleetLoad& loads) override;
   std::vector<RoutingRow> table(const std::string& model) const override;
--- a/libraries/routing/include/switchsaddle/routing/router.h
+++ b/libraries/routing/include/switchsaddle/routing/router.h
@@ -52,7 +52,7 @@
   std::uint32_t cached_tokens = 0;
   /** Estimated prefill time of the remaining prompt tokens. */
   base::Duration prefill_estimate{};
-  /** Identifies the placement in complete() and noteFirstToken(). */
+  /** Identifies the placement in complete() and recordFirstToken(). */
   std::uint64_t ticket = 0;
 };
 
@@ -116,7 +116,7 @@
   /** Ends a placement; unknown tickets are ignored. */
   virtual void complete(const Completion& completion) = 0;
   /** Reports that the first token of a placement was received. */
-  virtual void noteFirstToken(std::uint64_t ticket) = 0;
+  virtual void recordFirstToken(std::uint64_t ticket) = 0;
   /** @return this front's requests in flight by worker, and the work it received by kind. */
   virtual wire::FrontLoad exportLoads() const = 0;
   /** Sets the loads of the other fronts. */
--- a/libraries/routing/include/switchsaddle/routing/slow_start_limiter.h
+++ b/libraries/routing/include/switchsaddle/routing/slow_start_limiter.h
@@ -24,7 +24,7 @@
   bool present_at_start = false;
   /** Requests per second that a worker which is warming up sustains from all fronts; zero:
    * unknown, so that slow start ends by age and samples. */
-  double bearable_per_s = 0;
+  double rate_limit_per_s = 0;
   /** The platform lists the worker as warming up. */
   bool listed_warming_up = false;
   /** Treated as warming up until then, whatever the platform lists. */
--- a/libraries/routing/source/candidate_ranking.cc
+++ b/libraries/routing/source/candidate_ranking.cc
@@ -72,7 +72,7 @@
   }
   // A configured rate limit is enforced even where no other worker is left.
   std::erase_if(candidates, [](const Candidate& candidate) {
-    return candidate.arm->prefill->slow_start.bearable_per_s > 0;
+    return candidate.arm->prefill->slow_start.rate_limit_per_s > 0;
   });
 }
 
--- a/libraries/routing/source/learned_router.cc
+++ b/libraries/routing/source/learned_router.cc
@@ -123,7 +123,7 @@
   return placement;
 }
 
-void LearnedRouter::noteFirstToken(std::uint64_t ticket) {
+void LearnedRouter::recordFirstToken(std::uint64_t ticket) {
   tracker_.onFirstToken(ticket);
 }
 
--- a/libraries/routing/source/peer_load.cc
+++ b/libraries/routing/source/peer_load.cc
@@ -10,10 +10,10 @@
   }
   reported_ = true;
   reported_at_ = now;
-  rest_requests_ = load.rest_requests;
-  rest_prefill_ms_ = load.rest_prefill_ms;
+  rest_requests_ = load.unlisted_mean_requests;
+  rest_prefill_ms_ = load.unlisted_mean_prefill_ms;
   loads_.clear();
-  for (const wire::WorkerLoad& each : load.others) {
+  for (const wire::WorkerLoad& each : load.peer_loads) {
     loads_[each.worker] = each;
   }
 }
--- a/libraries/routing/source/slow_start_limiter.cc
+++ b/libraries/routing/source/slow_start_limiter.cc
@@ -18,7 +18,7 @@
 }
 
 bool SlowStartLimiter::isWarmingUp(const SlowStartState& state, base::TimePoint now) const {
-  if (state.bearable_per_s > 0) {
+  if (state.rate_limit_per_s > 0) {
     return state.listed_warming_up || now < state.warming_up_until;
   }
   const base::Duration age = now - state.first_seen;
@@ -37,7 +37,7 @@
   if (too_soon) {
     return false;
   }
-  if (state.bearable_per_s > 0) {
+  if (state.rate_limit_per_s > 0) {
     return sharesRateLimit(state);
   }
   return state.in_flight == 0 &&
@@ -46,7 +46,7 @@
 
 bool SlowStartLimiter::sharesRateLimit(const SlowStartState& state) const {
   const double placements_per_s = 1.0 / std::chrono::duration<double>(PlacementInterval).count();
-  const auto admitted = static_cast<std::size_t>(state.bearable_per_s / placements_per_s);
+  const auto admitted = static_cast<std::size_t>(state.rate_limit_per_s / placements_per_s);
   return rankOfSelf(state.instance) < std::max<std::size_t>(1, admitted);
 }
 
--- a/libraries/routing/source/work_lanes.cc
+++ b/libraries/routing/source/work_lanes.cc
@@ -54,7 +54,7 @@
   fleet_reported_at_ = now;
   fleet_kinds_.clear();
   for (const wire::WorkKindCounts& work : counts) {
-    fleet_kinds_[work.kind] = {work.prompts, work.prompt_tokens, work.read_tokens};
+    fleet_kinds_[work.kind] = {work.prompts, work.prompt_tokens, work.prefilled_tokens};
   }
 }
 
--- a/libraries/routing/source/worker_records.cc
+++ b/libraries/routing/source/worker_records.cc
@@ -15,7 +15,7 @@
       initialize(*record, id, worker.entry);
     }
     record->worker = worker;
-    record->slow_start.listed_warming_up = worker.entry.cold;
+    record->slow_start.listed_warming_up = worker.entry.warming_up;
     record->slots = std::max(1U, worker.entry.slots);
   }
   std::erase_if(records_,
@@ -36,7 +36,7 @@
 void WorkerRecords::applyConfiguration(const configuration::View& view) {
   for (const auto& [id, record] : records_) {
     const configuration::ForwardPool* pool = view.forwarding.findPool(record->worker.entry.service);
-    record->slow_start.bearable_per_s = pool == nullptr ? 0 : pool->slow_start_per_s;
+    record->slow_start.rate_limit_per_s = pool == nullptr ? 0 : pool->slow_start_per_s;
     const bool evacuated = !view.allowsWorker(record->worker.entry);
     const bool returns = record->evacuated && !evacuated;
     if (returns && pool != nullptr) {
--- a/libraries/routing/test/fleet_loads_router_test.cc
+++ b/libraries/routing/test/fleet_loads_router_test.cc
@@ -57,7 +57,7 @@
     return *router.choose(promptOf(subject), route_, {});
   }
   void answer(const Placement& placement) {
-    router.noteFirstToken(placement.ticket);
+    router.recordFirstToken(placement.ticket);
     Completion completion;
     completion.ticket = placement.ticket;
     completion.output_tokens = 100;
@@ -142,7 +142,7 @@
   EXPECT_EQ(loads[0].worker, workers::loadKey(placement.prefill.entry));
   EXPECT_EQ(loads[0].requests, 1);
   EXPECT_GT(loads[0].prefill_ms, 0);
-  front.router.noteFirstToken(placement.ticket);
+  front.router.recordFirstToken(placement.ticket);
   EXPECT_EQ(front.router.exportLoads().workers[0].prefill_ms, 0);
   front.answer(placement);
   EXPECT_THAT(front.router.exportLoads().workers, testing::IsEmpty());
--- a/libraries/routing/test/learned_router_test.cc
+++ b/libraries/routing/test/learned_router_test.cc
@@ -23,7 +23,7 @@
 TEST_F(LearnedRouterTest, NeverPlacesOnDrainingRemovedEvacuatedOrForeignWorkers) {
   addWorkers(4);
   workers_["w0"].draining = true;
-  workers_["w1"].gone = true;
+  workers_["w1"].unreachable = true;
   workers_["w2"].entry.zone = "z2";
   workers_["foreign"] = workers::Worker{entry("foreign"), false, false};
   workers_["foreign"].entry.service = "other";
--- a/libraries/routing/test/placement_property_test.cc
+++ b/libraries/routing/test/placement_property_test.cc
@@ -82,7 +82,7 @@
     worker.entry.slots = 4;
     worker.entry.instance = 1 + world_.random().below(2);
     worker.draining = world_.random().chance(0.15);
-    worker.gone = world_.random().chance(0.15);
+    worker.unreachable = world_.random().chance(0.15);
     return worker;
   }
 
@@ -92,7 +92,7 @@
     ASSERT_NE(found, snapshot_->workers.end()) << id << " is not listed";
     const workers::Worker& worker = found->second;
     EXPECT_FALSE(worker.draining) << id;
-    EXPECT_FALSE(worker.gone) << id;
+    EXPECT_FALSE(worker.unreachable) << id;
     EXPECT_NE(worker.entry.zone, evacuated_) << id;
     EXPECT_EQ(worker.entry.service, "llm") << id;
     EXPECT_EQ(worker.entry.models.front(), "m") << id;
--- a/libraries/routing/test/slow_start_limiter_fleet_test.cc
+++ b/libraries/routing/test/slow_start_limiter_fleet_test.cc
@@ -154,7 +154,7 @@
   world_.runFor(seconds(20));
   loadFor(seconds(4));
   const std::string returning = "worker-1";
-  snapshot_.workers[returning].gone = true;
+  snapshot_.workers[returning].unreachable = true;
   publish();
   loadFor(seconds(1));
   addWorker(returning);
--- a/libraries/routing/test/slow_start_rate_limit_test.cc
+++ b/libraries/routing/test/slow_start_rate_limit_test.cc
@@ -24,7 +24,7 @@
     auto snapshot = std::make_shared<workers::WorkerSnapshot>();
     snapshot->revision = 1;
     workers::Worker warming_up{entry("w0"), false, false};
-    warming_up.entry.cold = true;
+    warming_up.entry.warming_up = true;
     snapshot->workers["w0"] = warming_up;
     std::vector<std::unique_ptr<LearnedRouter>> routers;
     for (const base::NodeAddress& address : addresses) {
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_front.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_front.h
@@ -2,7 +2,7 @@
 
 #include <memory>
 
-#include "switchsaddle/front/front_node.h"
+#include "switchsaddle/front/node/front_node.h"
 #include "switchsaddle/scenarios/simulated_workers.h"
 #include "switchsaddle/simulation/network.h"
 
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_workers.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_workers.h
@@ -5,7 +5,7 @@
 #include <set>
 #include <string>
 
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 #include "switchsaddle/simulation/process.h"
 
 namespace switchsaddle::scenarios {
--- a/libraries/scenarios/include/switchsaddle/scenarios/watched_front.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/watched_front.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "switchsaddle/front/front_node.h"
+#include "switchsaddle/front/node/front_node.h"
 #include "switchsaddle/simulation/network.h"
 
 namespace switchsaddle::scenarios {
--- a/libraries/scenarios/source/simulated_callers.cc
+++ b/libraries/scenarios/source/simulated_callers.cc
@@ -45,7 +45,7 @@
   const auto grant = [callback = std::move(callback)] {
     admission::SlotOutcome outcome;
     outcome.code = base::ResultCode::Ok;
-    outcome.hold = std::make_unique<NoHold>();
+    outcome.permit = std::make_unique<NoHold>();
     callback(std::move(outcome));
   };
   if (!random_.chance(SlowSlotShare)) {
--- a/libraries/scenarios/source/simulated_callers.h
+++ b/libraries/scenarios/source/simulated_callers.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "switchsaddle/admission/slot_broker.h"
-#include "switchsaddle/front/worker_port.h"
+#include "switchsaddle/front/worker_calls/worker_port.h"
 #include "switchsaddle/http/server.h"
 #include "switchsaddle/simulation/process.h"
 
--- a/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
+++ b/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
@@ -80,9 +80,9 @@
   SessionState state() const override;
   void setApplied(std::uint64_t version, std::uint64_t digest) override;
   /** Renews by another known core, drawn at random, from the next renewal on. */
-  void turnToAnotherCore();
+  void switchToAnotherCore();
   /** A peer has shown this version; one above the version in force ends serving without a core. */
-  void noteNewerVersionSeen(std::uint64_t version);
+  void observeNewerVersion(std::uint64_t version);
   const std::vector<base::NodeAddress>& coreAddresses() const override;
   const std::vector<base::NodeAddress>& frontAddresses() const override { return fronts_; }
 
--- a/libraries/sessions/source/quorum_session_client.cc
+++ b/libraries/sessions/source/quorum_session_client.cc
@@ -141,7 +141,7 @@
   }
 }
 
-void QuorumSessionClient::turnToAnotherCore() {
+void QuorumSessionClient::switchToAnotherCore() {
   cores_->switchAtRandom(random_);
 }
 
@@ -215,7 +215,7 @@
   }
 }
 
-void QuorumSessionClient::noteNewerVersionSeen(std::uint64_t version) {
+void QuorumSessionClient::observeNewerVersion(std::uint64_t version) {
   newest_version_shown_ = std::max(newest_version_shown_, version);
   if (newerVersionShown() && !sessionValid()) {
     grace_->end();
--- a/libraries/sessions/test/quorum_session_client_test.cc
+++ b/libraries/sessions/test/quorum_session_client_test.cc
@@ -111,9 +111,9 @@
   killCores(5);
   fleet_.run(seconds(2));
   ASSERT_EQ(state(), SessionState::ServingWithoutCore);
-  front_.client->noteNewerVersionSeen(0);
+  front_.client->observeNewerVersion(0);
   EXPECT_EQ(state(), SessionState::ServingWithoutCore);
-  front_.client->noteNewerVersionSeen(1);
+  front_.client->observeNewerVersion(1);
   EXPECT_EQ(state(), SessionState::Lapsed);
   front_.client->setApplied(1, 0);
   fleet_.run(seconds(2));
--- a/libraries/testbed/source/load/call_exchange.cc
+++ b/libraries/testbed/source/load/call_exchange.cc
@@ -110,7 +110,7 @@
     answer(call_end::Error);
   } else if (failure == http::ExchangeFailure::NotConnected) {
     answer(call_end::NotConnected);
-  } else if (failure == http::ExchangeFailure::BodyCut) {
+  } else if (failure == http::ExchangeFailure::BodyTruncated) {
     answer(call_end::Cut);
   } else {
     answer(call_end::Lost);
--- a/libraries/testbed/test/load/load_runner_test.cc
+++ b/libraries/testbed/test/load/load_runner_test.cc
@@ -201,8 +201,8 @@
 
 TEST_F(CallExchangeTest, ACutBodyIsCutAndCountsOnce) {
   head();
-  exchange_->onFailure(http::ExchangeFailure::BodyCut, false);
-  exchange_->onFailure(http::ExchangeFailure::BodyCut, false);
+  exchange_->onFailure(http::ExchangeFailure::BodyTruncated, false);
+  exchange_->onFailure(http::ExchangeFailure::BodyTruncated, false);
   EXPECT_EQ(answer().end, call_end::Cut);
 }
 
--- a/libraries/wire/include/switchsaddle/wire/admission_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/admission_messages.h
@@ -27,15 +27,15 @@
   /** Rises with each request and report of the front for this branch. */
   std::uint64_t sequence = 0;
   /** Slots allocated to the front, in use or idle. */
-  std::uint32_t held = 0;
+  std::uint32_t allocated = 0;
   /** Allocated slots that admitted requests occupy. */
   std::uint32_t in_use = 0;
   /** Additional slots requested; 0 only reports or releases. */
-  std::uint32_t wanted = 0;
+  std::uint32_t requested = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(branch, front_instance, front, sequence, held, in_use, wanted);
+    archive(branch, front_instance, front, sequence, allocated, in_use, requested);
   }
 };
 
@@ -81,13 +81,13 @@
   /** Sequence of this report; see SlotRequest::sequence. */
   std::uint64_t sequence = 0;
   /** Slots allocated to the front, in use or idle. */
-  std::uint32_t held = 0;
+  std::uint32_t allocated = 0;
   /** Allocated slots that admitted requests occupy. */
   std::uint32_t in_use = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(branch, sequence, held, in_use);
+    archive(branch, sequence, allocated, in_use);
   }
 };
 
--- a/libraries/wire/include/switchsaddle/wire/claim_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/claim_messages.h
@@ -57,7 +57,7 @@
   /** False if no quorum answered; the claim or outcome may or may not have been recorded. */
   bool available = false;
   /** The claim or the outcome of the requesting attempt is recorded. */
-  bool won = false;
+  bool recorded = false;
   ClaimState state = ClaimState::Unknown;
   std::uint64_t fingerprint = 0;
   std::string run;
@@ -66,7 +66,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(available, won, state, fingerprint, run, http_status, answer);
+    archive(available, recorded, state, fingerprint, run, http_status, answer);
   }
 };
 
--- a/libraries/wire/include/switchsaddle/wire/dissemination_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/dissemination_messages.h
@@ -82,14 +82,14 @@
   /** Incarnation of the worker, assigned by the platform watcher; rises with each restart. */
   std::uint64_t instance = 0;
   /** The platform reports the worker as warming up: it takes a reduced load (slow start). */
-  bool cold = false;
+  bool warming_up = false;
 
   bool operator==(const WorkerEntry&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(id, address, zone, models, service, stage, state, weights_version, slots, instance,
-            cold);
+            warming_up);
   }
 };
 
@@ -139,11 +139,11 @@
   /** The worker answered that it is draining. */
   bool draining = false;
   /** The worker is unreachable. */
-  bool gone = false;
+  bool unreachable = false;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(worker, instance, draining, gone);
+    archive(worker, instance, draining, unreachable);
   }
 };
 
--- a/libraries/wire/include/switchsaddle/wire/health_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/health_messages.h
@@ -93,11 +93,11 @@
   /** Workers that every front must include in its reports. */
   std::vector<std::uint64_t> watched;
   /** Ejected workers: they receive no request while other workers have capacity. */
-  std::vector<std::uint64_t> avoided;
+  std::vector<std::uint64_t> ejected;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(known, watched, avoided);
+    archive(known, watched, ejected);
   }
 };
 
--- a/libraries/wire/include/switchsaddle/wire/load_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/load_messages.h
@@ -37,11 +37,11 @@
   float prompts = 0;
   float prompt_tokens = 0;
   /** Prompt tokens that missed the worker's prefix cache and were prefilled. */
-  float read_tokens = 0;
+  float prefilled_tokens = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(kind, prompts, prompt_tokens, read_tokens);
+    archive(kind, prompts, prompt_tokens, prefilled_tokens);
   }
 };
 
@@ -61,17 +61,17 @@
   /** The core has received reports from the fronts; if false, the other fields are ignored. */
   bool known = false;
   /** The most loaded workers, a bounded number, without the receiving front's own load. */
-  std::vector<WorkerLoad> others;
+  std::vector<WorkerLoad> peer_loads;
   /** Work of all fronts, including the receiving one. */
   std::vector<WorkKindCounts> kinds;
   /** Mean number of requests of the loaded workers that `others` does not list. */
-  float rest_requests = 0;
+  float unlisted_mean_requests = 0;
   /** Mean predicted prefill time of the loaded workers that `others` does not list. */
-  float rest_prefill_ms = 0;
+  float unlisted_mean_prefill_ms = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(known, others, kinds, rest_requests, rest_prefill_ms);
+    archive(known, peer_loads, kinds, unlisted_mean_requests, unlisted_mean_prefill_ms);
   }
 };
 
--- a/libraries/wire/include/switchsaddle/wire/quota_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/quota_messages.h
@@ -23,7 +23,7 @@
   base::NodeAddress front;
   /** Random instance id of the front process. */
   std::uint64_t instance = 0;
-  /** Rises with each request of the front; see SessionRecord::settled_requests. */
+  /** Rises with each request of the front; see SessionRecord::completed_requests. */
   std::uint64_t number = 0;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/session_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/session_messages.h
@@ -86,12 +86,12 @@
   /**
    * Quota requests up to QuotaRequest::number are complete: `demand` includes the granted ones.
    */
-  std::uint64_t settled_requests = 0;
+  std::uint64_t completed_requests = 0;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(front, instance, sequence, applied_version, applied_digest, zone, closed, demand,
-            health, load, fleet_knowledge, settled_requests);
+            health, load, fleet_knowledge, completed_requests);
   }
 };
 
@@ -121,8 +121,8 @@
   /** Digest of both lists; if the request states the same digest, both are left empty. */
   std::uint64_t members_digest = 0;
   /** The core knows the admissions of all fronts. */
-  bool quotas_known = false;
-  /** Tenants that have used much of their quota; complete if quotas_known is set. */
+  bool quotas_complete = false;
+  /** Tenants that have used much of their quota; complete if quotas_complete is set. */
   std::vector<TenantAllocation> allocations = {};
   HealthAdvice health = {};
   FleetLoad load = {};
@@ -130,7 +130,7 @@
   template <class Archive>
   void serialize(Archive& archive) {
     archive(granted, sequence, committed_version, core_addresses, front_addresses, members_digest,
-            quotas_known, allocations, health, load);
+            quotas_complete, allocations, health, load);
   }
 };
 
--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
@@ -28,7 +28,7 @@
   /** Fronts with recent failures. */
   std::size_t failing_fronts = 0;
   /** Fronts that reported it at all. */
-  std::size_t telling_fronts = 0;
+  std::size_t reporting_fronts = 0;
   std::uint32_t in_flight = 0;
   /** Seconds over which the long counts were taken, decayed as they are. */
   double observed_s = 0;
--- a/libraries/worker_health/include/switchsaddle/worker_health/suspicion.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/outlier_detector.h
@@ -19,10 +19,10 @@
  * sufficient, unless it is the only one; a worker returns after its ejection time and is ejected
  * again, for twice as long, only for new failures. Runs on the control strand.
  */
-class Suspicion {
+class OutlierDetector {
  public:
   /** Both must outlive this object. */
-  Suspicion(base::Dispatcher& dispatcher, EvidenceLedger& ledger)
+  OutlierDetector(base::Dispatcher& dispatcher, EvidenceLedger& ledger)
       : dispatcher_(dispatcher), ledger_(ledger) {}
 
   void setWorkers(workers::WorkerSnapshotPtr snapshot) { snapshot_ = std::move(snapshot); }
--- a/libraries/worker_health/source/evidence_ledger.cc
+++ b/libraries/worker_health/source/evidence_ledger.cc
@@ -97,7 +97,7 @@
   evidence.recent_failed += row.health.recent_failed * recent;
   addCounts(evidence.counts, row.health.counts, decayFactor(age, LongHalfLife));
   evidence.failing_fronts += row.health.recent_failed * recent >= MinimumRecentFailures ? 1 : 0;
-  evidence.telling_fronts += 1;
+  evidence.reporting_fronts += 1;
   evidence.in_flight += age <= InFlightLifetime ? row.health.in_flight : 0;
   evidence.observed_s = std::max(evidence.observed_s, front.observed_s);
 }
@@ -144,7 +144,7 @@
     evidence.recent_dispatched += health.recent_dispatched * recent;
     evidence.recent_failed += health.recent_failed * recent;
     addCounts(evidence.counts, health.counts, decayFactor(age, LongHalfLife));
-    evidence.telling_fronts += 1;
+    evidence.reporting_fronts += 1;
     evidence.observed_s = std::max(evidence.observed_s, front.observed_s);
   }
   return evidence;
--- a/libraries/worker_health/source/health_ranking.cc
+++ b/libraries/worker_health/source/health_ranking.cc
@@ -74,7 +74,7 @@
   const std::map<std::uint64_t, Evidence> evidence = ledger_.ofAllWorkers();
   std::map<std::string, std::vector<WorkerRank>> pools;
   for (const auto& [id, worker] : snapshot_->workers) {
-    if (worker.gone) {
+    if (worker.unreachable) {
       continue;
     }
     WorkerRank rank;
--- a/libraries/worker_health/source/suspicion.cc
+++ b/libraries/worker_health/source/outlier_detector.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/worker_health/suspicion.h"
+#include "switchsaddle/worker_health/outlier_detector.h"
 
 #include <algorithm>
 
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-wire::HealthAdvice Suspicion::advice(const std::string& zone) {
+wire::HealthAdvice OutlierDetector::advice(const std::string& zone) {
   refresh(zone);
   wire::HealthAdvice advice;
   advice.known = true;
@@ -42,13 +42,13 @@
   }
   for (const auto& [key, state] : states_) {
     if (state.ejected && key.zone == zone) {
-      advice.avoided.push_back(key.worker);
+      advice.ejected.push_back(key.worker);
     }
   }
   return advice;
 }
 
-void Suspicion::refresh(const std::string& zone) {
+void OutlierDetector::refresh(const std::string& zone) {
   const base::TimePoint now = dispatcher_.now();
   const auto refreshed = refreshed_at_.find(zone);
   if (refreshed != refreshed_at_.end() && now - refreshed->second < RefreshInterval) {
@@ -65,7 +65,7 @@
   }
 }
 
-std::map<std::string, std::vector<Suspicion::Candidate>> Suspicion::candidates(
+std::map<std::string, std::vector<OutlierDetector::Candidate>> OutlierDetector::candidates(
     const std::string& zone) const {
   std::map<std::string, std::vector<Candidate>> pools;
   for (const auto& [id, worker] : snapshot_->workers) {
@@ -87,7 +87,7 @@
   return pools;
 }
 
-bool Suspicion::isSufficient(std::uint64_t worker, const Evidence& evidence) const {
+bool OutlierDetector::isSufficient(std::uint64_t worker, const Evidence& evidence) const {
   const base::TimePoint failing_since = ledger_.failingSince().at(worker);
   const bool all_reported = dispatcher_.now() - failing_since >= ReportingTime;
   const bool several_fronts = evidence.failing_fronts >= std::min<std::size_t>(2, ledger_.fronts());
@@ -95,8 +95,8 @@
   return several_fronts && evidence.recent_failed >= needed;
 }
 
-void Suspicion::ejectWorst(const std::string& pool, const std::string& zone,
-                           const std::vector<Candidate>& worst_first) {
+void OutlierDetector::ejectWorst(const std::string& pool, const std::string& zone,
+                                 const std::vector<Candidate>& worst_first) {
   // The baseline is the rest of the pool, without the worst, which may be ejected.
   std::vector<std::uint64_t> left_out = ejectedIn(pool, zone);
   const std::size_t maximum = maximumEjected(pool);
@@ -115,8 +115,8 @@
   }
 }
 
-double Suspicion::failureShareWithout(const std::string& pool,
-                                      const std::vector<std::uint64_t>& workers) const {
+double OutlierDetector::failureShareWithout(const std::string& pool,
+                                            const std::vector<std::uint64_t>& workers) const {
   const Evidence all = ledger_.ofPool(poolKey(pool));
   double dispatched = all.recent_dispatched;
   double failed = all.recent_failed;
@@ -128,7 +128,7 @@
   return dispatched > 0 ? std::max(0.0, failed) / dispatched : 0;
 }
 
-void Suspicion::endEjections(const std::string& zone) {
+void OutlierDetector::endEjections(const std::string& zone) {
   const base::TimePoint now = dispatcher_.now();
   for (auto& [key, state] : states_) {
     if (key.zone == zone && state.ejected && now - state.since >= state.ejection_time) {
@@ -144,7 +144,7 @@
   });
 }
 
-Evidence Suspicion::newEvidence(const ZonedWorker& key) const {
+Evidence OutlierDetector::newEvidence(const ZonedWorker& key) const {
   Evidence evidence = ledger_.ofWorker(key.worker, key.zone);
   if (evidence.recent_dispatched < MinimumZoneDispatches) {
     evidence = ledger_.ofWorker(key.worker);
@@ -158,7 +158,7 @@
   return evidence;
 }
 
-void Suspicion::eject(const ZonedWorker& key, const std::string& pool) {
+void OutlierDetector::eject(const ZonedWorker& key, const std::string& pool) {
   const auto [found, is_new] = states_.try_emplace(key);
   State& state = found->second;
   state.ejection_time =
@@ -169,8 +169,8 @@
   state.since = dispatcher_.now();
 }
 
-std::vector<std::uint64_t> Suspicion::ejectedIn(const std::string& pool,
-                                                const std::string& zone) const {
+std::vector<std::uint64_t> OutlierDetector::ejectedIn(const std::string& pool,
+                                                      const std::string& zone) const {
   std::vector<std::uint64_t> ejected;
   for (const auto& [key, state] : states_) {
     if (state.ejected && state.pool == pool && key.zone == zone) {
@@ -180,7 +180,7 @@
   return ejected;
 }
 
-std::size_t Suspicion::maximumEjected(const std::string& pool) const {
+std::size_t OutlierDetector::maximumEjected(const std::string& pool) const {
   const auto usable = std::ranges::count_if(snapshot_->workers, [&pool](const auto& item) {
     return item.second.entry.service == pool && item.second.usable();
   });
--- a/libraries/worker_health/test/suspicion_test.cc
+++ b/libraries/worker_health/test/outlier_detector_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/worker_health/suspicion.h"
+#include "switchsaddle/worker_health/outlier_detector.h"
 
 #include <gtest/gtest.h>
 
@@ -16,9 +16,9 @@
 constexpr std::size_t Fronts = 5;
 
 /** A core that receives the reports of five fronts in two zones. */
-class SuspicionTest : public testing::Test {
+class OutlierDetectorTest : public testing::Test {
  protected:
-  SuspicionTest() {
+  OutlierDetectorTest() {
     auto snapshot = std::make_shared<workers::WorkerSnapshot>();
     for (std::size_t index = 0; index < Workers; ++index) {
       workers::Worker worker;
@@ -59,7 +59,7 @@
     }
   }
   std::vector<std::uint64_t> ejected(const std::string& zone = "north") {
-    return suspicion.advice(zone).avoided;
+    return suspicion.advice(zone).ejected;
   }
   /** All fronts send the same report repeatedly. */
   void runReporting(milliseconds time, const std::map<std::size_t, float>& failed) {
@@ -74,22 +74,22 @@
   simulation::World world{1};
   simulation::Process process{world};
   EvidenceLedger ledger{process};
-  Suspicion suspicion{process, ledger};
+  OutlierDetector suspicion{process, ledger};
   std::vector<std::uint64_t> keys;
 };
 
-TEST_F(SuspicionTest, EjectsAWorkerThatFailsHalfOfItsRequestsWithinASecond) {
+TEST_F(OutlierDetectorTest, EjectsAWorkerThatFailsHalfOfItsRequestsWithinASecond) {
   runReporting(milliseconds(1'000), {{3, 2}});
   EXPECT_EQ(ejected("north"), std::vector{keys[3]});
   EXPECT_EQ(ejected("south"), std::vector{keys[3]});
 }
 
-TEST_F(SuspicionTest, ToleratesAFewFailures) {
+TEST_F(OutlierDetectorTest, ToleratesAFewFailures) {
   runReporting(milliseconds(5'000), {{3, 0.3F}, {5, 0.2F}});
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, TheReportsOfOneFrontAreNotSufficient) {
+TEST_F(OutlierDetectorTest, TheReportsOfOneFrontAreNotSufficient) {
   report(0, {{3, 4}});
   for (std::size_t index = 1; index < Fronts; ++index) {
     report(index, {{3, 0}});
@@ -98,13 +98,13 @@
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, TheReportsOfTheOnlyFrontAreSufficient) {
+TEST_F(OutlierDetectorTest, TheReportsOfTheOnlyFrontAreSufficient) {
   report(0, {{3, 4}}, 6);
   world.runFor(milliseconds(700));
   EXPECT_EQ(ejected(), std::vector{keys[3]});
 }
 
-TEST_F(SuspicionTest, IgnoresFrontsAtWhichEveryWorkerFails) {
+TEST_F(OutlierDetectorTest, IgnoresFrontsAtWhichEveryWorkerFails) {
   std::map<std::size_t, float> everything;
   for (std::size_t worker = 0; worker < Workers; ++worker) {
     everything[worker] = 3;
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_F(SuspicionTest, EjectsAWorkerThatFailsTheCallersOfOneZoneInThatZoneOnly) {
+TEST_F(OutlierDetectorTest, EjectsAWorkerThatFailsTheCallersOfOneZoneInThatZoneOnly) {
   for (int step = 0; step < 4; ++step) {
     for (std::size_t index = 0; index < Fronts; ++index) {
       report(index, {{3, zoneOf(index) == "north" ? 2.0F : 0.0F}});
@@ -134,7 +134,7 @@
   EXPECT_TRUE(ejected("south").empty());
 }
 
-TEST_F(SuspicionTest, EjectsAtMostAThirdOfAPool) {
+TEST_F(OutlierDetectorTest, EjectsAtMostAThirdOfAPool) {
   std::map<std::size_t, float> failed;
   for (std::size_t worker = 0; worker < Workers / 2; ++worker) {
     failed[worker] = 4;
@@ -148,7 +148,7 @@
   EXPECT_EQ(maximum, Workers * 34 / 100);
 }
 
-TEST_F(SuspicionTest, EjectsNothingIfAllWorkersFailAlike) {
+TEST_F(OutlierDetectorTest, EjectsNothingIfAllWorkersFailAlike) {
   std::map<std::size_t, float> failed;
   for (std::size_t worker = 0; worker < Workers; ++worker) {
     failed[worker] = 2;
@@ -157,7 +157,7 @@
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, AnEjectionEndsAndNeedsNewFailures) {
+TEST_F(OutlierDetectorTest, AnEjectionEndsAndNeedsNewFailures) {
   runReporting(milliseconds(1'000), {{3, 2}});
   ASSERT_FALSE(ejected().empty());
   // No requests are sent to it, and the evidence decays.
@@ -167,7 +167,7 @@
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, EachEjectionLastsLonger) {
+TEST_F(OutlierDetectorTest, EachEjectionLastsLonger) {
   runReporting(milliseconds(1'000), {{3, 2}});
   ASSERT_FALSE(ejected().empty());
   world.runFor(milliseconds(3'500));
@@ -180,7 +180,7 @@
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(SuspicionTest, WatchesAWorkerThatFailsAtOneFront) {
+TEST_F(OutlierDetectorTest, WatchesAWorkerThatFailsAtOneFront) {
   report(2, {{7, 1}});
   EXPECT_EQ(suspicion.advice("south").watched, std::vector{keys[7]});
 }
--- a/libraries/workers/include/switchsaddle/workers/worker_directory.h
+++ b/libraries/workers/include/switchsaddle/workers/worker_directory.h
@@ -17,10 +17,10 @@
   /** Listed as draining or observed to be. Not reset within one instance. */
   bool draining = false;
   /** Removed from the list or observed to be unreachable. Not reset within one instance. */
-  bool gone = false;
+  bool unreachable = false;
 
   /** @return whether the worker accepts new requests. */
-  bool usable() const { return !draining && !gone; }
+  bool usable() const { return !draining && !unreachable; }
 };
 
 /** Immutable snapshot of all workers, shared with readers on the data plane. */
--- a/libraries/workers/source/instance_tracker.cc
+++ b/libraries/workers/source/instance_tracker.cc
@@ -155,7 +155,7 @@
 bool InstanceTracker::isObservedUnreachable(const Track& track) const {
   const WorkerSnapshotPtr snapshot = directory_.snapshot();
   const auto found = snapshot->workers.find(track.published.id);
-  return found != snapshot->workers.end() && found->second.gone && !found->second.draining &&
+  return found != snapshot->workers.end() && found->second.unreachable && !found->second.draining &&
          found->second.entry.instance == track.published.instance;
 }
 
--- a/libraries/workers/source/worker_directory.cc
+++ b/libraries/workers/source/worker_directory.cc
@@ -26,15 +26,16 @@
     stored = observation;
     return true;
   }
-  const bool changed =
-      (observation.draining && !stored.draining) || (observation.gone && !stored.gone);
+  const bool changed = (observation.draining && !stored.draining) ||
+                       (observation.unreachable && !stored.unreachable);
   stored.draining = stored.draining || observation.draining;
-  stored.gone = stored.gone || observation.gone;
+  stored.unreachable = stored.unreachable || observation.unreachable;
   return changed;
 }
 
 std::uint64_t hashObservation(const wire::WorkerObservation& observation) {
-  const std::uint64_t flags = (observation.draining ? 1U : 0U) | (observation.gone ? 2U : 0U);
+  const std::uint64_t flags =
+      (observation.draining ? 1U : 0U) | (observation.unreachable ? 2U : 0U);
   const std::uint64_t instance = base::combineHashes(observation.instance, flags);
   return base::combineHashes(base::hashBytes(observation.worker), instance);
 }
@@ -67,13 +68,13 @@
   const auto listed = listedInstances();
   for (const wire::WorkerEntry& entry : before.workers) {
     if (!listed.contains(entry.id)) {
-      mergeObservation({.worker = entry.id, .instance = entry.instance, .gone = true});
+      mergeObservation({.worker = entry.id, .instance = entry.instance, .unreachable = true});
     }
   }
 }
 
 bool WorkerDirectory::applyObservation(const wire::WorkerObservation& observation) {
-  if (!observation.draining && !observation.gone) {
+  if (!observation.draining && !observation.unreachable) {
     return false;
   }
   const auto listed = snapshot_->workers.find(observation.worker);
@@ -149,7 +150,7 @@
   const auto observed = observations_.find(entry.id);
   if (observed != observations_.end() && observed->second.instance == entry.instance) {
     worker.draining = worker.draining || observed->second.draining;
-    worker.gone = observed->second.gone;
+    worker.unreachable = observed->second.unreachable;
   }
   return worker;
 }
@@ -176,7 +177,7 @@
     const bool left_list = !next.workers.contains(id) && observations_.contains(id);
     if (left_list) {
       Worker unlisted = worker;
-      unlisted.gone = true;
+      unlisted.unreachable = true;
       next.workers.emplace(id, std::move(unlisted));
     }
   }
--- a/libraries/workers/source/worker_journal.cc
+++ b/libraries/workers/source/worker_journal.cc
@@ -9,7 +9,7 @@
 using journal::Subject;
 
 std::string stateOf(const Worker& worker) {
-  if (worker.gone) {
+  if (worker.unreachable) {
     return "gone";
   }
   return worker.draining ? "draining" : "ready";
--- a/libraries/workers/test/platform_watcher_test.cc
+++ b/libraries/workers/test/platform_watcher_test.cc
@@ -262,13 +262,13 @@
 
 TEST_F(PlatformWatcherTest, PublishesThatAWorkerHasWarmedUp) {
   wire::WorkerEntry warming_up = entry("a");
-  warming_up.cold = true;
+  warming_up.warming_up = true;
   list({warming_up});
   watcher_.start(1);
-  EXPECT_TRUE(directory_.snapshot()->workers.at("a").entry.cold);
+  EXPECT_TRUE(directory_.snapshot()->workers.at("a").entry.warming_up);
   list({entry("a")});
   poll();
-  EXPECT_FALSE(directory_.snapshot()->workers.at("a").entry.cold);
+  EXPECT_FALSE(directory_.snapshot()->workers.at("a").entry.warming_up);
 }
 
 }  // namespace
--- a/libraries/workers/test/worker_directory_test.cc
+++ b/libraries/workers/test/worker_directory_test.cc
@@ -43,7 +43,7 @@
   WorkerDirectory directory;
   directory.applyView(view(1, 1, {entry("a", 1), entry("b", 1)}));
   directory.applyView(view(1, 2, {entry("b", 1)}));
-  EXPECT_TRUE(directory.snapshot()->workers.at("a").gone);
+  EXPECT_TRUE(directory.snapshot()->workers.at("a").unreachable);
   directory.applyView(view(2, 1, {entry("a", 1), entry("b", 1)}));
   EXPECT_FALSE(directory.snapshot()->workers.at("a").usable());
   directory.applyView(view(2, 2, {entry("a", 9), entry("b", 1)}));
@@ -58,7 +58,7 @@
   EXPECT_FALSE(directory.applyObservation({"a", 4, true, false}));
   EXPECT_TRUE(directory.applyObservation({"a", 4, false, true}));
   EXPECT_TRUE(directory.snapshot()->workers.at("a").draining);
-  EXPECT_TRUE(directory.snapshot()->workers.at("a").gone);
+  EXPECT_TRUE(directory.snapshot()->workers.at("a").unreachable);
   directory.applyView(view(1, 2, {entry("a", 6)}));
   EXPECT_TRUE(directory.snapshot()->workers.at("a").usable());
   EXPECT_TRUE(directory.observations().empty());
@@ -68,7 +68,7 @@
   WorkerDirectory directory;
   EXPECT_TRUE(directory.applyObservation({"a", 4, false, true}));
   directory.applyView(view(1, 1, {entry("a", 4)}));
-  EXPECT_TRUE(directory.snapshot()->workers.at("a").gone);
+  EXPECT_TRUE(directory.snapshot()->workers.at("a").unreachable);
 }
 
 TEST(WorkerDirectoryTest, EqualObservationsHaveEqualDigestsInAnyOrder) {
--- a/programs/switchsaddle/front_command.cc
+++ b/programs/switchsaddle/front_command.cc
@@ -6,9 +6,9 @@
 #include "settings_options.h"
 #include "switchsaddle/base/log.h"
 #include "switchsaddle/command_line/command_line.h"
-#include "switchsaddle/front/front_node.h"
-#include "switchsaddle/front/http_forward_port.h"
-#include "switchsaddle/front/http_worker_port.h"
+#include "switchsaddle/front/node/front_node.h"
+#include "switchsaddle/front/worker_calls/http_forward_port.h"
+#include "switchsaddle/front/worker_calls/http_worker_port.h"
 #include "switchsaddle/http/server.h"
 
 namespace switchsaddle {
@@ -46,7 +46,7 @@
       });
     });
     return process_.run([this](std::function<void()> stopped) {
-      server_->closeAfterAnswers();
+      server_->closeAfterResponses();
       node_.stop(std::move(stopped));
     });
   }
--- a/programs/testbed/claims_command.cc
+++ b/programs/testbed/claims_command.cc
@@ -75,7 +75,7 @@
     const base::TimePoint requested_at = dispatcher_.now();
     client.begin(request, [this, request, requested_at, &client](const wire::ClaimReply& reply) {
       note(begin_ms_, requested_at, reply);
-      if (reply.won) {
+      if (reply.recorded) {
         finish(request, client);
       }
     });
@@ -97,7 +97,7 @@
 
   void note(std::vector<double>& times, base::TimePoint requested_at,
             const wire::ClaimReply& reply) {
-    if (reply.won) {
+    if (reply.recorded) {
       times.push_back(
           std::chrono::duration<double, std::milli>(dispatcher_.now() - requested_at).count());
     } else {
--- a/programs/testbed/lightweight_front_shard.cc
+++ b/programs/testbed/lightweight_front_shard.cc
@@ -75,8 +75,8 @@
     sample.bytes_received += counters.bytes_received;
     sample.frames_sent += counters.frames_sent;
     sample.frames_received += counters.frames_received;
-    sample.slots_got += member.front->slotsGot();
-    sample.slots_refused += member.front->slotsRefused();
+    sample.slots_got += member.front->slotsGranted();
+    sample.slots_refused += member.front->slotsRejected();
   }
   const std::lock_guard lock(mutex_);
   sample_ = sample;
--- a/programs/testbed/slopes_command.cc
+++ b/programs/testbed/slopes_command.cc
@@ -55,7 +55,7 @@
   for (std::size_t index = 0; index < recorded; ++index) {
     value.recorded.push_back({"deploy-2026-" + std::to_string(index), index, {}, index});
   }
-  for (std::size_t index = 0; index < configuration::MaximumHistoryLines; ++index) {
+  for (std::size_t index = 0; index < configuration::MaximumHistoryEntries; ++index) {
     value.history.push_back({index, "deploy-2026-" + std::to_string(index), {"keys/tenant-1"}, {}});
   }
   return value;
