--- a/libraries/sessions/test/session_fleet.cc
+++ b/libraries/sessions/test/session_fleet.cc
@@ -189,21 +189,10 @@
   switch (random.below(10)) {
     case 0:
     case 1:
-      if (node.process.running()) {
-        kill(node);
-      } else {
-        start(node);
-      }
+      killOrStart(node);
       break;
     case 2:
-      if (node.process.frozen()) {
-        node.process.wake();
-      } else if (node.process.running()) {
-        const base::Duration length =
-            random.chance(0.2) ? milliseconds(20'000) : milliseconds(50 + random.below(2'500));
-        node.process.freeze();
-        world.schedule(length, [&node] { node.process.wake(); });
-      }
+      freezeOrWake(node);
       break;
     case 3:
       network.cut(node.address, other.address);
@@ -215,28 +204,11 @@
       network.healAll();
       break;
     case 6:
-    case 7: {
-      // A short freeze, after which the front is partitioned from the cores.
-      SessionNode& frozen = front(random.below(FrontCount));
-      if (frozen.process.running() && !frozen.process.frozen()) {
-        frozen.process.freeze();
-        const base::Duration length = milliseconds(300 + random.below(700));
-        world.schedule(length, [this, &frozen] {
-          isolate(frozen);
-          frozen.process.wake();
-        });
-      }
+    case 7:
+      freezeAndIsolate(front(random.below(FrontCount)));
       break;
-    }
     case 8:
-      for (std::size_t index = 0; index < CoreCount; ++index) {
-        if (random.chance(0.7)) {
-          kill(core(index));
-          if (random.chance(0.5)) {
-            start(core(index));
-          }
-        }
-      }
+      killAndRestartCores();
       break;
     default:
       repair();
@@ -244,6 +216,48 @@
   }
 }
 
+void SessionFleet::killOrStart(SessionNode& node) {
+  if (node.process.running()) {
+    kill(node);
+  } else {
+    start(node);
+  }
+}
+
+void SessionFleet::freezeOrWake(SessionNode& node) {
+  if (node.process.frozen()) {
+    node.process.wake();
+  } else if (node.process.running()) {
+    const base::Duration length =
+        random.chance(0.2) ? milliseconds(20'000) : milliseconds(50 + random.below(2'500));
+    node.process.freeze();
+    world.schedule(length, [&node] { node.process.wake(); });
+  }
+}
+
+void SessionFleet::freezeAndIsolate(SessionNode& node) {
+  if (!node.process.running() || node.process.frozen()) {
+    return;
+  }
+  node.process.freeze();
+  const base::Duration length = milliseconds(300 + random.below(700));
+  world.schedule(length, [this, &node] {
+    isolate(node);
+    node.process.wake();
+  });
+}
+
+void SessionFleet::killAndRestartCores() {
+  for (std::size_t index = 0; index < CoreCount; ++index) {
+    if (random.chance(0.7)) {
+      kill(core(index));
+      if (random.chance(0.5)) {
+        start(core(index));
+      }
+    }
+  }
+}
+
 void SessionFleet::repair() {
   network.healAll();
   for (const auto& node : nodes) {
--- a/libraries/sessions/test/session_fleet.h
+++ b/libraries/sessions/test/session_fleet.h
@@ -84,6 +84,12 @@
 
  private:
   void check();
+  void killOrStart(SessionNode& node);
+  /** Freezes the node for a random time, or wakes it. */
+  void freezeOrWake(SessionNode& node);
+  /** Freezes the node briefly and partitions it from the cores before it resumes. */
+  void freezeAndIsolate(SessionNode& node);
+  void killAndRestartCores();
   void startCore(SessionNode& node);
   void startFront(SessionNode& node);
   void onRead(std::uint64_t committed, const std::vector<wire::SessionTableEntry>& live);
