--- a/libraries/registers/source/acceptor.cc
+++ b/libraries/registers/source/acceptor.cc
@@ -140,7 +140,7 @@
     reply(answer);
     return;
   }
-  const RegisterState& state = registers_->promise(request.key, request.ballot);
+  const RegisterState& state = registers_->prepare(request.key, request.ballot);
   wire::RegisterReply answer = emptyReply(wire::RegisterVerdict::Granted);
   answer.promised = state.promised;
   answer.accepted = state.accepted;
--- a/libraries/registers/source/register_table.cc
+++ b/libraries/registers/source/register_table.cc
@@ -71,7 +71,7 @@
   return found->second;
 }
 
-const RegisterState& RegisterTable::promise(const std::string& key, const wire::Ballot& ballot) {
+const RegisterState& RegisterTable::prepare(const std::string& key, const wire::Ballot& ballot) {
   RegisterState& state = findOrInsert(key);
   state.promised = ballot;
   return state;
--- a/libraries/registers/source/register_table.h
+++ b/libraries/registers/source/register_table.h
@@ -51,7 +51,7 @@
   wire::Ballot removedFloor() const;
 
   /** Promises the ballot. @return the register, with what was accepted before. */
-  const RegisterState& promise(const std::string& key, const wire::Ballot& ballot);
+  const RegisterState& prepare(const std::string& key, const wire::Ballot& ballot);
   void accept(const std::string& key, const wire::Ballot& ballot, const std::string& value,
               const std::vector<wire::Ballot>& lineage);
 
--- a/libraries/storage/source/commit_queue.cc
+++ b/libraries/storage/source/commit_queue.cc
@@ -9,7 +9,7 @@
 namespace {
 
 template <class Commits>
-CommitQueue::Callbacks takeCallbacks(Commits& commits) {
+CommitQueue::Callbacks extractCallbacks(Commits& commits) {
   CommitQueue::Callbacks callbacks;
   for (PendingCommit& commit : commits) {
     callbacks.push_back(std::move(commit.callback));
@@ -39,18 +39,18 @@
   return records;
 }
 
-std::vector<Record> CommitQueue::takeRewrite() {
+std::vector<Record> CommitQueue::extractRewrite() {
   std::vector<Record> state = std::move(queue_.front().records);
   queue_.pop_front();
   return state;
 }
 
-CommitQueue::Callbacks CommitQueue::takeInFlight() {
-  return takeCallbacks(in_flight_);
+CommitQueue::Callbacks CommitQueue::extractInFlight() {
+  return extractCallbacks(in_flight_);
 }
 
-CommitQueue::Callbacks CommitQueue::takeQueued() {
-  return takeCallbacks(queue_);
+CommitQueue::Callbacks CommitQueue::extractQueued() {
+  return extractCallbacks(queue_);
 }
 
 }  // namespace switchsaddle::storage
--- a/libraries/storage/source/commit_queue.h
+++ b/libraries/storage/source/commit_queue.h
@@ -37,11 +37,11 @@
   /** Moves the commits up to the next rewrite into flight. @return their records in order. */
   std::vector<Record> startCommits();
   /** Removes the rewrite at the head of the queue. @return its records. */
-  std::vector<Record> takeRewrite();
+  std::vector<Record> extractRewrite();
   /** Removes the commits in flight. */
-  Callbacks takeInFlight();
+  Callbacks extractInFlight();
   /** Removes the queued commits. */
-  Callbacks takeQueued();
+  Callbacks extractQueued();
 
  private:
   std::vector<PendingCommit> in_flight_;
--- a/libraries/storage/source/file_record_store.cc
+++ b/libraries/storage/source/file_record_store.cc
@@ -45,7 +45,7 @@
 void FileRecordStore::open(OpenCallback callback) {
   open_ = false;
   opens_.push_back(std::move(callback));
-  for (CommitCallback& rejected : commits_->takeQueued()) {
+  for (CommitCallback& rejected : commits_->extractQueued()) {
     answerLater(std::move(rejected), base::ResultCode::StorageFailed);
   }
   startNext();
@@ -144,7 +144,7 @@
 
 void FileRecordStore::finishCommits(base::ResultCode code) {
   compaction_due_ = true;
-  const CommitQueue::Callbacks callbacks = commits_->takeInFlight();
+  const CommitQueue::Callbacks callbacks = commits_->extractInFlight();
   armCommitTimer();
   for (const CommitCallback& callback : callbacks) {
     callback(code);
@@ -152,7 +152,7 @@
 }
 
 void FileRecordStore::startRewrite() {
-  auto state = std::make_shared<std::vector<Record>>(commits_->takeRewrite());
+  auto state = std::make_shared<std::vector<Record>>(commits_->extractRewrite());
   armCommitTimer();
   run([directory = directory_, state] { directory->beginRewrite(std::move(*state)); },
       [this] {
@@ -197,8 +197,8 @@
 
 void FileRecordStore::onCommitTimeout() {
   slow_ = true;
-  CommitQueue::Callbacks callbacks = commits_->takeInFlight();
-  CommitQueue::Callbacks queued = commits_->takeQueued();
+  CommitQueue::Callbacks callbacks = commits_->extractInFlight();
+  CommitQueue::Callbacks queued = commits_->extractQueued();
   std::move(queued.begin(), queued.end(), std::back_inserter(callbacks));
   for (const CommitCallback& callback : callbacks) {
     callback(base::ResultCode::StorageSlow);
--- a/libraries/storage/source/newest_records.cc
+++ b/libraries/storage/source/newest_records.cc
@@ -11,7 +11,7 @@
   }
 }
 
-std::vector<Record> NewestRecords::take() {
+std::vector<Record> NewestRecords::extract() {
   std::vector<Record> records;
   records.reserve(records_.size());
   for (auto& [key, record] : records_) {
@@ -21,9 +21,9 @@
   return records;
 }
 
-std::vector<Record> NewestRecords::takePresent() {
+std::vector<Record> NewestRecords::extractPresent() {
   std::erase_if(records_, [](const auto& item) { return item.second.removed; });
-  return take();
+  return extract();
 }
 
 }  // namespace switchsaddle::storage
--- a/libraries/storage/source/newest_records.h
+++ b/libraries/storage/source/newest_records.h
@@ -13,9 +13,9 @@
  public:
   void add(std::vector<Record> records);
   /** @return the records in the order of their keys, and leaves none. */
-  std::vector<Record> take();
+  std::vector<Record> extract();
   /** The same without the removed ones, for a file that replaces all earlier ones of its keys. */
-  std::vector<Record> takePresent();
+  std::vector<Record> extractPresent();
 
  private:
   std::map<std::string, Record> records_;
--- a/libraries/storage/source/record_directory.cc
+++ b/libraries/storage/source/record_directory.cc
@@ -123,7 +123,7 @@
   NewestRecords newest;
   newest.add(std::move(records));
   const std::uint64_t commit = next_commit_;
-  const std::string bytes = encodeRecordFile(RecordFile{commit, commit, newest.take()});
+  const std::string bytes = encodeRecordFile(RecordFile{commit, commit, newest.extract()});
   const Segment segment{commit, commit, bytes.size(), false};
   publish(RecordsFolder, segmentName(segment), bytes);
   segments_.push_back(segment);
--- a/libraries/storage/source/record_directory_compaction.cc
+++ b/libraries/storage/source/record_directory_compaction.cc
@@ -49,7 +49,7 @@
   }
   Segment run{segments_[begin].first_commit, segments_[end - 1].last_commit, 0, true};
   const std::string content =
-      encodeRecordFile(RecordFile{run.first_commit, run.last_commit, newest.take()});
+      encodeRecordFile(RecordFile{run.first_commit, run.last_commit, newest.extract()});
   run.bytes = content.size();
   publish(RecordsFolder, segmentName(run), content);
   const auto from = segments_.begin() + static_cast<std::ptrdiff_t>(begin);
@@ -112,7 +112,7 @@
     newest.add(readIntact(bucketName(bucket, previous)).records);
   }
   newest.add(merge_->bucket_records[bucket]);
-  const RecordFile file{FirstCommit, last, newest.takePresent()};
+  const RecordFile file{FirstCommit, last, newest.extractPresent()};
   publish(RecordsFolder, bucketName(bucket, last), encodeRecordFile(file));
   bucket_commits_[bucket] = last;
   if (previous != 0 && previous != last) {
