--- a/libraries/configuration/source/change.cc
+++ b/libraries/configuration/source/change.cc
@@ -126,7 +126,7 @@
     remove_sum += base::hashBytes(path);
   }
   const std::uint64_t entries = base::combineHashes(set_sum, remove_sum);
-  return base::combineHashes(base::combineHashes(base_version, whole ? 1 : 0), entries);
+  return base::combineHashes(base::combineHashes(base_version, replace_all ? 1 : 0), entries);
 }
 
 Change parseChange(const std::string& body, std::vector<Fault>& faults) {
--- a/libraries/configuration/test/maintenance_test.cc
+++ b/libraries/configuration/test/maintenance_test.cc
@@ -61,7 +61,7 @@
   Change replacement;
   replacement.change_id = "whole";
   replacement.base_version = value.document.version;
-  replacement.whole = true;
+  replacement.replace_all = true;
   replacement.set.push_back({"tuning/route-candidates", "4"});
   EXPECT_EQ(apply(decideChange(value, replacement)).code, ResultCode::Ok);
   EXPECT_EQ(inMaintenance(), std::set<std::string>{"w3"});
--- a/libraries/core/test/load_ledger_test.cc
+++ b/libraries/core/test/load_ledger_test.cc
@@ -26,7 +26,7 @@
   /** The load reported to a front, as "worker:requests/prefill_ms". */
   std::vector<std::string> reportedTo(const wire::SessionRecord& record) {
     std::vector<std::string> texts;
-    for (const wire::WorkerLoad& load : ledger.loadFor(record).others) {
+    for (const wire::WorkerLoad& load : ledger.loadFor(record).peer_loads) {
       texts.push_back(std::to_string(load.worker) + ":" + std::to_string(load.requests) + "/" +
                       std::to_string(load.prefill_ms));
     }
--- a/libraries/experiments/source/learned_placer.cc
+++ b/libraries/experiments/source/learned_placer.cc
@@ -61,7 +61,7 @@
       worker.entry.service = PoolName;
       worker.entry.slots = listed.slots;
       worker.entry.instance = listed.instance;
-      worker.unreachable = listed.gone;
+      worker.unreachable = listed.unreachable;
       snapshot->workers.emplace(listed.id, worker);
       index_of_[listed.id] = listed.index;
     }
