--- a/libraries/admission/test/ledger_protocol_test.cc
+++ b/libraries/admission/test/ledger_protocol_test.cc
@@ -230,13 +230,13 @@
   }
   FrontNode first(world, network, {"127.0.0.2", 200}, addresses);
   FrontNode second(world, network, {"127.0.0.2", 201}, addresses);
-  const auto takeOver = [&](std::size_t index) {
+  const auto take_over = [&](std::size_t index) {
     cores[index]->has_lease = true;
     cores[index]->lease_term = index + 1;
     cores[index]->ledger->onLeaseGained();
     world.runFor(milliseconds(50));
   };
-  takeOver(0);
+  take_over(0);
   // The first ledger's write is delayed until its successor has granted all slots.
   shared.extra_delay = seconds(2);
   wire::SlotRequest request;
@@ -247,7 +247,7 @@
   cores[0]->ledger->onRequest(request, [](const wire::Message&) {});
   shared.extra_delay = {};
   cores[0]->has_lease = false;
-  takeOver(1);
+  take_over(1);
   for (std::uint32_t index = 0; index < Limit; ++index) {
     first.request(branch, seconds(60));
   }
@@ -256,7 +256,7 @@
   first.process.freeze();
   cores[1]->has_lease = false;
   cores[1]->ledger->onLeaseLost();
-  takeOver(2);
+  take_over(2);
   for (std::uint32_t index = 0; index < Limit; ++index) {
     second.request(branch, seconds(60));
   }
--- a/libraries/configuration/test/checks_test.cc
+++ b/libraries/configuration/test/checks_test.cc
@@ -32,6 +32,7 @@
   return sampleHash('c');
 }
 
+// NOLINTNEXTLINE(readability-function-size): a table, one row a case.
 std::vector<FaultCase> faultCases() {
   const std::string shape = R"({"services": ["completions"], )";
   const std::string tenant = R"({"shape": "chat", "stream_branch": "root/jobs", )";
--- a/libraries/configuration/test/register_value_test.cc
+++ b/libraries/configuration/test/register_value_test.cc
@@ -149,7 +149,8 @@
     if (random.chance(0.3)) {
       corrupted.resize(1 + random.below(bytes.size() - 1));
     } else {
-      corrupted[random.below(bytes.size())] ^= static_cast<char>(1U << random.below(8));
+      char& byte = corrupted[random.below(bytes.size())];
+      byte = static_cast<char>(byte ^ static_cast<char>(1U << random.below(8)));
     }
     EXPECT_THROW(decodeRegisterValue(corrupted), base::Error) << seed;
   }
--- a/libraries/front/test/contract/contract_test.cc
+++ b/libraries/front/test/contract/contract_test.cc
@@ -32,9 +32,9 @@
 
 /** Whether the node of this role serves the operation; callers' work is served by fronts only. */
 bool serves(const std::string& role, const std::string& path) {
-  static const std::set<std::string> FrontOnly{"/v1/chat/completions", "/v1/one-shots", "/",
-                                               "/v1/routing"};
-  return role == "front" || !FrontOnly.contains(path);
+  static const std::set<std::string> front_only{"/v1/chat/completions", "/v1/one-shots", "/",
+                                                "/v1/routing"};
+  return role == "front" || !front_only.contains(path);
 }
 
 bool isCallers(const Operation& operation) {
--- a/libraries/front/test/contract/schema_check.h
+++ b/libraries/front/test/contract/schema_check.h
@@ -16,7 +16,7 @@
  */
 class SchemaCheck {
  public:
-  explicit SchemaCheck(YAML::Node document) : document_(std::move(document)) {}
+  explicit SchemaCheck(const YAML::Node& document) : document_(document) {}
 
   /** Every violation with its path; empty where the value is right. */
   std::vector<std::string> violations(const YAML::Node& schema,
--- a/libraries/front/test/fleet/traffic_scenario_checks.cc
+++ b/libraries/front/test/fleet/traffic_scenario_checks.cc
@@ -70,9 +70,9 @@
       violated("ran-twice", key);
     }
     for (const base::TimePoint run : runs) {
-      const bool explained =
-          std::any_of(one_shots_.begin(), one_shots_.end(), [&](const OneShotCall& call) {
-            return call.key == key && call.sent <= run && !tells(*call.writer, "not-run");
+      const bool explained = std::any_of(
+          one_shots_.begin(), one_shots_.end(), [&, &run_key = key](const OneShotCall& call) {
+            return call.key == run_key && call.sent <= run && !tells(*call.writer, "not-run");
           });
       if (!explained) {
         violated("ran-after-not-run", key);
--- a/libraries/front/test/forward/forward_flow_test.cc
+++ b/libraries/front/test/forward/forward_flow_test.cc
@@ -242,15 +242,15 @@
 }
 
 TEST_F(ForwardFlowTest, FailingWorkerIsTheLastChoice) {
-  const auto keyOf = [this](const std::string& id) {
+  const auto key_of = [this](const std::string& id) {
     return worker_health::workerKey(fleet_view.workers()->workers.at(id).entry);
   };
-  placer.setEjected({keyOf("w1"), keyOf("w2")});
+  placer.setEjected({key_of("w1"), key_of("w2")});
   for (int count = 0; count < 5; ++count) {
     run("once");
     EXPECT_EQ(last().header("Expect-Instance"), "w3");
   }
-  placer.setEjected({keyOf("w1"), keyOf("w2"), keyOf("w3")});
+  placer.setEjected({key_of("w1"), key_of("w2"), key_of("w3")});
   const std::size_t before = port.sent.size();
   run("once");
   EXPECT_EQ(port.sent.size(), before + 1);
