--- a/libraries/experiments/source/fleet_model.h
+++ b/libraries/experiments/source/fleet_model.h
@@ -10,7 +10,7 @@
 
 /**
  * A whole fleet as discrete events on one seeded world: fronts that place each by its own policy
- * and beliefs, workers, Poisson arrivals, exchange of scores with a random peer, and workers that
+ * and state, workers, Poisson arrivals, exchange of scores with a random peer, and workers that
  * crash, return cold and join. Runs once.
  */
 class FleetModel {
--- a/libraries/front/include/switchsaddle/front/node/front_node.h
+++ b/libraries/front/include/switchsaddle/front/node/front_node.h
@@ -97,7 +97,7 @@
   /** Sets further addresses of cores, used if none of the known cores responds. */
   void setSeeds(std::vector<base::NodeAddress> seeds) { session_.setSeeds(std::move(seeds)); }
   /** @return the view of the fleet that the flows use. */
-  FleetView& beliefs() { return *this; }
+  FleetView& fleetView() { return *this; }
 
  private:
   std::shared_ptr<const configuration::View> configuration() const override;
--- a/libraries/scenarios/source/watched_front.cc
+++ b/libraries/scenarios/source/watched_front.cc
@@ -111,7 +111,7 @@
 }
 
 void WatchedFront::onDraining(const std::string& worker) {
-  node().beliefs().observeDraining(workers()->workers.at(worker));
+  node().fleetView().observeDraining(workers()->workers.at(worker));
 }
 
 workers::WorkerSnapshotPtr WatchedFront::workers() const {
--- a/libraries/scenarios/test/state_report_test.cc
+++ b/libraries/scenarios/test/state_report_test.cc
@@ -17,7 +17,7 @@
 
 constexpr const char* Evacuated = "evacuations/zone-north";
 
-/** What two whole nodes tell of their beliefs, as an operator reads and compares it. */
+/** The state reports of two complete nodes, as an operator reads and compares them. */
 class StateReportTest : public testing::Test {
  protected:
   StateReportTest() {
