--- a/libraries/front/include/switchsaddle/front/node/front_node.h
+++ b/libraries/front/include/switchsaddle/front/node/front_node.h
@@ -95,7 +95,7 @@
   const sessions::QuorumSessionClient& session() const { return session_; }
   routing::Router& router() { return router_; }
   /** Sets further addresses of cores, used if none of the known cores responds. */
-  void setSeeds(std::vector<base::NodeAddress> seeds) { session_.setSeeds(std::move(seeds)); }
+  void setSeeds(const std::vector<base::NodeAddress>& seeds) { session_.setSeeds(seeds); }
   /** @return the view of the fleet that the flows use. */
   FleetView& fleetView() { return *this; }
 
