--- a/libraries/configuration/test/register_value_test.cc
+++ b/libraries/configuration/test/register_value_test.cc
@@ -149,8 +149,9 @@
     if (random.chance(0.3)) {
       corrupted.resize(1 + random.below(bytes.size() - 1));
     } else {
+      const auto mask = static_cast<char>(1U << random.below(8));
       char& byte = corrupted[random.below(bytes.size())];
-      byte = static_cast<char>(byte ^ static_cast<char>(1U << random.below(8)));
+      byte = static_cast<char>(byte ^ mask);
     }
     EXPECT_THROW(decodeRegisterValue(corrupted), base::Error) << seed;
   }
--- a/libraries/storage/test/file_record_store_property_test.cc
+++ b/libraries/storage/test/file_record_store_property_test.cc
@@ -80,9 +80,8 @@
     if (random_.chance(0.5)) {
       bench_.world.runFor(std::chrono::seconds(30));
     }
-    if (bench_.disk.interrupted() && random_.chance(0.5)) {
-      bench_.disk.resume();
-    } else if (random_.chance(0.7)) {
+    const bool only_process_dies = bench_.disk.interrupted() && random_.chance(0.5);
+    if (!only_process_dies && random_.chance(0.7)) {
       bench_.disk.powerLoss();
     } else {
       bench_.disk.resume();
--- a/libraries/testbed/test/checks/branch_limit_checker_test.cc
+++ b/libraries/testbed/test/checks/branch_limit_checker_test.cc
@@ -94,7 +94,7 @@
 }
 
 TEST_F(BranchLimitCheckerTest, HoldsRetriesAboveATenthAgainstTheFleet) {
-  for (int number = 0; number < 10; ++number) {
+  for (std::int64_t number = 0; number < 10; ++number) {
     run("r" + std::to_string(number), number * 10, number * 10 + 1);
   }
   note("refused", "r3", 200);
@@ -104,7 +104,7 @@
 }
 
 TEST_F(BranchLimitCheckerTest, RetriesAreCountedAgainstTheFirstAttemptsOfTheirWindow) {
-  for (int number = 0; number < 10; ++number) {
+  for (std::int64_t number = 0; number < 10; ++number) {
     run("r" + std::to_string(number), number * 10, number * 10 + 1);
   }
   note("refused", "r3", 10'050);
--- a/libraries/testbed/test/load/load_plan_test.cc
+++ b/libraries/testbed/test/load/load_plan_test.cc
@@ -89,7 +89,8 @@
   for (int part = 0; part < 3; ++part) {
     const int expected = part == 1 ? 2'000 : 200;
     EXPECT_NEAR((counts[{0, part}]), 200, 70);
-    EXPECT_NEAR((counts[{1, part}]), expected, expected / 3);
+    const int tolerance = expected / 3;
+    EXPECT_NEAR((counts[{1, part}]), expected, tolerance);
   }
 }
 
--- a/libraries/transport/test/tcp_transport_test.cc
+++ b/libraries/transport/test/tcp_transport_test.cc
@@ -125,7 +125,6 @@
   std::uint64_t malformed = 0;
   for (const std::string& input : inputs) {
     tcp::socket socket = connectRaw(*target);
-    boost::system::error_code ignored;
     boost::asio::async_write(socket, boost::asio::buffer(input),
                              [](const boost::system::error_code&, std::size_t) {});
     EXPECT_TRUE(closedByPeer(socket)) << input.substr(0, 20);
--- a/libraries/wire/test/codec_test.cc
+++ b/libraries/wire/test/codec_test.cc
@@ -104,7 +104,9 @@
 void corrupt(std::string& bytes, base::RandomSource& random) {
   const std::uint64_t flips = 1 + random.below(4);
   for (std::uint64_t flip = 0; flip < flips; ++flip) {
-    bytes[random.below(bytes.size())] ^= static_cast<char>(1 + random.below(255));
+    const auto mask = static_cast<char>(1 + random.below(255));
+    char& byte = bytes[random.below(bytes.size())];
+    byte = static_cast<char>(byte ^ mask);
   }
 }
 
