--- a/libraries/sessions/test/session_table_test.cc
+++ b/libraries/sessions/test/session_table_test.cc
@@ -145,7 +145,7 @@
   fleet_.run(milliseconds(400));
   EXPECT_EQ(granted_, Opens);
   // A majority records each batch after 80 ms; it goes to four peers, each with a reply.
-  EXPECT_LE(fleet_.network.envelopesSent() - before, std::size_t{2} * Opens + 8 * 8);
+  EXPECT_LE(fleet_.network.envelopesSent() - before, std::size_t{2} * Opens + std::size_t{8} * 8);
 }
 
 TEST_F(SessionTableTest, ManyFrontsShareBatches) {
