--- a/programs/switchsaddle/front_command.cc
+++ b/programs/switchsaddle/front_command.cc
@@ -41,9 +41,8 @@
                     {"http", settings_.http_address.toString()},
                     {"instance", std::to_string(instance_)}});
     process_.onSettingsChange(options_.file, [this] {
-      reloadSeeds(options_, "front", settings_, [this](std::vector<base::NodeAddress> seeds) {
-        node_.setSeeds(std::move(seeds));
-      });
+      reloadSeeds(options_, "front", settings_,
+                  [this](const std::vector<base::NodeAddress>& seeds) { node_.setSeeds(seeds); });
     });
     return process_.run([this](std::function<void()> stopped) {
       server_->closeAfterResponses();
