--- a/experiments/platform-days/regression.py
+++ b/experiments/platform-days/regression.py
@@ -21,6 +21,7 @@
 @dataclass
 class Age:
     """How the site files of one folder are played."""
+
     folder: str
     whole: bool
     hunted_days: int
@@ -57,7 +58,9 @@
     verdict = "; ".join(next(part for part in line if part) for line in found) or text.strip().splitlines()[-1]
     minutes = (time.monotonic() - begun) / 60
     failed = code != 0 or "GATE failed" in text or "BROKEN" in text
-    print(f"| {part.site.stem} | {' '.join([part.verb, *part.options])} | {verdict[:160]} | {minutes:.1f} |", flush=True)
+    print(
+        f"| {part.site.stem} | {' '.join([part.verb, *part.options])} | {verdict[:160]} | {minutes:.1f} |", flush=True
+    )
     return failed
 
 
--- a/scripts/check-build-packages.py
+++ b/scripts/check-build-packages.py
@@ -49,8 +49,17 @@
 def closure_of(packages):
     """The packages that apt would install for these on an empty system."""
     with tempfile.NamedTemporaryFile() as empty_status:
-        simulated = output_of(["apt-get", "install", "--simulate", "--no-install-recommends",
-                               "-o", f"Dir::State::status={empty_status.name}", *packages])
+        simulated = output_of(
+            [
+                "apt-get",
+                "install",
+                "--simulate",
+                "--no-install-recommends",
+                "-o",
+                f"Dir::State::status={empty_status.name}",
+                *packages,
+            ]
+        )
     return {line.split()[1] for line in simulated.splitlines() if line.startswith("Inst ")}
 
 
@@ -90,8 +99,13 @@
         sources.mkdir()
         link_programs(programs, allowed)
         copy_sources(sources)
-        result = subprocess.run(["/bin/sh", "-c", configuration_command], cwd=sources, text=True,
-                                capture_output=True, env={"PATH": str(programs), "HOME": name, "LANG": "C"})
+        result = subprocess.run(
+            ["/bin/sh", "-c", configuration_command],
+            cwd=sources,
+            text=True,
+            capture_output=True,
+            env={"PATH": str(programs), "HOME": name, "LANG": "C"},
+        )
         if result.returncode != 0:
             return set(), [f"configuration fails with the closure's programs:\n{result.stdout}{result.stderr}"]
         lists = list(sources.glob("target/CMakeFiles/Makefile.cmake")) + list(sources.glob("target/build.ninja"))
@@ -141,13 +155,18 @@
         print(f"check-build-packages: {fault}", file=sys.stderr)
         return 2
     for kind, paths in used.items():
-        faults += [f"{kind} file of no listed package: {path}" for path in sorted(paths)
-                   if os.path.realpath(path) not in allowed]
+        faults += [
+            f"{kind} file of no listed package: {path}"
+            for path in sorted(paths)
+            if os.path.realpath(path) not in allowed
+        ]
     for fault in faults:
         print(f"check-build-packages: {fault}")
-    print(f"build packages: {len(closure)} in the closure, "
-          + ", ".join(f"{len(paths)} {kind} files" for kind, paths in used.items())
-          + (f", {len(faults)} faults" if faults else ", all of them in it"))
+    print(
+        f"build packages: {len(closure)} in the closure, "
+        + ", ".join(f"{len(paths)} {kind} files" for kind, paths in used.items())
+        + (f", {len(faults)} faults" if faults else ", all of them in it")
+    )
     return 1 if faults else 0
 
 
--- a/scripts/claims_run.py
+++ b/scripts/claims_run.py
@@ -41,9 +41,19 @@
     calls = sum(map(write_calls, pids))
     folders = sum(folder_mb(core["data_folder"]) for core in cores)
     start = time.monotonic()
-    answer = fleet.run("claims", "--cores", ",".join(core["peer_address"] for core in cores),
-                       "--address", f"{arguments.network}.9.1:7100", "--prefix", f"rate-{rate}",
-                       "--rate", str(rate), "--seconds", str(arguments.seconds)).stdout
+    answer = fleet.run(
+        "claims",
+        "--cores",
+        ",".join(core["peer_address"] for core in cores),
+        "--address",
+        f"{arguments.network}.9.1:7100",
+        "--prefix",
+        f"rate-{rate}",
+        "--rate",
+        str(rate),
+        "--seconds",
+        str(arguments.seconds),
+    ).stdout
     took = time.monotonic() - start
     names, values = (line.split(",") for line in answer.strip().splitlines())
     row = dict(zip(names, values))
@@ -53,15 +63,13 @@
     row["memory_bytes_per_claim"] = 1e6 * (sum(map(resident_mb, pids)) - memory) / done / 5
     row["disk_bytes_per_claim"] = (sum(map(written_bytes, pids)) - written) / done / 5
     row["write_calls_per_claim"] = (sum(map(write_calls, pids)) - calls) / done / 5
-    row["folder_bytes_per_claim"] = (
-        1e6 * (sum(folder_mb(core["data_folder"]) for core in cores) - folders) / done / 5)
+    row["folder_bytes_per_claim"] = 1e6 * (sum(folder_mb(core["data_folder"]) for core in cores) - folders) / done / 5
     row["load_average"] = os.getloadavg()[0]
     return row
 
 
 def main():
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--build", required=True)
     parser.add_argument("--directory", required=True)
     parser.add_argument("--out", required=True)
@@ -84,8 +92,9 @@
         writer = csv.DictWriter(file, fieldnames=list(rows[0]))
         writer.writeheader()
         for row in rows:
-            writer.writerow({name: f"{value:.3f}" if isinstance(value, float) else value
-                             for name, value in row.items()})
+            writer.writerow(
+                {name: f"{value:.3f}" if isinstance(value, float) else value for name, value in row.items()}
+            )
     print(pathlib.Path(arguments.out).read_text())
 
 
--- a/scripts/control-run.py
+++ b/scripts/control-run.py
@@ -60,16 +60,23 @@
         with open(arguments.layout, encoding="utf-8") as file:
             Fleet.operator_key = json.load(file)["operator_key"]
         try:
-            self.command("up", "--layout", arguments.layout,
-                         "--configuration", arguments.configuration,
-                         "--switchsaddle", os.path.join(arguments.programs, "switchsaddle"))
+            self.command(
+                "up",
+                "--layout",
+                arguments.layout,
+                "--configuration",
+                arguments.configuration,
+                "--switchsaddle",
+                os.path.join(arguments.programs, "switchsaddle"),
+            )
         except subprocess.CalledProcessError:
             self.down()
             raise
 
     def command(self, action, *rest):
-        subprocess.run([self.testbed, "fleet", action, "--directory", self.directory, *rest],
-                       check=True, stdout=subprocess.DEVNULL)
+        subprocess.run(
+            [self.testbed, "fleet", action, "--directory", self.directory, *rest], check=True, stdout=subprocess.DEVNULL
+        )
 
     def processes(self, role):
         with open(os.path.join(self.directory, "fleet.json"), encoding="utf-8") as file:
@@ -110,8 +117,12 @@
         """Sends one change until it is acknowledged; returns the seconds of its first try where
         that was the acknowledgement, else of all tries."""
         self.sent += 1
-        body = {"change_id": f"run-{os.getpid()}-{self.sent}", "base_version": self.version,
-                "set": setting or {}, "remove": removing or []}
+        body = {
+            "change_id": f"run-{os.getpid()}-{self.sent}",
+            "base_version": self.version,
+            "set": setting or {},
+            "remove": removing or [],
+        }
         begin = time.monotonic()
         addresses = [address] if address else self.core_addresses()
         tries = 0
@@ -218,16 +229,32 @@
         idle = [cpu_seconds(core["pid"]) - start for core, start in zip(cores, before)]
         times = [operator.change_anything(number) for number in range(arguments.changes)]
         fronts = len(fleet.addresses("front"))
-        report("change latency ms", fronts=fronts, changes=len(times),
-               p50=milliseconds(percentile(times, 0.50)), p95=milliseconds(percentile(times, 0.95)),
-               p99=milliseconds(percentile(times, 0.99)), longest=milliseconds(max(times)))
-        calls = [timed_one_shot(address) for address in fleet.addresses("front").values()
-                 for _ in range(arguments.changes // fronts)]
-        report("one-shot through a front ms, with its claim and a worker's run", fronts=fronts,
-               calls=len(calls), p50=milliseconds(percentile(calls, 0.50)),
-               p95=milliseconds(percentile(calls, 0.95)))
-        report("idle core CPU, part of one processor", sessions=fronts,
-               cores=[round(seconds / arguments.idle_seconds, 4) for seconds in idle])
+        report(
+            "change latency ms",
+            fronts=fronts,
+            changes=len(times),
+            p50=milliseconds(percentile(times, 0.50)),
+            p95=milliseconds(percentile(times, 0.95)),
+            p99=milliseconds(percentile(times, 0.99)),
+            longest=milliseconds(max(times)),
+        )
+        calls = [
+            timed_one_shot(address)
+            for address in fleet.addresses("front").values()
+            for _ in range(arguments.changes // fronts)
+        ]
+        report(
+            "one-shot through a front ms, with its claim and a worker's run",
+            fronts=fronts,
+            calls=len(calls),
+            p50=milliseconds(percentile(calls, 0.50)),
+            p95=milliseconds(percentile(calls, 0.95)),
+        )
+        report(
+            "idle core CPU, part of one processor",
+            sessions=fronts,
+            cores=[round(seconds / arguments.idle_seconds, 4) for seconds in idle],
+        )
     finally:
         fleet.down()
 
@@ -246,9 +273,14 @@
             operator.check()
             operator.change_anything(arguments.changes + operator.sent)
             acknowledged = time.monotonic() - begin
-            report("seconds after " + name, run=run, every_front_serves=round(seconds, 2),
-                   a_change_is_acknowledged=round(acknowledged, 2), changes=operator.sent,
-                   version=operator.version)
+            report(
+                "seconds after " + name,
+                run=run,
+                every_front_serves=round(seconds, 2),
+                a_change_is_acknowledged=round(acknowledged, 2),
+                changes=operator.sent,
+                version=operator.version,
+            )
             if seconds > SERVING_GOAL_SECONDS:
                 raise Failure(f"{name}: {seconds:.1f} s")
 
@@ -296,8 +328,7 @@
                 status, body = request(address, "GET", "/v1/status", timeout=1.0)
                 votes += 1 if status == 200 and votes_in_settled_set(body) else 0
         if votes == 5:
-            report("seconds until the wiped and the new core are members",
-                   seconds=round(time.monotonic() - begin, 2))
+            report("seconds until the wiped and the new core are members", seconds=round(time.monotonic() - begin, 2))
             return
         time.sleep(0.05)
     raise Failure(f"the new cores were not admitted: {core_statuses(fleet)}")
@@ -335,14 +366,20 @@
         (term, holder), _ = wait_watcher(fleet, None)
         fleet.command("kill", holder)
         (next_term, next_holder), seconds = wait_watcher(fleet, holder)
-        report("watcher takeover seconds after a kill", run=run, seconds=round(seconds, 2),
-               term=term, next_term=next_term)
+        report(
+            "watcher takeover seconds after a kill", run=run, seconds=round(seconds, 2), term=term, next_term=next_term
+        )
         check_takeover(term, next_term, seconds)
         fleet.command("start", "--ready", holder)
         fleet.command("freeze", next_holder)
         (third_term, _), seconds = wait_watcher(fleet, next_holder)
-        report("watcher takeover seconds after a freeze", run=run, seconds=round(seconds, 2),
-               term=next_term, next_term=third_term)
+        report(
+            "watcher takeover seconds after a freeze",
+            run=run,
+            seconds=round(seconds, 2),
+            term=next_term,
+            next_term=third_term,
+        )
         check_takeover(next_term, third_term, seconds)
         fleet.command("wake", next_holder)
         for _ in range(50):
@@ -361,8 +398,7 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("command", choices=["latency", "recovery", "takeover"])
     parser.add_argument("--programs", required=True, help="folder of the two programs")
     parser.add_argument("--layout", required=True)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -63,7 +63,10 @@
 ctl set tuning/route-explore-share 0.2
 in_force=$(ctl in-force)
 echo "$in_force"
-[ "$(grep -c 'true *$' <<<"$in_force")" = 3 ] || { echo "FAILED: not in force on all three fronts"; exit 1; }
+[ "$(grep -c 'true *$' <<<"$in_force")" = 3 ] || {
+  echo "FAILED: not in force on all three fronts"
+  exit 1
+}
 
 say "A worker is killed while callers go on"
 "$testbed" load --fleet "$fleet/fleet.json" --load examples/demo/load.json --record "$fleet/record.jsonl" \
--- a/scripts/fit.py
+++ b/scripts/fit.py
@@ -9,8 +9,7 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("files", nargs="+")
     parser.add_argument("--x", required=True)
     parser.add_argument("--y", required=True)
@@ -19,8 +18,7 @@
     points = []
     for path in arguments.files:
         with open(path, newline="") as file:
-            points += [(float(row[arguments.x]), float(row[arguments.y]))
-                       for row in csv.DictReader(file)]
+            points += [(float(row[arguments.x]), float(row[arguments.y])) for row in csv.DictReader(file)]
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
     spread = sum((x - mean_x) ** 2 for x, _ in points)
@@ -29,8 +27,10 @@
     total = sum((y - mean_y) ** 2 for _, y in points)
     residual = sum((y - intercept - slope * x) ** 2 for x, y in points)
     fit = 1 - residual / total if total else 1.0
-    print(f"{arguments.y} = {intercept:.4g} + {slope:.4g} * {arguments.x}, R2 {fit:.3f}, "
-          f"{len(points)} points; at {arguments.at:g}: {intercept + slope * arguments.at:.4g}")
+    print(
+        f"{arguments.y} = {intercept:.4g} + {slope:.4g} * {arguments.x}, R2 {fit:.3f}, "
+        f"{len(points)} points; at {arguments.at:g}: {intercept + slope * arguments.at:.4g}"
+    )
 
 
 if __name__ == "__main__":
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -8,7 +8,7 @@
   libcli11-dev libgoogle-glog-dev librange-v3-dev libcereal-dev libxxhash-dev libssl-dev
   prometheus-cpp-dev libyaml-cpp-dev
   libgtest-dev libgmock-dev libbenchmark-dev
-  clang-format clang-tidy gnuplot-nox curl
+  clang-format clang-tidy black flake8 shfmt shellcheck gnuplot-nox curl
 )
 missing=()
 for package in "${packages[@]}"; do
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,16 +1,28 @@
 #!/usr/bin/env bash
-# Checks format and naming: clang-format on every source, clang-tidy on every translation unit.
-# With files as arguments clang-tidy looks at those only.
+# Checks formats and code: clang-format and clang-tidy on C++ (tests and platform/ too), black and flake8 on Python,
+# shfmt and shellcheck on shell scripts. With files as arguments only clang-tidy looks, and at those alone.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
-git ls-files '*.cc' '*.h' | xargs clang-format --dry-run --Werror
-echo "clang-format: clean"
+
+check_formats() {
+  git ls-files '*.cc' '*.h' | xargs clang-format --dry-run --Werror
+  echo "clang-format: clean"
+  git ls-files '*.py' | xargs black --quiet --check
+  git ls-files '*.py' | xargs flake8
+  echo "black, flake8: clean"
+  { git ls-files '*.sh' && echo .ci/run; } | xargs shfmt -d -i 2 -ci
+  { git ls-files '*.sh' && echo .ci/run; } | xargs shellcheck
+  echo "shfmt, shellcheck: clean"
+}
+
+# Without its folder's compilation database clang-tidy knows no flags.
 cmake -S . -B "$build" -G Ninja >/dev/null
 if [ "$#" -gt 0 ]; then
   files=("$@")
 else
-  mapfile -t files < <(git ls-files 'libraries/*/source/*.cc' 'programs/*.cc' 'platform/*.cc')
+  check_formats
+  mapfile -t files < <(git ls-files 'libraries/*.cc' 'programs/*.cc' 'platform/*.cc')
 fi
 printf '%s\0' "${files[@]}" |
   xargs -0 -n 1 -P "${JOBS:-$(nproc)}" clang-tidy --quiet -p "$build" 2> >(grep -v 'warnings generated' >&2 || true)
--- a/scripts/scale_run.py
+++ b/scripts/scale_run.py
@@ -59,31 +59,65 @@
 
     def up(self):
         network = self.arguments.network
-        layout = {"network": network, "region": "scale", "operator_key": "scale-operator-key",
-                  "zones": ["a", "b", "c"], "cores": {"count": 5}, "fronts": {"count": 0},
-                  "workers": []}
+        layout = {
+            "network": network,
+            "region": "scale",
+            "operator_key": "scale-operator-key",
+            "zones": ["a", "b", "c"],
+            "cores": {"count": 5},
+            "fronts": {"count": 0},
+            "workers": [],
+        }
         self.directory.mkdir(parents=True, exist_ok=True)
         layout_file = self.directory / "layout.json"
         layout_file.write_text(json.dumps(layout))
         configuration = self.directory / "configuration.json"
-        self.run("slopes", "--tenants", str(self.arguments.tenants), "--write-configuration",
-                 str(configuration))
-        self.run("fleet", "up", "--directory", str(self.directory), "--layout", str(layout_file),
-                 "--configuration", str(configuration), "--switchsaddle", self.daemon)
+        self.run("slopes", "--tenants", str(self.arguments.tenants), "--write-configuration", str(configuration))
+        self.run(
+            "fleet",
+            "up",
+            "--directory",
+            str(self.directory),
+            "--layout",
+            str(layout_file),
+            "--configuration",
+            str(configuration),
+            "--switchsaddle",
+            self.daemon,
+        )
         if self.arguments.workers:
-            self.start_hollow_platform()
+            self.start_platform()
 
-    def start_hollow_platform(self):
+    def start_platform(self):
         self.run("fleet", "kill", "--directory", str(self.directory), "platform")
-        workers = [{"id": f"worker-{i}", "address": f"127.0.0.1:{10000 + i}",
-                    "zone": f"region-{i % 8}-{i % 28}", "models": [f"model-{i % 9}"],
-                    "service": "completions", "stage": "both", "weights_version": "1",
-                    "slots": 16} for i in range(self.arguments.workers)]
-        path = self.directory / "hollow-workers.json"
+        workers = [
+            {
+                "id": f"worker-{i}",
+                "address": f"127.0.0.1:{10000 + i}",
+                "zone": f"region-{i % 8}-{i % 28}",
+                "models": [f"model-{i % 9}"],
+                "service": "completions",
+                "stage": "both",
+                "weights_version": "1",
+                "slots": 16,
+            }
+            for i in range(self.arguments.workers)
+        ]
+        path = self.directory / "synthetic-workers.json"
         path.write_text(json.dumps({"workers": workers}))
         self.platform = subprocess.Popen(
-            [self.testbed, "platform", "--address", f"{self.arguments.network}.4.1:8100", "--workers",
-             str(path), "--synthetic-workers", "--churn-ms", str(self.arguments.churn_ms)])
+            [
+                self.testbed,
+                "platform",
+                "--address",
+                f"{self.arguments.network}.4.1:8100",
+                "--workers",
+                str(path),
+                "--synthetic-workers",
+                "--churn-ms",
+                str(self.arguments.churn_ms),
+            ]
+        )
 
     def cores(self):
         state = json.loads((self.directory / "fleet.json").read_text())
@@ -99,10 +133,10 @@
 class Mark:
     """Counters of cores and lightweight fronts at one moment."""
 
-    def __init__(self, cores, hollow, lines):
+    def __init__(self, cores, fronts_process, lines):
         self.time = time.monotonic()
         self.cores = [cpu_seconds(core["pid"]) for core in cores]
-        self.hollow = cpu_seconds(hollow.pid)
+        self.fronts_process = cpu_seconds(fronts_process.pid)
         self.line = rows_of(lines)[-1]
 
     def rate(self, later, name):
@@ -134,45 +168,69 @@
 def measure_running(arguments, count, fleet, load_before):
     directory = fleet.directory
     cores = fleet.cores()
-    lines = directory / "hollow.csv"
+    lines = directory / "lightweight-fronts.csv"
     whole = arguments.settle + 2 * arguments.seconds + 45
-    command = [fleet.testbed, "lightweight-fronts", "--seeds-cores",
-               ",".join(core["peer_address"] for core in cores[:3]), "--count", str(count),
-               "--threads", str(arguments.threads), "--network", arguments.network, "--zones",
-               "a,b,c", "--seconds", str(whole), "--prompts", str(arguments.prompts), "--versions",
-               str(directory / "versions.csv"), "--kinds", str(directory / "kinds.csv")]
+    command = [
+        fleet.testbed,
+        "lightweight-fronts",
+        "--seeds-cores",
+        ",".join(core["peer_address"] for core in cores[:3]),
+        "--count",
+        str(count),
+        "--threads",
+        str(arguments.threads),
+        "--network",
+        arguments.network,
+        "--zones",
+        "a,b,c",
+        "--seconds",
+        str(whole),
+        "--prompts",
+        str(arguments.prompts),
+        "--versions",
+        str(directory / "versions.csv"),
+        "--kinds",
+        str(directory / "kinds.csv"),
+    ]
     if arguments.slots:
         command.append("--slots")
     if arguments.weigh:
         command.append("--weigh")
-    with open(lines, "w") as output, open(directory / "hollow.log", "w") as log:
-        hollow = subprocess.Popen(command, stdout=output, stderr=log)
+    with open(lines, "w") as output, open(directory / "lightweight-fronts.log", "w") as log:
+        fronts_process = subprocess.Popen(command, stdout=output, stderr=log)
     try:
         wait_serving(lines, count, 60)
         time.sleep(arguments.settle)
-        first = Mark(cores, hollow, lines)
+        first = Mark(cores, fronts_process, lines)
         time.sleep(arguments.seconds)
-        second = Mark(cores, hollow, lines)
+        second = Mark(cores, fronts_process, lines)
         changes = directory / "changes.csv"
-        fleet.run("changes", "--fleet", str(directory / "fleet.json"), "--record", str(changes),
-                  "--count", str(arguments.changes), "--pause-ms", str(arguments.pause_ms))
+        fleet.run(
+            "changes",
+            "--fleet",
+            str(directory / "fleet.json"),
+            "--record",
+            str(changes),
+            "--count",
+            str(arguments.changes),
+            "--pause-ms",
+            str(arguments.pause_ms),
+        )
         time.sleep(2)
-        third = Mark(cores, hollow, lines)
+        third = Mark(cores, fronts_process, lines)
         core_mb = max(resident_mb(core["pid"]) for core in cores)
-        hollow_mb = resident_mb(hollow.pid)
+        fronts_mb = resident_mb(fronts_process.pid)
         load_after = os.getloadavg()[0]
-        hollow.terminate()
-        hollow.wait()
+        fronts_process.terminate()
+        fronts_process.wait()
     finally:
-        if hollow.poll() is None:
-            hollow.kill()
-            hollow.wait()
-    return row_of(arguments, count, first, second, third, directory, core_mb, hollow_mb,
-                  load_before, load_after)
+        if fronts_process.poll() is None:
+            fronts_process.kill()
+            fronts_process.wait()
+    return row_of(arguments, count, first, second, third, directory, core_mb, fronts_mb, load_before, load_after)
 
 
-def row_of(arguments, count, first, second, third, directory, core_mb, hollow_mb, load_before,
-           load_after):
+def row_of(arguments, count, first, second, third, directory, core_mb, fronts_mb, load_before, load_after):
     versions = {row["version"]: row for row in rows_of(directory / "versions.csv")}
     answers = rows_of(directory / "changes.csv")
     answered, everywhere, spread = [], [], []
@@ -188,22 +246,29 @@
     core_busy = [(b - a) / busy for a, b in zip(second.cores, third.cores)]
     changed = max(1, len(answers))
     row = {
-        "fronts": count, "tenants": arguments.tenants, "workers": arguments.workers,
+        "fronts": count,
+        "tenants": arguments.tenants,
+        "workers": arguments.workers,
         "prompts": arguments.prompts,
-        "core_cpu_pct_mean": 100 * sum(core_idle) / 5, "core_cpu_pct_max": 100 * max(core_idle),
+        "core_cpu_pct_mean": 100 * sum(core_idle) / 5,
+        "core_cpu_pct_max": 100 * max(core_idle),
         "core_mb_max": core_mb,
-        "core_cpu_ms_per_change":
-            1000 * (sum(core_busy) - sum(core_idle)) * busy / changed / 5,
-        "front_cpu_pct": 100 * (second.hollow - first.hollow) / idle / count,
-        "front_cpu_ms_per_change":
-            1000 * ((third.hollow - second.hollow) - (second.hollow - first.hollow) / idle * busy)
-            / changed / count,
-        "front_mb": hollow_mb / count,
+        "core_cpu_ms_per_change": 1000 * (sum(core_busy) - sum(core_idle)) * busy / changed / 5,
+        "front_cpu_pct": 100 * (second.fronts_process - first.fronts_process) / idle / count,
+        "front_cpu_ms_per_change": 1000
+        * (
+            (third.fronts_process - second.fronts_process)
+            - (second.fronts_process - first.fronts_process) / idle * busy
+        )
+        / changed
+        / count,
+        "front_mb": fronts_mb / count,
         "front_sent_bytes_s": first.rate(second, "bytes_sent") / count,
         "front_received_bytes_s": first.rate(second, "bytes_received") / count,
-        "front_bytes_per_change":
-            (second.rate(third, "bytes_received") - first.rate(second, "bytes_received")) * busy
-            / changed / count,
+        "front_bytes_per_change": (second.rate(third, "bytes_received") - first.rate(second, "bytes_received"))
+        * busy
+        / changed
+        / count,
         "front_frames_sent_s": first.rate(second, "frames_sent") / count,
         "slots_got_s": first.rate(second, "slots_got"),
         "slots_refused_s": first.rate(second, "slots_refused"),
@@ -222,15 +287,14 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--build", required=True)
     parser.add_argument("--directory", required=True)
     parser.add_argument("--out", required=True)
     parser.add_argument("--network", default="127.52")
     parser.add_argument("--fronts", default="25,100,200")
     parser.add_argument("--tenants", type=int, default=10)
-    parser.add_argument("--workers", type=int, default=0, help="hollow workers in the platform's list")
+    parser.add_argument("--workers", type=int, default=0, help="synthetic workers in the platform's list")
     parser.add_argument("--churn-ms", type=int, default=0)
     parser.add_argument("--prompts", type=int, default=0, help="made-up completions a second and front")
     parser.add_argument("--threads", type=int, default=2)
@@ -250,10 +314,10 @@
             writer = csv.DictWriter(file, fieldnames=list(row))
             if new:
                 writer.writeheader()
-            writer.writerow({name: f"{value:.3f}" if isinstance(value, float) else value
-                             for name, value in row.items()})
-        print({name: round(value, 2) if isinstance(value, float) else value
-               for name, value in row.items()}, flush=True)
+            writer.writerow(
+                {name: f"{value:.3f}" if isinstance(value, float) else value for name, value in row.items()}
+            )
+        print({name: round(value, 2) if isinstance(value, float) else value for name, value in row.items()}, flush=True)
 
 
 if __name__ == "__main__":
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -13,6 +13,9 @@
 fi
 filter='*'
 if [ "${#known_red[@]}" -gt 0 ]; then
-  filter="*-$(IFS=:; echo "${known_red[*]}")"
+  filter="*-$(
+    IFS=:
+    echo "${known_red[*]}"
+  )"
 fi
 GTEST_FILTER=$filter ctest --test-dir "$build" --output-on-failure -j "${JOBS:-6}"
