--- a/libraries/configuration/include/switchsaddle/configuration/check_report.h
+++ b/libraries/configuration/include/switchsaddle/configuration/check_report.h
@@ -6,9 +6,9 @@
 
 namespace switchsaddle::configuration {
 
-/** What kind of file is to be checked. */
+/** Kind of the file to check. */
 enum class CheckKind : std::uint8_t {
-  /** A file with an entry's path among its keys is a configuration, else settings. */
+  /** A file with a key that is an entry's path is a configuration, any other a settings file. */
   Detect,
   Configuration,
   Settings,
@@ -18,18 +18,26 @@
 struct CheckOptions {
   std::string file = {};
   CheckKind kind = CheckKind::Detect;
-  /** For settings: "front", "core", or empty to check the form alone. */
+  /** Role whose settings are checked, "front" or "core"; empty checks the form only. */
   std::string role = {};
   bool json = false;
 };
 
+/** Exit code of a check without faults. */
 inline constexpr int CheckPassed = 0;
+/** Exit code of a check with faults. */
 inline constexpr int CheckFailed = 1;
 
-/** Checks a text and writes every fault; returns CheckPassed or CheckFailed. */
+/**
+ * Checks a text and writes all faults to `out`.
+ * @return CheckPassed or CheckFailed.
+ */
 int checkText(const std::string& text, const CheckOptions& options, std::ostream& out);
 
-/** Reads and checks the file of the options; a file that can't be read is a fault. */
+/**
+ * Checks the file of the options and writes all faults to `out`; an unreadable file is a fault.
+ * @return CheckPassed or CheckFailed.
+ */
 int runCheck(const CheckOptions& options, std::ostream& out);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/document.h
+++ b/libraries/configuration/include/switchsaddle/configuration/document.h
@@ -12,83 +12,90 @@
 namespace switchsaddle::configuration {
 
 /**
- * The configuration: entries by path, one version number for the whole, and for each entry the
- * version that last changed it. Tombstones of removed entries are kept so that digests can tell a
- * removal from an entry never known.
+ * The configuration: entries by path, with one version number for the document and, for each entry,
+ * the version that last changed it. Removed entries remain as tombstones, so that the digest
+ * distinguishes a removal from an entry that never existed.
  */
 struct Document {
   std::uint64_t version = 0;
+  /** By path, tombstones included. */
   std::map<std::string, wire::ConfigurationEntry> entries;
 
-  /** Digest over version and all entries, tombstones included. Equal documents have equal digests.
-   */
+  /** @return a digest of the version and all entries; equal documents have equal digests. */
   std::uint64_t digest() const;
-  /** All entries changed after `since`. */
+  /** @return the entries changed after `since`. */
   wire::ConfigurationDelta deltaSince(std::uint64_t since) const;
   /**
    * Applies a delta whose from_version is at most this version and whose to_version is above it.
-   * Returns false, and changes nothing, where it does not fit or the digest afterwards differs.
+   * @return false, with the document unchanged, if the delta does not fit or the resulting digest
+   *     differs from the delta's.
    */
   bool apply(const wire::ConfigurationDelta& delta);
-  /** The live entries as canonical JSON: {"path": value, ...} in path order. */
+  /** @return the live entries as canonical JSON: {"path": value, ...} ordered by path. */
   std::string toJson() const;
 };
 
-/** One fault of a configuration, change or settings file. */
+/** One fault of a configuration, a change or a settings file. */
 struct Fault {
-  /** The path of the faulty place, such as "tenants/editors.parameters.slots". */
+  /** Location of the fault, such as "tenants/editors.parameters.slots". */
   std::string path;
   base::ResultCode code = base::ResultCode::InvalidValue;
   std::string message;
 };
 
-/** One entry to set; `json` is the text of its value. */
+/** One entry to set. */
 struct EntryChange {
   std::string path;
+  /** JSON text of the value. */
   std::string json;
 };
 
 /**
- * As a base version: the change applies to whichever version it finds. Orders such as emptying a
- * zone or revoking a key use it, so that a resend is the same change whatever happened in between.
+ * Base version of a change that applies to any version. Used by idempotent orders, such as the
+ * evacuation of a zone or the revocation of a key, so that a repeated order is the same change.
  */
 inline constexpr std::uint64_t AnyBaseVersion = std::numeric_limits<std::uint64_t>::max();
 
-/** A change as an operator sends it. With `whole`, entries not named in `set` are removed. */
+/** A change of the configuration, as submitted by an operator. */
 struct Change {
+  /** Idempotency key of the change. */
   std::string change_id;
+  /** Version that the change is based on (optimistic concurrency). */
   std::uint64_t base_version = 0;
   std::vector<EntryChange> set;
+  /** Paths of the entries to remove. */
   std::vector<std::string> remove;
+  /** Replace the complete configuration: remove the entries that `set` does not name. */
   bool whole = false;
 
-  /** Hash of all but change_id, whatever the order of `set` and `remove`, to tell a resend from
-   * another change under the same id. */
+  /**
+   * @return a hash of all fields but change_id, independent of the order of `set` and `remove`. It
+   *     distinguishes a repeated change from another one with the same change_id.
+   */
   std::uint64_t fingerprint() const;
 };
 
 /**
- * Parses the body of POST /v1/configuration/changes. All faults found are appended to `faults`; the
- * result is meaningful only where none was.
+ * Parses the body of POST /v1/configuration/changes.
+ * @param faults receives all faults found; the result is valid only if there is none.
  */
 Change parseChange(const std::string& body, std::vector<Fault>& faults);
 
-/** The document with the change applied as `version + 1`; does not check the content. */
+/** @return the document with the change applied at `version + 1`; does not validate the content. */
 Document applyChange(const Document& document, const Change& change);
 
 /**
- * Faults of the change itself: its id, paths it sets or removes twice, and, against the document it
- * applies to, removals of what is not there.
+ * @return the faults of the change itself: its id, paths that it sets or removes twice, and
+ * removals of entries that the document does not contain.
  */
 std::vector<Fault> checkChange(const Document& document, const Change& change);
 
-/** Every fault of the live entries of a document: each entry's form and the references between
- * them. */
+/** @return all faults of the live entries: the schema of each and the references between them. */
 std::vector<Fault> checkDocument(const Document& document);
 
 /**
- * Parses a whole configuration file ({"path": value, ...}) into entries at version 1, for
- * `switchsaddle check` and examples.
+ * Parses a configuration file ({"path": value, ...}) into entries at version 1.
+ * @param faults receives all faults found; the result is valid only if there is none.
  */
 Document parseConfigurationFile(const std::string& text, std::vector<Fault>& faults);
 
--- a/libraries/configuration/include/switchsaddle/configuration/json_value.h
+++ b/libraries/configuration/include/switchsaddle/configuration/json_value.h
@@ -11,46 +11,51 @@
 
 namespace switchsaddle::configuration {
 
-/** What a JSON value is. Numbers without a fraction that fit 64 bits are integers. */
+/** Type of a JSON value. A number without a fraction that fits 64 bits is an Integer. */
 enum class JsonKind : std::uint8_t { Null, Boolean, Integer, Number, String, Array, Object };
 
-/** A parsed JSON value. Plain data, without the parser's types, so that headers may name it. */
+/** A parsed JSON value. Independent of the parser's types, so that headers need not include them.
+ */
 struct JsonValue {
   JsonKind kind = JsonKind::Null;
   bool boolean = false;
   std::int64_t integer = 0;
   double number = 0;
   std::string text;
-  /** Names of an object's members, in the order of the text; its values are in `elements`. */
+  /** Names of an object's members in the order of the text; `elements` contains their values. */
   std::vector<std::string> names;
+  /** Elements of an array, or values of an object's members. */
   std::vector<JsonValue> elements;
 
-  /** The member of an object, or nullptr. */
+  /** @return the member of an object, or nullptr. */
   const JsonValue* find(std::string_view name) const;
-  /** The text of a string member, or an empty string. */
+  /** @return the value of a string member, or an empty string. */
   std::string textOf(std::string_view name) const;
-  /** The value of an integer member, or zero. */
+  /** @return the value of an integer member, or zero. */
   std::int64_t integerOf(std::string_view name) const;
-  /** Canonical text: members in order of their names, no spaces, shortest numbers. */
+  /** @return canonical JSON: members ordered by name, no spaces, shortest form of numbers. */
   std::string canonical() const;
 };
 
-/** Bounds of a text to be parsed. */
+/** Limits and options of the parser. */
 struct JsonLimits {
   std::size_t maximum_bytes = 4'194'304;
   std::size_t maximum_depth = 16;
-  /** Whether comments are taken, as in files that people keep. */
+  /** Accept comments, as in files edited by people. */
   bool comments = false;
 };
 
 /**
- * Parses a text. Appends a fault at `path` where it is too large, too deep or not JSON, and one for
- * each key that an object holds twice; returns nothing in any of these cases.
+ * Parses JSON.
+ * @param path location of the text, to which the paths of faults are relative.
+ * @param faults receives a fault if the text is too large, too deep or not JSON, and one for each
+ *     duplicate key.
+ * @return the value; nothing if there was a fault.
  */
 std::optional<JsonValue> parseJson(std::string_view text, const JsonLimits& limits,
                                    const std::string& path, std::vector<Fault>& faults);
 
-/** Canonical text of a value; a text that is not JSON stays as it is, for the checks to find. */
+/** @return the canonical form of a JSON text; a text that is not JSON is returned unchanged. */
 std::string canonicalText(const std::string& json);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/json_writer.h
+++ b/libraries/configuration/include/switchsaddle/configuration/json_writer.h
@@ -7,12 +7,12 @@
 
 namespace switchsaddle::configuration {
 
-/** The text as a JSON string, with its quotes. Bytes that are not UTF-8 become U+FFFD. */
+/** @return the text as a quoted JSON string; invalid UTF-8 becomes U+FFFD. */
 std::string jsonString(std::string_view text);
 
 /**
- * Writes JSON text piece by piece. The caller keeps begin and end in step; commas are placed by the
- * writer. Not thread-safe.
+ * Streaming JSON writer. Inserts commas; the caller must balance begin and end calls and precede
+ * each member's value with name(). Not thread-safe.
  */
 class JsonWriter {
  public:
@@ -20,16 +20,17 @@
   JsonWriter& endObject();
   JsonWriter& beginArray();
   JsonWriter& endArray();
-  /** The name of the next value. */
+  /** Writes the name of the next member. */
   JsonWriter& name(std::string_view name);
   JsonWriter& string(std::string_view value);
   JsonWriter& integer(std::int64_t value);
   JsonWriter& unsignedInteger(std::uint64_t value);
-  /** A value that JSON cannot hold (not finite) is written as null. */
+  /** Writes the shortest exact form; null if the value is not finite. */
   JsonWriter& number(double value);
   JsonWriter& boolean(bool value);
-  /** A value that is JSON text already. */
+  /** @param json value in JSON, written unchanged. */
   JsonWriter& raw(std::string_view json);
+  /** @return the text written so far. */
   const std::string& text() const { return text_; }
 
  private:
--- a/libraries/configuration/include/switchsaddle/configuration/maintenance.h
+++ b/libraries/configuration/include/switchsaddle/configuration/maintenance.h
@@ -9,51 +9,52 @@
 
 /**
  * @file
- * Workers taken out for maintenance: entries `maintenance/WORKER` of the configuration. Since they
- * are made and ended by a compare-and-swap of the whole, one of two operators wins, an order sent
- * again is answered as before, and what was ordered outlasts every restart; docs/OPERATIONS.md.
+ * Maintenance of workers: entries `maintenance/WORKER` of the configuration. They are created and
+ * removed by a compare-and-swap of the configuration register; hence one of two concurrent orders
+ * wins, a repeated order gets the same result, and orders survive restarts. See docs/OPERATIONS.md.
  */
 
 namespace switchsaddle::configuration {
 
+/** Prefix of the paths of maintenance entries. */
 inline constexpr const char* MaintenancePrefix = "maintenance/";
 
-/** A worker of the fleet as the deciding core knows it. */
+/** A worker of the fleet as known to the deciding core. */
 struct FleetWorker {
   std::string worker;
   std::string pool;
   std::string zone;
-  /** It takes requests, or would but for its maintenance. */
+  /** The worker accepts requests, or would if it were not in maintenance. */
   bool usable = false;
 };
 
-/** An order to take one worker out. */
+/** An order to put one worker into maintenance. */
 struct MaintenanceOrder {
-  /** The same for the same order sent again, and for no other. */
+  /** Idempotency key of the order. */
   std::string change_id;
-  /** Whom to take, in order of preference: the first that may be missed. */
+  /** Candidates in order of preference; the first that the pool's capacity allows is chosen. */
   std::vector<std::string> wanted;
-  /** Whether `wanted` names the one worker that the operator chose. */
+  /** The operator named the worker, so that `wanted` contains it alone. */
   bool is_chosen = false;
   std::vector<FleetWorker> fleet;
 };
 
 /**
- * Decides on an order: one already taken is acknowledged again, whatever came after it; a worker
- * that is out already is AlreadyInMaintenance, one that may not be missed CapacityTooLow, a name
- * that nobody has UnknownWorker; an order for the next is NothingToMaintain where no worker is
- * wanted. Refusals are not recorded. Pure.
+ * Decides on an order. Pure, since the register may evaluate it several times.
+ * @return Ok with the next value, or the recorded result of a repeated order; AlreadyInMaintenance;
+ *     CapacityTooLow if the pool cannot spare the worker; UnknownWorker; NothingToMaintain if there
+ *     is no candidate. Rejections are not recorded.
  */
 ChangeDecision decideMaintenance(const RegisterValue& present, const MaintenanceOrder& order);
 
-/** Decides on the end of a worker's maintenance; one that is not out is acknowledged. Pure. */
+/** Decides on the end of a worker's maintenance; Ok if the worker is not in maintenance. Pure. */
 ChangeDecision decideMaintenanceEnd(const RegisterValue& present, const std::string& change_id,
                                     const std::string& worker);
 
-/** The worker that the change with this id took out; nothing where there was no such change. */
+/** @return the worker that the change put into maintenance; nothing if it is not in the history. */
 std::optional<std::string> workerTakenOut(const RegisterValue& value, const std::string& change_id);
 
-/** The workers that are out. */
+/** @return the ids of the workers in maintenance. */
 std::set<std::string> workersInMaintenance(const Document& document);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/quota_share.h
+++ b/libraries/configuration/include/switchsaddle/configuration/quota_share.h
@@ -2,13 +2,15 @@
 
 /**
  * @file
- * What fronts and cores agree on when they hold tenants to their quotas.
+ * Constants of quota enforcement shared by fronts and cores.
  */
 
 namespace switchsaddle::configuration {
 
-/** Part of a quota's bound that is used; the rest covers what fronts let in before they hear of
- * each other. */
+/**
+ * Share of a quota's bound that is allocated. The remainder covers requests that fronts admit
+ * before they learn of each other's admissions.
+ */
 inline constexpr double UsedShareOfQuota = 0.84;
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/register_value.h
+++ b/libraries/configuration/include/switchsaddle/configuration/register_value.h
@@ -9,33 +9,38 @@
 
 namespace switchsaddle::configuration {
 
-/** The remembered result of a change, so that a resend gets the first answer again. */
+/** Recorded result of a change, returned again for a repeated request (idempotency). */
 struct RecordedChange {
   std::string change_id;
+  /** Change::fingerprint(). */
   std::uint64_t fingerprint = 0;
   base::ResultCode code = base::ResultCode::Ok;
-  /** The version it made, or, for a conflict, the version then in force. */
+  /** The version committed, or, for a conflict, the version in force at that time. */
   std::uint64_t version = 0;
 };
 
-/** One line of the history: which change made which version. */
+/** One entry of the history: the change that committed a version. */
 struct HistoryLine {
   std::uint64_t version = 0;
   std::string change_id;
+  /** Paths of the entries set. */
   std::vector<std::string> set;
+  /** Paths of the entries removed. */
   std::vector<std::string> removed;
 };
 
-/** The source document in force; docs/CONFIGURATION.md. Kept out of the entries, since fronts have
- * no use for it. */
+/**
+ * The source document in force; see docs/CONFIGURATION.md. Stored beside the entries, since fronts
+ * do not use it.
+ */
 struct SourceDocument {
-  /** The operators' own number; 0 where there is none. */
+  /** Revision number assigned by the operators; 0 if there is no source document. */
   std::uint64_t revision = 0;
-  /** As they sent it. */
+  /** The text as received. */
   std::string text;
 };
 
-/** What the configuration register holds: the document, recent change results and the history. */
+/** Value of the configuration register. */
 struct RegisterValue {
   Document document;
   /** Oldest first; at most MaximumRecordedChanges. */
@@ -44,41 +49,49 @@
   std::vector<HistoryLine> history;
   SourceDocument source = {};
 
+  /** @return the recorded result of the change, or nullptr. */
   const RecordedChange* findRecorded(const std::string& change_id) const;
 };
 
 inline constexpr std::size_t MaximumRecordedChanges = 10'000;
 inline constexpr std::size_t MaximumHistoryLines = 1'000;
 
-/** Serialises with cereal; an empty string decodes to an empty value at version 0. */
+/** @return the stored form of the value. */
 std::string encodeRegisterValue(const RegisterValue& value);
-/** Throws base::Error with RecordCorrupt. */
+/**
+ * Decodes the output of encodeRegisterValue(); an empty string is an empty value at version 0.
+ * @throws base::Error with RecordCorrupt.
+ */
 RegisterValue decodeRegisterValue(const std::string& bytes);
-/** Only the document's version, without decoding the rest. Throws base::Error with RecordCorrupt.
+/**
+ * Decodes the document's version only.
+ * @throws base::Error with RecordCorrupt.
  */
 std::uint64_t decodeRegisterVersion(const std::string& bytes);
 
-/** What deciding on a change against the present value led to. */
+/** Decision on a change of the configuration register. */
 struct ChangeDecision {
   base::ResultCode code = base::ResultCode::Ok;
   std::uint64_t version = 0;
   std::vector<Fault> faults;
-  /** Whether `next` is to be written (also for a recorded conflict). */
+  /** `next` must be written to the register; also set to record a conflict. */
   bool writes = false;
-  /** Whether the answer repeats the recorded result of the same change_id. */
+  /** The decision is the recorded result of an earlier change with the same change_id. */
   bool repeated = false;
   RegisterValue next;
 };
 
 /**
- * Decides on a change: a known change_id with the same fingerprint gets its recorded result again,
- * with another fingerprint ChangeIdReused; an old base version ConfigurationConflict; faults
- * ConfigurationInvalid; else the next value. Pure, so that a register's change function may repeat
- * it.
+ * Decides on a change. Pure, since the register may evaluate it several times.
+ * @return the recorded result if the change_id and fingerprint are recorded; ChangeIdReused if the
+ *     change_id is recorded with another fingerprint; ConfigurationConflict if the base version is
+ *     outdated; ConfigurationInvalid with the faults; else Ok with the next value.
  */
 ChangeDecision decideChange(const RegisterValue& present, const Change& change);
 
-/** The decision that takes `next`, which is `present` with the change applied and has been checked.
+/**
+ * @param next `present` with the change applied; must be valid.
+ * @return the decision that commits `next`.
  */
 ChangeDecision commitChange(const RegisterValue& present, const Change& change, Document next);
 
--- a/libraries/configuration/include/switchsaddle/configuration/settings.h
+++ b/libraries/configuration/include/switchsaddle/configuration/settings.h
@@ -10,7 +10,7 @@
 
 namespace switchsaddle::configuration {
 
-/** Time limits that all nodes of a fleet must share; defaults are those of docs/ARCHITECTURE.md. */
+/** Time limits, which must be equal on all nodes of a fleet; docs/ARCHITECTURE.md lists them. */
 struct TimeSettings {
   base::Duration session_front_limit = std::chrono::milliseconds(1'000);
   base::Duration session_core_limit = std::chrono::milliseconds(1'500);
@@ -21,88 +21,98 @@
   base::Duration acknowledgement_deadline = std::chrono::milliseconds(2'000);
   base::Duration gossip_interval = std::chrono::milliseconds(1'000);
   base::Duration platform_poll = std::chrono::milliseconds(500);
-  /** How long a front serves on while a majority of core addresses refuse connections; zero: not at
-   * all. */
+  /** Time for which a front keeps serving while a majority of core addresses refuse connections. */
   base::Duration core_refused_grace = std::chrono::seconds(60);
+  /** Deadline of a graceful shutdown, after which open requests are aborted. */
   base::Duration stop_deadline = std::chrono::seconds(25);
-  /** How long a stopping front still takes new forwarded requests, until callers have noticed. */
+  /** Time for which a front in graceful shutdown accepts new forwarded requests. */
   base::Duration stop_notice{};
-  /** A core member silent for this long may be replaced by an announced empty one. */
+  /** Time-out after which an unresponsive core member may be replaced by an announced empty one. */
   base::Duration core_replacement_timeout = std::chrono::seconds(10);
 
   bool operator==(const TimeSettings&) const = default;
 };
 
-/** What a front does whose session has lapsed. */
+/** Behaviour of a front whose session has lapsed. */
 enum class LapsedSession : std::uint8_t {
-  /** Refuses new work, since a newer configuration may be in force. */
+  /** Rejects new requests, since a newer configuration may be in force. */
   Refuse,
-  /** Serves on by its last configuration and worker list, without a bound on time. */
+  /** Serves with the last configuration and worker view, for an unlimited time. */
   Serve,
 };
 
-/** How a front forwards, and what the operators of a deployment allow its fronts together. */
+/** Settings of forwarding, which must be equal on all fronts of a deployment. */
 struct ForwardingSettings {
-  /** Keep kinds of work with long prompts and with short ones on different workers;
-   * docs/ROUTING.md.
-   */
+  /** Dispatch work with long and with short prompts to different workers; docs/ROUTING.md. */
   bool work_lanes = false;
-  /** Place by what all fronts have under way at workers; docs/design/placement.md. */
+  /** Place requests by the load reports of all fronts; docs/design/placement.md. */
   bool fleet_loads = false;
-  /** Repeats as a share of a pool's requests, and besides, over ten seconds. */
+  /** Retry budget as a share of a pool's requests within ten seconds. */
   double retry_share = 0.1;
+  /** Retries within ten seconds allowed beyond the share. */
   double retry_extra = 0;
   QuotaBounds quotas;
 
   bool operator==(const ForwardingSettings&) const = default;
 };
 
-/** What one process learns from its settings file and flags. */
+/** Settings of one process, from its settings file and command line. */
 struct Settings {
-  /** Where peers reach this process. */
+  /** Listening address for peers. */
   base::NodeAddress peer_address;
-  /** Callers' and operators' HTTP address. */
+  /** Listening address for callers and operators. */
   base::NodeAddress http_address;
   std::string zone;
   std::string region;
+  /** Folder of stored data and log dumps. */
   std::string data_folder;
   /** Peer addresses of core processes. */
   std::vector<base::NodeAddress> seeds;
   base::NodeAddress platform_address;
-  /** Lower-case hexadecimal SHA-256 of the first operators' keys. */
+  /** Lower-case hexadecimal SHA-256 of the initial operators' keys. */
   std::vector<std::string> operator_hashes;
-  /** Core only: the first members of a new fleet; ignored once an acceptor set is stored. */
+  /** Core only: initial members of a new fleet; ignored once an acceptor set is stored. */
   std::vector<base::NodeAddress> initial_cores;
   TimeSettings times;
-  /** Where readiness is asked for besides http_address; empty: nowhere. */
+  /** Additional listening address for readiness checks; empty for none. */
   base::NodeAddress readiness_address;
-  /** The port on which every node of the fleet listens for its peers: seeds and initial cores are
-   * then told with whatever port, and this one is put in its place. Zero: they are told whole. */
+  /** Port of all nodes for peers; replaces the ports of seeds and initial cores. Zero for none. */
   std::uint16_t fleet_peer_port = 0;
-  /** Core only: this is the first start of the whole fleet, whose first cores are the seeds. */
+  /** Core only: this is the first start of the fleet, whose initial cores are the seeds. */
   bool first_start = false;
-  /** Core only: cores, and zones, that may be lost at once; the acceptor set grows to twice as many
-   * and one, and is spread so that zones can be lost, as far as there are cores. Both zero: it
-   * stays as it was founded. */
+  /**
+   * Core only: number of cores, and of zones, whose simultaneous loss the core must tolerate. The
+   * acceptor set grows to 2n + 1 members and spreads over zones as far as there are cores. If both
+   * are zero the initial set is kept.
+   */
   std::uint32_t tolerated_core_losses = 0;
   std::uint32_t tolerated_zone_losses = 0;
-  /** Core only: reads the platform's list once at its start, without waiting for the watcher's
-   * lease, so that a fleet that lost all memory serves sooner. */
+  /**
+   * Core only: read the platform's worker list once at start-up, before the watcher lease is
+   * acquired, so that a fleet without any stored state serves earlier.
+   */
   bool list_before_lease = false;
-  /** The interfaces spoken towards callers, workers, operators and the platform; empty: the
-   * product's own. */
+  /** Interfaces used towards callers, workers, operators and the platform; empty for the default.
+   */
   std::string dialect;
   LapsedSession lapsed_session = LapsedSession::Refuse;
   ForwardingSettings forwarding;
 };
 
-/** Parses a settings file (JSON, unknown keys refused). Appends every fault. */
+/**
+ * Parses a settings file: JSON with comments. Unknown keys are faults.
+ * @param faults receives all faults found; the result is valid only if there is none.
+ */
 Settings parseSettings(const std::string& text, std::vector<Fault>& faults);
 
-/** Names of the settings that differ and take effect only at the next start: all but `seeds`. */
+/** @return the names of changed settings that take effect only after a restart: all but `seeds`. */
 std::vector<std::string> settingsThatNeedRestart(const Settings& before, const Settings& after);
 
-/** Faults of settings for a role ("front" or "core") after flags have been applied. */
+/**
+ * Checks complete settings, with the command line applied.
+ * @param role "front" or "core".
+ * @return all faults.
+ */
 std::vector<Fault> checkSettings(const Settings& settings, const std::string& role);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/source_document.h
+++ b/libraries/configuration/include/switchsaddle/configuration/source_document.h
@@ -10,51 +10,55 @@
 
 /**
  * @file
- * A source document: the text in which operators of another system keep a part of the
- * configuration. It is stored as they sent it, under their own revision number, beside the entries
- * derived from it; docs/CONFIGURATION.md.
+ * Source documents: a configuration in the format of another system, from which entries are
+ * derived. The text is stored as received, under the operators' own revision number, beside the
+ * derived entries; see docs/CONFIGURATION.md.
  */
 
 namespace switchsaddle::configuration {
 
-/** All entries derived from a source document have paths below this one. */
+/** Prefix of the paths of all entries derived from a source document. */
 inline constexpr const char* SourceEntriesPrefix = "forwarding/";
 
-/** What a source document comes to. Meaningful only where `faults` is empty. */
+/** Result of translating a source document. */
 struct SourceTranslation {
+  /** If not empty, the other fields are invalid. */
   std::vector<Fault> faults;
   std::uint64_t revision = 0;
-  /** The whole document, to be read back. */
+  /** The complete document, as returned to operators. */
   std::string text;
   /** All entries derived from it. */
   std::vector<EntryChange> entries;
 };
 
 /**
- * Makes the next document of the present one and what an operator sent. Pure, since a register's
- * change function may repeat it.
+ * Computes the next document from the current one and an operator's request. Pure, since the
+ * register may evaluate it several times.
  */
 using SourceTranslator = std::function<SourceTranslation(const std::string& present_text)>;
 
-/** One order of an operator: a whole document, or a change of one. */
+/** An operator's update of the source document: a complete document or a change. */
 struct SourceUpdate {
-  /** The same for the same order sent again, and for no other. */
+  /** Idempotency key of the update. */
   std::string change_id;
-  /** The revision that the order builds on; 0 for the first. */
+  /** Revision that the update is based on; 0 for the first. */
   std::uint64_t base_revision = 0;
   SourceTranslator translate;
 };
 
 /**
- * Decides on an update: one already taken is acknowledged again, whatever came after it; another
- * base than the present revision is ConfigurationConflict; faults, and a revision not above the
- * present one, are ConfigurationInvalid; else the next value, in which only the derived entries
- * that differ have changed. Refusals are not recorded. Pure.
+ * Decides on an update. Pure, since the register may evaluate it several times.
+ * @return Ok with the next value, in which only the derived entries that differ are changed, or the
+ *     recorded result of a repeated update; ConfigurationConflict if the base is not the current
+ *     revision; ConfigurationInvalid if there are faults or the revision does not increase.
+ *     Rejections are not recorded.
  */
 ChangeDecision decideSourceUpdate(const RegisterValue& present, const SourceUpdate& update);
 
-/** Decides on an order that says which state a zone is to have, not what is to change: one that the
- * zone is in already is acknowledged again. Pure. */
+/**
+ * Decides on the requested evacuation state of a zone. Pure and idempotent: Ok without a change if
+ * the zone is in this state already.
+ */
 ChangeDecision decideEvacuation(const RegisterValue& present, const std::string& zone,
                                 bool evacuated);
 
--- a/libraries/configuration/include/switchsaddle/configuration/state_report.h
+++ b/libraries/configuration/include/switchsaddle/configuration/state_report.h
@@ -9,52 +9,58 @@
 
 namespace switchsaddle::configuration {
 
-/** One thing a node holds true. */
+/** One item of a node's state. */
 struct StateEntry {
-  /** What it is about, such as "configuration", "worker", "lease" or "session". */
+  /** Kind of the item, such as "configuration", "worker", "lease" or "session". */
   std::string subject;
-  /** Which of them, such as a path or a worker's id. */
+  /** Identifies the item within its subject, such as a path or a worker's id. */
   std::string key;
   std::string value;
   std::uint64_t version = 0;
-  /** How long the node has held it, in milliseconds of its own clock. */
+  /** Age of the value by the node's clock. */
   std::int64_t since_ms = 0;
 };
 
-/** Everything a node believes: the body of GET /v1/beliefs. */
+/** The complete state of a node: the body of GET /v1/beliefs. */
 struct StateReport {
+  /** Address of the node. */
   std::string node;
-  /** The node's clock; comparable with nothing but later reports of the same node. */
+  /** The node's clock; comparable only with reports of the same process. */
   std::int64_t now_ms = 0;
   std::vector<StateEntry> entries;
 };
 
+/** @return the report as JSON. */
 std::string renderStateReport(const StateReport& report);
-/** Parses a report; returns nothing where faults were found. */
+/**
+ * Parses the output of renderStateReport().
+ * @param faults receives all faults found.
+ * @return the report; nothing if there was a fault.
+ */
 std::optional<StateReport> parseStateReport(const std::string& text, std::vector<Fault>& faults);
 
-/** How two nodes differ over one thing. */
+/** Kind of a difference: the item is present on one node only, or has different values. */
 enum class StateDifferenceKind : std::uint8_t { OnlyFirst, OnlySecond, Different };
 
-/** One thing that two nodes don't agree on. A side which lacks it has empty fields. */
+/** Difference between the states of two nodes in one item. */
 struct StateDifference {
   StateDifferenceKind kind = StateDifferenceKind::Different;
   std::string subject;
   std::string key;
+  /** Unset if the first node lacks the item. */
   std::optional<StateEntry> first;
+  /** Unset if the second node lacks the item. */
   std::optional<StateEntry> second;
 };
 
-/**
- * The differences in order of subject and key. Versions and values are compared, ages are not.
- */
+/** @return the differences in versions and values, ordered by subject and key. */
 std::vector<StateDifference> compareStates(const StateReport& first, const StateReport& second);
 
-/** {"first", "second", "differences": [{"kind", "subject", "key", "first", "second"}]}. */
+/** @return {"first", "second", "differences": [{"kind", "subject", "key", "first", "second"}]}. */
 std::string renderDifferencesJson(const StateReport& first, const StateReport& second,
                                   const std::vector<StateDifference>& differences);
 
-/** The differences as text for people. */
+/** @return the differences as text for people. */
 std::string renderDifferences(const StateReport& first, const StateReport& second,
                               const std::vector<StateDifference>& differences);
 
--- a/libraries/configuration/source/change.cc
+++ b/libraries/configuration/source/change.cc
@@ -25,7 +25,7 @@
   return entries;
 }
 
-/** Reads the entries of an object member into `set`; notes a member that is no object. */
+/** Reads the entries of an object member into `set`; another type is a fault. */
 void readEntries(ObjectReader& reader, const std::string& member, std::vector<EntryChange>& set) {
   const JsonValue* value = reader.optional(member);
   if (value == nullptr) {
@@ -57,8 +57,9 @@
 void setEntry(Document& document, const EntryChange& change) {
   std::string json = canonicalText(change.json);
   wire::ConfigurationEntry& entry = document.entries[change.path];
-  // An entry that keeps its value keeps its version, so that deltas stay small.
-  if (entry.version > 0 && !entry.removed && entry.json == json) {
+  const bool is_unchanged = entry.version > 0 && !entry.removed && entry.json == json;
+  if (is_unchanged) {
+    // Keeping the version keeps deltas small.
     return;
   }
   entry = {change.path, std::move(json), document.version, false};
@@ -70,25 +71,48 @@
   }
 }
 
-/** Whether the entry is an operator's order of the day, which no file of the configuration holds:
- * it ends by an order too. */
+/**
+ * @return whether the entry is an operator's order. Orders are not part of configuration files and
+ *     remain until another order ends them.
+ */
 bool isOrder(const std::string& path) {
   return path.starts_with(MaintenancePrefix);
 }
 
-/** Removes the entries that are neither kept nor an order. */
-void removeAllBut(Document& document, const std::vector<EntryChange>& kept) {
-  std::set<std::string> paths;
-  for (const EntryChange& entry : kept) {
-    paths.insert(entry.path);
+/** Removes all entries but the retained ones and orders. */
+void removeAllBut(Document& document, const std::vector<EntryChange>& retained) {
+  std::set<std::string> retained_paths;
+  for (const EntryChange& entry : retained) {
+    retained_paths.insert(entry.path);
   }
   for (auto& [path, entry] : document.entries) {
-    if (!paths.contains(path) && !isOrder(path)) {
+    if (!retained_paths.contains(path) && !isOrder(path)) {
       removeEntry(document, path);
     }
   }
 }
 
+/** Reports a document beside `set` or `remove`, and a change with none of the three. */
+void checkMembers(ObjectReader& reader) {
+  const bool has_edits = reader.has("set") || reader.has("remove");
+  if (reader.has("document") && has_edits) {
+    reader.fault("document", ResultCode::InvalidValue, "excludes set and remove");
+  }
+  if (!reader.has("document") && !has_edits) {
+    reader.fault("set", ResultCode::MissingField, "one of set, remove and document is needed");
+  }
+}
+
+/** Reports a path that is too long or was added to `paths` before. */
+void checkPath(const std::string& path, std::set<std::string>& paths, std::vector<Fault>& faults) {
+  if (path.size() > MaximumPathLength) {
+    faults.push_back({path.substr(0, MaximumPathLength), ResultCode::UnknownPath, "is too long"});
+  }
+  if (!paths.insert(path).second) {
+    faults.push_back({path, ResultCode::InvalidValue, "stands in the change twice"});
+  }
+}
+
 }  // namespace
 
 std::uint64_t Change::fingerprint() const {
@@ -117,12 +141,7 @@
   reader.required("base_version");
   change.base_version = static_cast<std::uint64_t>(reader.integer("base_version", VersionRange, 0));
   change.whole = reader.has("document");
-  if (change.whole && (reader.has("set") || reader.has("remove"))) {
-    reader.fault("document", ResultCode::InvalidValue, "excludes set and remove");
-  }
-  if (!change.whole && !reader.has("set") && !reader.has("remove")) {
-    reader.fault("set", ResultCode::MissingField, "one of set, remove and document is needed");
-  }
+  checkMembers(reader);
   readEntries(reader, "document", change.set);
   if (!change.whole) {
     readEntries(reader, "set", change.set);
@@ -152,19 +171,11 @@
   std::vector<Fault> faults;
   checkChangeId(change.change_id, faults);
   std::set<std::string> paths;
-  const auto note_path = [&](const std::string& path) {
-    if (path.size() > MaximumPathLength) {
-      faults.push_back({path.substr(0, MaximumPathLength), ResultCode::UnknownPath, "is too long"});
-    }
-    if (!paths.insert(path).second) {
-      faults.push_back({path, ResultCode::InvalidValue, "stands in the change twice"});
-    }
-  };
   for (const EntryChange& entry : change.set) {
-    note_path(entry.path);
+    checkPath(entry.path, paths, faults);
   }
   for (const std::string& path : change.remove) {
-    note_path(path);
+    checkPath(path, paths, faults);
     if (!isLive(document, path)) {
       faults.push_back({path, ResultCode::UnknownPath, "there is no such entry to remove"});
     }
--- a/libraries/configuration/source/change_json.cc
+++ b/libraries/configuration/source/change_json.cc
@@ -3,9 +3,8 @@
 #include <array>
 #include <charconv>
 
-#include "object_reader.h"
+#include "change_result_writer.h"
 #include "switchsaddle/configuration/json_writer.h"
-#include "switchsaddle/configuration/view.h"
 
 namespace switchsaddle::configuration {
 
@@ -14,7 +13,6 @@
 using base::ResultCode;
 
 constexpr std::size_t DigestDigits = 16;
-constexpr std::size_t DerivedIdDigits = 16;
 
 void writeTexts(JsonWriter& writer, std::string_view name, const std::vector<std::string>& texts) {
   writer.name(name).beginArray();
@@ -36,6 +34,8 @@
   writer.endObject();
 }
 
+}  // namespace
+
 bool isCommitted(ResultCode code) {
   return code == ResultCode::Ok || code == ResultCode::CommittedNotYetInForce;
 }
@@ -49,26 +49,6 @@
   writer.name("name").string(base::describe(result.code).name);
 }
 
-std::string requireChangeId(ObjectReader& reader) {
-  reader.required("change_id");
-  std::string change_id = reader.text("change_id");
-  if (change_id.empty() && reader.has("change_id")) {
-    reader.fault("change_id", ResultCode::InvalidValue, "is empty");
-  }
-  return change_id;
-}
-
-/** Joins fields so that no two lists of fields give the same text. */
-std::string joinFields(const std::vector<std::string>& fields) {
-  std::string joined;
-  for (const std::string& field : fields) {
-    joined += std::to_string(field.size()) + ":" + field;
-  }
-  return joined;
-}
-
-}  // namespace
-
 std::string digestText(std::uint64_t digest) {
   std::array<char, DigestDigits> buffer{};
   const auto end = std::to_chars(buffer.data(), buffer.data() + buffer.size(), digest, 16).ptr;
@@ -160,95 +140,4 @@
   return writer.text();
 }
 
-std::string parseEvacuationRequest(const std::string& body, std::vector<Fault>& faults) {
-  const std::optional<JsonValue> value = parseJson(body, {}, "", faults);
-  if (!value) {
-    return {};
-  }
-  ObjectReader reader(*value, "", faults);
-  std::string change_id = requireChangeId(reader);
-  reader.finish();
-  return change_id;
-}
-
-Change evacuationChange(const std::string& change_id, const std::string& zone, bool restore) {
-  Change change;
-  change.change_id = change_id;
-  change.base_version = AnyBaseVersion;
-  const std::string path = "evacuations/" + zone;
-  if (restore) {
-    change.remove.push_back(path);
-  } else {
-    change.set.push_back({path, "{}"});
-  }
-  return change;
-}
-
-KeyRequest parseKeyRequest(const std::string& body, std::vector<Fault>& faults) {
-  KeyRequest request;
-  const std::optional<JsonValue> value = parseJson(body, {}, "", faults);
-  if (!value) {
-    return request;
-  }
-  ObjectReader reader(*value, "", faults);
-  request.change_id = requireChangeId(reader);
-  request.tenant = reader.name("tenant");
-  if (reader.has("id")) {
-    request.id = reader.name("id");
-  }
-  if (reader.has("sha256")) {
-    request.sha256 = reader.sha256("sha256");
-  }
-  reader.finish();
-  return request;
-}
-
-KeyIssue issueKey(const KeyRequest& request, const std::string& operator_key) {
-  KeyIssue issue;
-  issue.id = request.id;
-  if (issue.id.empty()) {
-    issue.id = "key-" + sha256Hex(request.change_id).substr(0, DerivedIdDigits);
-  }
-  std::string hash = request.sha256;
-  if (hash.empty()) {
-    // Hashed twice: the inner hash hides the operator's key, the outer one bars length extension.
-    const std::string fields =
-        joinFields({operator_key, request.change_id, issue.id, request.tenant});
-    issue.secret = sha256Hex("switchsaddle-key:" + sha256Hex(fields));
-    hash = sha256Hex(issue.secret);
-  }
-  JsonWriter writer;
-  writer.beginObject();
-  writer.name("sha256").string(hash);
-  writer.name("tenant").string(request.tenant);
-  writer.endObject();
-  issue.change.change_id = request.change_id;
-  issue.change.base_version = AnyBaseVersion;
-  issue.change.set.push_back({"keys/" + issue.id, writer.text()});
-  return issue;
-}
-
-Change revokeKeyChange(const std::string& change_id, const std::string& id) {
-  Change change;
-  change.change_id = change_id;
-  change.base_version = AnyBaseVersion;
-  change.remove.push_back("keys/" + id);
-  return change;
-}
-
-std::string renderKeyResult(const KeyIssue& issue, const ChangeResult& result) {
-  if (!isCommitted(result.code)) {
-    return renderChangeResult(result);
-  }
-  JsonWriter writer;
-  writer.beginObject();
-  writer.name("id").string(issue.id);
-  if (!issue.secret.empty()) {
-    writer.name("secret").string(issue.secret);
-  }
-  writeChangeFields(writer, result);
-  writer.endObject();
-  return writer.text();
-}
-
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/check_report.cc
+++ b/libraries/configuration/source/check_report.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** A configuration's keys are paths; no key of a settings file holds a slash. */
+/** The keys of a configuration are paths; no key of a settings file contains a slash. */
 bool looksLikeConfiguration(const std::string& text) {
   std::vector<Fault> ignored;
   const std::optional<JsonValue> value = parseJson(text, {.comments = true}, "", ignored);
@@ -27,14 +27,14 @@
          });
 }
 
-CheckKind kindOf(const std::string& text, const CheckOptions& options) {
+CheckKind resolveKind(const std::string& text, const CheckOptions& options) {
   if (options.kind != CheckKind::Detect) {
     return options.kind;
   }
   return looksLikeConfiguration(text) ? CheckKind::Configuration : CheckKind::Settings;
 }
 
-std::vector<Fault> faultsOfConfiguration(const std::string& text) {
+std::vector<Fault> checkConfigurationText(const std::string& text) {
   std::vector<Fault> faults;
   const Document document = parseConfigurationFile(text, faults);
   if (faults.empty()) {
@@ -43,17 +43,16 @@
   return faults;
 }
 
-std::vector<Fault> faultsOfSettings(const std::string& text, const std::string& role) {
+std::vector<Fault> checkSettingsText(const std::string& text, const std::string& role) {
   std::vector<Fault> faults;
   const Settings settings = parseSettings(text, faults);
   if (role.empty()) {
     return faults;
   }
-  const std::vector<Fault> more = checkSettings(settings, role);
-  for (const Fault& fault : more) {
-    // A value refused in parsing is missing afterwards; it is listed once.
-    const bool is_known = std::ranges::find(faults, fault.path, &Fault::path) != faults.end();
-    if (!is_known) {
+  for (const Fault& fault : checkSettings(settings, role)) {
+    // A value that failed to parse is also missing, which is not reported again.
+    const bool is_reported = std::ranges::find(faults, fault.path, &Fault::path) != faults.end();
+    if (!is_reported) {
       faults.push_back(fault);
     }
   }
@@ -99,10 +98,10 @@
 }  // namespace
 
 int checkText(const std::string& text, const CheckOptions& options, std::ostream& out) {
-  const CheckKind kind = kindOf(text, options);
+  const CheckKind kind = resolveKind(text, options);
   const std::vector<Fault> faults = kind == CheckKind::Settings
-                                        ? faultsOfSettings(text, options.role)
-                                        : faultsOfConfiguration(text);
+                                        ? checkSettingsText(text, options.role)
+                                        : checkConfigurationText(text);
   return report(options, kind, faults, out);
 }
 
--- a/libraries/configuration/source/checks/maintenance.cc
+++ b/libraries/configuration/source/checks/maintenance.cc
@@ -7,11 +7,12 @@
 
 namespace {
 
-constexpr std::size_t LongestWorkerName = 200;
+constexpr std::size_t MaximumWorkerNameLength = 200;
 
 bool isWorkerName(const std::string& name) {
   const auto is_visible = [](char character) { return character > ' ' && character < '\x7f'; };
-  return !name.empty() && name.size() <= LongestWorkerName && std::ranges::all_of(name, is_visible);
+  return !name.empty() && name.size() <= MaximumWorkerNameLength &&
+         std::ranges::all_of(name, is_visible);
 }
 
 }  // namespace
--- a/libraries/configuration/source/checks/shape_fields.h
+++ b/libraries/configuration/source/checks/shape_fields.h
@@ -8,15 +8,19 @@
 
 namespace switchsaddle::configuration {
 
-/** What is fixed about one number of a session shape. */
+/** A numeric field of a session shape. */
 struct ShapeField {
   const char* name;
   IntegerRange range;
   std::int64_t default_value;
+  /** The field in the template. */
   ShapeNumber ShapeTemplate::*member;
-  std::uint32_t SessionShape::*filled;
+  /** The field in the resolved shape. */
+  std::uint32_t SessionShape::*resolved;
 };
 
+/** All numeric fields of a session shape. */
+
 inline constexpr std::array ShapeFields{
     ShapeField{"first_token_ms",
                {1, 600'000},
--- a/libraries/configuration/source/checks/tuning.cc
+++ b/libraries/configuration/source/checks/tuning.cc
@@ -9,7 +9,7 @@
 
 using base::ResultCode;
 
-/** What is fixed about one tuning value. */
+/** Name, range and member of a tuning value. */
 struct TuningField {
   const char* name;
   double minimum;
--- a/libraries/configuration/source/document.cc
+++ b/libraries/configuration/source/document.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 std::uint64_t Document::digest() const {
-  // A sum does not depend on the order, so that a node may keep it up entry by entry.
+  // A sum is independent of the order of the entries.
   std::uint64_t sum = 0;
   for (const auto& [path, entry] : entries) {
     sum += hashEntry(entry);
--- a/libraries/configuration/source/json_value.cc
+++ b/libraries/configuration/source/json_value.cc
@@ -1,160 +1,15 @@
 #include "switchsaddle/configuration/json_value.h"
 
 #include <algorithm>
-#include <boost/json/basic_parser_impl.hpp>
-#include <charconv>
-#include <cmath>
 #include <numeric>
 
+#include "json_members.h"
 #include "switchsaddle/configuration/json_writer.h"
 
 namespace switchsaddle::configuration {
 
 namespace {
 
-namespace json = boost::json;
-
-/** Doubles below this hold every integer exactly. */
-constexpr double ExactIntegerBound = 9'007'199'254'740'992.0;
-
-JsonValue numberValue(double number) {
-  JsonValue value;
-  const bool is_whole = std::trunc(number) == number && std::abs(number) < ExactIntegerBound;
-  value.kind = is_whole ? JsonKind::Integer : JsonKind::Number;
-  value.integer = is_whole ? static_cast<std::int64_t>(number) : 0;
-  value.number = number;
-  return value;
-}
-
-/** Builds a JsonValue from the parser's events. Boost.JSON's own values would drop repeated keys.
- */
-class TreeBuilder {
- public:
-  static constexpr std::size_t max_object_size = static_cast<std::size_t>(-1);
-  static constexpr std::size_t max_array_size = static_cast<std::size_t>(-1);
-  static constexpr std::size_t max_key_size = static_cast<std::size_t>(-1);
-  static constexpr std::size_t max_string_size = static_cast<std::size_t>(-1);
-
-  bool on_document_begin(json::error_code&) { return true; }
-  bool on_document_end(json::error_code&) { return true; }
-  bool on_object_begin(json::error_code&) { return open(JsonKind::Object); }
-  bool on_object_end(std::size_t, json::error_code&) { return close(); }
-  bool on_array_begin(json::error_code&) { return open(JsonKind::Array); }
-  bool on_array_end(std::size_t, json::error_code&) { return close(); }
-  bool on_key_part(json::string_view part, std::size_t, json::error_code&) { return append(part); }
-  bool on_key(json::string_view part, std::size_t, json::error_code&) {
-    append(part);
-    stack_.back().names.push_back(std::move(partial_));
-    partial_.clear();
-    return true;
-  }
-  bool on_string_part(json::string_view part, std::size_t, json::error_code&) {
-    return append(part);
-  }
-  bool on_string(json::string_view part, std::size_t, json::error_code&) {
-    append(part);
-    JsonValue value;
-    value.kind = JsonKind::String;
-    value.text = std::move(partial_);
-    partial_.clear();
-    return add(std::move(value));
-  }
-  bool on_number_part(json::string_view part, json::error_code&) { return append(part); }
-  bool on_int64(std::int64_t number, json::string_view, json::error_code&) {
-    partial_.clear();
-    JsonValue value;
-    value.kind = JsonKind::Integer;
-    value.integer = number;
-    value.number = static_cast<double>(number);
-    return add(std::move(value));
-  }
-  bool on_uint64(std::uint64_t number, json::string_view, json::error_code&) {
-    partial_.clear();
-    return add(numberValue(static_cast<double>(number)));
-  }
-  bool on_double(double, json::string_view part, json::error_code& error) {
-    append(part);
-    // The parser's own conversion is not exact to the last bit, so the text is converted here.
-    double number = 0;
-    const char* last = partial_.data() + partial_.size();
-    const auto [end, result] = std::from_chars(partial_.data(), last, number);
-    partial_.clear();
-    if (result != std::errc{} || end != last) {
-      error = json::error::exponent_overflow;
-      return false;
-    }
-    return add(numberValue(number));
-  }
-  bool on_bool(bool boolean, json::error_code&) {
-    JsonValue value;
-    value.kind = JsonKind::Boolean;
-    value.boolean = boolean;
-    return add(std::move(value));
-  }
-  bool on_null(json::error_code&) { return add(JsonValue{}); }
-  bool on_comment_part(json::string_view, json::error_code&) { return true; }
-  bool on_comment(json::string_view, json::error_code&) { return true; }
-
-  JsonValue root;
-
- private:
-  bool append(json::string_view part) {
-    partial_.append(part.data(), part.size());
-    return true;
-  }
-  bool open(JsonKind kind) {
-    stack_.emplace_back().kind = kind;
-    return true;
-  }
-  bool close() {
-    JsonValue value = std::move(stack_.back());
-    stack_.pop_back();
-    return add(std::move(value));
-  }
-  bool add(JsonValue value) {
-    if (stack_.empty()) {
-      root = std::move(value);
-    } else {
-      stack_.back().elements.push_back(std::move(value));
-    }
-    return true;
-  }
-
-  std::vector<JsonValue> stack_;
-  std::string partial_;
-};
-
-/** Indices of an object's members in order of their names. */
-std::vector<std::size_t> sortedMembers(const JsonValue& value) {
-  std::vector<std::size_t> order(value.names.size());
-  std::iota(order.begin(), order.end(), 0);
-  std::stable_sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
-    return value.names[left] < value.names[right];
-  });
-  return order;
-}
-
-std::string memberPath(const std::string& path, const std::string& name) {
-  return path.empty() ? name : path + "." + name;
-}
-
-void findRepeatedKeys(const JsonValue& value, const std::string& path, std::vector<Fault>& faults) {
-  const std::vector<std::size_t> order = sortedMembers(value);
-  for (std::size_t index = 1; index < order.size(); ++index) {
-    const std::string& name = value.names[order[index]];
-    if (name == value.names[order[index - 1]]) {
-      faults.push_back({memberPath(path, name), base::ResultCode::InvalidValue,
-                        "the key stands twice in one object"});
-    }
-  }
-  for (std::size_t index = 0; index < value.elements.size(); ++index) {
-    const bool is_object = value.kind == JsonKind::Object;
-    const std::string place =
-        is_object ? memberPath(path, value.names[index]) : path + "[" + std::to_string(index) + "]";
-    findRepeatedKeys(value.elements[index], place, faults);
-  }
-}
-
 std::string canonicalNumber(double number) {
   JsonWriter writer;
   writer.number(number);
@@ -183,6 +38,15 @@
 
 }  // namespace
 
+std::vector<std::size_t> sortedMembers(const JsonValue& object) {
+  std::vector<std::size_t> order(object.names.size());
+  std::iota(order.begin(), order.end(), 0);
+  std::stable_sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
+    return object.names[left] < object.names[right];
+  });
+  return order;
+}
+
 const JsonValue* JsonValue::find(std::string_view name) const {
   const auto found = std::find(names.begin(), names.end(), name);
   return found == names.end() ? nullptr
@@ -219,39 +83,4 @@
   return "null";
 }
 
-std::optional<JsonValue> parseJson(std::string_view text, const JsonLimits& limits,
-                                   const std::string& path, std::vector<Fault>& faults) {
-  if (text.size() > limits.maximum_bytes) {
-    faults.push_back({path, base::ResultCode::BodyTooLarge,
-                      "is larger than " + std::to_string(limits.maximum_bytes) + " bytes"});
-    return std::nullopt;
-  }
-  json::parse_options options;
-  options.max_depth = limits.maximum_depth;
-  options.allow_comments = limits.comments;
-  json::basic_parser<TreeBuilder> parser(options);
-  json::error_code error;
-  const std::size_t used = parser.write_some(false, text.data(), text.size(), error);
-  if (!error && used < text.size()) {
-    error = json::error::extra_data;
-  }
-  if (error) {
-    faults.push_back({path, base::ResultCode::MalformedJson,
-                      error.message() + " at byte " + std::to_string(used)});
-    return std::nullopt;
-  }
-  const std::size_t faults_before = faults.size();
-  findRepeatedKeys(parser.handler().root, path, faults);
-  if (faults.size() > faults_before) {
-    return std::nullopt;
-  }
-  return std::move(parser.handler().root);
-}
-
-std::string canonicalText(const std::string& json) {
-  std::vector<Fault> faults;
-  const std::optional<JsonValue> value = parseJson(json, {}, "", faults);
-  return value ? value->canonical() : json;
-}
-
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/json_writer.cc
+++ b/libraries/configuration/source/json_writer.cc
@@ -10,21 +10,36 @@
 
 constexpr std::string_view ReplacementCharacter = "\xef\xbf\xbd";
 
-/** Length of the UTF-8 sequence that starts at `index`, or zero where none is complete there. */
-std::size_t sequenceLength(std::string_view text, std::size_t index) {
-  const auto first = static_cast<unsigned char>(text[index]);
-  std::size_t length = 0;
+/** @return the length announced by the first byte of a UTF-8 sequence; zero if it is invalid. */
+std::size_t announcedLength(unsigned char first) {
   if (first < 0x80U) {
     return 1;
   }
   if (first >= 0xc2U && first <= 0xdfU) {
-    length = 2;
-  } else if ((first & 0xf0U) == 0xe0U) {
-    length = 3;
-  } else if (first >= 0xf0U && first <= 0xf4U) {
-    length = 4;
+    return 2;
+  }
+  if ((first & 0xf0U) == 0xe0U) {
+    return 3;
+  }
+  return first >= 0xf0U && first <= 0xf4U ? 4 : 0;
+}
+
+/** @return whether the first two bytes encode a valid code point in the shortest form. */
+bool isValidPrefix(unsigned char first, unsigned char second) {
+  const bool is_overlong = (first == 0xe0U && second < 0xa0U) || (first == 0xf0U && second < 0x90U);
+  const bool is_surrogate = first == 0xedU && second >= 0xa0U;
+  const bool is_beyond_unicode = first == 0xf4U && second >= 0x90U;
+  return !is_overlong && !is_surrogate && !is_beyond_unicode;
+}
+
+/** @return the length of the valid UTF-8 sequence at `index`; zero if there is none. */
+std::size_t sequenceLength(std::string_view text, std::size_t index) {
+  const auto first = static_cast<unsigned char>(text[index]);
+  const std::size_t length = announcedLength(first);
+  if (length <= 1) {
+    return length;
   }
-  if (length == 0 || index + length > text.size()) {
+  if (index + length > text.size()) {
     return 0;
   }
   for (std::size_t offset = 1; offset < length; ++offset) {
@@ -32,11 +47,7 @@
       return 0;
     }
   }
-  const auto second = static_cast<unsigned char>(text[index + 1]);
-  const bool is_overlong = (first == 0xe0U && second < 0xa0U) || (first == 0xf0U && second < 0x90U);
-  const bool is_surrogate = first == 0xedU && second >= 0xa0U;
-  const bool is_beyond = first == 0xf4U && second >= 0x90U;
-  return is_overlong || is_surrogate || is_beyond ? 0 : length;
+  return isValidPrefix(first, static_cast<unsigned char>(text[index + 1])) ? length : 0;
 }
 
 void appendControl(std::string& out, unsigned char character) {
--- a/libraries/configuration/source/maintenance.cc
+++ b/libraries/configuration/source/maintenance.cc
@@ -15,7 +15,7 @@
   return MaintenancePrefix + worker;
 }
 
-ChangeDecision refuse(const RegisterValue& present, ResultCode code, std::string path,
+ChangeDecision reject(const RegisterValue& present, ResultCode code, std::string path,
                       std::string message) {
   ChangeDecision decision;
   decision.code = code;
@@ -31,49 +31,55 @@
   return decision;
 }
 
-/** How many workers are there, and how many would still take requests. */
-struct Capacity {
-  std::size_t listed = 0;
-  std::size_t out = 0;
-  std::size_t out_in_zone = 0;
-  std::size_t left = 0;
+/** Numbers of a pool's workers if a candidate enters maintenance. */
+struct PoolCapacity {
+  std::size_t total = 0;
+  std::size_t in_maintenance = 0;
+  /** In maintenance in the candidate's zone. */
+  std::size_t in_maintenance_in_zone = 0;
+  /** Usable workers without the candidate. */
+  std::size_t remaining = 0;
 };
 
-Capacity capacityWithout(const FleetWorker& chosen, const std::vector<FleetWorker>& fleet,
-                         const std::set<std::string>& out) {
-  Capacity capacity;
+PoolCapacity capacityWithout(const FleetWorker& candidate, const std::vector<FleetWorker>& fleet,
+                             const std::set<std::string>& in_maintenance) {
+  PoolCapacity capacity;
   for (const FleetWorker& worker : fleet) {
-    if (worker.pool != chosen.pool) {
+    if (worker.pool != candidate.pool) {
       continue;
     }
-    const bool is_out = out.contains(worker.worker);
-    ++capacity.listed;
-    capacity.out += is_out ? 1 : 0;
-    capacity.out_in_zone += is_out && worker.zone == chosen.zone ? 1 : 0;
-    capacity.left += worker.usable && !is_out && worker.worker != chosen.worker ? 1 : 0;
+    const bool is_in_maintenance = in_maintenance.contains(worker.worker);
+    const bool is_in_zone = worker.zone == candidate.zone;
+    const bool remains = worker.usable && !is_in_maintenance && worker.worker != candidate.worker;
+    ++capacity.total;
+    capacity.in_maintenance += is_in_maintenance ? 1 : 0;
+    capacity.in_maintenance_in_zone += is_in_maintenance && is_in_zone ? 1 : 0;
+    capacity.remaining += remains ? 1 : 0;
   }
   return capacity;
 }
 
-/** Why the worker may not be missed; empty where it may. */
-std::string reasonToKeep(const FleetWorker& chosen, const Capacity& capacity,
+/** @return why the pool cannot spare the candidate; empty if it can. */
+std::string reasonToKeep(const FleetWorker& candidate, const PoolCapacity& capacity,
                          const Tuning& tuning) {
-  const auto listed = static_cast<double>(capacity.listed);
-  const auto most_out =
-      std::max<std::size_t>(1, static_cast<std::size_t>(listed * tuning.maintenance_pool_share));
-  const auto least_left =
-      static_cast<std::size_t>(std::ceil(listed * tuning.maintenance_capacity_share));
-  if (capacity.out >= most_out) {
-    return std::to_string(capacity.out) + " workers of pool " + chosen.pool +
+  const auto total = static_cast<double>(capacity.total);
+  const auto maximum_in_maintenance =
+      std::max<std::size_t>(1, static_cast<std::size_t>(total * tuning.maintenance_pool_share));
+  const auto minimum_remaining = std::max<std::size_t>(
+      1, static_cast<std::size_t>(std::ceil(total * tuning.maintenance_capacity_share)));
+  if (capacity.in_maintenance >= maximum_in_maintenance) {
+    return std::to_string(capacity.in_maintenance) + " workers of pool " + candidate.pool +
            " are out already; tuning/maintenance-pool-share";
   }
-  if (capacity.out_in_zone >= tuning.maintenance_zone_workers) {
-    return std::to_string(capacity.out_in_zone) + " workers of the pool are out in zone " +
-           chosen.zone + "; tuning/maintenance-zone-workers";
+  if (capacity.in_maintenance_in_zone >= tuning.maintenance_zone_workers) {
+    return std::to_string(capacity.in_maintenance_in_zone) +
+           " workers of the pool are out in zone " + candidate.zone +
+           "; tuning/maintenance-zone-workers";
   }
-  if (capacity.left < std::max<std::size_t>(1, least_left)) {
-    return "only " + std::to_string(capacity.left) + " of " + std::to_string(capacity.listed) +
-           " workers would be left in pool " + chosen.pool + "; tuning/maintenance-capacity-share";
+  if (capacity.remaining < minimum_remaining) {
+    return "only " + std::to_string(capacity.remaining) + " of " + std::to_string(capacity.total) +
+           " workers would be left in pool " + candidate.pool +
+           "; tuning/maintenance-capacity-share";
   }
   return {};
 }
@@ -92,7 +98,7 @@
   return commitChange(present, change, std::move(next));
 }
 
-/** The line of the history for a recorded change; null where it was another kind of change. */
+/** @return the history line of the recorded change; nullptr if it did not start a maintenance. */
 const HistoryLine* maintenanceLine(const RegisterValue& value, const std::string& change_id) {
   const RecordedChange* recorded = value.findRecorded(change_id);
   if (recorded == nullptr || recorded->code != ResultCode::Ok) {
@@ -104,15 +110,59 @@
   return is_maintenance ? &*line : nullptr;
 }
 
-ChangeDecision repeat(const RegisterValue& present, const MaintenanceOrder& order) {
+/** Decides on an order whose change_id is recorded. */
+ChangeDecision repeatOrder(const RegisterValue& present, const MaintenanceOrder& order) {
   const std::optional<std::string> worker = workerTakenOut(present, order.change_id);
   const bool same = worker && (!order.is_chosen || order.wanted.front() == *worker);
   if (!same) {
-    return refuse(present, ResultCode::ChangeIdReused, "change_id", "is that of another change");
+    return reject(present, ResultCode::ChangeIdReused, "change_id", "is that of another change");
   }
   return acknowledge(present.findRecorded(order.change_id)->version);
 }
 
+/** Decides on the end of a maintenance whose change_id is recorded. */
+ChangeDecision repeatEnd(const RegisterValue& present, const RecordedChange& recorded,
+                         const std::string& worker) {
+  const auto line = std::ranges::find(present.history, recorded.version, &HistoryLine::version);
+  const bool same =
+      line != present.history.end() && line->removed == std::vector<std::string>{pathOf(worker)};
+  if (!same) {
+    return reject(present, ResultCode::ChangeIdReused, "change_id", "is that of another change");
+  }
+  return acknowledge(recorded.version);
+}
+
+/** Result of checking one candidate: Ok, or why it cannot enter maintenance. */
+struct CandidateCheck {
+  ResultCode code = ResultCode::Ok;
+  std::string reason;
+};
+
+CandidateCheck checkCandidate(const std::string& worker, const MaintenanceOrder& order,
+                              const std::set<std::string>& in_maintenance, const Tuning& tuning) {
+  if (in_maintenance.contains(worker)) {
+    return {ResultCode::AlreadyInMaintenance, "is out already"};
+  }
+  const auto candidate = std::ranges::find(order.fleet, worker, &FleetWorker::worker);
+  if (candidate == order.fleet.end()) {
+    return {ResultCode::UnknownWorker, "no worker has this name"};
+  }
+  std::string reason =
+      reasonToKeep(*candidate, capacityWithout(*candidate, order.fleet, in_maintenance), tuning);
+  if (!reason.empty()) {
+    return {ResultCode::CapacityTooLow, std::move(reason)};
+  }
+  return {};
+}
+
+ChangeDecision startMaintenance(const RegisterValue& present, const std::string& change_id,
+                                const std::string& worker) {
+  Change change;
+  change.change_id = change_id;
+  change.set.push_back({pathOf(worker), "{}"});
+  return commitEntry(present, std::move(change));
+}
+
 }  // namespace
 
 std::set<std::string> workersInMaintenance(const Document& document) {
@@ -138,52 +188,34 @@
 
 ChangeDecision decideMaintenance(const RegisterValue& present, const MaintenanceOrder& order) {
   if (present.findRecorded(order.change_id) != nullptr) {
-    return repeat(present, order);
+    return repeatOrder(present, order);
   }
-  const std::set<std::string> out = workersInMaintenance(present.document);
+  const std::set<std::string> in_maintenance = workersInMaintenance(present.document);
   const Tuning tuning = buildView(present.document).tuning;
-  ChangeDecision refusal = refuse(present, ResultCode::NothingToMaintain, "", "no worker is sick");
-  bool is_first = true;
-  for (const std::string& wanted : order.wanted) {
-    const auto chosen = std::ranges::find(order.fleet, wanted, &FleetWorker::worker);
-    if (out.contains(wanted)) {
-      if (order.is_chosen) {
-        return refuse(present, ResultCode::AlreadyInMaintenance, wanted, "is out already");
-      }
-      continue;
+  std::optional<ChangeDecision> first_rejection;
+  for (const std::string& worker : order.wanted) {
+    const CandidateCheck check = checkCandidate(worker, order, in_maintenance, tuning);
+    if (check.code == ResultCode::Ok) {
+      return startMaintenance(present, order.change_id, worker);
     }
-    if (chosen == order.fleet.end()) {
-      if (order.is_chosen) {
-        return refuse(present, ResultCode::UnknownWorker, wanted, "no worker has this name");
+    if (check.code == ResultCode::CapacityTooLow) {
+      if (!first_rejection) {
+        first_rejection = reject(present, check.code, worker, check.reason);
       }
-      continue;
-    }
-    const std::string reason =
-        reasonToKeep(*chosen, capacityWithout(*chosen, order.fleet, out), tuning);
-    if (reason.empty()) {
-      Change change;
-      change.change_id = order.change_id;
-      change.set.push_back({pathOf(wanted), "{}"});
-      return commitEntry(present, std::move(change));
-    }
-    if (is_first) {
-      refusal = refuse(present, ResultCode::CapacityTooLow, wanted, reason);
-      is_first = false;
+    } else if (order.is_chosen) {
+      return reject(present, check.code, worker, check.reason);
     }
   }
-  return refusal;
+  if (first_rejection) {
+    return *std::move(first_rejection);
+  }
+  return reject(present, ResultCode::NothingToMaintain, "", "no worker is sick");
 }
 
 ChangeDecision decideMaintenanceEnd(const RegisterValue& present, const std::string& change_id,
                                     const std::string& worker) {
   if (const RecordedChange* recorded = present.findRecorded(change_id)) {
-    const auto line = std::ranges::find(present.history, recorded->version, &HistoryLine::version);
-    const bool same =
-        line != present.history.end() && line->removed == std::vector<std::string>{pathOf(worker)};
-    if (!same) {
-      return refuse(present, ResultCode::ChangeIdReused, "change_id", "is that of another change");
-    }
-    return acknowledge(recorded->version);
+    return repeatEnd(present, *recorded, worker);
   }
   if (!workersInMaintenance(present.document).contains(worker)) {
     return acknowledge(present.document.version);
--- a/libraries/configuration/source/object_reader.cc
+++ b/libraries/configuration/source/object_reader.cc
@@ -38,6 +38,20 @@
   return !text.empty() && text.size() <= maximum;
 }
 
+/** @return a required string that satisfies the predicate; empty, with a fault, if it does not. */
+std::string readRequiredText(ObjectReader& reader, const std::string& member,
+                             bool (*is_valid)(std::string_view), const std::string& message) {
+  const JsonValue* value = reader.required(member);
+  if (value == nullptr) {
+    return {};
+  }
+  if (value->kind != JsonKind::String || !is_valid(value->text)) {
+    reader.fault(member, ResultCode::InvalidValue, message);
+    return {};
+  }
+  return value->text;
+}
+
 }  // namespace
 
 bool isName(std::string_view text) {
@@ -54,14 +68,14 @@
 
 bool checkInteger(const JsonValue& value, IntegerRange range, const std::string& path,
                   std::vector<Fault>& faults) {
-  const bool is_good = value.kind == JsonKind::Integer && value.integer >= range.minimum &&
-                       value.integer <= range.maximum;
-  if (!is_good) {
+  const bool is_valid = value.kind == JsonKind::Integer && value.integer >= range.minimum &&
+                        value.integer <= range.maximum;
+  if (!is_valid) {
     faults.push_back({path, ResultCode::InvalidValue,
                       "must be an integer from " + std::to_string(range.minimum) + " to " +
                           std::to_string(range.maximum)});
   }
-  return is_good;
+  return is_valid;
 }
 
 ObjectReader::ObjectReader(const JsonValue& value, std::string path, std::vector<Fault>& faults)
@@ -72,7 +86,7 @@
 }
 
 const JsonValue* ObjectReader::optional(const std::string& name) {
-  known_.push_back(name);
+  read_members_.push_back(name);
   return value_.find(name);
 }
 
@@ -94,29 +108,13 @@
 }
 
 std::string ObjectReader::name(const std::string& member) {
-  const JsonValue* value = required(member);
-  if (value == nullptr) {
-    return {};
-  }
-  if (value->kind != JsonKind::String || !isName(value->text)) {
-    fault(member, ResultCode::InvalidValue,
-          "must be a name of 1 to 64 characters of a-z, 0-9, '.', '_' and '-'");
-    return {};
-  }
-  return value->text;
+  return readRequiredText(*this, member, isName,
+                          "must be a name of 1 to 64 characters of a-z, 0-9, '.', '_' and '-'");
 }
 
 std::string ObjectReader::sha256(const std::string& member) {
-  const JsonValue* value = required(member);
-  if (value == nullptr) {
-    return {};
-  }
-  if (value->kind != JsonKind::String || !isSha256(value->text)) {
-    fault(member, ResultCode::InvalidValue,
-          "must be a SHA-256 of 64 lower-case hexadecimal digits");
-    return {};
-  }
-  return value->text;
+  return readRequiredText(*this, member, isSha256,
+                          "must be a SHA-256 of 64 lower-case hexadecimal digits");
 }
 
 std::string ObjectReader::text(const std::string& member, std::string fallback) {
@@ -140,6 +138,20 @@
   return value->integer;
 }
 
+double ObjectReader::nonNegativeNumber(const std::string& member, double fallback) {
+  const JsonValue* value = optional(member);
+  if (value == nullptr) {
+    return fallback;
+  }
+  const bool is_integer = value->kind == JsonKind::Integer;
+  const double number = is_integer ? static_cast<double>(value->integer) : value->number;
+  if ((!is_integer && value->kind != JsonKind::Number) || number < 0) {
+    fault(member, ResultCode::InvalidValue, "must be a number of at least 0");
+    return fallback;
+  }
+  return number;
+}
+
 bool ObjectReader::boolean(const std::string& member, bool fallback) {
   const JsonValue* value = optional(member);
   if (value == nullptr) {
@@ -175,7 +187,7 @@
 
 void ObjectReader::finish() {
   for (const std::string& name : value_.names) {
-    if (std::ranges::find(known_, name) == known_.end()) {
+    if (std::ranges::find(read_members_, name) == read_members_.end()) {
       fault(name, ResultCode::UnknownField, "is not known here");
     }
   }
--- a/libraries/configuration/source/object_reader.h
+++ b/libraries/configuration/source/object_reader.h
@@ -10,61 +10,68 @@
 
 namespace switchsaddle::configuration {
 
-/** The closed range an integer must lie in. */
+/** Closed range of valid integers. */
 struct IntegerRange {
   std::int64_t minimum = 0;
   std::int64_t maximum = 0;
 };
 
-/** Whether a text is a name: 1 to 64 characters of a-z, 0-9, '.', '_' and '-'. */
+/** @return whether a text is a name: 1 to 64 characters of a-z, 0-9, '.', '_' and '-'. */
 bool isName(std::string_view text);
-/** Whether a text is a model's name: 1 to 128 letters, digits and characters of "._:/-". */
+/** @return whether a text is a model's name: 1 to 128 letters, digits and characters of "._:/-". */
 bool isModelName(std::string_view text);
-/** Whether a text is a SHA-256 in lower-case hexadecimal. */
+/** @return whether a text is a SHA-256 in lower-case hexadecimal. */
 bool isSha256(std::string_view text);
 
 /**
- * Reads the members of one JSON object and notes every fault: members missing, of the wrong type or
- * out of range, and in finish() those that nobody asked for. Lives within one function.
+ * Reads the members of a JSON object and reports all faults: members that are missing, have the
+ * wrong type or are out of range, and, in finish(), unknown members. Refers to the value and the
+ * faults, which must outlive it.
  */
 class ObjectReader {
  public:
+  /** @param path location of the value, to which the paths of faults are relative. */
   ObjectReader(const JsonValue& value, std::string path, std::vector<Fault>& faults);
 
-  /** The member, or nullptr; nothing is noted where it is missing. */
+  /** @return the member, or nullptr if it is missing. */
   const JsonValue* optional(const std::string& name);
-  /** The member, or nullptr where it is missing or, as noted, no object. */
+  /** @return the member, or nullptr if it is missing; another type is a fault. */
   const JsonValue* optionalObject(const std::string& name);
-  /** The member, or nullptr with MissingField noted. */
+  /** @return the member, or nullptr if it is missing, which is a fault. */
   const JsonValue* required(const std::string& name);
-  /** A required string that isName(); empty where faulty. */
+  /** @return a required string that isName(); empty if faulty. */
   std::string name(const std::string& member);
-  /** A required string that is a SHA-256; empty where faulty. */
+  /** @return a required string that is a SHA-256; empty if faulty. */
   std::string sha256(const std::string& member);
-  /** An optional string; `fallback` where it is missing or faulty. */
+  /** @return an optional string; `fallback` if missing or faulty. */
   std::string text(const std::string& member, std::string fallback = {});
-  /** An optional integer; `fallback` where it is missing or faulty. */
+  /** @return an optional integer; `fallback` if missing or faulty. */
   std::int64_t integer(const std::string& member, IntegerRange range, std::int64_t fallback);
-  /** An optional boolean; `fallback` where it is missing or faulty. */
+  /** @return an optional number of at least 0; `fallback` if missing or faulty. */
+  double nonNegativeNumber(const std::string& member, double fallback);
+  /** @return an optional boolean; `fallback` if missing or faulty. */
   bool boolean(const std::string& member, bool fallback);
-  /** An optional list of strings; elements of another type are noted and left out. */
+  /** @return an optional list of strings, without the elements of another type, which are faults.
+   */
   std::vector<std::string> texts(const std::string& member);
-  /** Whether the value is an object that holds the member. */
+  /** @return whether the value is an object with the member. */
   bool has(const std::string& member) const { return value_.find(member) != nullptr; }
-  /** Notes each member that was not asked for. */
+  /** Reports each member that no other function has read as unknown. */
   void finish();
 
+  /** Reports a fault of a member. */
   void fault(const std::string& member, base::ResultCode code, const std::string& message);
+  /** @return the complete path of a member. */
   std::string pathOf(const std::string& member) const;
 
  private:
   const JsonValue& value_;
   std::string path_;
   std::vector<Fault>& faults_;
-  std::vector<std::string> known_;
+  std::vector<std::string> read_members_;
 };
 
-/** Notes a value that is no integer or lies outside the range; returns whether it was good. */
+/** Reports a value that is not an integer within the range; @return whether it is valid. */
 bool checkInteger(const JsonValue& value, IntegerRange range, const std::string& path,
                   std::vector<Fault>& faults);
 
--- a/libraries/configuration/source/parsed_configuration.cc
+++ b/libraries/configuration/source/parsed_configuration.cc
@@ -11,10 +11,10 @@
 
 using base::ResultCode;
 
-/** A kind of entry: the first part of its path and the check of its form. */
+/** A kind of entry: the prefix of its path and its parser. */
 struct EntryKind {
   std::string_view prefix;
-  /** Whether the rest of the path is one name; else the check looks at it. */
+  /** The path after the prefix must be one name; otherwise the parser checks it. */
   bool is_named;
   void (*parse)(const EntryText&, ParsedConfiguration&, Faults&);
 };
@@ -71,14 +71,14 @@
 
 ParsedConfiguration parseConfiguration(const Document& document, std::vector<Fault>& faults) {
   ParsedConfiguration parsed;
-  std::size_t live = 0;
+  std::size_t live_entries = 0;
   for (const auto& [path, entry] : document.entries) {
     if (!entry.removed) {
-      ++live;
+      ++live_entries;
       parseEntry(entry, parsed, faults);
     }
   }
-  if (live > MaximumEntries) {
+  if (live_entries > MaximumEntries) {
     faults.push_back({"", ResultCode::BodyTooLarge,
                       "holds more than " + std::to_string(MaximumEntries) + " entries"});
   }
--- a/libraries/configuration/source/parsed_configuration.h
+++ b/libraries/configuration/source/parsed_configuration.h
@@ -19,14 +19,15 @@
   std::int64_t maximum = 0;
 };
 
-/** A number of a shape: given, or taken from a parameter. */
+/** A number of a shape: a literal or a reference to a parameter. */
 struct ShapeNumber {
+  /** The literal, or the default. */
   std::int64_t value = 0;
-  /** Name of the parameter that fills it in; empty where the number is given. */
+  /** Name of the parameter referred to; empty for a literal. */
   std::string parameter;
 };
 
-/** The template of shapes/NAME before its parameters are filled in. */
+/** The entry shapes/NAME: a session shape with unresolved parameters. */
 struct ShapeTemplate {
   std::map<std::string, ShapeParameter> parameters;
   std::vector<std::string> services;
@@ -44,15 +45,17 @@
   std::string one_shot_branch;
 };
 
-/** The entry share/PATH: absolute slots for the root, parts of the parent's slots for others. */
+/** The entry share/PATH. */
 struct ShareEntry {
+  /** Slots of the root; zero for other branches. */
   std::uint32_t slots = 0;
-  std::uint32_t parts = 0;
+  /** Weight in the division of the parent's slots among its children; zero for the root. */
+  std::uint32_t weight = 0;
 };
 
 /**
- * All entries of a document that have a sound form. Entries with faults may be held in part, so
- * that references to them don't count as faults of their own.
+ * The parsed entries of a document. Faulty entries may be included with default values, so that
+ * references to them are not reported as further faults.
  */
 struct ParsedConfiguration {
   std::map<std::string, ShapeTemplate> shapes;
@@ -63,15 +66,15 @@
   std::map<std::string, std::string> operators;
   std::set<std::string> evacuated_zones;
   std::set<std::string> workers_in_maintenance;
-  /** Not indexed. */
+  /** Without its indexes; see Forwarding::index(). */
   Forwarding forwarding;
   Tuning tuning;
 };
 
-/** Parses all live entries and checks forms and references. Every fault is appended. */
+/** Parses all live entries, checks their references and appends every fault. */
 ParsedConfiguration parseConfiguration(const Document& document, std::vector<Fault>& faults);
 
-/** The shape a tenant gets. Requires a configuration without faults. */
-SessionShape fillShape(const ShapeTemplate& shape, const TenantEntry& tenant);
+/** @return the tenant's shape. The configuration must be free of faults. */
+SessionShape resolveShape(const ShapeTemplate& shape, const TenantEntry& tenant);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/register_value.cc
+++ b/libraries/configuration/source/register_value.cc
@@ -12,9 +12,9 @@
 
 using base::ResultCode;
 
-/** Bumped with every change of the stored form. */
+/** Incremented with each change of the stored form. */
 constexpr std::uint16_t RegisterFormat = 2;
-/** Written by earlier releases, still read. */
+/** Format of earlier releases, which is still decoded. */
 constexpr std::uint16_t FormatWithoutSource = 1;
 constexpr std::size_t ChecksumSize = 8;
 
@@ -37,84 +37,25 @@
   return entries;
 }
 
-template <class Element>
-void keepNewest(std::vector<Element>& elements, std::size_t maximum) {
-  if (elements.size() > maximum) {
-    elements.erase(elements.begin(), elements.end() - static_cast<std::ptrdiff_t>(maximum));
-  }
-}
-
-void record(RegisterValue& value, const Change& change, ResultCode code, std::uint64_t version) {
-  value.recorded.push_back({change.change_id, change.fingerprint(), code, version});
-  keepNewest(value.recorded, MaximumRecordedChanges);
-}
-
-/** The history line of a change: what it set and removed in effect. */
-HistoryLine describeChange(const Document& next, const Change& change) {
-  HistoryLine line;
-  line.version = next.version;
-  line.change_id = change.change_id;
-  for (const auto& [path, entry] : next.entries) {
-    if (entry.version == next.version) {
-      (entry.removed ? line.removed : line.set).push_back(path);
-    }
-  }
-  return line;
-}
-
-ChangeDecision repeatRecorded(const RegisterValue& present, const Change& change,
-                              const RecordedChange& recorded) {
-  ChangeDecision decision;
-  decision.next = present;
-  if (recorded.fingerprint != change.fingerprint()) {
-    decision.code = ResultCode::ChangeIdReused;
-    decision.version = present.document.version;
-    return decision;
-  }
-  decision.code = recorded.code;
-  decision.version = recorded.version;
-  decision.repeated = true;
-  return decision;
-}
-
-ChangeDecision refuseInvalid(const RegisterValue& present, std::vector<Fault> faults) {
-  ChangeDecision decision;
-  decision.code = ResultCode::ConfigurationInvalid;
-  decision.version = present.document.version;
-  decision.faults = std::move(faults);
-  decision.next = present;
-  return decision;
-}
-
-ChangeDecision refuseConflict(const RegisterValue& present, const Change& change) {
-  ChangeDecision decision;
-  decision.code = ResultCode::ConfigurationConflict;
-  decision.version = present.document.version;
-  decision.writes = true;
-  decision.next = present;
-  record(decision.next, change, decision.code, decision.version);
-  return decision;
-}
-
-/** Throws base::Error with RecordCorrupt. */
+/** @throws base::Error with RecordCorrupt. */
 void verifyChecksum(const std::string& bytes) {
   const std::string_view all(bytes);
   if (all.size() < ChecksumSize ||
       checksumOf(all.substr(ChecksumSize)) != all.substr(0, ChecksumSize)) {
-    throw base::Error(ResultCode::RecordCorrupt, "the configuration fails its checksum");
+    throw base::Error(ResultCode::RecordCorrupt, "the configuration does not match its checksum");
   }
 }
 
-/** What every record begins with. */
+/** First fields of each record. */
 struct RecordHead {
   std::uint16_t format = 0;
   std::uint64_t version = 0;
 };
 
-/** The archive's mark of its byte order, the format and the version. */
+/** Size of the archive's byte order tag, the format and the version. */
 constexpr std::size_t RecordHeadBytes = 1 + sizeof(std::uint16_t) + sizeof(std::uint64_t);
 
-/** Throws base::Error with RecordCorrupt where the format is not known. */
+/** @throws base::Error with RecordCorrupt if the format is unknown. */
 RecordHead readHead(const std::string& body) {
   RecordHead head;
   try {
@@ -125,7 +66,8 @@
     throw base::Error(ResultCode::RecordCorrupt, exception.what());
   }
   if (head.format != RegisterFormat && head.format != FormatWithoutSource) {
-    throw base::Error(ResultCode::RecordCorrupt, "the configuration is of another format");
+    throw base::Error(ResultCode::RecordCorrupt,
+                      "the configuration has the unknown format " + std::to_string(head.format));
   }
   return head;
 }
@@ -189,35 +131,4 @@
   return readHead(bytes.substr(ChecksumSize, RecordHeadBytes)).version;
 }
 
-ChangeDecision commitChange(const RegisterValue& present, const Change& change, Document next) {
-  ChangeDecision decision;
-  decision.version = next.version;
-  decision.writes = true;
-  decision.next = present;
-  decision.next.document = std::move(next);
-  decision.next.history.push_back(describeChange(decision.next.document, change));
-  keepNewest(decision.next.history, MaximumHistoryLines);
-  record(decision.next, change, decision.code, decision.version);
-  return decision;
-}
-
-ChangeDecision decideChange(const RegisterValue& present, const Change& change) {
-  if (const RecordedChange* recorded = present.findRecorded(change.change_id)) {
-    return repeatRecorded(present, change, *recorded);
-  }
-  const bool is_on_any_base = change.base_version == AnyBaseVersion;
-  std::vector<Fault> faults = checkChange(present.document, change);
-  const bool has_id = !change.change_id.empty();
-  if (has_id && !is_on_any_base && change.base_version != present.document.version) {
-    return refuseConflict(present, change);
-  }
-  Document next = applyChange(present.document, change);
-  const std::vector<Fault> content_faults = checkDocument(next);
-  faults.insert(faults.end(), content_faults.begin(), content_faults.end());
-  if (!faults.empty()) {
-    return refuseInvalid(present, std::move(faults));
-  }
-  return commitChange(present, change, std::move(next));
-}
-
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/share_tree.cc
+++ b/libraries/configuration/source/share_tree.cc
@@ -7,23 +7,25 @@
 
 namespace {
 
-/** Gives what the division left over to the largest remainders, one slot each. */
-void distributeRemainder(std::uint64_t left, const std::vector<std::uint64_t>& remainders,
+/** Adds one of the undivided slots to each of the children with the largest remainders. */
+void distributeRemainder(std::uint64_t undivided_slots,
+                         const std::vector<std::uint64_t>& remainders,
                          std::vector<std::uint32_t>& shares) {
   std::vector<std::size_t> order(shares.size());
   std::iota(order.begin(), order.end(), 0);
   std::ranges::stable_sort(order, [&](std::size_t first, std::size_t second) {
     return remainders[first] > remainders[second];
   });
-  for (std::size_t index = 0; index < left; ++index) {
+  for (std::size_t index = 0; index < undivided_slots; ++index) {
     ++shares[order[index]];
   }
 }
 
-/** Moves single slots from the largest shares to children that came out with none. */
-void fillEmptyShares(const std::vector<std::uint32_t>& parts, std::vector<std::uint32_t>& shares) {
+/** Moves single slots from the largest shares to children with a weight but no slot. */
+void fillEmptyShares(const std::vector<std::uint32_t>& weights,
+                     std::vector<std::uint32_t>& shares) {
   for (std::size_t index = 0; index < shares.size(); ++index) {
-    if (parts[index] == 0 || shares[index] > 0) {
+    if (weights[index] == 0 || shares[index] > 0) {
       continue;
     }
     const auto largest = std::ranges::max_element(shares);
@@ -43,48 +45,49 @@
 }
 
 std::vector<std::uint32_t> divideSlots(std::uint32_t slots,
-                                       const std::vector<std::uint32_t>& parts) {
-  std::vector<std::uint32_t> shares(parts.size(), 0);
-  const std::uint64_t sum = std::accumulate(parts.begin(), parts.end(), std::uint64_t{0});
-  if (sum == 0) {
+                                       const std::vector<std::uint32_t>& weights) {
+  std::vector<std::uint32_t> shares(weights.size(), 0);
+  const std::uint64_t total_weight =
+      std::accumulate(weights.begin(), weights.end(), std::uint64_t{0});
+  if (total_weight == 0) {
     return shares;
   }
-  std::vector<std::uint64_t> remainders(parts.size(), 0);
-  std::uint64_t left = slots;
-  for (std::size_t index = 0; index < parts.size(); ++index) {
-    const std::uint64_t product = std::uint64_t{slots} * parts[index];
-    shares[index] = static_cast<std::uint32_t>(product / sum);
-    remainders[index] = product % sum;
-    left -= shares[index];
+  std::vector<std::uint64_t> remainders(weights.size(), 0);
+  std::uint64_t undivided_slots = slots;
+  for (std::size_t index = 0; index < weights.size(); ++index) {
+    const std::uint64_t product = std::uint64_t{slots} * weights[index];
+    shares[index] = static_cast<std::uint32_t>(product / total_weight);
+    remainders[index] = product % total_weight;
+    undivided_slots -= shares[index];
   }
-  distributeRemainder(left, remainders, shares);
-  fillEmptyShares(parts, shares);
+  distributeRemainder(undivided_slots, remainders, shares);
+  fillEmptyShares(weights, shares);
   return shares;
 }
 
-std::map<std::string, Branch> workOutBranches(const std::map<std::string, ShareEntry>& share) {
+std::map<std::string, Branch> resolveBranches(const std::map<std::string, ShareEntry>& share) {
   std::map<std::string, std::vector<std::string>> children;
   for (const auto& [path, entry] : share) {
     children[parentBranch(path)].push_back(path);
   }
   std::map<std::string, Branch> branches;
-  std::vector<std::string> open;
+  std::vector<std::string> unvisited;
   for (const std::string& root : children[""]) {
     branches[root] = Branch{root, share.at(root).slots};
-    open.push_back(root);
+    unvisited.push_back(root);
   }
-  while (!open.empty()) {
-    const std::string parent = std::move(open.back());
-    open.pop_back();
+  while (!unvisited.empty()) {
+    const std::string parent = std::move(unvisited.back());
+    unvisited.pop_back();
     const std::vector<std::string>& paths = children[parent];
-    std::vector<std::uint32_t> parts;
+    std::vector<std::uint32_t> weights;
     for (const std::string& path : paths) {
-      parts.push_back(share.at(path).parts);
+      weights.push_back(share.at(path).weight);
     }
-    const std::vector<std::uint32_t> shares = divideSlots(branches[parent].slots, parts);
+    const std::vector<std::uint32_t> shares = divideSlots(branches[parent].slots, weights);
     for (std::size_t index = 0; index < paths.size(); ++index) {
       branches[paths[index]] = Branch{paths[index], shares[index]};
-      open.push_back(paths[index]);
+      unvisited.push_back(paths[index]);
     }
   }
   return branches;
--- a/libraries/configuration/source/share_tree.h
+++ b/libraries/configuration/source/share_tree.h
@@ -9,18 +9,19 @@
 
 namespace switchsaddle::configuration {
 
-/** The path of a branch's parent; empty for the root. */
+/** @return the path of a branch's parent; empty for the root. */
 std::string parentBranch(const std::string& path);
 
 /**
- * Divides slots in proportion to parts, by largest remainder; ties go to the earlier. The sum is
- * exactly `slots` where any part is above zero. Then, while a child with parts has no slot, it gets
- * one from the child that has most, as long as that one keeps one.
+ * Divides slots in proportion to weights by the largest remainder method; ties go to the lower
+ * index. A child with a weight but no slot then gets one from the child with the most slots, unless
+ * that one has a single slot.
+ * @return the slots of each child; their sum is `slots` unless all weights are zero.
  */
 std::vector<std::uint32_t> divideSlots(std::uint32_t slots,
-                                       const std::vector<std::uint32_t>& parts);
+                                       const std::vector<std::uint32_t>& weights);
 
-/** The slots of every branch, worked out from the root down. Requires a tree without faults. */
-std::map<std::string, Branch> workOutBranches(const std::map<std::string, ShareEntry>& share);
+/** @return all branches with their slots. The share tree must be free of faults. */
+std::map<std::string, Branch> resolveBranches(const std::map<std::string, ShareEntry>& share);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/source_document.cc
+++ b/libraries/configuration/source/source_document.cc
@@ -13,7 +13,7 @@
 
 using base::ResultCode;
 
-ChangeDecision refuse(const RegisterValue& present, ResultCode code, std::vector<Fault> faults) {
+ChangeDecision reject(const RegisterValue& present, ResultCode code, std::vector<Fault> faults) {
   ChangeDecision decision;
   decision.code = code;
   decision.version = present.document.version;
@@ -28,33 +28,47 @@
   return decision;
 }
 
-/** The change of the entries that differ from those the new source text derives. */
+/** @return the recorded result of an earlier update with the same change_id. */
+ChangeDecision repeatRecorded(const RecordedChange& recorded) {
+  ChangeDecision decision;
+  decision.code = recorded.code;
+  decision.version = recorded.version;
+  decision.repeated = true;
+  return decision;
+}
+
+bool isInForce(const SourceTranslation& translation, const SourceDocument& current) {
+  return translation.faults.empty() && translation.revision == current.revision &&
+         translation.text == current.text;
+}
+
+/** @return the change that makes the derived entries those of the translation. */
 Change changeOfEntries(const Document& document, const SourceUpdate& update,
                        const SourceTranslation& translation) {
   Change change;
   change.change_id = update.change_id;
   change.base_version = document.version;
-  std::set<std::string> wanted;
+  std::set<std::string> derived_paths;
   for (const EntryChange& entry : translation.entries) {
-    wanted.insert(entry.path);
+    derived_paths.insert(entry.path);
     std::string json = canonicalText(entry.json);
-    const auto present = document.entries.find(entry.path);
-    const bool same = present != document.entries.end() && !present->second.removed &&
-                      present->second.json == json;
-    if (!same) {
+    const auto current = document.entries.find(entry.path);
+    const bool is_unchanged = current != document.entries.end() && !current->second.removed &&
+                              current->second.json == json;
+    if (!is_unchanged) {
       change.set.push_back({entry.path, std::move(json)});
     }
   }
   for (const auto& [path, entry] : document.entries) {
-    const bool derived = path.starts_with(SourceEntriesPrefix);
-    if (derived && !entry.removed && !wanted.contains(path)) {
+    const bool is_derived = path.starts_with(SourceEntriesPrefix);
+    if (is_derived && !entry.removed && !derived_paths.contains(path)) {
       change.remove.push_back(path);
     }
   }
   return change;
 }
 
-/** Two entries at one path: the source names one thing twice. */
+/** Reports paths that the translation contains twice. */
 void checkPaths(const SourceTranslation& translation, std::vector<Fault>& faults) {
   std::map<std::string, std::size_t> counts;
   for (const EntryChange& entry : translation.entries) {
@@ -64,29 +78,9 @@
   }
 }
 
-}  // namespace
-
-ChangeDecision decideSourceUpdate(const RegisterValue& present, const SourceUpdate& update) {
-  if (const RecordedChange* recorded = present.findRecorded(update.change_id)) {
-    ChangeDecision decision;
-    decision.code = recorded->code;
-    decision.version = recorded->version;
-    decision.repeated = true;
-    return decision;
-  }
-  SourceTranslation translation = update.translate(present.source.text);
-  const bool in_force_already = translation.faults.empty() &&
-                                translation.revision == present.source.revision &&
-                                translation.text == present.source.text;
-  if (in_force_already) {
-    return alreadyInForce(present);
-  }
-  if (update.base_revision != present.source.revision) {
-    return refuse(present, ResultCode::ConfigurationConflict, {});
-  }
-  if (!translation.faults.empty()) {
-    return refuse(present, ResultCode::ConfigurationInvalid, std::move(translation.faults));
-  }
+/** Decides on a translation that is free of faults and has the right base. */
+ChangeDecision commitTranslation(const RegisterValue& present, const SourceUpdate& update,
+                                 SourceTranslation translation) {
   std::vector<Fault> faults;
   checkPaths(translation, faults);
   if (translation.revision <= present.source.revision) {
@@ -97,13 +91,32 @@
   const std::vector<Fault> content_faults = checkDocument(next);
   faults.insert(faults.end(), content_faults.begin(), content_faults.end());
   if (!faults.empty()) {
-    return refuse(present, ResultCode::ConfigurationInvalid, std::move(faults));
+    return reject(present, ResultCode::ConfigurationInvalid, std::move(faults));
   }
   ChangeDecision decision = commitChange(present, change, std::move(next));
   decision.next.source = {translation.revision, std::move(translation.text)};
   return decision;
 }
 
+}  // namespace
+
+ChangeDecision decideSourceUpdate(const RegisterValue& present, const SourceUpdate& update) {
+  if (const RecordedChange* recorded = present.findRecorded(update.change_id)) {
+    return repeatRecorded(*recorded);
+  }
+  SourceTranslation translation = update.translate(present.source.text);
+  if (isInForce(translation, present.source)) {
+    return alreadyInForce(present);
+  }
+  if (update.base_revision != present.source.revision) {
+    return reject(present, ResultCode::ConfigurationConflict, {});
+  }
+  if (!translation.faults.empty()) {
+    return reject(present, ResultCode::ConfigurationInvalid, std::move(translation.faults));
+  }
+  return commitTranslation(present, update, std::move(translation));
+}
+
 ChangeDecision decideEvacuation(const RegisterValue& present, const std::string& zone,
                                 bool evacuated) {
   const auto entry = present.document.entries.find("evacuations/" + zone);
--- a/libraries/configuration/source/state_report.cc
+++ b/libraries/configuration/source/state_report.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A report's body may hold every prefix and worker of a fleet. */
+/** A report may contain all sessions and workers of a fleet. */
 constexpr JsonLimits ReportLimits{
     .maximum_bytes = 67'108'864, .maximum_depth = 8, .comments = false};
 constexpr IntegerRange AnyCount{0, std::numeric_limits<std::int64_t>::max()};
@@ -49,6 +49,18 @@
   return entry;
 }
 
+void parseStateEntries(const JsonValue& list, ObjectReader& reader, StateReport& report,
+                       std::vector<Fault>& faults) {
+  if (list.kind != JsonKind::Array) {
+    reader.fault("beliefs", base::ResultCode::InvalidValue, "must be a list");
+    return;
+  }
+  for (std::size_t index = 0; index < list.elements.size(); ++index) {
+    const std::string path = "beliefs[" + std::to_string(index) + "]";
+    report.entries.push_back(parseStateEntry(list.elements[index], path, faults));
+  }
+}
+
 void writeStateEntry(JsonWriter& writer, const StateEntry& entry) {
   writer.beginObject();
   writer.name("subject").string(entry.subject);
@@ -118,13 +130,8 @@
   report.now_ms = reader.integer("now_ms", AnyCount, 0);
   const JsonValue* entries = reader.required("beliefs");
   reader.finish();
-  if (entries != nullptr && entries->kind != JsonKind::Array) {
-    reader.fault("beliefs", base::ResultCode::InvalidValue, "must be a list");
-  } else if (entries != nullptr) {
-    for (std::size_t index = 0; index < entries->elements.size(); ++index) {
-      const std::string path = "beliefs[" + std::to_string(index) + "]";
-      report.entries.push_back(parseStateEntry(entries->elements[index], path, faults));
-    }
+  if (entries != nullptr) {
+    parseStateEntries(*entries, reader, report, faults);
   }
   return faults.size() == before ? std::optional(std::move(report)) : std::nullopt;
 }
--- a/libraries/configuration/source/view.cc
+++ b/libraries/configuration/source/view.cc
@@ -14,13 +14,13 @@
                    const ParsedConfiguration& parsed) {
   Tenant tenant;
   tenant.name = name;
-  tenant.shape = fillShape(parsed.shapes.at(entry.shape), entry);
+  tenant.shape = resolveShape(parsed.shapes.at(entry.shape), entry);
   tenant.stream_branch = entry.stream_branch;
   tenant.one_shot_branch = entry.one_shot_branch;
   return tenant;
 }
 
-[[noreturn]] void throwFirst(const std::vector<Fault>& faults) {
+[[noreturn]] void throwFirstFault(const std::vector<Fault>& faults) {
   const Fault& first = faults.front();
   throw base::Error(base::ResultCode::ConfigurationInvalid,
                     first.path + " " + first.message + ", the first of " +
@@ -55,7 +55,7 @@
   std::vector<Fault> faults;
   ParsedConfiguration parsed = parseConfiguration(document, faults);
   if (!faults.empty()) {
-    throwFirst(faults);
+    throwFirstFault(faults);
   }
   View view;
   view.version = document.version;
@@ -63,7 +63,7 @@
   for (const auto& [name, entry] : parsed.tenants) {
     view.tenants.emplace(name, buildTenant(name, entry, parsed));
   }
-  view.branches = workOutBranches(parsed.share);
+  view.branches = resolveBranches(parsed.share);
   view.routes = std::move(parsed.routes);
   for (const auto& [id, key] : parsed.keys) {
     view.keys.emplace(key.sha256, key);
