--- a/libraries/configuration/include/switchsaddle/configuration/settings.h
+++ b/libraries/configuration/include/switchsaddle/configuration/settings.h
@@ -34,7 +34,7 @@
 };
 
 /** Behaviour of a front whose session has lapsed. */
-enum class LapsedSession : std::uint8_t {
+enum class ExpiredSessionPolicy : std::uint8_t {
   /** Rejects new requests, since a newer configuration may be in force. */
   Refuse,
   /** Serves with the last configuration and worker view, for an unlimited time. */
@@ -95,7 +95,7 @@
   /** Interfaces used towards callers, workers, operators and the platform; empty for the default.
    */
   std::string dialect;
-  LapsedSession lapsed_session = LapsedSession::Refuse;
+  ExpiredSessionPolicy lapsed_session = ExpiredSessionPolicy::Refuse;
   ForwardingSettings forwarding;
 };
 
--- a/libraries/configuration/source/settings_parser.cc
+++ b/libraries/configuration/source/settings_parser.cc
@@ -147,12 +147,12 @@
   forwarding_reader.finish();
 }
 
-LapsedSession readLapsedSession(ObjectReader& reader) {
+ExpiredSessionPolicy readExpiredSessionPolicy(ObjectReader& reader) {
   const std::string text = reader.text("lapsed_session", "refuse");
   if (text != "refuse" && text != "serve") {
     reader.fault("lapsed_session", ResultCode::InvalidValue, "must be refuse or serve");
   }
-  return text == "serve" ? LapsedSession::Serve : LapsedSession::Refuse;
+  return text == "serve" ? ExpiredSessionPolicy::Serve : ExpiredSessionPolicy::Refuse;
 }
 
 void readAddressSettings(ObjectReader& reader, Settings& settings, Faults& faults) {
@@ -208,7 +208,7 @@
   settings.tolerated_zone_losses = readToleratedLosses(reader, "tolerated_zone_losses");
   settings.list_before_lease = reader.boolean("list_before_lease", false);
   settings.dialect = reader.text("dialect");
-  settings.lapsed_session = readLapsedSession(reader);
+  settings.lapsed_session = readExpiredSessionPolicy(reader);
   readForwarding(reader, settings.forwarding, faults);
   reader.finish();
   resolveCoreAddresses(settings);
--- a/libraries/configuration/test/settings_test.cc
+++ b/libraries/configuration/test/settings_test.cc
@@ -91,7 +91,7 @@
   EXPECT_THAT(faultNames(faults), IsEmpty());
   EXPECT_EQ(settings.seeds.front().toString(), "10.1.0.2:7500");
   EXPECT_EQ(settings.initial_cores, settings.seeds);
-  EXPECT_EQ(settings.lapsed_session, LapsedSession::Serve);
+  EXPECT_EQ(settings.lapsed_session, ExpiredSessionPolicy::Serve);
   EXPECT_EQ(settings.readiness_address.port, 8001);
   EXPECT_EQ(settings.times.stop_deadline, std::chrono::milliseconds(6'500));
   EXPECT_EQ(settings.times.stop_notice, std::chrono::milliseconds(2'700));
--- a/libraries/core/include/switchsaddle/core/quota_allocator.h
+++ b/libraries/core/include/switchsaddle/core/quota_allocator.h
@@ -77,7 +77,7 @@
  private:
   void refresh();
   /** @return whether this core knows what all fronts admitted within the last window. */
-  bool knowsWholeWindow();
+  bool hasFullWindow();
   base::Duration window() const;
   /** @return the tenant's units in any window; unset where it has no quota. */
   std::optional<double> limitOf(const std::string& tenant) const;
--- a/libraries/core/source/quota_allocator.cc
+++ b/libraries/core/source/quota_allocator.cc
@@ -58,7 +58,7 @@
   demand_.aggregate([this](const std::string& tenant) { return limitOf(tenant); });
 }
 
-bool QuotaAllocator::knowsWholeWindow() {
+bool QuotaAllocator::hasFullWindow() {
   const base::TimePoint now = dispatcher_.now();
   if (!receiving_since_) {
     receiving_since_ = now;
@@ -69,7 +69,7 @@
 
 std::optional<QuotaUse> QuotaAllocator::useOf(const std::string& tenant) {
   const std::optional<double> limit = limitOf(tenant);
-  const bool is_known = knowsWholeWindow();
+  const bool is_known = hasFullWindow();
   if (!limit || (!is_known && !demand_.mostFrontsAreYoung())) {
     return std::nullopt;
   }
@@ -86,7 +86,7 @@
 }
 
 bool QuotaAllocator::mayDecide() {
-  return hasQuotas() && (knowsWholeWindow() || demand_.mostFrontsAreYoung());
+  return hasQuotas() && (hasFullWindow() || demand_.mostFrontsAreYoung());
 }
 
 double QuotaAllocator::unknownShare() const {
@@ -99,7 +99,7 @@
 
 std::optional<std::vector<wire::TenantAllocation>> QuotaAllocator::allocate(
     const wire::SessionRecord& record) {
-  if (!knowsWholeWindow()) {
+  if (!hasFullWindow()) {
     return std::nullopt;
   }
   std::map<std::string, wire::TenantDemand> reported;
--- a/libraries/core/test/register_change_coordinator_test.cc
+++ b/libraries/core/test/register_change_coordinator_test.cc
@@ -115,7 +115,7 @@
   EXPECT_TRUE(again.repeated);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, AcknowledgesWhenTheSessionOfTheLastLaggingFrontLapses) {
+TEST_F(RegisterChangeCoordinatorTest, AcknowledgesWhenTheSessionOfTheLastLaggingFrontExpires) {
   second_.confirms = false;
   std::optional<ChangeAnswer> answer;
   coordinator_.submit(changeOf("1", 0), false,
--- a/libraries/front/include/switchsaddle/front/node/session_monitor.h
+++ b/libraries/front/include/switchsaddle/front/node/session_monitor.h
@@ -30,7 +30,7 @@
   const sessions::SessionClient& session_;
   base::IncidentSink& incidents_;
   /** The last state that was reported. */
-  sessions::SessionState reported_ = sessions::SessionState::Lapsed;
+  sessions::SessionState reported_ = sessions::SessionState::Expired;
   base::TimePoint reported_at_;
   base::TimerPtr timer_;
 };
--- a/libraries/front/include/switchsaddle/front/request/caller_service.h
+++ b/libraries/front/include/switchsaddle/front/request/caller_service.h
@@ -50,7 +50,7 @@
   /** Null: nothing is forwarded. */
   ForwardFlow* forwards = nullptr;
   ForwardHeaders forward_headers = {};
-  configuration::LapsedSession lapsed_session = configuration::LapsedSession::Refuse;
+  configuration::ExpiredSessionPolicy lapsed_session = configuration::ExpiredSessionPolicy::Refuse;
 };
 
 /**
--- a/libraries/front/source/node/session_monitor.cc
+++ b/libraries/front/source/node/session_monitor.cc
@@ -13,7 +13,7 @@
 base::Incident incidentOf(SessionState state) {
   base::Incident incident;
   switch (state) {
-    case SessionState::Lapsed:
+    case SessionState::Expired:
       incident.event = "session-lapsed";
       incident.severity = base::Severity::Warning;
       incident.code = base::ResultCode::SessionLapsed;
@@ -38,7 +38,7 @@
 
 std::string_view sessionStateName(SessionState state) {
   switch (state) {
-    case SessionState::Lapsed:
+    case SessionState::Expired:
       return "lapsed";
     case SessionState::CatchingUp:
       return "catching-up";
--- a/libraries/front/source/node/state_reporter.cc
+++ b/libraries/front/source/node/state_reporter.cc
@@ -13,7 +13,7 @@
 
 const char* stateName(SessionState state) {
   switch (state) {
-    case SessionState::Lapsed:
+    case SessionState::Expired:
       return "lapsed";
     case SessionState::CatchingUp:
       return "catching up";
--- a/libraries/front/source/request/caller_service.cc
+++ b/libraries/front/source/request/caller_service.cc
@@ -98,8 +98,9 @@
 bool CallerService::servesForwarding() const {
   const bool knows_fleet = dependencies_.fleet_view.configuration()->version > 0 &&
                            !dependencies_.fleet_view.workers()->workers.empty();
-  const bool may_serve = dependencies_.lapsed_session == configuration::LapsedSession::Serve ||
-                         dependencies_.session.mayDispatch();
+  const bool may_serve =
+      dependencies_.lapsed_session == configuration::ExpiredSessionPolicy::Serve ||
+      dependencies_.session.mayDispatch();
   return knows_fleet && may_serve;
 }
 
--- a/libraries/front/test/attempt/dispatch_guard_test.cc
+++ b/libraries/front/test/attempt/dispatch_guard_test.cc
@@ -16,9 +16,9 @@
   DispatchGuard guard{session, fleet_view};
 };
 
-TEST_F(DispatchGuardTest, RejectsDispatchesWhileTheSessionIsLapsed) {
+TEST_F(DispatchGuardTest, RejectsDispatchesWhileTheSessionIsExpired) {
   EXPECT_EQ(guard.checkSession(), ResultCode::Ok);
-  session.now = sessions::SessionState::Lapsed;
+  session.now = sessions::SessionState::Expired;
   EXPECT_EQ(guard.checkSession(), ResultCode::NotServing);
 }
 
--- a/libraries/front/test/fleet/traffic_scenario_test.cc
+++ b/libraries/front/test/fleet/traffic_scenario_test.cc
@@ -9,7 +9,7 @@
 /** Seeds whose sums must show the situations that the scenario checks. */
 constexpr std::uint64_t CoverageSeeds = 20;
 /** Seeds within which a disabled mechanism must be detected. */
-constexpr std::uint64_t RedSeeds = 100;
+constexpr std::uint64_t SeedsWithMechanismDisabled = 100;
 
 class TrafficSeeds : public testing::TestWithParam<std::uint64_t> {};
 
@@ -91,7 +91,7 @@
 
 TEST_P(TrafficRedRuns, DetectsADisabledMechanism) {
   std::uint64_t found_at = 0;
-  for (std::uint64_t seed = 1; seed <= RedSeeds && found_at == 0; ++seed) {
+  for (std::uint64_t seed = 1; seed <= SeedsWithMechanismDisabled && found_at == 0; ++seed) {
     const TrafficResult result = TrafficScenario(seed, GetParam().options).run();
     found_at = result.found(GetParam().rule) ? seed : 0;
   }
--- a/libraries/front/test/node/session_monitor_test.cc
+++ b/libraries/front/test/node/session_monitor_test.cc
@@ -23,10 +23,10 @@
   SessionMonitor monitor_{process_, session_, incidents_};
 };
 
-TEST_F(SessionMonitorTest, ReportsALapseOnceWithItsCodeAndRequestsADump) {
+TEST_F(SessionMonitorTest, ReportsAnExpiryOnceWithItsCodeAndRequestsADump) {
   session_.now = sessions::SessionState::Serving;
   monitor_.start();
-  become(sessions::SessionState::Lapsed);
+  become(sessions::SessionState::Expired);
   ASSERT_EQ(incidents_.all.size(), 2U);
   EXPECT_EQ(incidents_.all[0].event, "session-serving");
   EXPECT_EQ(incidents_.all[1].event, "session-lapsed");
@@ -37,7 +37,7 @@
 TEST_F(SessionMonitorTest, ReportsWhenTheFrontServesAgain) {
   session_.now = sessions::SessionState::Serving;
   monitor_.start();
-  become(sessions::SessionState::Lapsed);
+  become(sessions::SessionState::Expired);
   become(sessions::SessionState::Serving);
   ASSERT_EQ(incidents_.all.size(), 3U);
   EXPECT_EQ(incidents_.all[2].event, "session-serving");
@@ -45,8 +45,8 @@
   EXPECT_FALSE(incidents_.all[2].dumps_ring);
 }
 
-TEST_F(SessionMonitorTest, FrontThatStartsWithoutASessionHasNotLapsed) {
-  session_.now = sessions::SessionState::Lapsed;
+TEST_F(SessionMonitorTest, FrontThatStartsWithoutASessionHasNotExpired) {
+  session_.now = sessions::SessionState::Expired;
   monitor_.start();
   world_.runFor(std::chrono::seconds(5));
   EXPECT_TRUE(incidents_.all.empty());
@@ -56,7 +56,7 @@
   session_.now = sessions::SessionState::Serving;
   monitor_.start();
   monitor_.stop();
-  become(sessions::SessionState::Lapsed);
+  become(sessions::SessionState::Expired);
   EXPECT_EQ(incidents_.all.size(), 1U);
 }
 
--- a/libraries/front/test/one_shot/faulty_workers.h
+++ b/libraries/front/test/one_shot/faulty_workers.h
@@ -30,22 +30,22 @@
         }
       });
     };
-    const std::uint64_t fate = world_.random().below(10);
+    const std::uint64_t outcome = world_.random().below(10);
     const base::Duration delay = std::chrono::milliseconds(world_.random().below(400));
-    if (fate < 3) {
+    if (outcome < 3) {
       deliver(delay, [](WorkerObserver& to) { to.onFailure(WorkerFailure::NotSent, true); });
       return call;
     }
     worker_.postAfter(delay / 2,
                       [&counts = runs, key = request.idempotency_key] { ++counts[key]; });
-    if (fate == 3) {
+    if (outcome == 3) {
       deliver(delay, [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
     }
-    const base::Duration late = fate == 4 ? std::chrono::seconds(9) : base::Duration::zero();
-    for (int response = 0; fate > 3 && response < (fate == 5 ? 2 : 1); ++response) {
+    const base::Duration late = outcome == 4 ? std::chrono::seconds(9) : base::Duration::zero();
+    for (int response = 0; outcome > 3 && response < (outcome == 5 ? 2 : 1); ++response) {
       WorkerHead head;
       head.status = 200;
-      head.request_id = fate == 6 ? "another" : request.request_id;
+      head.request_id = outcome == 6 ? "another" : request.request_id;
       deliver(delay + late, [head](WorkerObserver& to) { to.onHead(head); });
       deliver(delay + late, [](WorkerObserver& to) { to.onBytes("1", [] {}); });
       deliver(delay + late, [](WorkerObserver& to) { to.onComplete(); });
--- a/libraries/front/test/one_shot/one_shot_flow_test.cc
+++ b/libraries/front/test/one_shot/one_shot_flow_test.cc
@@ -156,7 +156,7 @@
 }
 
 TEST_F(OneShotFlowTest, RequestsNeverSentAddNothingToTheRetryBudget) {
-  session.now = sessions::SessionState::Lapsed;
+  session.now = sessions::SessionState::Expired;
   for (int count = 0; count < 20; ++count) {
     run();
   }
@@ -226,8 +226,8 @@
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, SessionLapsedAfterTheClaimIsRecordedNotRun) {
-  claims.before_begin_answer = [this] { session.now = sessions::SessionState::Lapsed; };
+TEST_F(OneShotFlowTest, SessionExpiredAfterTheClaimIsRecordedNotRun) {
+  claims.before_begin_answer = [this] { session.now = sessions::SessionState::Expired; };
   const auto result = run();
   EXPECT_TRUE(workers.sent.empty());
   EXPECT_EQ((*result)->outcome, Outcome::NotRun);
--- a/libraries/front/test/one_shot/one_shot_resend_test.cc
+++ b/libraries/front/test/one_shot/one_shot_resend_test.cc
@@ -92,7 +92,7 @@
   EXPECT_EQ(*slots.in_use, 0);
   claims.release();
   claims.records.clear();
-  session.now = sessions::SessionState::Lapsed;
+  session.now = sessions::SessionState::Expired;
   claims.before_begin_answer = [this] { claims.withheld = true; };
   run();
   EXPECT_EQ(workers.sent.size(), 1U);
--- a/libraries/front/test/one_shot/one_shot_seeds_test.cc
+++ b/libraries/front/test/one_shot/one_shot_seeds_test.cc
@@ -101,7 +101,7 @@
         claims.begins_available = !world.random().chance(0.15);
         claims.finishes_available = !world.random().chance(0.15);
         for (const auto& front : fronts) {
-          front->session.now = world.random().chance(0.2) ? sessions::SessionState::Lapsed
+          front->session.now = world.random().chance(0.2) ? sessions::SessionState::Expired
                                                           : sessions::SessionState::Serving;
         }
       });
--- a/libraries/front/test/request/caller_forwarding_test.cc
+++ b/libraries/front/test/request/caller_forwarding_test.cc
@@ -7,7 +7,7 @@
 namespace switchsaddle::front {
 namespace {
 
-using configuration::LapsedSession;
+using configuration::ExpiredSessionPolicy;
 
 /** A front's HTTP side with forwarding. */
 class CallerForwardingTest : public ForwardFixture {
@@ -24,9 +24,9 @@
     forwarding.index();
     fleet_view.view.version = 1;
     fleet_view.addWorker("w1", "shop");
-    create(LapsedSession::Serve);
+    create(ExpiredSessionPolicy::Serve);
   }
-  void create(LapsedSession lapsed) {
+  void create(ExpiredSessionPolicy lapsed) {
     service =
         std::make_unique<CallerService>(CallerDependencies{process,
                                                            session,
@@ -90,11 +90,11 @@
   EXPECT_FALSE(service->ready());
 }
 
-TEST_F(CallerForwardingTest, LapsedSessionServesOnlyIfConfigured) {
-  session.now = sessions::SessionState::Lapsed;
+TEST_F(CallerForwardingTest, ExpiredSessionServesOnlyIfConfigured) {
+  session.now = sessions::SessionState::Expired;
   EXPECT_TRUE(service->ready());
   EXPECT_EQ(statusOf("/metrics/x"), 200);
-  create(LapsedSession::Refuse);
+  create(ExpiredSessionPolicy::Refuse);
   EXPECT_FALSE(service->ready());
   EXPECT_EQ(statusOf("/metrics/x"), 503);
 }
--- a/libraries/front/test/request/caller_service_test.cc
+++ b/libraries/front/test/request/caller_service_test.cc
@@ -228,9 +228,9 @@
   EXPECT_EQ(send("POST", "/v1/one-shots", order)->code(), 2002);
 }
 
-TEST_F(CallerServiceTest, RejectsWorkWhileLapsedOrStopping) {
+TEST_F(CallerServiceTest, RejectsWorkWhileExpiredOrStopping) {
   EXPECT_EQ(send("GET", "/readyz")->response->status, 200);
-  session.now = sessions::SessionState::Lapsed;
+  session.now = sessions::SessionState::Expired;
   const auto lapsed = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
   EXPECT_EQ(lapsed->code(), 3006);
   EXPECT_FALSE(lapsed->response->header("Retry-After").empty());
--- a/libraries/front/test/stream/stream_flow_test.cc
+++ b/libraries/front/test/stream/stream_flow_test.cc
@@ -101,7 +101,7 @@
 TEST_F(StreamFlowTest, RequestsNeverSentAddNothingToTheRetryBudget) {
   while (retries.tryAcquire("completions", 0.1)) {
   }
-  session.now = sessions::SessionState::Lapsed;
+  session.now = sessions::SessionState::Expired;
   for (int count = 0; count < 20; ++count) {
     run();
   }
@@ -258,9 +258,9 @@
   EXPECT_EQ(workers.sent[2].request.address, workers.sent[1].request.address);
 }
 
-TEST_F(StreamFlowTest, LapsedSessionDispatchesNothingButKeepsOpenStreams) {
+TEST_F(StreamFlowTest, ExpiredSessionDispatchesNothingButKeepsOpenStreams) {
   const auto open = run();
-  session.now = sessions::SessionState::Lapsed;
+  session.now = sessions::SessionState::Expired;
   const auto sink = run();
   ASSERT_TRUE(sink->refusal);
   EXPECT_EQ(sink->refusal->code, ResultCode::NotServing);
@@ -273,7 +273,7 @@
 
 TEST_F(StreamFlowTest, RetriesCheckTheSessionToo) {
   const auto sink = run();
-  session.now = sessions::SessionState::Lapsed;
+  session.now = sessions::SessionState::Expired;
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
   EXPECT_EQ(sink->refusal->code, ResultCode::NotServing);
   EXPECT_EQ(workers.sent.size(), 1U);
--- a/libraries/lightweight_fronts/test/lightweight_front_test.cc
+++ b/libraries/lightweight_fronts/test/lightweight_front_test.cc
@@ -18,7 +18,7 @@
   ASSERT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
   std::uint64_t acknowledged = 0;
   std::uint64_t lagging = 0;
-  scenarios::OperatorStandIn& op = *fleet.fleet.operators.front();
+  scenarios::FakeOperator& op = *fleet.fleet.operators.front();
   op.setAcknowledgedListener([&](const scenarios::OperatorChange& change) {
     ++acknowledged;
     for (const auto& front : fleet.fronts) {
@@ -37,7 +37,7 @@
 TEST_P(LightweightFrontTest, CoresReceiveACommittedChangeWithoutReadingTheRegister) {
   LightweightFleet fleet(GetParam(), 5);
   ASSERT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
-  scenarios::OperatorStandIn& op = *fleet.fleet.operators.front();
+  scenarios::FakeOperator& op = *fleet.fleet.operators.front();
   op.start();
   ASSERT_TRUE(fleet.fleet.world.runUntil([&] { return op.newestVersion() >= 3; }, seconds(60)));
   op.finish();
--- a/libraries/scenarios/include/switchsaddle/scenarios/control_sweep.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/control_sweep.h
@@ -12,11 +12,11 @@
  * behaves, from prompt and lossless to slow, lossy and repeating. */
 ConfigurationScenarioOptions optionsForSeed(std::uint64_t seed);
 
-/** Names of the mechanisms that switchOff() knows. */
+/** Names of the mechanisms that disableMechanism() knows. */
 std::vector<std::string> mechanisms();
 
 /** Switches one mechanism off; throws base::Error with InvalidValue for a name that is not known.
  */
-void switchOff(const std::string& mechanism, ConfigurationScenarioOptions& options);
+void disableMechanism(const std::string& mechanism, ConfigurationScenarioOptions& options);
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/include/switchsaddle/scenarios/operator_stand_in.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/fake_operator.h
@@ -17,7 +17,7 @@
 inline constexpr const char* SimulatedOperatorKey = "simulated-operator";
 
 /** The last thing an operator was told of one of its changes. */
-enum class ChangeFate : std::uint8_t { Pending, Acknowledged, Conflict, Invalid };
+enum class ChangeOutcome : std::uint8_t { Pending, Acknowledged, Conflict, Invalid };
 
 /** One change as its operator knows it. Each sets or removes one entry. */
 struct OperatorChange {
@@ -26,7 +26,7 @@
   /** The entry: an evacuation, or a caller's key. */
   std::string path;
   bool removes = false;
-  ChangeFate fate = ChangeFate::Pending;
+  ChangeOutcome outcome = ChangeOutcome::Pending;
   /** The version it made, from Committed or Acknowledged answers, or that in force which a refused
    * one was told. */
   std::uint64_t version = 0;
@@ -50,13 +50,13 @@
  * the newest version it has been told of, so that operators race. Now and then it sends one of its
  * earlier changes again, however old, and expects the first answer again.
  */
-class OperatorStandIn {
+class FakeOperator {
  public:
   using ChangeListener = std::function<void(const OperatorChange&)>;
   using SentListener = std::function<void(const base::NodeAddress&)>;
 
-  OperatorStandIn(simulation::World& world, simulation::Network& network, base::NodeAddress address,
-                  std::string name, std::vector<base::NodeAddress> nodes);
+  FakeOperator(simulation::World& world, simulation::Network& network, base::NodeAddress address,
+               std::string name, std::vector<base::NodeAddress> nodes);
 
   void setChangedEntries(ChangedEntries entries) { changed_entries_ = entries; }
   /** Further nodes, fronts among them, to which changes are sent. */
@@ -93,8 +93,8 @@
   void onReply(std::uint64_t attempt, const transport::CallResult& result);
   void take(const wire::ControlReply& reply);
   void adoptCommitted(std::uint64_t version);
-  void settle(ChangeFate fate, std::uint64_t version);
-  void end(ChangeFate fate);
+  void settle(ChangeOutcome outcome, std::uint64_t version);
+  void end(ChangeOutcome outcome);
   std::string body() const;
 
   base::NodeAddress address_;
--- a/libraries/scenarios/include/switchsaddle/scenarios/fleet.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/fleet.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <vector>
 
-#include "switchsaddle/scenarios/operator_stand_in.h"
+#include "switchsaddle/scenarios/fake_operator.h"
 #include "switchsaddle/scenarios/simulated_core.h"
 #include "switchsaddle/scenarios/watched_front.h"
 
@@ -63,7 +63,7 @@
   SimulatedPlatform platform;
   std::vector<std::unique_ptr<SimulatedCore>> cores;
   std::vector<std::unique_ptr<WatchedFront>> fronts;
-  std::vector<std::unique_ptr<OperatorStandIn>> operators;
+  std::vector<std::unique_ptr<FakeOperator>> operators;
 
  private:
   configuration::Settings settingsOf(const base::NodeAddress& address) const;
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_core.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_core.h
@@ -20,7 +20,7 @@
 };
 
 /** How a simulated process ends. */
-enum class Death : std::uint8_t {
+enum class CrashKind : std::uint8_t {
   /** The process is killed; the machine lives, so that nothing written is lost. */
   Kill,
   /** The machine loses its power; what was not synced may be lost. */
@@ -38,7 +38,7 @@
 
   /** Starts the process, with whatever the disk holds. */
   void start();
-  void kill(Death death);
+  void kill(CrashKind crash);
   bool running() const { return incarnation_ != nullptr; }
   /** The next piece of the running process's disk work takes this much longer. */
   void stallDisk(base::Duration duration) {
--- a/libraries/scenarios/source/configuration_faults.cc
+++ b/libraries/scenarios/source/configuration_faults.cc
@@ -77,7 +77,7 @@
   const double share = many ? 0.8 : 1.0 / static_cast<double>(fleet_.cores.size());
   for (const auto& core : fleet_.cores) {
     if (core->running() && random.chance(share)) {
-      core->kill(random.chance(0.5) ? Death::Kill : Death::PowerLoss);
+      core->kill(random.chance(0.5) ? CrashKind::Kill : CrashKind::PowerLoss);
       restart(*core, seconds(3));
     }
   }
@@ -103,7 +103,7 @@
             if (freezes) {
               freezeFor(proposer.process(), seconds(20));
             } else {
-              proposer.kill(Death::PowerLoss);
+              proposer.kill(CrashKind::PowerLoss);
               restart(proposer, seconds(3));
             }
           });
@@ -166,7 +166,7 @@
   cutOff(front.address(), seconds(3));
   for (const auto& core : fleet_.cores) {
     if (core->running() && random.chance(0.9)) {
-      core->kill(Death::Kill);
+      core->kill(CrashKind::Kill);
       restart(*core, milliseconds(150));
     }
   }
@@ -224,7 +224,7 @@
     return;
   }
   wiped_ = &core;
-  core.kill(Death::Wipe);
+  core.kill(CrashKind::Wipe);
   restart(core, seconds(3));
 }
 
@@ -271,7 +271,7 @@
   for (const auto& core : fleet_.cores) {
     later(delay, [&core] {
       if (core->running()) {
-        core->kill(Death::Kill);
+        core->kill(CrashKind::Kill);
         core->start();
       }
     });
--- a/libraries/scenarios/source/configuration_scenario.cc
+++ b/libraries/scenarios/source/configuration_scenario.cc
@@ -356,7 +356,7 @@
   std::string refused;
   for (const auto& one : fleet_.operators) {
     for (const OperatorChange& change : one->changes()) {
-      if (change.base_version == base_version && change.fate != ChangeFate::Acknowledged) {
+      if (change.base_version == base_version && change.outcome != ChangeOutcome::Acknowledged) {
         refused += " " + change.change_id + " was told that " + std::to_string(change.version) +
                    " is in force";
       }
@@ -366,7 +366,7 @@
 }
 
 void ConfigurationScenario::checkConflict(const OperatorChange& change, std::uint64_t newest) {
-  if (change.fate != ChangeFate::Conflict) {
+  if (change.outcome != ChangeOutcome::Conflict) {
     return;
   }
   ++result_.conflicts;
--- a/libraries/scenarios/source/control_sweep.cc
+++ b/libraries/scenarios/source/control_sweep.cc
@@ -27,7 +27,7 @@
     {"recorded-change-ids",
      [](ConfigurationScenarioOptions& options) { options.core_faults.forget_change_ids = true; }},
     {"session-at-dispatch",
-     [](ConfigurationScenarioOptions& options) { options.front_faults.ignore_lapse = true; }},
+     [](ConfigurationScenarioOptions& options) { options.front_faults.ignore_expiry = true; }},
     {"confirmed-reads",
      [](ConfigurationScenarioOptions& options) {
        options.reads = true;
@@ -56,7 +56,7 @@
   return names;
 }
 
-void switchOff(const std::string& mechanism, ConfigurationScenarioOptions& options) {
+void disableMechanism(const std::string& mechanism, ConfigurationScenarioOptions& options) {
   for (const Mechanism& known : Mechanisms) {
     if (mechanism == known.name) {
       known.switch_off(options);
--- a/libraries/scenarios/source/disk_faults.cc
+++ b/libraries/scenarios/source/disk_faults.cc
@@ -60,7 +60,7 @@
   later_(SlowTime * 3 / 4, [this] {
     for (const auto& core : fleet_.cores) {
       if (core->running()) {
-        core->kill(Death::PowerLoss);
+        core->kill(CrashKind::PowerLoss);
       }
       restartSoon(*core);
     }
@@ -105,7 +105,7 @@
   core.disk().interruptAt(nth);
   later_(PowerLossWait, [this, &core] {
     if (core.running()) {
-      core.kill(Death::PowerLoss);
+      core.kill(CrashKind::PowerLoss);
       restartSoon(core);
     }
   });
@@ -123,7 +123,7 @@
   if (!core.running()) {
     return;
   }
-  core.kill(Death::Kill);
+  core.kill(CrashKind::Kill);
   damage(core);
   restartSoon(core);
 }
@@ -190,7 +190,7 @@
     core->disk().setFull(false);
     // A disk cut off in the middle of its work belongs to a machine about to lose its power.
     if (core->running() && core->disk().interrupted()) {
-      core->kill(Death::PowerLoss);
+      core->kill(CrashKind::PowerLoss);
     }
   }
 }
--- a/libraries/scenarios/source/operator_stand_in.cc
+++ b/libraries/scenarios/source/fake_operator.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/scenarios/operator_stand_in.h"
+#include "switchsaddle/scenarios/fake_operator.h"
 
 #include <algorithm>
 #include <utility>
@@ -37,9 +37,9 @@
   return "secret of " + path;
 }
 
-OperatorStandIn::OperatorStandIn(simulation::World& world, simulation::Network& network,
-                                 base::NodeAddress address, std::string name,
-                                 std::vector<base::NodeAddress> nodes)
+FakeOperator::FakeOperator(simulation::World& world, simulation::Network& network,
+                           base::NodeAddress address, std::string name,
+                           std::vector<base::NodeAddress> nodes)
     : address_(std::move(address)),
       name_(std::move(name)),
       nodes_(std::move(nodes)),
@@ -55,15 +55,15 @@
         }
       })) {}
 
-void OperatorStandIn::start() {
+void FakeOperator::start() {
   timer_->enable(std::chrono::milliseconds(random_.below(LongestPauseMilliseconds)));
 }
 
-void OperatorStandIn::addNodes(const std::vector<base::NodeAddress>& nodes) {
+void FakeOperator::addNodes(const std::vector<base::NodeAddress>& nodes) {
   nodes_.insert(nodes_.end(), nodes.begin(), nodes.end());
 }
 
-void OperatorStandIn::beginChange() {
+void FakeOperator::beginChange() {
   if (!changes_.empty() && random_.chance(RepetitionShare)) {
     ++repetitions_;
     present_ = random_.below(changes_.size());
@@ -89,7 +89,7 @@
   send();
 }
 
-std::string OperatorStandIn::body() const {
+std::string FakeOperator::body() const {
   const OperatorChange& change = changes_[*present_];
   const std::string entry = change.path.starts_with("keys/") ? keyEntry(change.path) : "{}";
   const std::string content = change.removes ? R"("remove":[")" + change.path + R"("])"
@@ -98,7 +98,7 @@
          std::to_string(change.base_version) + "," + content + "}";
 }
 
-void OperatorStandIn::send() {
+void FakeOperator::send() {
   timer_->disable();
   const std::uint64_t attempt = ++attempt_;
   wire::ControlRequest request{"POST", "/v1/configuration/changes",
@@ -111,7 +111,7 @@
               [this, attempt](const transport::CallResult& result) { onReply(attempt, result); });
 }
 
-void OperatorStandIn::onReply(std::uint64_t attempt, const transport::CallResult& result) {
+void FakeOperator::onReply(std::uint64_t attempt, const transport::CallResult& result) {
   if (attempt != attempt_ || !present_) {
     return;
   }
@@ -124,7 +124,7 @@
   timer_->enable(std::chrono::milliseconds(1 + random_.below(LongestPauseMilliseconds)));
 }
 
-void OperatorStandIn::take(const wire::ControlReply& reply) {
+void FakeOperator::take(const wire::ControlReply& reply) {
   std::vector<configuration::Fault> faults;
   const auto body = configuration::parseJson(reply.body, {}, "", faults);
   if (!body) {
@@ -135,34 +135,34 @@
   newest_version_ = std::max(newest_version_, version);
   if (reply.status == base::describe(ResultCode::Ok).http_status) {
     adoptCommitted(version);
-    settle(ChangeFate::Acknowledged, version);
+    settle(ChangeOutcome::Acknowledged, version);
   } else if (reply.status == base::describe(ResultCode::CommittedNotYetInForce).http_status) {
     adoptCommitted(version);
   } else if (hasCode(*body, ResultCode::ConfigurationConflict)) {
-    settle(ChangeFate::Conflict, version);
+    settle(ChangeOutcome::Conflict, version);
   } else if (hasCode(*body, ResultCode::ConfigurationInvalid)) {
-    settle(ChangeFate::Invalid, version);
+    settle(ChangeOutcome::Invalid, version);
   } else if (hasCode(*body, ResultCode::ChangeIdReused)) {
     changes_[*present_].contradictions.push_back("a resend was refused as another change");
   }
 }
 
-void OperatorStandIn::settle(ChangeFate fate, std::uint64_t version) {
+void FakeOperator::settle(ChangeOutcome outcome, std::uint64_t version) {
   OperatorChange& change = changes_[*present_];
-  if (change.fate == ChangeFate::Pending) {
+  if (change.outcome == ChangeOutcome::Pending) {
     change.version = version;
-    end(fate);
+    end(outcome);
     return;
   }
-  if (change.fate != fate || change.version != version) {
+  if (change.outcome != outcome || change.version != version) {
     change.contradictions.push_back("a resend got another answer than the first");
   }
   present_.reset();
 }
 
-void OperatorStandIn::adoptCommitted(std::uint64_t version) {
+void FakeOperator::adoptCommitted(std::uint64_t version) {
   OperatorChange& change = changes_[*present_];
-  if (change.fate != ChangeFate::Pending && change.fate != ChangeFate::Acknowledged) {
+  if (change.outcome != ChangeOutcome::Pending && change.outcome != ChangeOutcome::Acknowledged) {
     change.contradictions.push_back("called committed after it was refused");
     return;
   }
@@ -175,14 +175,14 @@
   change.version = version;
 }
 
-void OperatorStandIn::end(ChangeFate fate) {
+void FakeOperator::end(ChangeOutcome outcome) {
   OperatorChange& change = changes_[*present_];
-  if (change.committed && fate != ChangeFate::Acknowledged) {
+  if (change.committed && outcome != ChangeOutcome::Acknowledged) {
     change.contradictions.push_back("refused after it was called committed");
   }
-  change.fate = fate;
+  change.outcome = outcome;
   present_.reset();
-  if (fate != ChangeFate::Acknowledged) {
+  if (outcome != ChangeOutcome::Acknowledged) {
     return;
   }
   if (change.removes) {
@@ -195,9 +195,9 @@
   }
 }
 
-void OperatorStandIn::request(const base::NodeAddress& core, const std::string& method,
-                              const std::string& target, const std::string& request_body,
-                              std::function<void(std::optional<wire::ControlReply>)> callback) {
+void FakeOperator::request(const base::NodeAddress& core, const std::string& method,
+                           const std::string& target, const std::string& request_body,
+                           std::function<void(std::optional<wire::ControlReply>)> callback) {
   wire::ControlRequest message{method, target, std::string("Bearer ") + SimulatedOperatorKey,
                                request_body};
   calls_.call(core, message, CallTimeout,
@@ -207,8 +207,8 @@
               });
 }
 
-void OperatorStandIn::readConfiguration(const base::NodeAddress& core,
-                                        std::function<void(std::optional<std::string>)> callback) {
+void FakeOperator::readConfiguration(const base::NodeAddress& core,
+                                     std::function<void(std::optional<std::string>)> callback) {
   request(core, "GET", "/v1/configuration", {},
           [callback = std::move(callback)](const std::optional<wire::ControlReply>& reply) {
             const bool answered = reply && reply->status == 200;
--- a/libraries/scenarios/source/fleet.cc
+++ b/libraries/scenarios/source/fleet.cc
@@ -54,8 +54,8 @@
   }
   for (std::size_t index = 0; index < size.operators; ++index) {
     operators.push_back(
-        std::make_unique<OperatorStandIn>(world, network, addressOf(OperatorPort, index),
-                                          "operator" + std::to_string(index), initial_cores_));
+        std::make_unique<FakeOperator>(world, network, addressOf(OperatorPort, index),
+                                       "operator" + std::to_string(index), initial_cores_));
   }
 }
 
--- a/libraries/scenarios/source/limits_scenario.cc
+++ b/libraries/scenarios/source/limits_scenario.cc
@@ -6,7 +6,7 @@
 
 #include "switchsaddle/configuration/document.h"
 #include "switchsaddle/http/message.h"
-#include "switchsaddle/scenarios/operator_stand_in.h"
+#include "switchsaddle/scenarios/fake_operator.h"
 
 namespace switchsaddle::scenarios {
 
@@ -23,7 +23,7 @@
 /** Requests each second: the usual, and of the tenant that sends ten times as many. */
 constexpr double UsualStreams = 10;
 constexpr double UsualOneShots = 5;
-constexpr double CrowdFactor = 10;
+constexpr double BurstFactor = 10;
 /** Fronts tell answers at once here, but an end and a start may lie in one millisecond. */
 constexpr std::int64_t OccupancyMs = 25;
 /** A call may be answered this long after the last arrival. */
@@ -264,7 +264,7 @@
 
 void LimitsScenario::sendArrivals() {
   const double step_s = std::chrono::duration<double>(Step).count();
-  for (const auto& [tenant, factor] : {std::pair{"calm", 1.0}, std::pair{"loud", CrowdFactor}}) {
+  for (const auto& [tenant, factor] : {std::pair{"calm", 1.0}, std::pair{"loud", BurstFactor}}) {
     if (fleet_.world.random().chance(UsualStreams * factor * step_s)) {
       sendOne(tenant, true);
     }
@@ -300,7 +300,7 @@
   tolerances.excess_ms = 0;
   tolerances.occupancy_ms = OccupancyMs;
   result_.report = testbed::checkBranchLimits(result_.evidence, limitsOf(options_.retry_share),
-                                              tolerances, testbed::CrowdTime{});
+                                              tolerances, testbed::BurstPeriod{});
   return std::move(result_);
 }
 
--- a/libraries/scenarios/source/limits_scenario_faults.cc
+++ b/libraries/scenarios/source/limits_scenario_faults.cc
@@ -60,7 +60,7 @@
   if (random.below(AllCoresOneIn) == 0) {
     for (const auto& core : fleet_.cores) {
       if (core->running()) {
-        core->kill(Death::Kill);
+        core->kill(CrashKind::Kill);
         restartLater(*core, randomTime(200, 1'500));
       }
     }
@@ -70,7 +70,7 @@
   switch (random.below(4)) {
     case 0:
       if (holder != nullptr) {
-        holder->kill(Death::Kill);
+        holder->kill(CrashKind::Kill);
         restartLater(*holder, randomTime(500, 4'000));
       }
       break;
--- a/libraries/scenarios/source/simulated_core.cc
+++ b/libraries/scenarios/source/simulated_core.cc
@@ -35,17 +35,17 @@
   incarnation_->node->start();
 }
 
-void SimulatedCore::kill(Death death) {
+void SimulatedCore::kill(CrashKind crash) {
   process_.kill();
   incarnation_.reset();
-  switch (death) {
-    case Death::Kill:
+  switch (crash) {
+    case CrashKind::Kill:
       disk_.resume();
       break;
-    case Death::PowerLoss:
+    case CrashKind::PowerLoss:
       disk_.powerLoss();
       break;
-    case Death::Wipe:
+    case CrashKind::Wipe:
       disk_.wipe();
       break;
   }
--- a/libraries/scenarios/test/configuration_scenario_test.cc
+++ b/libraries/scenarios/test/configuration_scenario_test.cc
@@ -94,7 +94,7 @@
   std::size_t violations = 0;
   while (violations == 0 && seed < RedSeedCount) {
     ConfigurationScenarioOptions options = optionsForSeed(++seed);
-    switchOff(GetParam(), options);
+    disableMechanism(GetParam(), options);
     ConfigurationScenario scenario(options);
     violations = scenario.run().violations.size();
   }
--- a/libraries/scenarios/test/core_growth_test.cc
+++ b/libraries/scenarios/test/core_growth_test.cc
@@ -26,8 +26,8 @@
   SimulatedCore& fifth = fleet.addCore();
   ASSERT_TRUE(fleet.world.runUntil([&] { return fleet.admitted(fourth) && fleet.admitted(fifth); },
                                    seconds(20)));
-  fleet.cores[0]->kill(Death::Wipe);
-  fleet.cores[1]->kill(Death::Wipe);
+  fleet.cores[0]->kill(CrashKind::Wipe);
+  fleet.cores[1]->kill(CrashKind::Wipe);
   EXPECT_TRUE(fleet.runUntilAllServe(1, seconds(12)));
 }
 
@@ -43,7 +43,7 @@
   const std::size_t second_lost = (first_lost + 1) % fleet.cores.size();
   for (std::size_t index = 0; index < fleet.cores.size(); ++index) {
     const bool disk_lost = index == first_lost || index == second_lost;
-    fleet.cores[index]->kill(disk_lost ? Death::Wipe : Death::PowerLoss);
+    fleet.cores[index]->kill(disk_lost ? CrashKind::Wipe : CrashKind::PowerLoss);
   }
   for (const auto& core : fleet.cores) {
     core->start();
@@ -64,7 +64,7 @@
   ASSERT_TRUE(fleet.world.runUntil(
       [&] { return fleet.admitted(second_zone) && fleet.admitted(third_zone); }, seconds(30)));
   for (std::size_t index = 0; index < size.cores; ++index) {
-    fleet.cores[index]->kill(Death::PowerLoss);
+    fleet.cores[index]->kill(CrashKind::PowerLoss);
   }
   EXPECT_TRUE(fleet.runUntilAllServe(1, seconds(12)));
 }
@@ -86,7 +86,7 @@
     fleet.addModelWorker();
     fleet.world.runFor(seconds(10));
     for (const auto& core : fleet.cores) {
-      core->kill(Death::Kill);
+      core->kill(CrashKind::Kill);
     }
     for (const auto& core : fleet.cores) {
       core->start();
--- a/libraries/scenarios/test/core_refused_test.cc
+++ b/libraries/scenarios/test/core_refused_test.cc
@@ -34,7 +34,7 @@
 
   void killCores() {
     for (const auto& core : fleet_->cores) {
-      core->kill(Death::Kill);
+      core->kill(CrashKind::Kill);
     }
     killed_at_ = fleet_->world.now();
   }
--- a/libraries/scenarios/test/core_replacement_test.cc
+++ b/libraries/scenarios/test/core_replacement_test.cc
@@ -25,9 +25,10 @@
 
   std::uint64_t acknowledged() const {
     const std::vector<OperatorChange>& changes = fleet_.operators.front()->changes();
-    return static_cast<std::uint64_t>(std::count_if(
-        changes.begin(), changes.end(),
-        [](const OperatorChange& change) { return change.fate == ChangeFate::Acknowledged; }));
+    return static_cast<std::uint64_t>(
+        std::count_if(changes.begin(), changes.end(), [](const OperatorChange& change) {
+          return change.outcome == ChangeOutcome::Acknowledged;
+        }));
   }
 
   void runUntilAcknowledged(std::uint64_t more, base::Duration limit) {
@@ -56,7 +57,8 @@
       }
     }
     for (const OperatorChange& change : changes) {
-      const bool kept = change.fate == ChangeFate::Acknowledged && !removed.contains(change.path);
+      const bool kept =
+          change.outcome == ChangeOutcome::Acknowledged && !removed.contains(change.path);
       if (kept) {
         EXPECT_NE(body->find("\"" + change.path + "\""), std::string::npos);
       }
@@ -67,24 +69,24 @@
 };
 
 TEST_P(CoreReplacementTest, AnEmptyCoreAtANewAddressTakesASilentMembersPlace) {
-  fleet_.cores[4]->kill(Death::Wipe);
+  fleet_.cores[4]->kill(CrashKind::Wipe);
   SimulatedCore& joined = fleet_.addCore();
   EXPECT_TRUE(fleet_.world.runUntil([&] { return fleet_.admitted(joined); }, seconds(20)));
   // A second loss right after the replacement leaves three of five.
-  fleet_.cores[0]->kill(Death::Wipe);
-  fleet_.cores[1]->kill(Death::Wipe);
+  fleet_.cores[0]->kill(CrashKind::Wipe);
+  fleet_.cores[1]->kill(CrashKind::Wipe);
   EXPECT_TRUE(fleet_.runUntilAllServe(fleet_.operators.front()->newestVersion(), seconds(12)));
   runUntilAcknowledged(5, seconds(60));
   expectEveryAcknowledgedChange();
 }
 
 TEST_P(CoreReplacementTest, AMemberWhoseDiskWasEmptiedIsAdmittedAnew) {
-  fleet_.cores[2]->kill(Death::Wipe);
+  fleet_.cores[2]->kill(CrashKind::Wipe);
   fleet_.cores[2]->start();
   EXPECT_TRUE(
       fleet_.world.runUntil([&] { return fleet_.admitted(*fleet_.cores[2]); }, seconds(12)));
-  fleet_.cores[3]->kill(Death::Wipe);
-  fleet_.cores[4]->kill(Death::Wipe);
+  fleet_.cores[3]->kill(CrashKind::Wipe);
+  fleet_.cores[4]->kill(CrashKind::Wipe);
   EXPECT_TRUE(fleet_.runUntilAllServe(fleet_.operators.front()->newestVersion(), seconds(12)));
   runUntilAcknowledged(5, seconds(60));
   expectEveryAcknowledgedChange();
@@ -100,7 +102,7 @@
     // Each holder's death gives every candidate its chance.
     SimulatedCore* holder = fleet_.holderOf(core::CoreMembershipLease);
     ASSERT_NE(holder, nullptr);
-    holder->kill(Death::Kill);
+    holder->kill(CrashKind::Kill);
     ASSERT_FALSE(fleet_.world.runUntil(holds_any, seconds(2)));
     holder->start();
     ASSERT_FALSE(fleet_.world.runUntil(holds_any, seconds(4)));
@@ -109,7 +111,7 @@
 
 TEST_P(CoreReplacementTest, AMemberThatOnlyRestartsKeepsItsPlace) {
   SimulatedCore& joined = fleet_.addCore();
-  fleet_.cores[4]->kill(Death::PowerLoss);
+  fleet_.cores[4]->kill(CrashKind::PowerLoss);
   fleet_.world.runFor(seconds(5));
   fleet_.cores[4]->start();
   fleet_.world.runFor(seconds(15));
@@ -151,7 +153,7 @@
   std::size_t lost = 0;
   for (const auto& core : fleet.cores) {
     if (core.get() != ledger && lost < 3) {
-      core->kill(lost++ == 0 ? Death::Kill : Death::Wipe);
+      core->kill(lost++ == 0 ? CrashKind::Kill : CrashKind::Wipe);
     }
   }
   for (int second = 0; second < 6; ++second) {
@@ -181,7 +183,7 @@
   ASSERT_TRUE(fleet.world.runUntil([&] { return all_know("first"); }, seconds(12)));
   SimulatedCore* watcher = fleet.holderOf(core::PlatformWatcherLease);
   ASSERT_NE(watcher, nullptr);
-  watcher->kill(Death::Kill);
+  watcher->kill(CrashKind::Kill);
   worker.id = "second";
   fleet.platform.reading.workers.push_back(worker);
   EXPECT_TRUE(fleet.world.runUntil([&] { return all_know("second"); }, seconds(5)));
@@ -202,7 +204,7 @@
   fleet.fronts.front()->onDraining("leaving");
   fleet.world.runFor(seconds(3));
   for (const auto& core : fleet.cores) {
-    core->kill(Death::PowerLoss);
+    core->kill(CrashKind::PowerLoss);
     core->start();
   }
   for (int step = 0; step < 2'000; ++step) {
@@ -236,7 +238,7 @@
   ASSERT_TRUE(fleet.world.runUntil(all_know, seconds(12)));
   SimulatedCore* watcher = holder();
   ASSERT_NE(watcher, nullptr);
-  watcher->kill(Death::Kill);
+  watcher->kill(CrashKind::Kill);
   EXPECT_TRUE(fleet.world.runUntil([&] { return holder() != nullptr; }, seconds(4)));
 }
 
--- a/libraries/scenarios/test/forgotten_state_test.cc
+++ b/libraries/scenarios/test/forgotten_state_test.cc
@@ -33,13 +33,13 @@
     EXPECT_TRUE(fleet_.runUntilAllServe(0, seconds(12)));
     young_disk_ = forgetful().disk();
     cut({0, 1, 2}, {3, 4});
-    OperatorStandIn& one = *fleet_.operators.front();
+    FakeOperator& one = *fleet_.operators.front();
     one.start();
     EXPECT_TRUE(
         fleet_.world.runUntil([&] { return acknowledgedZones().size() >= 3; }, seconds(60)));
     one.finish();
     EXPECT_TRUE(fleet_.world.runUntil([&] { return one.idle(); }, seconds(20)));
-    forgetful().kill(Death::Kill);
+    forgetful().kill(CrashKind::Kill);
     lose(loss);
     fleet_.network.healAll();
     cut({0, 1}, {2, 3, 4});
@@ -104,7 +104,7 @@
   std::vector<std::string> acknowledgedZones() const {
     std::vector<std::string> zones;
     for (const OperatorChange& change : fleet_.operators.front()->changes()) {
-      if (!change.removes && change.fate == ChangeFate::Acknowledged) {
+      if (!change.removes && change.outcome == ChangeOutcome::Acknowledged) {
         zones.push_back(zoneOf(change));
       } else if (change.removes) {
         std::erase(zones, zoneOf(change));
--- a/libraries/scenarios/test/lease_disk_test.cc
+++ b/libraries/scenarios/test/lease_disk_test.cc
@@ -67,7 +67,7 @@
                               [&core] { core.disk().setFull(false); });
         break;
       default:
-        core.kill(Death::PowerLoss);
+        core.kill(CrashKind::PowerLoss);
         core.start();
         break;
     }
--- a/libraries/scenarios/test/limits_scenario_test.cc
+++ b/libraries/scenarios/test/limits_scenario_test.cc
@@ -7,7 +7,7 @@
 
 constexpr int Served = 0;
 constexpr int OverBranchLimit = 3001;
-constexpr std::uint64_t RedSeeds = 5;
+constexpr std::uint64_t SeedsWithWideRetryBudget = 5;
 
 void expectKept(const LimitsScenarioResult& result, std::uint64_t seed) {
   for (const testbed::Violation& violation : result.report.violations) {
@@ -45,7 +45,7 @@
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, RetryStormTest, testing::Range<std::uint64_t>(1, 21));
 
 TEST(RetryStormRedTest, SeesABudgetOpenedToHalfOfTheFirstAttempts) {
-  for (std::uint64_t seed = 1; seed <= RedSeeds; ++seed) {
+  for (std::uint64_t seed = 1; seed <= SeedsWithWideRetryBudget; ++seed) {
     LimitsScenarioOptions options;
     options.seed = seed;
     options.faults = false;
--- a/libraries/scenarios/test/maintenance_scenario_test.cc
+++ b/libraries/scenarios/test/maintenance_scenario_test.cc
@@ -40,7 +40,7 @@
     if (!down) {
       SimulatedCore& core = *fleet.cores[random.below(fleet.cores.size())];
       if (core.running()) {
-        core.kill(random.chance(0.5) ? Death::Kill : Death::PowerLoss);
+        core.kill(random.chance(0.5) ? CrashKind::Kill : CrashKind::PowerLoss);
         down = &core;
       }
       return;
@@ -133,7 +133,7 @@
   // What was ordered outlasts the loss of all memory.
   for (const auto& core : fleet.cores) {
     if (core->running()) {
-      core->kill(Death::PowerLoss);
+      core->kill(CrashKind::PowerLoss);
     }
   }
   for (const auto& core : fleet.cores) {
--- a/libraries/scenarios/test/power_loss_test.cc
+++ b/libraries/scenarios/test/power_loss_test.cc
@@ -44,7 +44,7 @@
     }
     fleet_.world.runFor(milliseconds(900));
     for (const auto& core : fleet_.cores) {
-      core->kill(Death::PowerLoss);
+      core->kill(CrashKind::PowerLoss);
     }
     const std::uint64_t promised = acknowledged_;
     fleet_.operators.front()->finish();
--- a/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
+++ b/libraries/sessions/include/switchsaddle/sessions/quorum_session_client.h
@@ -36,7 +36,7 @@
   /** Serves without a core on refusals that began, or began again, after the session lapsed. */
   bool grace_after_gap = false;
   /** Serves whether or not the session is valid. */
-  bool ignore_lapse = false;
+  bool ignore_expiry = false;
 };
 
 /**
--- a/libraries/sessions/include/switchsaddle/sessions/session_client.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_client.h
@@ -13,7 +13,7 @@
 /** The state of a front's session. */
 enum class SessionState : std::uint8_t {
   /** Not open, or lapsed: new work is rejected. */
-  Lapsed,
+  Expired,
   /** Open, but the configuration version that it requires is not yet in force here. */
   CatchingUp,
   /** Open and in force: new work is accepted. */
--- a/libraries/sessions/source/quorum_session_client.cc
+++ b/libraries/sessions/source/quorum_session_client.cc
@@ -232,9 +232,9 @@
 
 SessionState QuorumSessionClient::state() const {
   if (closing_) {
-    return SessionState::Lapsed;
+    return SessionState::Expired;
   }
-  if (faults_.ignore_lapse) {
+  if (faults_.ignore_expiry) {
     return SessionState::Serving;
   }
   if (sessionValid()) {
@@ -244,7 +244,7 @@
   const std::optional<base::TimePoint>& expired_at = grants_->expiresAt();
   const bool refused = grace_->covers(now) && !newerVersionShown();
   const bool within_grace = expired_at && now < *expired_at + times_.core_refused_grace;
-  return refused && within_grace ? SessionState::ServingWithoutCore : SessionState::Lapsed;
+  return refused && within_grace ? SessionState::ServingWithoutCore : SessionState::Expired;
 }
 
 void QuorumSessionClient::setApplied(std::uint64_t version, std::uint64_t digest) {
--- a/libraries/sessions/test/quorum_session_client_test.cc
+++ b/libraries/sessions/test/quorum_session_client_test.cc
@@ -84,10 +84,10 @@
   EXPECT_LE(renewals, renewals_without_delay);
 }
 
-TEST_F(QuorumSessionClientTest, LapsesBeforeAFrozenProcessResumes) {
+TEST_F(QuorumSessionClientTest, ExpiresBeforeAFrozenProcessResumes) {
   front_.process.freeze();
   fleet_.run(milliseconds(1'000));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
   front_.process.wake();
   EXPECT_TRUE(fleet_.runUntil([this] { return state() == SessionState::Serving; }, seconds(1)));
 }
@@ -97,10 +97,10 @@
   fleet_.run(seconds(2));
   EXPECT_EQ(state(), SessionState::ServingWithoutCore);
   const bool lapsed =
-      fleet_.runUntil([this] { return state() == SessionState::Lapsed; }, seconds(57));
+      fleet_.runUntil([this] { return state() == SessionState::Expired; }, seconds(57));
   EXPECT_FALSE(lapsed);
   fleet_.run(seconds(3));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
   for (std::size_t index = 0; index < 3; ++index) {
     fleet_.start(fleet_.core(index));
   }
@@ -114,10 +114,10 @@
   front_.client->observeNewerVersion(0);
   EXPECT_EQ(state(), SessionState::ServingWithoutCore);
   front_.client->observeNewerVersion(1);
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
   front_.client->setApplied(1, 0);
   fleet_.run(seconds(2));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
 }
 
 TEST_F(QuorumSessionClientTest, NoGraceWhenAMinorityRefuses) {
@@ -126,7 +126,7 @@
     fleet_.core(index).process.freeze();
   }
   fleet_.run(seconds(2));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
 }
 
 TEST_F(QuorumSessionClientTest, NoGraceAfterAFreeze) {
@@ -135,7 +135,7 @@
   fleet_.run(seconds(3));
   front_.process.wake();
   fleet_.run(seconds(2));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
 }
 
 TEST_F(QuorumSessionClientTest, FreezeWithinTheGraceEndsIt) {
@@ -144,10 +144,10 @@
   ASSERT_EQ(state(), SessionState::ServingWithoutCore);
   front_.process.freeze();
   fleet_.run(milliseconds(1'500));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
   front_.process.wake();
   fleet_.run(seconds(2));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
 }
 
 TEST_F(QuorumSessionClientTest, ZeroGraceDisablesServingWithoutCore) {
@@ -162,13 +162,13 @@
   ASSERT_EQ(state(), SessionState::Serving);
   killCores(5);
   fleet_.run(seconds(2));
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
 }
 
-TEST_F(QuorumSessionClientTest, CloseEndsOnceAMajorityRecordedItOrTheSessionLapsed) {
+TEST_F(QuorumSessionClientTest, CloseEndsOnceAMajorityRecordedItOrTheSessionExpired) {
   bool closed = false;
   front_.client->close([&] { closed = true; });
-  EXPECT_EQ(state(), SessionState::Lapsed);
+  EXPECT_EQ(state(), SessionState::Expired);
   ASSERT_TRUE(fleet_.runUntil([&] { return closed; }, milliseconds(100)));
   std::size_t listed = 0;
   for (std::size_t index = 0; index < SessionFleet::CoreCount; ++index) {
--- a/libraries/testbed/include/switchsaddle/testbed/checks/branch_limit_checker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/checks/branch_limit_checker.h
@@ -64,7 +64,7 @@
   AnswerTimes first_token;
 };
 
-/** The judgement on limits, retries and crowds. */
+/** The judgement on limits, retries and bursts. */
 struct BranchLimitReport {
   std::vector<Violation> violations;
   std::map<std::string, BranchFindings> branches;
@@ -76,14 +76,14 @@
   std::map<std::string, std::map<std::string, TenantService>> service;
 };
 
-/** A crowd's time, seconds since the record's first call; the whole record is "before" without. */
-struct CrowdTime {
+/** A burst's time, seconds since the record's first call; the whole record is "before" without. */
+struct BurstPeriod {
   std::int64_t from_s = INT64_MAX / 1'000;
   std::int64_t to_s = INT64_MAX / 1'000;
 };
 
 BranchLimitReport checkBranchLimits(const Evidence& evidence, const BranchLimits& limits,
-                                    const BranchTolerances& tolerances, const CrowdTime& crowd);
+                                    const BranchTolerances& tolerances, const BurstPeriod& burst);
 
 /** The judgement as text for people, ending in a line that counts the violations. */
 std::string formatBranchLimitReport(const BranchLimitReport& report);
--- a/libraries/testbed/include/switchsaddle/testbed/load/load_plan.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/load_plan.h
@@ -21,7 +21,7 @@
 };
 
 /** A time in which a tenant sends many times its usual. */
-struct Crowd {
+struct LoadBurst {
   /** Empty for all tenants. */
   std::string tenant;
   double factor = 1;
@@ -30,7 +30,7 @@
 };
 
 /** Reads "TENANT:FACTOR:FROM:TO", times in seconds, or "all:…"; throws InvalidValue. */
-Crowd parseCrowd(const std::string& text);
+LoadBurst parseLoadBurst(const std::string& text);
 
 /** What callers send, as read from a load file. */
 struct LoadPlan {
@@ -48,13 +48,13 @@
   double resend_refused_share = 0.3;
   base::Duration resend_delay = std::chrono::milliseconds(200);
 
-  std::vector<Crowd> crowds;
+  std::vector<LoadBurst> bursts;
 
   double requestsPerSecond() const;
   /** By how much a tenant's rates are multiplied at a time. */
-  double crowdFactor(const std::string& tenant, double at_s) const;
-  /** The next time after `at_s` at which a crowd begins or ends; infinity where none does. */
-  double nextCrowdChange(double at_s) const;
+  double burstFactor(const std::string& tenant, double at_s) const;
+  /** The next time after `at_s` at which a burst begins or ends; infinity where none does. */
+  double nextBurstChange(double at_s) const;
 };
 
 /** Throws base::Error with MalformedJson, MissingField or InvalidValue. */
--- a/libraries/testbed/include/switchsaddle/testbed/workers/stand_in_worker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/fake_worker.h
@@ -42,12 +42,12 @@
  * a modelled KV cache, journals each run, and misbehaves as POST /testbed/faults orders. Runs on
  * the dispatcher's strand, which must be the HTTP server's.
  */
-class StandInWorker {
+class FakeWorker {
  public:
   /** `crash` ends the process; it must not return in a real one. */
-  StandInWorker(WorkerOptions options, base::Dispatcher& dispatcher, http::Client& client,
-                EventSink& events, std::function<void()> crash);
-  ~StandInWorker();
+  FakeWorker(WorkerOptions options, base::Dispatcher& dispatcher, http::Client& client,
+             EventSink& events, std::function<void()> crash);
+  ~FakeWorker();
   void handle(const http::Request& request, const http::ResponseWriterPtr& writer);
   /** Shows the worker as draining from now on; it still serves what comes. */
   void drain();
--- a/libraries/testbed/source/checks/branch_limit_checker.cc
+++ b/libraries/testbed/source/checks/branch_limit_checker.cc
@@ -77,12 +77,12 @@
     }
   }
 
-  BranchLimitReport result(const CrowdTime& crowd) {
+  BranchLimitReport result(const BurstPeriod& burst) {
     checkExcesses();
     checkRefusals();
     report_.retries = checkRetries(evidence_, tolerances_.retry_window_ms, tolerances_.retry_share,
                                    report_.violations);
-    measureService(crowd);
+    measureService(burst);
     return std::move(report_);
   }
 
@@ -178,13 +178,13 @@
     }
   }
 
-  void measureService(const CrowdTime& crowd) {
+  void measureService(const BurstPeriod& burst) {
     std::map<std::string, std::map<std::string, std::vector<std::int64_t>>> first_tokens;
     const std::int64_t begin_ms = calls_.empty() ? 0 : calls_.begin()->second.sent.at_ms;
     for (const auto& [number, call] : calls_) {
       const std::int64_t second = (call.sent.at_ms - begin_ms) / MillisecondsPerSecond;
-      const char* period = second < crowd.from_s ? "1 before" : "2 during";
-      period = second >= crowd.to_s ? "3 after" : period;
+      const char* period = second < burst.from_s ? "1 before" : "2 during";
+      period = second >= burst.to_s ? "3 after" : period;
       const std::string name = call.sent.tenant + " " + call.sent.kind;
       TenantService& service = report_.service[period][name];
       ++service.calls;
@@ -229,8 +229,8 @@
 }
 
 BranchLimitReport checkBranchLimits(const Evidence& evidence, const BranchLimits& limits,
-                                    const BranchTolerances& tolerances, const CrowdTime& crowd) {
-  return BranchLimitChecker(evidence, limits, tolerances).result(crowd);
+                                    const BranchTolerances& tolerances, const BurstPeriod& burst) {
+  return BranchLimitChecker(evidence, limits, tolerances).result(burst);
 }
 
 }  // namespace switchsaddle::testbed
--- a/libraries/testbed/source/load/load_plan.cc
+++ b/libraries/testbed/source/load/load_plan.cc
@@ -55,40 +55,40 @@
   return rate;
 }
 
-double LoadPlan::crowdFactor(const std::string& tenant, double at_s) const {
+double LoadPlan::burstFactor(const std::string& tenant, double at_s) const {
   double factor = 1;
-  for (const Crowd& crowd : crowds) {
-    const bool meant = crowd.tenant.empty() || crowd.tenant == tenant;
-    factor *= meant && at_s >= crowd.from_s && at_s < crowd.to_s ? crowd.factor : 1;
+  for (const LoadBurst& burst : bursts) {
+    const bool meant = burst.tenant.empty() || burst.tenant == tenant;
+    factor *= meant && at_s >= burst.from_s && at_s < burst.to_s ? burst.factor : 1;
   }
   return factor;
 }
 
-double LoadPlan::nextCrowdChange(double at_s) const {
+double LoadPlan::nextBurstChange(double at_s) const {
   double next = std::numeric_limits<double>::infinity();
-  for (const Crowd& crowd : crowds) {
-    for (const double change : {crowd.from_s, crowd.to_s}) {
+  for (const LoadBurst& burst : bursts) {
+    for (const double change : {burst.from_s, burst.to_s}) {
       next = change > at_s ? std::min(next, change) : next;
     }
   }
   return next;
 }
 
-Crowd parseCrowd(const std::string& text) {
+LoadBurst parseLoadBurst(const std::string& text) {
   std::istringstream stream(text);
-  Crowd crowd;
+  LoadBurst burst;
   char first = 0;
   char second = 0;
-  std::getline(stream, crowd.tenant, ':');
-  stream >> crowd.factor >> first >> crowd.from_s >> second >> crowd.to_s;
+  std::getline(stream, burst.tenant, ':');
+  stream >> burst.factor >> first >> burst.from_s >> second >> burst.to_s;
   const bool whole = stream && stream.peek() == std::istringstream::traits_type::eof();
-  const bool valid = whole && first == ':' && second == ':' && crowd.factor > 0 &&
-                     crowd.from_s >= 0 && crowd.to_s > crowd.from_s;
+  const bool valid = whole && first == ':' && second == ':' && burst.factor > 0 &&
+                     burst.from_s >= 0 && burst.to_s > burst.from_s;
   if (!valid) {
     throw base::Error(base::ResultCode::InvalidValue, "not TENANT:FACTOR:FROM:TO: " + text);
   }
-  crowd.tenant = crowd.tenant == "all" ? "" : crowd.tenant;
-  return crowd;
+  burst.tenant = burst.tenant == "all" ? "" : burst.tenant;
+  return burst;
 }
 
 LoadPlan parseLoadPlan(const std::string& text) {
@@ -129,13 +129,13 @@
   double rate = 0;
   for (std::size_t index = 0; index < plan_.tenants.size(); ++index) {
     const LoadTenant& tenant = plan_.tenants[index];
-    const double factor = plan_.crowdFactor(tenant.name, elapsed_s_);
+    const double factor = plan_.burstFactor(tenant.name, elapsed_s_);
     rate += factor * tenant.streams_per_s;
     flows_.push_back(Flow{index, CallKind::Stream, rate});
     rate += factor * tenant.one_shots_per_s;
     flows_.push_back(Flow{index, CallKind::OneShot, rate});
   }
-  rates_until_s_ = plan_.nextCrowdChange(elapsed_s_);
+  rates_until_s_ = plan_.nextBurstChange(elapsed_s_);
 }
 
 double ArrivalGenerator::exponential(double mean) {
--- a/libraries/testbed/source/workers/stand_in_worker.cc
+++ b/libraries/testbed/source/workers/fake_worker.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/workers/stand_in_worker.h"
+#include "switchsaddle/testbed/workers/fake_worker.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -70,24 +70,24 @@
 
 }  // namespace
 
-StandInWorker::StandInWorker(WorkerOptions options, base::Dispatcher& dispatcher,
-                             http::Client& client, EventSink& events, std::function<void()> crash)
+FakeWorker::FakeWorker(WorkerOptions options, base::Dispatcher& dispatcher, http::Client& client,
+                       EventSink& events, std::function<void()> crash)
     : state_(std::make_unique<WorkerState>(std::move(options), dispatcher, client, events,
                                            std::move(crash))) {
   state_->note("up", "process", "", RequestIdentity{}, 0, 0);
 }
 
-StandInWorker::~StandInWorker() = default;
+FakeWorker::~FakeWorker() = default;
 
-void StandInWorker::drain() {
+void FakeWorker::drain() {
   state_->drained = true;
 }
 
-bool StandInWorker::idle() const {
+bool FakeWorker::idle() const {
   return state_->pending.empty();
 }
 
-void StandInWorker::handle(const http::Request& request, const http::ResponseWriterPtr& writer) {
+void FakeWorker::handle(const http::Request& request, const http::ResponseWriterPtr& writer) {
   const std::string_view path = http::targetPath(request.target);
   try {
     if (path == "/testbed/faults" && request.method == "POST") {
@@ -106,8 +106,7 @@
   }
 }
 
-void StandInWorker::handleFaults(const http::Request& request,
-                                 const http::ResponseWriterPtr& writer) {
+void FakeWorker::handleFaults(const http::Request& request, const http::ResponseWriterPtr& writer) {
   state_->fault = parseFaultOrder(request.body);
   if (state_->fault.active(FaultMode::Crash) && !state_->fault.waits_for_chunk) {
     state_->crash();
@@ -119,7 +118,7 @@
   writer->respond(std::move(response));
 }
 
-void StandInWorker::handleState(const http::ResponseWriterPtr& writer) {
+void FakeWorker::handleState(const http::ResponseWriterPtr& writer) {
   http::Response response;
   response.headers = {{"Content-Type", "application/json"}};
   response.body = boost::json::serialize(
@@ -132,8 +131,8 @@
   writer->respond(std::move(response));
 }
 
-bool StandInWorker::struckAtOnce(const std::string& kind, const http::Request& request,
-                                 const http::ResponseWriterPtr& writer) {
+bool FakeWorker::struckAtOnce(const std::string& kind, const http::Request& request,
+                              const http::ResponseWriterPtr& writer) {
   if (!state_->fault.take(FaultMode::Refuse)) {
     return false;
   }
@@ -141,8 +140,7 @@
   return true;
 }
 
-void StandInWorker::handleStream(const http::Request& request,
-                                 const http::ResponseWriterPtr& writer) {
+void FakeWorker::handleStream(const http::Request& request, const http::ResponseWriterPtr& writer) {
   if (struckAtOnce("stream", request, writer)) {
     return;
   }
@@ -161,8 +159,8 @@
   std::make_shared<DecodeRelay>(*state_, std::move(stream), request, address, writer)->start();
 }
 
-void StandInWorker::handleOneShot(const http::Request& request,
-                                  const http::ResponseWriterPtr& writer) {
+void FakeWorker::handleOneShot(const http::Request& request,
+                               const http::ResponseWriterPtr& writer) {
   if (struckAtOnce("one-shot", request, writer)) {
     return;
   }
--- a/libraries/testbed/source/workers/worker_state.h
+++ b/libraries/testbed/source/workers/worker_state.h
@@ -10,9 +10,9 @@
 #include "switchsaddle/base/random.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/testbed/records/worker_event.h"
+#include "switchsaddle/testbed/workers/fake_worker.h"
 #include "switchsaddle/testbed/workers/kv_cache.h"
 #include "switchsaddle/testbed/workers/slot_queue.h"
-#include "switchsaddle/testbed/workers/stand_in_worker.h"
 #include "switchsaddle/testbed/workers/worker_fault.h"
 
 namespace switchsaddle::testbed {
--- a/libraries/testbed/test/checks/branch_limit_checker_test.cc
+++ b/libraries/testbed/test/checks/branch_limit_checker_test.cc
@@ -46,7 +46,7 @@
   }
   BranchLimitReport result() {
     evidence_.journals = {journal_};
-    return checkBranchLimits(evidence_, limits_, BranchTolerances{}, CrowdTime{});
+    return checkBranchLimits(evidence_, limits_, BranchTolerances{}, BurstPeriod{});
   }
   std::vector<Rule> rules() {
     std::vector<Rule> rules;
--- a/libraries/testbed/test/load/load_plan_test.cc
+++ b/libraries/testbed/test/load/load_plan_test.cc
@@ -74,11 +74,11 @@
   }
 }
 
-TEST(LoadPlan, ACrowdMultipliesOneTenantsArrivalsForATime) {
+TEST(LoadPlan, ABurstMultipliesOneTenantsArrivalsForATime) {
   LoadPlan plan;
   plan.tenants = {LoadTenant{"calm", "", 10, 0, "", {"m"}},
                   LoadTenant{"loud", "", 10, 0, "", {"m"}}};
-  plan.crowds = {parseCrowd("loud:10:20:40")};
+  plan.bursts = {parseLoadBurst("loud:10:20:40")};
   ArrivalGenerator generator(plan, 1);
   std::map<std::pair<std::size_t, int>, int> counts;
   for (Arrival arrival = generator.next(); arrival.at < std::chrono::seconds(60);
@@ -94,11 +94,11 @@
   }
 }
 
-TEST(LoadPlan, RefusesAMalformedCrowd) {
+TEST(LoadPlan, RefusesAMalformedBurst) {
   for (const char* text : {"", "t", "t:10", "t:10:5:5", "t:0:1:2", "t:2:1:2x"}) {
-    EXPECT_THROW(parseCrowd(text), base::Error) << text;
+    EXPECT_THROW(parseLoadBurst(text), base::Error) << text;
   }
-  EXPECT_EQ(parseCrowd("all:2:1:3").tenant, "");
+  EXPECT_EQ(parseLoadBurst("all:2:1:3").tenant, "");
 }
 
 }  // namespace
--- a/libraries/testbed/test/workers/stand_in_worker_test.cc
+++ b/libraries/testbed/test/workers/fake_worker_test.cc
@@ -1,4 +1,4 @@
-#include "switchsaddle/testbed/workers/stand_in_worker.h"
+#include "switchsaddle/testbed/workers/fake_worker.h"
 
 #include <gtest/gtest.h>
 
@@ -61,7 +61,7 @@
   std::vector<WorkerEvent> events;
 };
 
-class StandInWorkerTest : public testing::Test {
+class FakeWorkerTest : public testing::Test {
  protected:
   static WorkerOptions options() {
     WorkerOptions options;
@@ -98,10 +98,10 @@
   NoClient client_;
   ListSink sink_;
   int crashes_ = 0;
-  StandInWorker worker_{options(), process_, client_, sink_, [this] { ++crashes_; }};
+  FakeWorker worker_{options(), process_, client_, sink_, [this] { ++crashes_; }};
 };
 
-TEST_F(StandInWorkerTest, StreamsNumberedChunksAndTheEnd) {
+TEST_F(FakeWorkerTest, StreamsNumberedChunksAndTheEnd) {
   const auto writer = stream();
   world_.runFor(seconds(5));
   EXPECT_TRUE(writer->ended);
@@ -114,7 +114,7 @@
   EXPECT_TRUE(worker_.idle());
 }
 
-TEST_F(StandInWorkerTest, ReportsCachedTokensOfASecondPrompt) {
+TEST_F(FakeWorkerTest, ReportsCachedTokensOfASecondPrompt) {
   const auto first = stream("r1");
   world_.runFor(seconds(5));
   const auto second = stream("r2");
@@ -123,7 +123,7 @@
   EXPECT_EQ(second->head.header("Cached-Tokens"), "100");
 }
 
-TEST_F(StandInWorkerTest, QueuesThenRefuses) {
+TEST_F(FakeWorkerTest, QueuesThenRefuses) {
   const auto first = stream("r1");
   const auto second = stream("r2");
   const auto third = stream("r3");
@@ -137,7 +137,7 @@
   EXPECT_EQ(sink_.count("start"), 2U);
 }
 
-TEST_F(StandInWorkerTest, ACallerWhoLeavesFreesTheSlot) {
+TEST_F(FakeWorkerTest, ACallerWhoLeavesFreesTheSlot) {
   const auto first = stream("r1");
   const auto second = stream("r2");
   first->client_disconnected();
@@ -146,7 +146,7 @@
   EXPECT_TRUE(second->ended);
 }
 
-TEST_F(StandInWorkerTest, MalformedStreamsAreMalformed) {
+TEST_F(FakeWorkerTest, MalformedStreamsAreMalformed) {
   struct Case {
     const char* mode;
     const char* shown;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_F(StandInWorkerTest, CutStreamsHaveNoEnd) {
+TEST_F(FakeWorkerTest, CutStreamsHaveNoEnd) {
   order(R"({"mode":"cut","after_pieces":2,"count":1})");
   const auto cut = stream();
   world_.runFor(seconds(5));
@@ -176,7 +176,7 @@
   EXPECT_EQ(sink_.count("end"), 0U);
 }
 
-TEST_F(StandInWorkerTest, CrashesAtOnceOrAfterChunks) {
+TEST_F(FakeWorkerTest, CrashesAtOnceOrAfterChunks) {
   order(R"({"mode":"crash","after_pieces":2})");
   EXPECT_EQ(crashes_, 0);
   const auto writer = stream();
@@ -187,7 +187,7 @@
   EXPECT_EQ(crashes_, 2);
 }
 
-TEST_F(StandInWorkerTest, OneShotsRunOnceAndAnswer) {
+TEST_F(FakeWorkerTest, OneShotsRunOnceAndAnswer) {
   const auto writer = post("/v1/one-shots", R"({"service":"confirmations"})");
   world_.runFor(seconds(1));
   EXPECT_EQ(writer->head.status, 200);
@@ -199,7 +199,7 @@
   EXPECT_EQ(sink_.events.back().caller_request_id, "caller-1");
 }
 
-TEST_F(StandInWorkerTest, OneShotAnswersCanBeCrossedLateOrLost) {
+TEST_F(FakeWorkerTest, OneShotAnswersCanBeCrossedLateOrLost) {
   order(R"({"mode":"crossed","count":1})");
   const auto crossed = post("/v1/one-shots", "{}");
   world_.runFor(seconds(1));
@@ -217,7 +217,7 @@
   EXPECT_EQ(sink_.count("start"), 3U);
 }
 
-TEST_F(StandInWorkerTest, RefusesAndDrainsOnOrder) {
+TEST_F(FakeWorkerTest, RefusesAndDrainsOnOrder) {
   order(R"({"mode":"refuse","count":1})");
   EXPECT_EQ(stream()->head.status, 503);
   order(R"({"mode":"drain"})");
@@ -226,14 +226,14 @@
   EXPECT_EQ(writer->head.header("Worker-State"), "draining");
 }
 
-TEST_F(StandInWorkerTest, BadInputGetsAnAnswer) {
+TEST_F(FakeWorkerTest, BadInputGetsAnAnswer) {
   EXPECT_EQ(post("/v1/chat/completions", "{")->head.status, 400);
   EXPECT_EQ(post("/v1/chat/completions", R"({"model":"none"})")->head.status, 404);
   EXPECT_EQ(post("/testbed/faults", R"({"mode":"unheard"})")->head.status, 400);
   EXPECT_EQ(post("/nowhere", "")->head.status, 404);
 }
 
-TEST_F(StandInWorkerTest, APairWithoutItsDecodeWorkerFails) {
+TEST_F(FakeWorkerTest, APairWithoutItsDecodeWorkerFails) {
   http::Request request;
   request.method = "POST";
   request.target = "/v1/chat/completions";
--- a/programs/testbed/check_history_command.cc
+++ b/programs/testbed/check_history_command.cc
@@ -24,7 +24,7 @@
   EvidenceFiles files;
   std::vector<std::string> limits;
   std::string configuration;
-  std::string crowd;
+  std::string burst;
   testbed::BranchTolerances tolerances;
 };
 
@@ -50,14 +50,14 @@
 
 /** Prints the judgement on the branches and returns whether they were kept. */
 bool checkLimits(const CheckHistoryArguments& arguments, const testbed::Evidence& evidence) {
-  testbed::CrowdTime crowd;
-  if (!arguments.crowd.empty()) {
-    const testbed::Crowd parsed = testbed::parseCrowd(arguments.crowd);
-    crowd.from_s = static_cast<std::int64_t>(parsed.from_s);
-    crowd.to_s = static_cast<std::int64_t>(parsed.to_s);
+  testbed::BurstPeriod burst;
+  if (!arguments.burst.empty()) {
+    const testbed::LoadBurst parsed = testbed::parseLoadBurst(arguments.burst);
+    burst.from_s = static_cast<std::int64_t>(parsed.from_s);
+    burst.to_s = static_cast<std::int64_t>(parsed.to_s);
   }
   const testbed::BranchLimitReport report = testbed::checkBranchLimits(
-      evidence, readBranchLimits(arguments.configuration), arguments.tolerances, crowd);
+      evidence, readBranchLimits(arguments.configuration), arguments.tolerances, burst);
   std::cout << testbed::formatBranchLimitReport(report);
   return report.violations.empty();
 }
@@ -92,7 +92,7 @@
   command->add_option("--limit", arguments->limits, "TENANT=N: most runs at once");
   command->add_option("--configuration", arguments->configuration,
                       "Configuration file: check branches, refusals inside them, and retries");
-  command->add_option("--crowd", arguments->crowd,
+  command->add_option("--crowd", arguments->burst,
                       "TENANT:FACTOR:FROM:TO of the load, to tell before, during and after");
   command->add_option("--excess-ms", arguments->tolerances.excess_ms,
                       "Longest time for which more runs than slots may be seen");
--- a/programs/testbed/control_command.cc
+++ b/programs/testbed/control_command.cc
@@ -42,7 +42,7 @@
     options.fault_pause = std::chrono::seconds(6);
   }
   if (!arguments.off.empty()) {
-    scenarios::switchOff(arguments.off, options);
+    scenarios::disableMechanism(arguments.off, options);
   }
   return options;
 }
--- a/programs/testbed/fleet.cc
+++ b/programs/testbed/fleet.cc
@@ -45,8 +45,8 @@
 }
 
 const char* readinessPath(ProcessRole role) {
-  const bool stand_in = role == ProcessRole::Worker || role == ProcessRole::Platform;
-  return stand_in ? "/testbed/state" : "/readyz";
+  const bool fake = role == ProcessRole::Worker || role == ProcessRole::Platform;
+  return fake ? "/testbed/state" : "/readyz";
 }
 
 bool inGroup(const FleetProcess& process, const std::string& group) {
--- a/programs/testbed/load_command.cc
+++ b/programs/testbed/load_command.cc
@@ -43,7 +43,7 @@
   command->add_option("--seconds", arguments->seconds, "How long requests arrive");
   command->add_option("--seed", arguments->seed, "Seed of the arrivals; keys hold it");
   command->add_flag("--direct", arguments->direct, "Straight to the workers, without the fronts");
-  command->add_option("--crowd", arguments->crowds,
+  command->add_option("--crowd", arguments->bursts,
                       "TENANT:FACTOR:FROM:TO: a tenant, or all, many times as often for a time");
   command->callback([arguments] { runLoadCommand(*arguments); });
 }
--- a/programs/testbed/load_run.cc
+++ b/programs/testbed/load_run.cc
@@ -38,8 +38,8 @@
 
 std::uint64_t runLoad(const LoadOrder& order) {
   auto plan = testbed::parseLoadPlan(testbed::readTextFile(order.load));
-  for (const std::string& crowd : order.crowds) {
-    plan.crowds.push_back(testbed::parseCrowd(crowd));
+  for (const std::string& burst : order.bursts) {
+    plan.bursts.push_back(testbed::parseLoadBurst(burst));
   }
   if (std::filesystem::exists(order.record)) {
     throw base::Error(base::ResultCode::InvalidValue, order.record + " exists already");
--- a/programs/testbed/load_run.h
+++ b/programs/testbed/load_run.h
@@ -17,8 +17,8 @@
   std::uint64_t seed = 1;
   /** Straight to the workers, without the fronts. */
   bool direct = false;
-  /** Times in which a tenant sends more, each as laboratory::parseCrowd() reads it. */
-  std::vector<std::string> crowds;
+  /** Times in which a tenant sends more, each as testbed::parseLoadBurst() reads it. */
+  std::vector<std::string> bursts;
 };
 
 /** Sends the load, waits for its answers and returns the number of calls. Throws base::Error. */
--- a/programs/testbed/worker_command.cc
+++ b/programs/testbed/worker_command.cc
@@ -10,7 +10,7 @@
 #include "commands.h"
 #include "switchsaddle/http/client.h"
 #include "switchsaddle/http/server.h"
-#include "switchsaddle/testbed/workers/stand_in_worker.h"
+#include "switchsaddle/testbed/workers/fake_worker.h"
 #include "switchsaddle/transport/asio_dispatcher.h"
 
 namespace switchsaddle::testbed_commands {
@@ -75,7 +75,7 @@
   transport::AsioDispatcher dispatcher_;
   std::unique_ptr<http::Client> client_;
   testbed::FileEventSink events_;
-  testbed::StandInWorker worker_;
+  testbed::FakeWorker worker_;
   std::unique_ptr<http::Server> server_;
   boost::asio::signal_set signals_;
   base::TimePoint drain_started_{};
