--- a/libraries/routing/include/switchsaddle/routing/arm.h
+++ b/libraries/routing/include/switchsaddle/routing/arm.h
@@ -15,7 +15,7 @@
   /** "worker" or "prefill>decode". */
   std::string signature;
   WorkerRecordPtr prefill;
-  /** Null where one worker serves both stages. */
+  /** Null if one worker serves both stages. */
   WorkerRecordPtr decode;
   std::uint64_t hash = 0;
   /** Position among the pool's arms in the order of their hashes; the same on all fronts. */
--- a/libraries/routing/include/switchsaddle/routing/arm_selection.h
+++ b/libraries/routing/include/switchsaddle/routing/arm_selection.h
@@ -8,31 +8,32 @@
 
 namespace switchsaddle::routing {
 
-/** One candidate as ADR-0021's policy sees it. */
+/** The properties of a candidate that ADR-0021's policy uses. */
 struct SelectionCandidate {
   bool proven = false;
   /** Decayed sample mass; arms with less mass are scouted first. */
   double mass = 0;
-  /** Rank where no arm is proven, and tie-break between arms of equal mass; higher is better. */
+  /** Decides if no arm is proven, and breaks ties between arms of equal mass; higher is better. */
   double prior = 0;
   /** Weight of a proven arm in the draw, in tokens per second. */
   double tokens_per_second = 0;
   /** Whether slow start admits a prompt now; only consulted for arms that are not proven. */
   bool may_scout = true;
-  /** Whether this front's scout interval for the arm has passed; ignored by the best prior. */
+  /** Whether this front's scout interval for the arm has passed; ignored in mode BestPrior. */
   bool scout_due = true;
 };
 
-/** The candidate chosen, and by which mode. */
+/** The chosen candidate and the mode that chose it. */
 struct Selection {
   std::size_t index = 0;
   SelectionMode mode = SelectionMode::BestPrior;
 };
 
 /**
- * ADR-0021's choose_route. With probability `explore_share` selects the least measured arm that is
- * not proven; if no arm is proven, the best prior; otherwise draws among proven arms with
- * P proportional to tps^alpha. Arms that slow start does not admit are skipped while others remain.
+ * ADR-0021's choose_route. If no arm is proven, selects the one with the best prior. Otherwise
+ * selects, with probability `explore_share`, the least measured arm that is not proven, or else
+ * draws a proven arm with a probability proportional to tokens_per_second^alpha. Arms that slow
+ * start does not admit are skipped while others remain.
  *
  * @param candidates must not be empty.
  */
--- a/libraries/routing/include/switchsaddle/routing/candidate_collector.h
+++ b/libraries/routing/include/switchsaddle/routing/candidate_collector.h
@@ -13,8 +13,8 @@
 
 /**
  * Collects the candidates of a prompt: workers likely to have its prefix cached, one arm to scout,
- * and arms drawn at random up to the candidate limit. Confined to the prompt's lane unless that has
- * no usable arm. Runs on the control strand.
+ * and arms drawn at random up to the candidate limit. Collects only
+ * from the prompt's lane unless the lane has no usable arm. Runs on the control strand.
  */
 class CandidateCollector {
  public:
--- a/libraries/routing/include/switchsaddle/routing/candidate_ranking.h
+++ b/libraries/routing/include/switchsaddle/routing/candidate_ranking.h
@@ -11,7 +11,7 @@
 
 /**
  * Ranks the candidates of a prompt and drops those that must not be drawn from. Ranks by expected
- * cost where the load of all fronts is known, otherwise by the estimated time to the first token.
+ * cost if the option `fleet_loads` is set, otherwise by the estimated time to the first token.
  * Runs on the control strand.
  */
 class CandidateRanking {
@@ -25,7 +25,7 @@
   void rank(const ModelPool& pool, const Prompt& prompt, const PrefixChains& chains,
             std::vector<Candidate>& candidates) const;
   /** Drops candidates that slow start does not admit, then those much worse than the best. May
-   * leave none. */
+   * remove all candidates. */
   void filter(std::vector<Candidate>& candidates) const;
 
  private:
--- a/libraries/routing/include/switchsaddle/routing/candidate_set.h
+++ b/libraries/routing/include/switchsaddle/routing/candidate_set.h
@@ -17,9 +17,10 @@
   std::uint32_t cached_tokens = 0;
   /** Estimated time to the first token. */
   double first_token_s = 0;
-  /** The worker follows the chain's homes on the ring: all fronts overflow to it. */
+  /** The worker follows the chain's homes on the ring; all fronts send it the prompts that the
+   * homes cannot take. */
   bool overflow_home = false;
-  /** placementCost(); zero where placements are not ranked by cost. */
+  /** placementCost(); zero if candidates are not ranked by cost. */
   double cost = 0;
 };
 
--- a/libraries/routing/include/switchsaddle/routing/first_token_estimate.h
+++ b/libraries/routing/include/switchsaddle/routing/first_token_estimate.h
@@ -6,14 +6,14 @@
 
 namespace switchsaddle::routing {
 
-/** Rates assumed for arms that were never measured; this project's values, not the source's. */
+/** Rates assumed for arms that were never measured; ADR-0021 does not specify them. */
 struct UnmeasuredPrior {
   double seconds_per_prefill_token = 0.000'2;
   double seconds_per_output_token = 0.02;
   double base_seconds = 0.005;
 };
 
-/** An arm this many times as slow as its pool is estimated by its own prefill rate. */
+/** From this ratio of an arm's prefill rate to its pool's on, estimates use the arm's own rate. */
 inline constexpr double UnhealthyRatio = 2.5;
 
 /**
@@ -36,7 +36,7 @@
  */
 double prefillRate(const Arm& arm, const UnmeasuredPrior& prior, double pool_rate);
 
-/** Estimated number of requests on the worker now, this front's own included. */
+/** Estimated number of requests on the worker now, including this front's. */
 std::uint32_t estimatedLoad(const WorkerRecord& record, base::TimePoint now);
 
 }  // namespace switchsaddle::routing
--- a/libraries/routing/include/switchsaddle/routing/first_token_model.h
+++ b/libraries/routing/include/switchsaddle/routing/first_token_model.h
@@ -5,8 +5,8 @@
 /**
  * Models the time to the first token of a pool's workers without backlog: a base time for each
  * prompt and a time for each prefilled token. Fitted by weighted least squares over the last few
- * dozen answers. Answers far slower than expected met load that was not known; their weight is
- * limited by a cap on their time.
+ * dozen answers. An answer far slower than expected was delayed by unknown load; the
+ * time of each sample is therefore capped.
  */
 class FirstTokenModel {
  public:
@@ -30,13 +30,13 @@
   void accumulate(double tokens, double seconds, double weight);
   void fit();
 
-  /** Weighted sums of the samples. */
+  /** Weighted sums over the samples. */
   double weight_ = 0;
   double tokens_ = 0;
   double seconds_ = 0;
   double tokens_squared_ = 0;
   double products_ = 0;
-  /** The fit. */
+  /** Result of fit(). */
   double seconds_per_token_ = 0;
   double base_seconds_ = 0;
 };
--- a/libraries/routing/include/switchsaddle/routing/learned_router.h
+++ b/libraries/routing/include/switchsaddle/routing/learned_router.h
@@ -25,14 +25,14 @@
 
 /**
  * ADR-0021's bandit on one front with the extensions of docs/ROUTING.md: collects candidates, ranks
- * and filters them, and selects one by the policy; the tracker learns from completions. Invariant:
- * an arm of a worker that is draining, removed or evacuated, or outside the route's pool, is never
- * a candidate. Runs on the control strand; choose() makes no network call, takes no lock, and
+ * and filters them, and selects one by the policy; the tracker updates scores from completions.
+ * Invariant: an arm is never a candidate if its worker is draining, removed, evacuated or outside
+ * the route's pool. Runs on the control strand; choose() makes no network call, takes no lock, and
  * visits each arm of the model at most once.
  */
 class LearnedRouter : public Router {
  public:
-  /** @param self address of this front, by which fronts divide slow start and scouts. */
+  /** @param self address of this front; decides its rank in slow start and its order of scouts. */
   LearnedRouter(base::Dispatcher& dispatcher, base::RandomSource& random, base::NodeAddress self,
                 RouterOptions options);
   LearnedRouter(const LearnedRouter&) = delete;
--- a/libraries/routing/include/switchsaddle/routing/model_pool.h
+++ b/libraries/routing/include/switchsaddle/routing/model_pool.h
@@ -29,8 +29,8 @@
   /** When the current epoch began; older samples are stale. */
   base::TimePoint epoch_start{};
   std::vector<ArmPtr> arms;
-  /** Mean prefill rate of the measured arms; zero if none is measured or if the pool's rate is not
-   * in use. */
+  /** Mean prefill rate of the measured arms; zero if none is measured or the option `work_lanes` is
+   * not set. */
   double seconds_per_prefill_token = 0;
   base::TimePoint rates_refreshed_at{};
   /** Fitted from this front's own answers. */
--- a/libraries/routing/include/switchsaddle/routing/peer_load.h
+++ b/libraries/routing/include/switchsaddle/routing/peer_load.h
@@ -11,7 +11,7 @@
 /**
  * The requests of the other fronts at each worker, as last reported by the cores. Prefill is
  * assumed to have progressed since the report. A report expires after Lifetime; the front then uses
- * its own load alone. Runs on the control strand.
+ * only its own load. Runs on the control strand.
  */
 class PeerLoad {
  public:
@@ -25,12 +25,12 @@
     double prefill_s = 0;
   };
 
-  /** Replaces the report; ignored if the core does not know the fronts' loads. */
+  /** Replaces the report; ignored unless `load.known` is set. */
   void set(const wire::FleetLoad& load, base::TimePoint now);
   /**
    * @param worker workers::loadKey() of the instance.
-   * @return the worker's load; for a worker that the report does not list, the report's mean of
-   * those; nothing after the report has expired.
+   * @return the worker's load; the mean load of unlisted workers if the report does not list it;
+   * zero load if the report has expired.
    */
   Load of(std::uint32_t worker, base::TimePoint now) const;
   /** Whether there is a report that has not expired. */
@@ -39,8 +39,8 @@
  private:
   std::unordered_map<std::uint32_t, wire::WorkerLoad> loads_;
   /** Mean of the workers that are not listed. */
-  double rest_requests_ = 0;
-  double rest_prefill_ms_ = 0;
+  double unlisted_mean_requests_ = 0;
+  double unlisted_mean_prefill_ms_ = 0;
   base::TimePoint reported_at_{};
   bool reported_ = false;
 };
--- a/libraries/routing/include/switchsaddle/routing/placement_estimator.h
+++ b/libraries/routing/include/switchsaddle/routing/placement_estimator.h
@@ -21,7 +21,7 @@
                     Candidate& candidate) const;
   /** Prefill backlog of the worker over all fronts, in seconds. */
   double queueSeconds(const Arm& arm) const;
-  /** Seconds in which the arm prefills this many tokens. */
+  /** Seconds that the arm needs to prefill this many tokens. */
   double prefillSeconds(const ModelPool& pool, const Arm& arm, std::uint32_t tokens) const;
 
  private:
--- a/libraries/routing/include/switchsaddle/routing/placement_tracker.h
+++ b/libraries/routing/include/switchsaddle/routing/placement_tracker.h
@@ -13,8 +13,8 @@
 namespace switchsaddle::routing {
 
 /**
- * Follows placements from dispatch to completion: counts requests in flight, keeps the prefill
- * backlog, and updates arms' scores, slow start and prefix affinity from what was measured.
+ * Follows placements from dispatch to completion: counts requests in flight, tracks the prefill
+ * backlog, and updates the scores, slow start and prefix affinity of arms from the measurements.
  * Invariant: each placement is counted at its workers until complete(). Runs on the control strand.
  */
 class PlacementTracker {
--- a/libraries/routing/include/switchsaddle/routing/pool_registry.h
+++ b/libraries/routing/include/switchsaddle/routing/pool_registry.h
@@ -11,9 +11,9 @@
 namespace switchsaddle::routing {
 
 /**
- * The model pools of one router, built from the configuration and the worker snapshot. A join,
- * leave, role change or change of weights starts a new epoch of the pool. Invariant: a pool is
- * never removed, so that pointers to it remain valid. Runs on the control strand.
+ * The model pools of one router, built from the configuration and the worker snapshot. A pool
+ * starts a new epoch when a worker joins, leaves, or changes its stage or weights. Invariant: a
+ * pool is never removed, so that pointers to it remain valid. Runs on the control strand.
  */
 class PoolRegistry {
  public:
@@ -25,7 +25,7 @@
   void setWorkers(workers::WorkerSnapshotPtr snapshot);
   /** @return the pool that serves the model, or null. */
   ModelPool* find(const std::string& pool, const std::string& model);
-  /** Starts a new epoch: scores measured before become stale. */
+  /** Starts a new epoch, so that earlier scores become stale. */
   void advanceEpoch(ModelPool& pool) const;
   /** @return the epoch of the first pool that serves the model; zero if there is none. */
   std::uint64_t epochOf(const std::string& model) const;
--- a/libraries/routing/include/switchsaddle/routing/prefill_queue.h
+++ b/libraries/routing/include/switchsaddle/routing/prefill_queue.h
@@ -7,9 +7,9 @@
 namespace switchsaddle::routing {
 
 /**
- * The prefill backlog that one front has at one worker, as the seconds that the worker is expected
- * to need for the prompts it has not answered. Prompts are assumed to be prefilled one after the
- * other. A share of what is not answered remains in the backlog however long it takes, since a
+ * The prefill backlog of one front at one worker: the seconds that the worker is expected to need
+ * for the prompts it has not answered. Prompts are assumed to be prefilled one after the other. A
+ * share of the unanswered prompts' time stays in the backlog whatever time has elapsed, since a
  * worker may be slower than expected.
  */
 class PrefillQueue {
@@ -39,7 +39,7 @@
     drained_at_ = now;
   }
 
-  /** As of `drained_at_`. */
+  /** Backlog at `drained_at_`. */
   double remaining_s_ = 0;
   double unanswered_s_ = 0;
   base::TimePoint drained_at_{};
--- a/libraries/routing/include/switchsaddle/routing/prefix_chains.h
+++ b/libraries/routing/include/switchsaddle/routing/prefix_chains.h
@@ -22,8 +22,8 @@
   /** @return the hash of the first `depth` segments; `depth` counts from 1. */
   std::uint64_t at(std::size_t depth) const { return hashes_[depth - 1]; }
   std::span<const std::uint64_t> all() const { return {hashes_.data(), depth_}; }
-  /** @return the depth that ends with the longest shared segment, which saves the most prefill when
-   * cached; zero if no segment is shared. */
+  /** @return the depth that ends with the longest shared segment, since caching it saves the most
+   * prefill; zero if no segment is shared. */
   std::size_t homeDepth() const { return home_depth_; }
   /** @return the tokens of all shared segments up to MaximumDepth. */
   std::uint32_t sharedTokens() const { return shared_tokens_; }
--- a/libraries/routing/include/switchsaddle/routing/prefix_index.h
+++ b/libraries/routing/include/switchsaddle/routing/prefix_index.h
@@ -17,13 +17,13 @@
  */
 class PrefixIndex {
  public:
-  static constexpr std::size_t OwnersPerChain = 2;
-  using Owners = std::array<WorkerNumber, OwnersPerChain>;
+  static constexpr std::size_t WorkersPerChain = 2;
+  using Workers = std::array<WorkerNumber, WorkersPerChain>;
 
   /** @param chains capacity; rounded up to a power of two. */
   explicit PrefixIndex(std::size_t chains);
   /** @return the workers this chain was last sent to, most recent first, padded with NoWorker. */
-  Owners find(std::uint64_t chain) const;
+  Workers find(std::uint64_t chain) const;
   /** Records that the chain was sent to the worker. */
   void add(std::uint64_t chain, WorkerNumber worker);
   /** Removes a worker that may have lost the chain from its cache. */
@@ -35,7 +35,7 @@
   struct Cell {
     std::uint64_t chain = 0;
     std::uint32_t used = 0;
-    Owners owners{NoWorker, NoWorker};
+    Workers workers{NoWorker, NoWorker};
   };
 
   std::size_t setOf(std::uint64_t chain) const;
--- a/libraries/routing/include/switchsaddle/routing/route_statistics.h
+++ b/libraries/routing/include/switchsaddle/routing/route_statistics.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::routing {
 
-/** ADR-0021's classes of an arm. Only proven arms are drawn from. */
+/** The status of an arm as defined by ADR-0021. Only proven arms are drawn from. */
 enum class ArmStatus : std::uint8_t { Proven, Unsampled, Stale, Decayed };
 
 /** The name shown in the routing table. */
@@ -17,7 +17,7 @@
 
 /** The score of one completion. Rates that were not measured are zero. */
 struct SpeedSample {
-  /** End-to-end output tokens per second, the source's score. */
+  /** End-to-end output tokens per second: ADR-0021's score. */
   double tokens_per_second = 0;
   /** Time to the first token per uncached prompt token. */
   double seconds_per_prefill_token = 0;
@@ -28,16 +28,18 @@
 };
 
 /**
- * An exponentially weighted mean whose mass halves every half-life. Adding a sample decays the
- * mass, then weighs the old mean by it and the sample by one; the source specifies no smoothing
- * factor, and this form can be merged between nodes. Times are of this node's clock.
+ * An exponentially weighted mean whose mass halves every half-life. Adding a sample first decays
+ * the mass; the old mean then has the decayed mass as its weight, and the sample has weight one.
+ * ADR-0021 specifies no smoothing factor; this form was chosen since nodes can merge their means.
+ * Times are of this node's clock.
  */
 class RouteStatistics {
  public:
   void add(const SpeedSample& sample, base::TimePoint now, double half_life_s);
   /**
-   * Merges another node's mean. Means are weighted by mass, and the mass becomes the larger one, so
-   * that merging is idempotent in the mass. Ignores values that are not positive or not finite.
+   * Merges another node's mean. Means are weighted by mass. The mass becomes the larger of the two,
+   * so that merging the same value again does not change the mass. Ignores values that are not
+   * positive or not finite.
    *
    * @param mass the other node's mass, decayed to `now`.
    * @param age time since the other node's last measurement.
@@ -47,9 +49,10 @@
   double mass(base::TimePoint now, double half_life_s) const;
   /** @param epoch_start when the model's current epoch began. */
   ArmStatus status(base::TimePoint now, base::TimePoint epoch_start, double half_life_s) const;
-  /** Demotes the arm until it is measured again; its mean stays as a prior. */
+  /** Makes the arm stale until it is measured again; its mean stays as a prior. */
   void markStale() { forced_stale_ = true; }
-  /** The arm's worker was replaced by another instance: the mean stays as a prior, without mass. */
+  /** Resets the mass after the arm's worker was replaced by another instance; the mean stays as a
+   * prior. */
   void startInstance() { mass_ = 0; }
   const SpeedSample& mean() const { return mean_; }
   std::uint64_t samples() const { return samples_; }
--- a/libraries/routing/include/switchsaddle/routing/router.h
+++ b/libraries/routing/include/switchsaddle/routing/router.h
@@ -31,11 +31,11 @@
   base::Duration first_token_goal = std::chrono::seconds(1);
   /** Longest acceptable gap between two events of the stream; zero: no target. */
   base::Duration event_gap_goal{};
-  /** The last segment belongs to this prompt alone, so that no worker can have it cached. */
+  /** Whether only this prompt has the last segment, so that no worker can have it cached. */
   bool last_segment_private = false;
 };
 
-/** How a placement was selected; ADR-0021's modes. */
+/** How a placement was selected: the modes of ADR-0021. */
 enum class SelectionMode : std::uint8_t { Scout, Exploit, BestPrior };
 
 /** The worker, or prefill-to-decode pair, chosen for a prompt. */
@@ -44,7 +44,7 @@
   /** The arm's signature: "worker" or "prefill>decode". */
   std::string arm;
   workers::Worker prefill;
-  /** Set where the arm is a pair. */
+  /** Set if the arm is a pair. */
   std::optional<workers::Worker> decode;
   /** Estimated time to the first token. */
   base::Duration first_token_estimate{};
@@ -79,7 +79,7 @@
   std::string model;
   std::string arm;
   double tokens_per_second = 0;
-  /** tps over the best proven arm's tps. */
+  /** Tokens per second relative to the best proven arm. */
   double coefficient = 0;
   double expected_share = 0;
   std::uint64_t samples = 0;
@@ -94,21 +94,22 @@
 };
 
 /**
- * ADR-0021's policy on one front. choose() is on the request path: in memory, no network call, no
- * lock. Each placement is ended by exactly one complete(). Runs on the control strand.
+ * ADR-0021's policy on one front. choose() is on the request path: it works in memory, makes no
+ * network call and takes no lock. Each placement is ended by exactly one call of complete(). Runs
+ * on the control strand.
  */
 class Router {
  public:
   virtual ~Router() = default;
   virtual void setConfiguration(std::shared_ptr<const configuration::View> view) = 0;
   virtual void setWorkers(workers::WorkerSnapshotPtr snapshot) = 0;
-  /** Sets the fronts with live sessions, this one included, among which slow start is divided. */
+  /** Sets the fronts with live sessions, this one included; they share the limits of slow start. */
   virtual void setFronts(const std::vector<base::NodeAddress>& fronts) = 0;
   /**
    * Places a prompt within the route's pool.
    *
    * @param excluded ids of workers already attempted for this prompt.
-   * @return nothing if no usable worker remains, or if all that remain are warming up and this
+   * @return std::nullopt if no usable worker remains, or if all that remain are warming up and this
    * front's share of their limits is exhausted.
    */
   virtual std::optional<Placement> choose(const Prompt& prompt, const configuration::Route& route,
@@ -117,7 +118,8 @@
   virtual void complete(const Completion& completion) = 0;
   /** Reports that the first token of a placement was received. */
   virtual void recordFirstToken(std::uint64_t ticket) = 0;
-  /** @return this front's requests in flight by worker, and the work it received by kind. */
+  /** @return this front's requests in flight by worker, and the prompts it received by kind of
+   * work. */
   virtual wire::FrontLoad exportLoads() const = 0;
   /** Sets the loads of the other fronts. */
   virtual void importLoads(const wire::FleetLoad& loads) = 0;
--- a/libraries/routing/include/switchsaddle/routing/router_options.h
+++ b/libraries/routing/include/switchsaddle/routing/router_options.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::routing {
 
-/** Extensions of plain ADR-0021; docs/ROUTING.md gives a measurement of each. */
+/** Extensions of ADR-0021's policy; docs/ROUTING.md has a measurement of each. */
 struct RouterOptions {
   /** Prefer workers that have a prompt's prefix in their cache. */
   bool prefix_affinity = true;
@@ -14,9 +14,10 @@
   bool load_estimates = true;
   /** Limit the prompts sent to workers that are warming up. */
   bool slow_start_limiter = true;
-  /** Weigh arms by speed corrected for prefix hits and lengths instead of end-to-end tokens/s. */
+  /** Weigh arms by the speed estimated for the prompt, corrected for prefix hits and lengths,
+   * instead of end-to-end tokens per second. */
   bool score_hygiene = true;
-  /** Serve kinds of work with long prompts and with short ones on different workers. */
+  /** Serve kinds of work with long prompts and kinds with short prompts on different workers. */
   bool work_lanes = false;
   /** Place by the load of all fronts and an expected cost instead of by this front's own
    * measurements. */
@@ -25,7 +26,7 @@
   std::size_t prefix_chains = 1U << 16U;
   UnmeasuredPrior unmeasured_prior;
 
-  /** @return the source's policy without extensions, as a baseline. */
+  /** @return ADR-0021's policy without extensions, as a baseline. */
   static RouterOptions plain();
 };
 
--- a/libraries/routing/include/switchsaddle/routing/scout_policy.h
+++ b/libraries/routing/include/switchsaddle/routing/scout_policy.h
@@ -24,8 +24,8 @@
 
   /** Whether slow start admits a prompt on the arm's workers now. */
   bool isAdmitted(const Arm& arm) const;
-  /** Whether this front's last scout of the arm is long enough ago. The interval grows with the
-   * number of fronts, which bounds the fleet's scouts of one arm. */
+  /** Whether the scout interval has passed since this front last scouted the arm. The interval
+   * grows with the number of fronts, so that the rate of scouts from the whole fleet is bounded. */
   bool isDue(const Arm& arm) const;
   /** @return the least measured arm that may be scouted and is not excluded, or null. */
   Arm* nextScout(ModelPool& pool, const CandidateSet& candidates) const;
--- a/libraries/routing/include/switchsaddle/routing/slow_start_limiter.h
+++ b/libraries/routing/include/switchsaddle/routing/slow_start_limiter.h
@@ -13,36 +13,37 @@
   /** Hash of the worker instance; the same on all fronts. */
   std::uint64_t instance = 0;
   base::TimePoint first_seen{};
-  /** Samples of this instance, this front's own and merged ones. */
+  /** Samples of this instance: this front's own and those merged from other fronts. */
   double samples = 0;
   /** This front's requests in flight on the worker. */
   std::uint32_t in_flight = 0;
   /** This front's last placement on the instance; only meaningful if `placed`. */
   base::TimePoint last_placed{};
   bool placed = false;
-  /** Listed in the first snapshot this front received: the front, not the worker, is new. */
+  /** Listed in the first snapshot that this front received: the front is new, not the worker. */
   bool present_at_start = false;
-  /** Requests per second that a worker which is warming up sustains from all fronts; zero:
-   * unknown, so that slow start ends by age and samples. */
+  /** Requests per second from all fronts that the worker sustains while it is warming up; zero:
+   * unknown, and slow start ends by age and samples. */
   double rate_limit_per_s = 0;
   /** The platform lists the worker as warming up. */
   bool listed_warming_up = false;
-  /** Treated as warming up until then, whatever the platform lists. */
+  /** Until then the worker counts as warming up, whatever the platform lists. */
   base::TimePoint warming_up_until{};
 };
 
 /**
  * Slow start over all fronts: limits how many prompts a worker that has just returned receives from
- * the whole fleet, without communication between fronts. Only the fronts ranked first by rendezvous
- * hashing of the worker instance may use it, each with one prompt in flight and one for each
- * PlacementInterval. One front is admitted during the first second and two during the next, so that
- * at most MaximumInFirstTwoSeconds prompts arrive from all fronts; afterwards as many fronts as the
- * worker has slots, until WarmSamples are known or MaximumSlowStart has passed.
+ * the whole fleet, without communication between fronts. Fronts are ranked by rendezvous hashing of
+ * the worker instance, and only the first ones may use it. Each of them may have one prompt in
+ * flight and place one per PlacementInterval. One front is admitted during the first second and two
+ * during the next, so that at most MaximumInFirstTwoSeconds prompts arrive from all fronts.
+ * Afterwards as many fronts are admitted as the worker has slots, until WarmSamples are known or
+ * MaximumSlowStart has passed.
  *
- * A worker with a configured rate limit warms up for as long as the platform lists it so; its rate
- * is divided among so many fronts, ranked in the same way, that each may place once for each
- * PlacementInterval. Fronts with different views of the fleet may exceed the limit by the share of
- * the fronts they do not see. Runs on the control strand.
+ * A worker with a configured rate limit is warming up for as long as the platform lists it so. Each
+ * admitted front may place one prompt per PlacementInterval, and the rate limit determines how many
+ * fronts, ranked in the same way, are admitted. Fronts with different views of the fleet may exceed
+ * the limit by the share of the fronts they do not see. Runs on the control strand.
  */
 class SlowStartLimiter {
  public:
@@ -54,7 +55,8 @@
   static constexpr base::Duration MinimumSlowStart = std::chrono::seconds(2);
   /** Slow start ends after this time, whatever the number of samples. */
   static constexpr base::Duration MaximumSlowStart = std::chrono::seconds(8);
-  /** Two per second from the first front for two seconds, and from the second for one. */
+  /** Two per second from the first front for two seconds, and from the second for one second.
+   */
   static constexpr int MaximumInFirstTwoSeconds = 6;
 
   /** @param fronts all fronts with live sessions; may include `self`. */
@@ -66,7 +68,7 @@
  private:
   /** Whether this front is among those that share the worker's configured rate limit. */
   bool sharesRateLimit(const SlowStartState& state) const;
-  /** Fronts admitted to a worker of this age. */
+  /** Number of fronts admitted to a worker of this age. */
   static std::size_t admittedFronts(base::Duration age, std::uint32_t slots);
   /** Number of fronts that rank before this one for the instance. */
   std::size_t rankOfSelf(std::uint64_t instance) const;
--- a/libraries/routing/include/switchsaddle/routing/work_lanes.h
+++ b/libraries/routing/include/switchsaddle/routing/work_lanes.h
@@ -12,9 +12,9 @@
 
 /**
  * Divides a pool's workers into a lane for kinds of work with long prompts and one for kinds with
- * short prompts: while a worker prefills a long prompt, its streams decode slowly and short prompts
- * wait. A kind is assigned as a unit, whatever the length of a single prompt, since its prompts
- * share prefixes that should be prefilled once. Kinds are divided at the largest ratio between
+ * short prompts, since a worker that prefills a long prompt decodes its streams slowly and delays
+ * short prompts. All prompts of a kind use one lane, whatever their lengths, since they share
+ * prefixes that should be prefilled only once. Kinds are divided at the largest ratio between
  * neighbouring mean lengths, if it is at least MinimumLengthRatio; the long lane's share of the
  * workers follows its share of the prefilled tokens, within bounds and in steps. Uses the work of
  * all fronts while the cores report it, so that fronts agree on the lanes; otherwise this front's
@@ -26,7 +26,7 @@
   WorkLanes(const WorkLanes&) = delete;
   WorkLanes& operator=(const WorkLanes&) = delete;
 
-  /** Kinds whose mean lengths differ by less share their workers. */
+  /** Kinds whose mean lengths differ by a smaller ratio share their workers. */
   static constexpr double MinimumLengthRatio = 2.5;
   /** Bounds of the long lane's share of the workers. */
   static constexpr double MinimumLongShare = 0.25;
@@ -37,14 +37,14 @@
   static constexpr double MinimumPrompts = 5;
   static constexpr base::Duration HalfLife = std::chrono::seconds(60);
 
-  /** How long a report of the fleet's work is used. */
+  /** How long a report of the work of all fronts is used. */
   static constexpr base::Duration FleetLifetime = std::chrono::seconds(5);
   /** Shares of the workers are multiples of this, so that fronts agree on them. */
   static constexpr double ShareStep = 0.05;
 
-  /** Counts a prompt; divides the lanes anew at intervals. */
+  /** Counts a prompt; recomputes the lanes at intervals. */
   void add(std::uint64_t kind, std::uint32_t prompt_tokens, base::TimePoint now);
-  /** Counts the tokens to be prefilled of a prompt that add() has counted. */
+  /** Counts the tokens to be prefilled for a prompt that add() has counted. */
   void addPrefill(std::uint64_t kind, std::uint32_t tokens);
   /** @return this front's own work by kind. */
   std::vector<wire::WorkKindCounts> counts() const;
@@ -56,7 +56,8 @@
   double meanTokens(std::uint64_t kind) const;
   /** Whether the kind belongs to the long lane; false for an unknown kind. */
   bool isLong(std::uint64_t kind) const;
-  /** @return how many of the workers serve the short lane; all without a division. */
+  /** @return how many of the workers serve the short lane; all of them if the kinds are not
+   * divided. */
   std::size_t shortWorkers(std::size_t workers) const;
 
  private:
@@ -83,12 +84,12 @@
   /** The work of all fronts, while it is known. */
   Kinds fleet_kinds_;
   base::TimePoint fleet_reported_at_{};
-  /** The kinds that the lanes follow: one of the two. */
+  /** The kinds that determine the lanes: `own_kinds_` or `fleet_kinds_`. */
   const Kinds* active_kinds_ = &own_kinds_;
   bool is_divided_ = false;
-  /** Mean length from which on a kind is long. */
+  /** Kinds of at least this mean length, in tokens, are long. */
   double minimum_long_tokens_ = 0;
-  /** The long lane's share of the workers; kept until its target moves far enough. */
+  /** The long lane's share of the workers; kept until its target differs by more than a minimum. */
   double long_share_ = 0;
 };
 
--- a/libraries/routing/include/switchsaddle/routing/worker_record.h
+++ b/libraries/routing/include/switchsaddle/routing/worker_record.h
@@ -29,7 +29,7 @@
   std::optional<base::TimePoint> last_request_ended_at;
   /** When `peer_load` was reported. */
   base::TimePoint load_reported_at{};
-  /** The worker is in an evacuated zone or otherwise not allowed by the configuration. */
+  /** Whether the worker is in an evacuated zone or otherwise not allowed by the configuration. */
   bool evacuated = false;
 
   bool usable() const { return worker.usable() && !evacuated; }
--- a/libraries/routing/include/switchsaddle/routing/worker_records.h
+++ b/libraries/routing/include/switchsaddle/routing/worker_records.h
@@ -10,8 +10,8 @@
 namespace switchsaddle::routing {
 
 /**
- * One record for each worker of the current snapshot. Invariant: a record lives as long as its
- * instance is listed; another instance under the same id gets a new record and number. Runs on the
+ * One record for each worker of the current snapshot. Invariant: a record exists as long as its
+ * instance is listed; another instance with the same id gets a new record and number. Runs on the
  * control strand.
  */
 class WorkerRecords {
@@ -20,7 +20,7 @@
 
   explicit WorkerRecords(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
 
-  /** Creates, updates and removes records as the snapshot says. */
+  /** Creates, updates and removes records to match the snapshot. */
   void applySnapshot(const workers::WorkerSnapshot& snapshot);
   /** Applies slow-start limits and evacuations. */
   void applyConfiguration(const configuration::View& view);
--- a/libraries/routing/source/arm_index.cc
+++ b/libraries/routing/source/arm_index.cc
@@ -33,8 +33,8 @@
   if (workers == 0) {
     return;
   }
-  const std::size_t even = std::bit_floor(std::max<std::size_t>(1, RingSize / workers));
-  const std::size_t points = std::clamp(even, MinimumPoints, MaximumPoints);
+  const std::size_t even_share = std::bit_floor(std::max<std::size_t>(1, RingSize / workers));
+  const std::size_t points = std::clamp(even_share, MinimumPoints, MaximumPoints);
   ring_.reserve(workers * points);
   for (const Range& range : ranges_) {
     if (range.count > 0) {
--- a/libraries/routing/source/arm_selection.cc
+++ b/libraries/routing/source/arm_selection.cc
@@ -50,7 +50,7 @@
   return alpha == 1.0 ? candidate.tokens_per_second : std::pow(candidate.tokens_per_second, alpha);
 }
 
-/** The proven arm at this point of the cumulated weights. */
+/** The proven arm at this point of the cumulative weights. */
 std::size_t drawProven(std::span<const SelectionCandidate> candidates, double alpha, double point) {
   std::size_t last_proven = 0;
   for (std::size_t index = 0; index < candidates.size(); ++index) {
--- a/libraries/routing/source/candidate_ranking.cc
+++ b/libraries/routing/source/candidate_ranking.cc
@@ -7,15 +7,16 @@
 
 namespace {
 
-/** Candidates this much slower to the first token than the best are not drawn from. */
+/** Candidates whose first token is later than the best one's by this factor plus this time are not
+ * drawn from. */
 constexpr double SlowerFactor = 1.25;
 constexpr double SlowerSeconds = 0.010;
-/** The same within a lane, where a prefix cache miss costs more than this. */
+/** The same bound within a lane, without a factor: a prefix cache miss costs more than this. */
 constexpr double SlowerSecondsInLane = 0.004;
-/** Measured candidates within this cost of the cheapest are drawn from as well, since estimates do
- * not separate them. In tokens of shared prefix. */
+/** Measured candidates within this cost of the cheapest are drawn from as well, since the estimates
+ * are too inaccurate to separate them. In tokens of shared prefix, see placementCost(). */
 constexpr double NearEqualCost = 60;
-/** The same for candidates that are not measured: what measuring them may cost. */
+/** The same for candidates that are not measured: the cost accepted for measuring them. */
 constexpr double ScoutAllowance = 400;
 
 }  // namespace
@@ -70,7 +71,7 @@
     std::erase_if(candidates, std::not_fn(is_admitted));
     return;
   }
-  // A configured rate limit is enforced even where no other worker is left.
+  // A configured rate limit is enforced even if no other worker remains.
   std::erase_if(candidates, [](const Candidate& candidate) {
     return candidate.arm->prefill->slow_start.rate_limit_per_s > 0;
   });
--- a/libraries/routing/source/chain_rate.cc
+++ b/libraries/routing/source/chain_rate.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Counters are rescaled before the weight exceeds the precision of a float. */
+/** Counters are rescaled above this weight, before they lose precision as floats. */
 constexpr double MaximumWeight = 1e6;
 
 }  // namespace
@@ -49,7 +49,7 @@
   return count / weightAt(now) * std::numbers::ln2 / HalfLifeSeconds;
 }
 
-double ChainRate::provenPerSecond(std::uint64_t chain, base::TimePoint now) const {
+double ChainRate::lowerBoundPerSecond(std::uint64_t chain, base::TimePoint now) const {
   constexpr double Deviations = 2.0;
   constexpr double SecondsOfCount = HalfLifeSeconds / std::numbers::ln2;
   const double count = perSecond(chain, now) * SecondsOfCount;
--- a/libraries/routing/source/first_token_estimate.cc
+++ b/libraries/routing/source/first_token_estimate.cc
@@ -10,11 +10,11 @@
 /** Reported loads older than this are ignored. */
 constexpr base::Duration LoadReportLifetime = std::chrono::seconds(5);
 
-/** Exponent of the wait that slots in use predict; the higher, the later a filling worker counts as
- * queueing. */
+/** Exponent of the share of slots in use, which estimates the wait for a slot. A higher exponent
+ * means that a worker must be fuller before prompts are expected to wait. */
 constexpr double NearlyFullExponent = 4.0;
 
-double orPrior(double measured, double prior) {
+double measuredOrPrior(double measured, double prior) {
   return measured > 0 ? measured : prior;
 }
 
@@ -28,14 +28,15 @@
 double prefillRate(const Arm& arm, const UnmeasuredPrior& prior, double pool_rate) {
   const double own_rate = arm.statistics.mean().seconds_per_prefill_token;
   const bool pooled = pool_rate > 0 && own_rate < pool_rate * UnhealthyRatio;
-  return pooled ? pool_rate : orPrior(own_rate, prior.seconds_per_prefill_token);
+  return pooled ? pool_rate : measuredOrPrior(own_rate, prior.seconds_per_prefill_token);
 }
 
 double estimateFirstToken(const Arm& arm, std::uint32_t uncached_tokens,
                           std::uint32_t output_tokens, const UnmeasuredPrior& prior,
                           base::TimePoint now, double pool_rate) {
   const SpeedSample& mean = arm.statistics.mean();
-  const double output_rate = orPrior(mean.seconds_per_output_token, prior.seconds_per_output_token);
+  const double output_rate =
+      measuredOrPrior(mean.seconds_per_output_token, prior.seconds_per_output_token);
   const double prefill_s = uncached_tokens * prefillRate(arm, prior, pool_rate);
   const double service_s = prefill_s + output_tokens * output_rate;
   const WorkerRecord& worker = *arm.prefill;
@@ -45,7 +46,8 @@
   const double nearly_full = std::pow(std::min(1.0, load / slots), NearlyFullExponent);
   const double waiting = std::max(nearly_full, load + 1.0 - slots);
   const double queue_s = waiting / slots * service_s;
-  // Running requests share the processor with a new prefill; spreads load before slots run out.
+  // Running requests share the processor with a new prefill; this spreads load before slots are
+  // full.
   const double sharing_s = prefill_s * std::min(1.0, load / slots);
   return prior.base_seconds + queue_s + prefill_s + sharing_s;
 }
--- a/libraries/routing/source/first_token_model.cc
+++ b/libraries/routing/source/first_token_model.cc
@@ -6,9 +6,10 @@
 
 namespace {
 
-/** Share of the earlier samples' weight that remains after a new one: about fifty are in effect. */
+/** Share of the earlier samples' weight that remains after a new sample; about the last fifty
+ * samples determine the fit. */
 constexpr double RetainedShare = 0.98;
-/** Initial samples, a short prompt and a long one, until there are answers. */
+/** Two initial samples, for no tokens and for a long prompt, with little weight against answers. */
 constexpr double InitialWeight = 0.2;
 constexpr double InitialBaseSeconds = 0.02;
 constexpr double InitialSecondsPerToken = 5e-5;
--- a/libraries/routing/source/peer_load.cc
+++ b/libraries/routing/source/peer_load.cc
@@ -10,8 +10,8 @@
   }
   reported_ = true;
   reported_at_ = now;
-  rest_requests_ = load.unlisted_mean_requests;
-  rest_prefill_ms_ = load.unlisted_mean_prefill_ms;
+  unlisted_mean_requests_ = load.unlisted_mean_requests;
+  unlisted_mean_prefill_ms_ = load.unlisted_mean_prefill_ms;
   loads_.clear();
   for (const wire::WorkerLoad& each : load.peer_loads) {
     loads_[each.worker] = each;
@@ -25,8 +25,8 @@
   constexpr double SecondsPerMs = 1e-3;
   const auto found = loads_.find(worker);
   const bool is_listed = found != loads_.end();
-  const double requests = is_listed ? found->second.requests : rest_requests_;
-  const double prefill_ms = is_listed ? found->second.prefill_ms : rest_prefill_ms_;
+  const double requests = is_listed ? found->second.requests : unlisted_mean_requests_;
+  const double prefill_ms = is_listed ? found->second.prefill_ms : unlisted_mean_prefill_ms_;
   const double age_s = std::chrono::duration<double>(now - reported_at_).count();
   return {requests, std::max(0.0, prefill_ms * SecondsPerMs - age_s)};
 }
--- a/libraries/routing/source/placement_cost.cc
+++ b/libraries/routing/source/placement_cost.cc
@@ -6,27 +6,27 @@
 
 namespace {
 
-/** Cost of a late prompt of mean size, and of a stalled stream. */
+/** Cost of a late prompt of mean size, and of a stalled stream, in tokens. */
 constexpr double LateTokens = 4'000;
-/** Share of the cost of lateness that does not grow with the prompt, and the largest relative size
- * that counts. */
+/** Share of the cost of lateness that does not depend on the prompt's size, and the relative size
+ * above which the cost does not grow further. */
 constexpr double FixedShare = 0.3;
 constexpr double MaximumRelativeSize = 4;
 constexpr double ConnectionTokens = 100;
-/** Cost of a second of latency even within the target: it keeps a margin for unknown load. */
+/** Cost of a second of latency, also within the target, to keep a margin for unknown load. */
 constexpr double TokensPerSecond = 1'000;
-/** Cost of a backlog that exceeds the acceptable one by one target, and the acceptable backlog in
- * targets: a backlog delays later prompts. */
+/** Cost of a backlog that exceeds the acceptable backlog by the latency target, and the acceptable
+ * backlog as a multiple of the target. A backlog costs since it delays later prompts. */
 constexpr double CongestionTokens = 3'000;
 constexpr double AcceptableBacklog = 0.5;
-/** Stalled streams of one worker that count. */
+/** Maximum number of stalled streams of a worker that add to the cost. */
 constexpr double MaximumStreams = 8;
-/** Uninterrupted prefill of so many gap targets may stall, or certainly stalls, the streams of the
- * same worker. */
+/** Uninterrupted prefill stalls the worker's streams possibly from the first multiple of the gap
+ * target on, and certainly from the second. */
 constexpr double StallRiskFrom = 0.8;
 constexpr double CertainStallFrom = 1.3;
-/** Estimates are uncertain: from the first share of the target on a prompt may be late, from the
- * second on it certainly is. */
+/** Estimates are uncertain: a prompt may be late from the first multiple of the target on, and
+ * certainly is from the second. */
 constexpr double LateRiskFrom = 0.5;
 constexpr double CertainlyLateFrom = 1.1;
 
@@ -39,7 +39,7 @@
   return excess * excess * CongestionTokens;
 }
 
-/** Risk, 0 to 1, that streams stall beside so many seconds of prefill. */
+/** Risk, 0 to 1, that streams stall during this many seconds of prefill. */
 double stallRisk(double prefill_s, double gap_goal_s) {
   const double ratio = ratioTo(gap_goal_s, prefill_s);
   return std::clamp((ratio - StallRiskFrom) / (CertainStallFrom - StallRiskFrom), 0.0, 1.0);
--- a/libraries/routing/source/placement_tracker.cc
+++ b/libraries/routing/source/placement_tracker.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-/** Uncached tokens from which on a sample of the prefill rate has full weight. */
+/** A sample of the prefill rate has full weight from this many uncached tokens on. */
 constexpr double FullPrefillTokens = 1'000.0;
-/** Failures start a new epoch at most this often; otherwise no arm would be proven during a burst
- * of failures. */
-constexpr base::Duration MinimumEpochOfFailure = std::chrono::seconds(10);
-/** First tokens that waited longer behind other prompts are not samples of the prefill rate. */
+/** Minimum age of an epoch before a failure starts a new one; otherwise no arm would be proven
+ * during a burst of failures. */
+constexpr base::Duration MinimumEpochAgeOnFailure = std::chrono::seconds(10);
+/** A first token that waited longer for other prefills is not a sample of the prefill rate. */
 constexpr double MaximumQueueOfSampleSeconds = 0.05;
 
 double toSeconds(base::Duration duration) {
@@ -126,7 +126,7 @@
 void PlacementTracker::recordFailure(const InFlight& in_flight) {
   affinity_.forget(in_flight.chains, in_flight.arm->prefill->number);
   in_flight.arm->statistics.markStale();
-  if (context_.now() - in_flight.pool->epoch_start >= MinimumEpochOfFailure) {
+  if (context_.now() - in_flight.pool->epoch_start >= MinimumEpochAgeOnFailure) {
     registry_.advanceEpoch(*in_flight.pool);
   }
 }
--- a/libraries/routing/source/prefix_affinity.cc
+++ b/libraries/routing/source/prefix_affinity.cc
@@ -9,7 +9,7 @@
 
 /** Homes of a chain considered for one prompt. */
 constexpr std::size_t MaximumHomes = 4;
-/** Points on the ring examined for each home wanted in the prompt's lane. */
+/** Points on the ring examined for each home needed in the prompt's lane. */
 constexpr std::size_t RingStepsPerHome = 16;
 /** Share of a worker's slots that one chain may fill before it gets another home. */
 constexpr double HomeSlotShare = 0.25;
@@ -24,7 +24,7 @@
 void PrefixAffinity::collect(const ModelPool& pool, const Prompt& prompt,
                              const PrefixChains& chains, CandidateSet& candidates) const {
   if (!chains.empty()) {
-    collectOwners(pool, prompt, chains, candidates);
+    collectRecentWorkers(pool, prompt, chains, candidates);
   }
   if (chains.homeDepth() > 0) {
     collectHomes(pool, prompt, chains, candidates);
@@ -46,15 +46,16 @@
   }
 }
 
-void PrefixAffinity::collectOwners(const ModelPool& pool, const Prompt& prompt,
-                                   const PrefixChains& chains, CandidateSet& candidates) const {
+void PrefixAffinity::collectRecentWorkers(const ModelPool& pool, const Prompt& prompt,
+                                          const PrefixChains& chains,
+                                          CandidateSet& candidates) const {
   std::uint32_t cached_tokens = 0;
   for (std::size_t depth = 1; depth <= chains.depth(); ++depth) {
     cached_tokens += prompt.prefix_segments[depth - 1].tokens;
   }
   for (std::size_t depth = chains.depth(); depth > 0; --depth) {
-    for (const WorkerNumber owner : prefix_index_.find(chains.at(depth))) {
-      for (const ArmPtr& arm : pool.index.armsOf(owner)) {
+    for (const WorkerNumber worker : prefix_index_.find(chains.at(depth))) {
+      for (const ArmPtr& arm : pool.index.armsOf(worker)) {
         candidates.add(*arm, cached_tokens);
       }
     }
@@ -131,11 +132,13 @@
 }
 
 double PrefixAffinity::fleetRate(std::uint64_t chain) const {
-  // Where loads are known, what a home cannot take overflows to the next worker. Elsewhere a home
-  // must not be overloaded, so that a chain gets further homes sooner.
+  // With fleet loads, prompts that a home cannot take overflow to the next worker. Without them, a
+  // home must not be overloaded; the plain estimate gives a chain further homes earlier than the
+  // lower bound.
   const base::TimePoint now = context_.now();
-  const double own_per_s = context_.options.fleet_loads ? chain_rate_.provenPerSecond(chain, now)
-                                                        : chain_rate_.perSecond(chain, now);
+  const double own_per_s = context_.options.fleet_loads
+                               ? chain_rate_.lowerBoundPerSecond(chain, now)
+                               : chain_rate_.perSecond(chain, now);
   return own_per_s * static_cast<double>(context_.fronts);
 }
 
--- a/libraries/routing/source/prefix_index.cc
+++ b/libraries/routing/source/prefix_index.cc
@@ -22,9 +22,9 @@
   return nullptr;
 }
 
-PrefixIndex::Owners PrefixIndex::find(std::uint64_t chain) const {
+PrefixIndex::Workers PrefixIndex::find(std::uint64_t chain) const {
   const Cell* cell = lookup(chain);
-  return cell == nullptr ? Owners{NoWorker, NoWorker} : cell->owners;
+  return cell == nullptr ? Workers{NoWorker, NoWorker} : cell->workers;
 }
 
 PrefixIndex::Cell& PrefixIndex::cellFor(std::uint64_t chain) {
@@ -46,9 +46,9 @@
 void PrefixIndex::add(std::uint64_t chain, WorkerNumber worker) {
   Cell& cell = cellFor(chain);
   cell.used = ++use_counter_;
-  if (cell.owners[0] != worker) {
-    cell.owners[1] = cell.owners[0];
-    cell.owners[0] = worker;
+  if (cell.workers[0] != worker) {
+    cell.workers[1] = cell.workers[0];
+    cell.workers[0] = worker;
   }
 }
 
@@ -57,11 +57,11 @@
     return;
   }
   Cell& cell = cellFor(chain);
-  if (cell.owners[0] == worker) {
-    cell.owners[0] = cell.owners[1];
-    cell.owners[1] = NoWorker;
-  } else if (cell.owners[1] == worker) {
-    cell.owners[1] = NoWorker;
+  if (cell.workers[0] == worker) {
+    cell.workers[0] = cell.workers[1];
+    cell.workers[1] = NoWorker;
+  } else if (cell.workers[1] == worker) {
+    cell.workers[1] = NoWorker;
   }
 }
 
--- a/libraries/routing/source/work_lanes.cc
+++ b/libraries/routing/source/work_lanes.cc
@@ -10,7 +10,7 @@
 
 constexpr base::Duration DivideInterval = std::chrono::seconds(1);
 /** A kind is removed when its decayed number of prompts falls below this. */
-constexpr double ForgottenBelow = 0.05;
+constexpr double MinimumRetainedPrompts = 0.05;
 /** The long lane's share is adjusted only if its target differs by more than this. */
 constexpr double MinimumAdjustment = 0.06;
 
@@ -66,7 +66,8 @@
     kind.tokens *= retained;
     kind.prefill_tokens *= retained;
   }
-  std::erase_if(own_kinds_, [](const auto& item) { return item.second.prompts < ForgottenBelow; });
+  std::erase_if(own_kinds_,
+                [](const auto& item) { return item.second.prompts < MinimumRetainedPrompts; });
 }
 
 void WorkLanes::divide() {
--- a/libraries/routing/source/worker_records.cc
+++ b/libraries/routing/source/worker_records.cc
@@ -40,7 +40,7 @@
     const bool evacuated = !view.allowsWorker(record->worker.entry);
     const bool returns = record->evacuated && !evacuated;
     if (returns && pool != nullptr) {
-      // An idle worker may need to warm up before the platform lists it so.
+      // An idle worker may need to warm up before the platform lists it as warming up.
       record->slow_start.warming_up_until =
           dispatcher_.now() + std::chrono::milliseconds(pool->slow_start_ms);
     }
@@ -48,8 +48,7 @@
   }
 }
 
-/** A number is reused only after all numbers were used, when no chain is indexed under it any more.
- */
+/** Numbers are reused only after all were used; the prefix index no longer has them by then. */
 WorkerNumber WorkerRecords::allocateNumber() {
   const auto is_taken = [this](WorkerNumber number) {
     return std::ranges::any_of(records_, [number](const auto& item) {
--- a/libraries/routing/test/first_token_estimate_test.cc
+++ b/libraries/routing/test/first_token_estimate_test.cc
@@ -14,8 +14,8 @@
   sample.seconds_per_prefill_token = 0.000'01;
   arm.statistics.add(sample, {}, 600);
   const UnmeasuredPrior prior;
-  const double quick = estimateFirstToken(arm, 1'000, 1, prior, {}, 0.000'02);
-  EXPECT_NEAR(quick, prior.base_seconds + 0.02, 1e-6);
+  const double with_pool_rate = estimateFirstToken(arm, 1'000, 1, prior, {}, 0.000'02);
+  EXPECT_NEAR(with_pool_rate, prior.base_seconds + 0.02, 1e-6);
   EXPECT_NEAR(estimateFirstToken(arm, 1'000, 1, prior, {}), prior.base_seconds + 0.01, 1e-6);
   Arm unhealthy;
   unhealthy.prefill = arm.prefill;
--- a/libraries/routing/test/fleet_loads_router_test.cc
+++ b/libraries/routing/test/fleet_loads_router_test.cc
@@ -1,4 +1,4 @@
-// The router with the loads of all fronts.
+// Tests the router with the option fleet_loads: placement by the load of all fronts.
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 constexpr int Workers = 24;
 constexpr std::uint32_t SharedTokens = 5'000;
 constexpr std::uint32_t PromptTokens = 6'000;
-/** A backlog that no prompt can wait for. */
+/** A backlog longer than the latency target of any prompt. */
 constexpr std::uint16_t LongQueueMs = 3'000;
 
 /** One front's router over a pool of workers w0..w23. */
@@ -125,7 +125,7 @@
   EXPECT_THAT(next, testing::Not(testing::Contains(home)));
 }
 
-TEST(FleetLoadsRouterTest, AnExpiredReportLeavesTheHome) {
+TEST(FleetLoadsRouterTest, UsesTheHomeAfterAReportOfItsBacklogExpires) {
   RoutedFront front(1);
   const std::string home = front.run("subject");
   front.reportPeers(home, 3, LongQueueMs);
@@ -148,7 +148,7 @@
   EXPECT_THAT(front.router.exportLoads().workers, testing::IsEmpty());
 }
 
-TEST(FleetLoadsRouterTest, ItsOwnPromptsCountImmediately) {
+TEST(FleetLoadsRouterTest, CountsItsOwnPromptsImmediately) {
   RoutedFront front(1);
   std::map<std::string, int> counts;
   for (int prompt = 0; prompt < 60; ++prompt) {
--- a/libraries/routing/test/learned_router_fixture.h
+++ b/libraries/routing/test/learned_router_fixture.h
@@ -14,7 +14,7 @@
 
 namespace switchsaddle::routing {
 
-/** A router with one pool of workers w0..wN-1 for model "m", and a worker of another pool. */
+/** A router with one pool of workers w0..wN-1 for model "m". */
 class LearnedRouterTest : public testing::Test {
  protected:
   LearnedRouterTest() { useConfiguration(); }
--- a/libraries/routing/test/learned_router_test.cc
+++ b/libraries/routing/test/learned_router_test.cc
@@ -20,7 +20,7 @@
   EXPECT_FALSE(place().has_value());
 }
 
-TEST_F(LearnedRouterTest, NeverPlacesOnDrainingRemovedEvacuatedOrForeignWorkers) {
+TEST_F(LearnedRouterTest, NeverPlacesOnDrainingRemovedOrEvacuatedWorkersOrThoseOfAnotherPool) {
   addWorkers(4);
   workers_["w0"].draining = true;
   workers_["w1"].unreachable = true;
@@ -52,7 +52,7 @@
   EXPECT_EQ(rowOf("w0")->samples, 1U);
 }
 
-TEST_F(LearnedRouterTest, AJoinStartsAnEpochAndMakesScoresStale) {
+TEST_F(LearnedRouterTest, AJoiningWorkerStartsAnEpochAndMakesScoresStale) {
   addWorkers(2);
   finish(*place({"w1"}), 50);
   finish(*place({"w0"}), 50);
--- a/libraries/routing/test/placement_cost_test.cc
+++ b/libraries/routing/test/placement_cost_test.cc
@@ -57,22 +57,22 @@
       << "late in both cases, but without delaying later prompts";
 }
 
-TEST(PlacementCostTest, StreamsThatThePromptWouldStallCost) {
-  ExpectedPlacement crowded;
-  crowded.backlog_s = 0.9;
-  crowded.gap_goal_s = 0.6;
-  crowded.streams = 4;
-  ExpectedPlacement idle = crowded;
+TEST(PlacementCostTest, StreamsThatThePromptWouldStallAddToTheCost) {
+  ExpectedPlacement busy;
+  busy.backlog_s = 0.9;
+  busy.gap_goal_s = 0.6;
+  busy.streams = 4;
+  ExpectedPlacement idle = busy;
   idle.streams = 0;
   idle.cache_miss_tokens = 5'000;
-  EXPECT_LT(placementCost(idle), placementCost(crowded));
-  crowded.queue_s = 0.9;
-  crowded.backlog_s = 1.0;
+  EXPECT_LT(placementCost(idle), placementCost(busy));
+  busy.queue_s = 0.9;
+  busy.backlog_s = 1.0;
   idle.backlog_s = 1.0;
-  EXPECT_GT(placementCost(idle), placementCost(crowded)) << "those streams stall in any case";
-  crowded.gap_goal_s = 0;
-  crowded.queue_s = 0;
-  EXPECT_GT(placementCost(idle), placementCost(crowded)) << "without a gap target no stream stalls";
+  EXPECT_GT(placementCost(idle), placementCost(busy)) << "those streams stall in any case";
+  busy.gap_goal_s = 0;
+  busy.queue_s = 0;
+  EXPECT_GT(placementCost(idle), placementCost(busy)) << "without a gap target no stream stalls";
 }
 
 }  // namespace
--- a/libraries/routing/test/placement_property_test.cc
+++ b/libraries/routing/test/placement_property_test.cc
@@ -48,7 +48,9 @@
     router_->setWorkers(snapshot);
   }
 
-  /** Places one prompt and checks the placement; returns its mode if there was one. */
+  /** Places one prompt and checks the placement.
+   *
+   * @return its mode, or std::nullopt if the prompt was not placed. */
   std::optional<SelectionMode> place() {
     std::vector<std::string> excluded;
     if (world_.random().chance(0.3)) {
--- a/libraries/routing/test/slow_start_limiter_fleet_test.cc
+++ b/libraries/routing/test/slow_start_limiter_fleet_test.cc
@@ -31,8 +31,8 @@
 };
 
 /**
- * Fronts that do not communicate, on one model, with streams that end at once: the worst case for a
- * limit on streams in flight.
+ * Fronts that serve one model and do not communicate. Streams are very short, which is the worst
+ * case for a limit on streams in flight.
  */
 class SlowStartLimiterFleetTest : public testing::TestWithParam<FleetSize> {
  protected:
--- a/libraries/routing/test/slow_start_rate_limit_test.cc
+++ b/libraries/routing/test/slow_start_rate_limit_test.cc
@@ -1,4 +1,4 @@
-// The router with a configured rate limit of workers that are warming up.
+// Tests the router with a configured rate limit for workers that are warming up.
 
 #include <gtest/gtest.h>
 
--- a/libraries/routing/test/work_lanes_router_test.cc
+++ b/libraries/routing/test/work_lanes_router_test.cc
@@ -1,4 +1,4 @@
-// The router with kinds of work in lanes.
+// Tests the router with the option work_lanes: kinds of work divided into lanes.
 
 #include <gtest/gtest.h>
 
--- a/libraries/routing/test/work_lanes_test.cc
+++ b/libraries/routing/test/work_lanes_test.cc
@@ -56,7 +56,7 @@
   EXPECT_FALSE(lanes.isLong(Short));
   EXPECT_TRUE(lanes.isLong(Long));
   EXPECT_DOUBLE_EQ(lanes.meanTokens(Long), 9'000);
-  // By prefilled tokens, not by prompt tokens: 0.7 instead of 0.9.
+  // The long lane's share follows prefilled tokens, not prompt tokens: 0.7 instead of 0.9.
   EXPECT_EQ(lanes.shortWorkers(20), 6U);
   now += WorkLanes::FleetLifetime;
   lanes.add(Short, 50'000, now);
