--- a/libraries/streams/include/switchsaddle/streams/event_splitter.h
+++ b/libraries/streams/include/switchsaddle/streams/event_splitter.h
@@ -12,14 +12,15 @@
 struct RawEvent {
   /** The event's bytes as received, with the empty line that ends it. */
   std::string bytes;
-  /** The number of its `id` field, if it has one. */
+  /** The number of its `id` field, or std::nullopt if it has none. */
   std::optional<std::uint64_t> id;
 };
 
 /**
  * Splits a text/event-stream body into events without parsing their data. Bytes arrive in chunks of
- * any size; an event is emitted once its empty line has been received, hence never if the body ends
- * before that. Memory is bounded by the maximum event size. Runs on its owner's strand.
+ * any size. An event is emitted when its empty line has been received; an event that the end of the
+ * body truncates is never emitted. Memory is bounded by the maximum event size. Runs on its owner's
+ * strand.
  */
 class EventSplitter {
  public:
@@ -40,12 +41,12 @@
   void reset();
 
  private:
-  /** Ends the line that is complete in the buffer, and the event if the line is empty. */
+  /** Processes the complete line at the end of the buffer; an empty line ends the event. */
   void endLine(std::vector<RawEvent>& events);
 
   std::size_t maximum_event_bytes_;
   std::string pending_;
-  /** Offset of the incomplete line in the buffer. */
+  /** Offset of the current line in `pending_`. */
   std::size_t line_start_ = 0;
   std::optional<std::uint64_t> id_;
 };
--- a/libraries/streams/include/switchsaddle/streams/relay_machine.h
+++ b/libraries/streams/include/switchsaddle/streams/relay_machine.h
@@ -13,7 +13,7 @@
 
 /** The state of the relay of one caller's stream. */
 enum class RelayState : std::uint8_t {
-  /** No chunk has been emitted: the request may be retried on another worker. */
+  /** No chunk has been emitted; the request may be retried on another worker. */
   BeforeFirstChunk,
   Relaying,
   /** The worker's end of the run has been emitted. */
@@ -26,7 +26,7 @@
 struct RelayStep {
   /** Events for the caller, in order, as text/event-stream. */
   std::vector<std::string> events;
-  /** Ok, or the fault of this attempt, whose connection is to be closed then. */
+  /** Ok, or the failure of this attempt; the owner then closes the connection to the worker. */
   base::ResultCode code = base::ResultCode::Ok;
 };
 
@@ -36,17 +36,17 @@
  * Invariants: chunks are emitted in order, once each, numbered from 0 without gaps, and belong to
  * one run. "[DONE]" is emitted only if the worker itself ended the complete run. Before the first
  * chunk a failed attempt can be replaced by another; afterwards a failure ends the stream with an
- * error event. Nothing is emitted after an end.
+ * error event. Nothing is emitted after "[DONE]" or the error event.
  *
  * Memory is bounded by backpressure: the owner reads from the worker only while mayRead(), so that
- * at most `maximum_outstanding` events plus those of one read wait for the caller. Runs on the
- * strand of the caller's connection.
+ * at most `maximum_outstanding` events plus those of one read are waiting to be written. Runs on
+ * the strand of the caller's connection.
  */
 class RelayMachine {
  public:
   static constexpr std::size_t DefaultMaximumOutstanding = 16;
 
-  /** @param check_sequence false only in tests that show what the check prevents. */
+  /** @param check_sequence false only in tests that show which failures the check prevents. */
   explicit RelayMachine(std::size_t maximum_outstanding = DefaultMaximumOutstanding,
                         bool check_sequence = true)
       : maximum_outstanding_(maximum_outstanding), check_sequence_(check_sequence) {}
@@ -57,11 +57,11 @@
    * @throws base::Error with InternalError unless mayRetryElsewhere().
    */
   void beginAttempt();
-  /** @param run the run of the worker's response header; may be empty. */
+  /** @param run the run named by the worker's response header; may be empty. */
   void onHead(const std::string& run);
   /** Processes bytes of the worker's body. */
   RelayStep onBytes(std::string_view bytes);
-  /** @return the outcome when the worker's body has ended: StreamBroken unless the run is finished.
+  /** @return StreamBroken if the worker's body has ended before the run was finished, otherwise Ok.
    */
   base::ResultCode onWorkerEnd() const;
   /**
@@ -69,7 +69,7 @@
    * whether a retry is safe. Emits nothing if the stream has ended already.
    */
   RelayStep endWithError(base::ResultCode code);
-  /** One event has been written to the caller's socket. */
+  /** Must be called when an event has been written to the caller's socket. */
   void onWritten();
 
   bool mayRead() const { return outstanding_ < maximum_outstanding_; }
@@ -85,7 +85,7 @@
   const std::string& run() const { return checker_.run(); }
 
  private:
-  /** Emits the parsed events up to the first fault or the end of the run. */
+  /** Emits the parsed events up to the first sequence fault or the end of the run. */
   void emitAll(const std::vector<WorkerEvent>& events, RelayStep& step);
   void emit(const WorkerEvent& event, RelayStep& step);
 
@@ -94,7 +94,7 @@
   RelayState state_ = RelayState::BeforeFirstChunk;
   EventStreamParser parser_;
   SequenceChecker checker_;
-  /** The fault of the current attempt. */
+  /** The failure of the current attempt. */
   base::ResultCode fault_ = base::ResultCode::Ok;
   std::size_t outstanding_ = 0;
   std::uint64_t chunks_ = 0;
--- a/libraries/streams/include/switchsaddle/streams/sequence_checker.h
+++ b/libraries/streams/include/switchsaddle/streams/sequence_checker.h
@@ -16,9 +16,9 @@
 class SequenceChecker {
  public:
   /**
-   * Binds the stream to the run of the response header; called before the first event.
+   * Sets the run named by the response header; called before the first event.
    *
-   * @param run empty: the first event determines the run.
+   * @param run if empty, the first event determines the run.
    */
   void expectRun(const std::string& run);
   /** @return Ok, or StreamGap, StreamRepeat or StreamRunChanged. */
--- a/libraries/streams/include/switchsaddle/streams/worker_event.h
+++ b/libraries/streams/include/switchsaddle/streams/worker_event.h
@@ -13,7 +13,7 @@
   std::uint64_t index = 0;
   /** The JSON text of the chunk. */
   std::string data;
-  /** The worker's end of the run ("[DONE]"); `index` is the number of chunks then. */
+  /** The worker's end of the run ("[DONE]"); `index` is then the number of chunks. */
   bool done = false;
   /** Output tokens of the chunk, as counted by the worker. */
   std::uint32_t tokens = 1;
--- a/libraries/streams/source/caller_events.h
+++ b/libraries/streams/source/caller_events.h
@@ -8,7 +8,7 @@
 
 namespace switchsaddle::streams {
 
-/** @return a worker's chunk as text/event-stream, with its run named in the data. */
+/** @return a worker's chunk as text/event-stream, with its run added to the data if absent. */
 std::string formatChunk(std::uint64_t id, const WorkerEvent& event);
 /** @return the end of a complete run as text/event-stream. */
 std::string formatDone(std::uint64_t id, const WorkerEvent& event);
--- a/libraries/streams/source/event_splitter.cc
+++ b/libraries/streams/source/event_splitter.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** @return the number of an `id` field; nothing for any other line. */
+/** @return the number of an `id` field, or std::nullopt for any other line. */
 std::optional<std::uint64_t> idOf(std::string_view line) {
   constexpr std::string_view Field = "id:";
   if (!line.starts_with(Field)) {
--- a/libraries/streams/source/worker_chunk.cc
+++ b/libraries/streams/source/worker_chunk.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Reads an optional unsigned member; returns false if it is present but not such a number. */
+/** @return false if the optional member is present but not an unsigned integer. */
 bool readNumber(const boost::json::object& object, std::string_view name,
                 std::optional<std::uint64_t>& number) {
   const boost::json::value* value = object.if_contains(name);
@@ -18,7 +18,7 @@
   return !fault;
 }
 
-/** Reads an optional string member; returns false if it is present but not a string. */
+/** @return false if the optional member is present but not a string. */
 bool readString(const boost::json::object& object, std::string_view name,
                 std::optional<std::string>& text) {
   const boost::json::value* value = object.if_contains(name);
