--- a/libraries/registers/include/switchsaddle/registers/acceptor.h
+++ b/libraries/registers/include/switchsaddle/registers/acceptor.h
@@ -21,20 +21,21 @@
 class PendingAnswers;
 class RegisterTable;
 
-/** Bounds of an acceptor. */
+/** Limits and intervals of an acceptor. */
 struct AcceptorOptions {
-  /** A request whose commit takes longer is answered Unavailable. */
+  /** Longest time of a commit; then the request is answered with Unavailable. */
   base::Duration commit_bound = std::chrono::milliseconds(500);
   /** Pause before each attempt to reopen a store that failed. */
   base::Duration reopen_pause = std::chrono::seconds(1);
-  /** Most registers in one answer to a scan. */
+  /** Maximum number of registers in one answer to a scan. */
   std::uint32_t scan_limit = 500;
-  /** Pause between two checks of a share of the registers for expired ones. */
+  /** Pause between two checks for expired registers, each of a share of all registers. */
   base::Duration expiry_interval = std::chrono::seconds(1);
-  /** Removes expired registers without raising the floor. For tests only: it breaks the registers.
-   */
-  bool test_forget_removed = false;
-  /** Answers before the commit is synced. For tests only: it breaks the registers. */
+  /** Removes expired registers without raising the floor. For tests only: acknowledged values can
+   * then be replaced by older ones. */
+  bool test_skip_floor = false;
+  /** Answers before the commit is synced. For tests only: a crash can then lose promises and
+   * accepted values. */
   bool test_answer_before_sync = false;
 };
 
@@ -47,11 +48,10 @@
  * - It votes only while its own instance is in its acceptor set, and only on requests of that set's
  *   epoch.
  * - After a failed commit it does not vote until it has reread its state from the store.
- * - It grants no ballot below the floor for a key that it removed after its lifetime. A value that
- *   a partitioned acceptor still has can therefore not replace one that was accepted since: every
- *   quorum that may accept for the key contains an acceptor that either has the old value or has a
- *   floor at least as high as its ballot. A new member inherits the floor of the acceptors that it
- *   copies from.
+ * - It grants no ballot below the floor for a key whose register expired and was removed. A
+ *   partitioned acceptor may still have the old value, but cannot replace a newer one with it:
+ *   every quorum for the key contains an acceptor that has the old value or a floor at least as
+ *   high as its ballot. A new member inherits the floor of the acceptors that it copies from.
  *
  * Runs on one strand.
  */
@@ -70,9 +70,9 @@
 
   /**
    * Replaces the state by the content of the store.
-   * @param initial_members the first acceptor set where none is stored and the instance of each
-   *   member is known; otherwise Bootstrap commits the first set.
-   * @throws base::Error with RecordCorrupt where a record cannot be decoded.
+   * @param initial_members the first acceptor set. Used if no set is stored and the instance of
+   *   each member is known; otherwise Bootstrap commits the first set.
+   * @throws base::Error with RecordCorrupt if a record cannot be decoded.
    */
   void load(const storage::OpenedStore& opened,
             const std::vector<wire::AcceptorMember>& initial_members = {});
@@ -80,15 +80,16 @@
   bool loaded() const;
   const wire::AcceptorSet& acceptorSet() const { return acceptor_set_; }
   std::uint64_t instance() const { return instance_; }
-  /** Whether the own instance is in the acceptor set and the store works. */
+  /** Whether this acceptor's instance is in the acceptor set and its store is usable. */
   bool mayVote() const;
   /** Whether it has any register or an acceptor set. */
   bool hasState() const;
-  /** @return the value accepted here, which need not be chosen or synced; nullptr where none. */
+  /** @return the value accepted here, which need not be chosen or synced, or nullptr if there is
+   * none. */
   const std::string* acceptedValue(const std::string& key) const;
   std::size_t registerCount() const;
 
-  /** Without a source registers never expire. */
+  /** Sets the lifetimes of registers. Without a source, registers never expire. */
   void setLifetimeSource(LifetimeSource source);
   /** Whether registers with this key have a lifetime. */
   bool mayExpire(const std::string& key) const;
@@ -103,23 +104,24 @@
    */
   void installSet(const wire::AcceptorSet& set, InstallCallback callback);
   /**
-   * Accepts registers copied from other acceptors by the rule of an accept request.
+   * Accepts registers copied from other acceptors, each under the same condition as an accept
+   * request.
    * @param removed_floor floor of the acceptors they were copied from; zero in repairs.
    * @param callback called with true once every register is synced here at its ballot or a higher
-   *   one; with false where one of them was rejected or the commit failed.
+   *   one; with false if one of them was rejected or the commit failed.
    */
   void installRegisters(const std::vector<wire::RegisterScanEntry>& entries,
                         const wire::Ballot& removed_floor, InstallCallback callback);
   /** @return a page of the registers with keys above `after`, in key order. */
   wire::RegisterScanReply scan(const std::string& after, std::uint32_t limit) const;
-  /** @return the register as it is here; nothing where it is unknown. */
+  /** @return this acceptor's state of the register, or std::nullopt if it has none. */
   std::optional<wire::RegisterScanEntry> entry(const std::string& key) const;
 
   /**
-   * Records that the stored bytes of a record are damaged. The record is written again from memory;
-   * this acceptor rejects prepare requests for the register until an accept request, whose value
-   * comes from a majority, has been synced.
-   * @return the register's key; nothing where the record is not a register's.
+   * Records that the stored bytes of a record are damaged, and writes the record again from memory.
+   * This acceptor then rejects prepare requests for the register until it has synced an accept
+   * request, whose value comes from a majority.
+   * @return the register's key, or std::nullopt if the record is not a register's.
    */
   std::optional<std::string> markDamaged(const std::string& record_key);
   /** Keys of the registers that are damaged and not yet repaired. */
@@ -129,8 +131,8 @@
    * reopens the store after a pause, so that every user of it recovers.
    */
   void reportCommitFailure(base::ResultCode code);
-  /** @return all records of this acceptor, as they are after the commits submitted so far; nothing
-   * while the store fails. */
+  /** @return all records of this acceptor, as they are after the commits submitted so far; empty
+   * while the store is unusable. */
   std::vector<storage::Record> records() const;
 
  private:
@@ -140,7 +142,7 @@
   void onRegisterInstall(const wire::RegisterInstallRequest& request,
                          transport::ReplyFunction reply);
   void onSetInstall(const wire::AcceptorSetInstallRequest& request, transport::ReplyFunction reply);
-  /** @return the answer that rejects a request which this acceptor may not vote on; else nothing.
+  /** @return the rejecting answer if this acceptor may not vote on the request; else std::nullopt.
    */
   std::optional<wire::RegisterReply> rejection(std::uint64_t set_epoch) const;
   wire::RegisterReply emptyReply(wire::RegisterVerdict verdict) const;
--- a/libraries/registers/include/switchsaddle/registers/bootstrap.h
+++ b/libraries/registers/include/switchsaddle/registers/bootstrap.h
@@ -13,14 +13,15 @@
 
 namespace switchsaddle::registers {
 
-/** The peers of a core process before it is a member of an acceptor set. */
+/** Peers and intervals for the time in which a core process is not a member of an acceptor set. */
 struct BootstrapOptions {
   /** The cores of the fleet's first start; empty on a core that joins later. */
   std::vector<base::NodeAddress> initial_cores;
-  /** Further cores that may know the acceptor set. */
+  /** Further cores that may have the acceptor set. */
   std::vector<base::NodeAddress> seeds;
   std::string zone;
   base::Duration announce_interval = std::chrono::milliseconds(250);
+  /** Timeout of each request. */
   base::Duration call_timeout = std::chrono::milliseconds(500);
 };
 
@@ -28,8 +29,9 @@
  * Announces this core process to its peers while it is not a member of an acceptor set, adopts the
  * set in force from any peer that has one, and commits the first set of a fleet. Only the initial
  * core with the lowest address commits it, and only once every initial core has answered the same
- * round of announcements without any state; a set found anywhere wins. A core whose data folder was
- * wiped therefore finds the set at its peers and stays unadmitted. Runs on the acceptor's strand.
+ * round of announcements and none has any state. A set that any peer has takes precedence.
+ * Therefore a core whose data folder was wiped adopts its peers' set, of which its new instance is
+ * not a member. Runs on the acceptor's strand.
  */
 class Bootstrap {
  public:
@@ -42,7 +44,7 @@
 
   /** Starts the announcements; called once. */
   void start();
-  /** Replaces the further cores that may know the acceptor set. */
+  /** Replaces the further cores that may have the acceptor set. */
   void setSeeds(std::vector<base::NodeAddress> seeds) { options_.seeds = std::move(seeds); }
   /** @param listener called for each announcement of an instance that is not in the acceptor set.
    */
@@ -65,7 +67,7 @@
   base::TimerPtr timer_;
   /** Numbers the rounds of announcements. */
   std::uint64_t round_ = 0;
-  /** The cores without state that answered the present round. */
+  /** The cores without state that answered the current round. */
   std::map<base::NodeAddress, wire::AcceptorMember> empty_cores_;
   base::CallbackScope callbacks_;
 };
--- a/libraries/registers/include/switchsaddle/registers/proposer.h
+++ b/libraries/registers/include/switchsaddle/registers/proposer.h
@@ -11,11 +11,11 @@
 
 /**
  * Computes the new value of a register. Must have no side effects, since it may run several times.
- * @param present the present value; empty where the register was never written.
- * @return the new value; nothing to leave the register as it is. The operation is then a read,
- * which is confirmed by a quorum as well.
+ * @param current the current value; empty if the register was never written.
+ * @return the new value, or std::nullopt to leave the register unchanged. The operation is then a
+ * read, which is confirmed by a quorum as well.
  */
-using ChangeFunction = std::function<std::optional<std::string>(const std::string& present)>;
+using ChangeFunction = std::function<std::optional<std::string>(const std::string& current)>;
 
 /** The result of a change or read. */
 struct RegisterOutcome {
--- a/libraries/registers/include/switchsaddle/registers/quorum_proposer.h
+++ b/libraries/registers/include/switchsaddle/registers/quorum_proposer.h
@@ -14,18 +14,20 @@
 
 class KeyProposer;
 
-/** Bounds of a proposer. */
+/** Limits and intervals of a proposer. */
 struct ProposerOptions {
-  /** An operation that has not ended by then ends with NoQuorum. */
+  /** Longest time of an operation; then it ends with NoQuorum. */
   base::Duration operation_deadline = std::chrono::seconds(2);
-  /** Time-out of each request of a round. */
+  /** Timeout of each request of a round. */
   base::Duration round_timeout = std::chrono::milliseconds(400);
-  /** Backoff after a failed attempt: random, up to the minimum doubled at each failure. */
+  /** The backoff after a failed attempt is random, at most the minimum doubled for each failure,
+   * and never above the maximum. */
   base::Duration minimum_back_off = std::chrono::milliseconds(4);
   base::Duration maximum_back_off = std::chrono::milliseconds(100);
-  /** Most operations on one key carried by one pair of rounds. */
+  /** Maximum number of operations on one key that share one pair of rounds. */
   std::size_t batch_limit = 64;
-  /** Replaces the majority where not zero. For tests only: it breaks the registers. */
+  /** Number of votes for a quorum; a majority if zero. For tests only: quorums below a majority do
+   * not intersect. */
   std::size_t test_quorum_size = 0;
 };
 
@@ -41,12 +43,15 @@
 /**
  * Proposes changes of registers by a prepare and an accept round on the acceptor set of the local
  * acceptor. Operations on one key are queued; those in the queue share one pair of rounds, in which
- * their functions are applied one after the other. An attempt whose accept round was not answered
- * by a quorum is found again by its ballot in the lineage of the accepted value, so that no
- * function takes effect twice; where the lineage is too short, the operation ends with NoQuorum.
- * The proposer's part of its ballots is drawn at random on construction, so that no ballot is used
- * twice. Callbacks run exactly once, on the dispatcher's strand, never from within the call. Runs
- * on one strand.
+ * their functions are applied one after the other.
+ *
+ * An accept round without a quorum of answers may still have chosen its value. A later attempt
+ * detects this by the ballot in the lineage of the accepted value, so that no function takes effect
+ * twice. If the lineage is too short to decide, the operation ends with NoQuorum.
+ *
+ * The proposer id in its ballots is drawn at random on construction, so that no ballot is used
+ * twice. Callbacks run exactly once, on the dispatcher's strand, and not before the call that
+ * started the operation has returned. Runs on one strand.
  */
 class QuorumProposer : public RegisterProposer {
  public:
@@ -58,8 +63,8 @@
 
   void change(const std::string& key, ChangeFunction function, RegisterCallback callback) override;
   void read(const std::string& key, RegisterCallback callback) override;
-  /** Reads, and proposes the value again even where it is known to be chosen, so that every
-   * acceptor that answers has it. For repair. */
+  /** Reads the value and proposes it again even if it is known to be chosen, so that every acceptor
+   * that answers has it. For repair. */
   void rewrite(const std::string& key, RegisterCallback callback);
 
   const ProposerCounters& counters() const { return counters_; }
@@ -70,7 +75,7 @@
   void enqueue(const std::string& key, ChangeFunction function, RegisterCallback callback,
                bool rewrite);
   wire::Ballot nextBallot();
-  /** Raises the round of later ballots above that of this one. */
+  /** Ensures that later ballots have a higher round than this one. */
   void observe(const wire::Ballot& ballot);
   void releaseIfIdle(const std::string& key);
 
--- a/libraries/registers/include/switchsaddle/registers/scrubber.h
+++ b/libraries/registers/include/switchsaddle/registers/scrubber.h
@@ -11,13 +11,15 @@
 
 namespace switchsaddle::registers {
 
-/** Intervals and bounds of a scrubber. */
+/** Intervals and limits of a scrubber. */
 struct ScrubberOptions {
-  /** Pause between two pages compared with a peer. */
+  /** Pause between two comparisons of a page with a peer. */
   base::Duration page_interval = std::chrono::milliseconds(500);
+  /** Maximum number of registers in one page. */
   std::uint32_t page_limit = 200;
   /** Pause between two verifications of the store's files. */
   base::Duration file_interval = std::chrono::seconds(60);
+  /** Timeout of each request. */
   base::Duration call_timeout = std::chrono::milliseconds(400);
 };
 
@@ -33,12 +35,14 @@
 
 /**
  * Repairs registers in the background (anti-entropy). Compares the local acceptor's registers with
- * those of one random peer after the other, page by page, and copies registers that either lacks by
- * the rule of an accept request; where the lagging acceptor has promised a higher ballot, the
- * register is proposed again. It also has the store verify its files. Damaged registers are
- * proposed again, before which the acceptor rejects prepare requests for them; the files are then
- * rewritten, so that a damaged one does not cost the instance at the next start. Runs on the
- * acceptor's strand.
+ * those of a randomly chosen peer, page by page, and copies registers that are missing or older on
+ * either side under the same condition as an accept request. If the lagging acceptor has promised a
+ * higher ballot, the register is proposed again.
+ *
+ * Also lets the store verify its files. Damaged registers are proposed again; until then, the
+ * acceptor rejects prepare requests for them. The files are then rewritten, since the store would
+ * discard this instance if it found a damaged file at the next start. Runs on the acceptor's
+ * strand.
  */
 class Scrubber {
  public:
@@ -82,7 +86,7 @@
   base::TimerPtr page_timer_;
   base::TimerPtr file_timer_;
   wire::AcceptorMember peer_;
-  /** Last key of the page compared before; empty at the start of a pass. */
+  /** Last key of the previously compared page; empty at the start of a pass. */
   std::string cursor_;
   base::CallbackScope callbacks_;
 };
--- a/libraries/registers/source/acceptor.cc
+++ b/libraries/registers/source/acceptor.cc
@@ -329,7 +329,7 @@
   if (!mayVote()) {
     return;
   }
-  const bool raise_floor = !options_.test_forget_removed;
+  const bool raise_floor = !options_.test_skip_floor;
   std::vector<storage::Record> records;
   for (const std::string& key : registers_->removeExpired(raise_floor)) {
     damaged_.erase(key);
@@ -338,7 +338,7 @@
   if (records.empty() && !registers_->runningTimeIsStale()) {
     return;
   }
-  // In one commit, so that no register is removed without the floor that stands for it.
+  // One commit, so that no register is removed from the store without the floor that covers it.
   records.push_back(registers_->updateRemovedRecord());
   storage_->commit(std::move(records), [](bool) {});
 }
--- a/libraries/registers/source/acceptor_set_change.cc
+++ b/libraries/registers/source/acceptor_set_change.cc
@@ -85,7 +85,7 @@
     }
   }
   if (acceptor_.acceptorSet().epoch <= base_epoch) {
-    // The swap failed although no newer set is known here. An immediate retry would fail in the
+    // The swap failed although this core has no newer set. An immediate retry would fail in the
     // same way.
     retryLater();
     return;
@@ -176,7 +176,7 @@
 }
 
 void AcceptorSetChange::installFinal(const wire::AcceptorSet& final_set) {
-  // Where this driver saw the joint set, the members that leave receive the final one as well.
+  // If this driver has the joint set, the leaving members receive the final set as well.
   const bool follows = joint_.epoch != 0 && final_set.epoch == joint_.epoch + 1;
   installAtMembers(
       calls_, final_set, follows ? joint_ : final_set, options_.call_timeout,
--- a/libraries/registers/source/acceptor_set_goal.cc
+++ b/libraries/registers/source/acceptor_set_goal.cc
@@ -49,9 +49,9 @@
 }
 
 ChangeFunction swapAcceptorSet(std::uint64_t base_epoch, const wire::AcceptorSet& next) {
-  return [base_epoch, next](const std::string& present) -> std::optional<std::string> {
+  return [base_epoch, next](const std::string& current) -> std::optional<std::string> {
     // Bootstrap commits the first set without writing it to the register.
-    const auto set = present.empty() ? wire::AcceptorSet{1, {}, {}} : readAcceptorSet(present);
+    const auto set = current.empty() ? wire::AcceptorSet{1, {}, {}} : readAcceptorSet(current);
     if (!set || set->epoch != base_epoch) {
       return std::nullopt;
     }
--- a/libraries/registers/source/acceptor_storage.h
+++ b/libraries/registers/source/acceptor_storage.h
@@ -12,10 +12,10 @@
 namespace switchsaddle::registers {
 
 /**
- * An acceptor's use of its record store: commits, and recovery from a failed one. After a failure
- * the store is reopened, with a pause before each attempt, until its content has been loaded again.
- * A commit submitted before a failure counts as failed too, since its records may build on those
- * that were lost. Runs on the acceptor's strand.
+ * Commits an acceptor's records to its store and recovers from a failed commit. After a failure the
+ * store is reopened, with a pause before each attempt, until its content has been loaded again.
+ * Commits that are pending when another one fails count as failed too, since their records may
+ * depend on those that were lost. Runs on the acceptor's strand.
  */
 class AcceptorStorage {
  public:
@@ -27,9 +27,9 @@
                   journal::Journal& journal, base::Duration reopen_pause, LoadFunction load);
 
   void commit(std::vector<storage::Record> records, CommitCallback callback);
-  /** A commit to the store failed, by this acceptor or another user of it. */
+  /** Called when a commit of this acceptor or of another user of the store has failed. */
   void reportCommitFailure(base::ResultCode code);
-  /** The content of the store has been loaded, so that commits build on it again. */
+  /** Called when the content of the store has been loaded, so that commits can succeed again. */
   void markLoaded();
   /** Whether the content has been loaded, and no commit has failed since. */
   bool usable() const { return loaded_ && !failed_; }
--- a/libraries/registers/source/key_proposer.cc
+++ b/libraries/registers/source/key_proposer.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Most doublings of the backoff. */
+/** Maximum number of doublings of the backoff. */
 constexpr std::uint32_t MaximumBackoffExponent = 6;
 
 }  // namespace
@@ -35,7 +35,7 @@
     queue_.pop_front();
   }
   failures_ = 0;
-  // All operations have the same relative deadline, so the oldest is due first.
+  // All operations have the same time limit, so the deadline of the oldest one comes first.
   const base::Duration remaining = batch_.firstDeadline() - proposer_.dispatcher_.now();
   deadline_timer_->enable(std::max(remaining, base::Duration::zero()));
   // The first attempt starts after the caller has returned, so that no callback runs from within
--- a/libraries/registers/source/key_proposer.h
+++ b/libraries/registers/source/key_proposer.h
@@ -13,10 +13,10 @@
 namespace switchsaddle::registers {
 
 /**
- * Runs the operations of one proposer on one key. At most one batch is in progress; it makes
- * attempts, each of a prepare and an accept round with a ballot of its own, until one succeeds or
- * the deadline of every operation has passed. Owned by a QuorumProposer, which outlives it. Runs on
- * the proposer's strand.
+ * Runs the operations of one proposer on one key. At most one batch is in progress. It makes
+ * attempts until one succeeds or the deadline of every operation has passed; each attempt has a
+ * prepare round, an accept round and its own ballot. Owned by a QuorumProposer, which outlives it.
+ * Runs on the proposer's strand.
  */
 class KeyProposer : public std::enable_shared_from_this<KeyProposer> {
  public:
@@ -58,19 +58,19 @@
   std::string key_;
   std::deque<RegisterOperation> queue_;
   OperationBatch batch_;
-  /** Failed attempts of the present batch. */
+  /** Failed attempts of the current batch. */
   std::uint32_t failures_ = 0;
   base::TimerPtr attempt_timer_;
   base::TimerPtr deadline_timer_;
 
-  // The present attempt.
+  // The current attempt.
   Phase phase_ = Phase::Idle;
   /** Numbers the rounds, so that late answers to an earlier one are ignored. */
   std::uint64_t round_ = 0;
   wire::AcceptorSet set_;
   wire::Ballot ballot_;
   std::optional<QuorumTally> tally_;
-  /** Counts as failed only the acceptors that refused the connection. */
+  /** Counts only refused connections as failures. */
   std::optional<QuorumTally> reachable_;
   /** Whether an acceptor answered that it has a newer set. */
   bool set_changed_ = false;
--- a/libraries/registers/source/operation_batch.cc
+++ b/libraries/registers/source/operation_batch.cc
@@ -64,8 +64,9 @@
 bool OperationBatch::requiresProposal() const {
   const bool rewrite = std::any_of(operations_.begin(), operations_.end(),
                                    [](const auto& operation) { return operation.rewrite; });
-  // A proposal that the present value does not descend from may remain on a minority of acceptors.
-  // Only a newer proposal keeps it from being chosen after its operations ran again.
+  // An earlier proposal that is not in the current value's lineage may remain on a minority of
+  // acceptors. Without a newer proposal it could still be chosen later, and its operations would
+  // then take effect twice.
   const bool must_supersede = !proposals_.empty() && !outcomes_final_;
   return rewrite || must_supersede;
 }
--- a/libraries/registers/source/operation_batch.h
+++ b/libraries/registers/source/operation_batch.h
@@ -14,7 +14,7 @@
   ChangeFunction function;
   RegisterCallback callback;
   base::TimePoint deadline;
-  /** Whether the value is proposed again even where it is known to be chosen. */
+  /** Whether the value is proposed again even if it is known to be chosen. */
   bool rewrite = false;
   /** Set once the callback has been posted. */
   bool ended = false;
@@ -23,8 +23,8 @@
 
 /**
  * The operations on one key that share one pair of rounds, and the proposals of earlier attempts
- * that acceptors may have accepted without the proposer's knowledge. Such a proposal is found again
- * by its ballot in the accepted value's lineage, so that no change function takes effect twice.
+ * that a quorum may have accepted although its answers were lost. Such a proposal is recognized by
+ * its ballot in the accepted value's lineage, so that no change function takes effect twice.
  * Callbacks are posted to the dispatcher, each exactly once. Runs on the proposer's strand.
  */
 class OperationBatch {
@@ -40,30 +40,30 @@
   /** Drops the operations that have ended. */
   void dropEnded();
   /**
-   * Finds out from the newest accepted value whether an earlier proposal was chosen after all.
-   * Where it was, the outcomes of that proposal stand. Where it cannot be known, every operation
-   * ends with NoQuorum.
+   * Determines from the newest accepted value whether an earlier proposal was chosen. If so, the
+   * outcomes of that proposal are final. If this cannot be determined, every operation ends with
+   * NoQuorum.
    */
   void resolveProposals(const wire::RegisterReply& newest);
   /**
    * Applies the change functions one after the other, unless the outcomes of an earlier proposal
-   * stand.
-   * @param value the present value; replaced by the value to propose.
+   * are final.
+   * @param value the current value; replaced by the value to propose.
    * @return whether any function changed it.
    */
   bool applyFunctions(std::string& value);
-  /** Whether a proposal is needed even where the value is unchanged and known to be chosen. */
+  /** Whether a proposal is needed even if the value is unchanged and known to be chosen. */
   bool requiresProposal() const;
-  /** Remembers the outcomes that the operations have if a proposal with this ballot is chosen. */
+  /** Records the outcomes that the operations have if a proposal with this ballot is chosen. */
   void recordProposal(const wire::Ballot& ballot);
 
   /** Ends every operation with the outcome computed by its change function. */
   void succeed();
-  /** Ends every operation that has not ended with NoQuorum, and empties the batch. */
+  /** Ends all remaining operations with NoQuorum, and empties the batch. */
   void failAndClear();
   /**
    * Ends with NoQuorum the operations whose deadline has passed.
-   * @return the next deadline; nothing where all operations have ended.
+   * @return the next deadline, or std::nullopt if all operations have ended.
    */
   std::optional<base::TimePoint> endOverdue(base::TimePoint now);
 
@@ -80,7 +80,7 @@
   base::Dispatcher& dispatcher_;
   std::vector<RegisterOperation> operations_;
   std::vector<UnresolvedProposal> proposals_;
-  /** Whether the outcomes of an earlier proposal stand, so that no function runs again. */
+  /** Whether the outcomes of an earlier proposal are final, so that no function runs again. */
   bool outcomes_final_ = false;
 };
 
--- a/libraries/registers/source/pending_answers.h
+++ b/libraries/registers/source/pending_answers.h
@@ -9,14 +9,14 @@
 
 namespace switchsaddle::registers {
 
-/** An answer that waits for its commit. It is sent once, by whichever of commit and bound is first.
- */
+/** An answer that waits for its commit. It is sent once: when the commit ends or when it is
+ * overdue, whichever comes first. */
 class PendingAnswer {
  public:
   PendingAnswer(transport::ReplyFunction reply, base::TimePoint overdue_at)
       : reply_(std::move(reply)), overdue_at_(overdue_at) {}
 
-  /** Does nothing where an answer was sent before. */
+  /** Does nothing if an answer was sent before. */
   void send(const wire::Message& answer);
   bool sent() const { return sent_; }
   base::TimePoint overdueAt() const { return overdue_at_; }
@@ -28,14 +28,14 @@
 };
 
 /**
- * The answers of an acceptor that wait for their commits, oldest first. Those whose commit takes
- * longer than the bound are answered in place of it. Runs on the acceptor's strand.
+ * The answers of an acceptor that wait for their commits, oldest first. If a commit takes longer
+ * than the bound, the overdue answer is sent instead. Runs on the acceptor's strand.
  */
 class PendingAnswers {
  public:
   using AnswerSource = std::function<wire::Message()>;
 
-  /** @param overdue_answer makes the answer to a request whose commit is overdue. */
+  /** @param overdue_answer creates the answer to a request whose commit is overdue. */
   PendingAnswers(base::Dispatcher& dispatcher, base::Duration bound, AnswerSource overdue_answer);
 
   std::shared_ptr<PendingAnswer> add(transport::ReplyFunction reply);
--- a/libraries/registers/source/proposal_lineage.cc
+++ b/libraries/registers/source/proposal_lineage.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Most ballots in a lineage. */
+/** Maximum number of ballots in a lineage. */
 constexpr std::size_t LineageLimit = 16;
 
 }  // namespace
--- a/libraries/registers/source/proposal_lineage.h
+++ b/libraries/registers/source/proposal_lineage.h
@@ -7,9 +7,8 @@
 
 /**
  * @file
- * Lineages: each value carries the ballots of the newest proposals it was built on, in ascending
- * order and without gaps. They show whether a proposal that was not answered by a quorum was
- * chosen.
+ * The lineage of a value: the ballots of the newest proposals it was built on, in ascending order
+ * and without gaps. It shows whether a proposal was chosen that a quorum did not answer.
  */
 
 namespace switchsaddle::registers {
@@ -20,7 +19,7 @@
   Included,
   /** The value was not built on it. */
   Excluded,
-  /** The lineage does not reach back far enough. */
+  /** The lineage does not go back far enough to decide. */
   Unknown,
 };
 
--- a/libraries/registers/source/quorum_tally.h
+++ b/libraries/registers/source/quorum_tally.h
@@ -9,13 +9,13 @@
 namespace switchsaddle::registers {
 
 /**
- * Counts the answers to one request against an acceptor set: while `previous` is not empty, a
- * quorum is a majority of both lists. An answer counts only for the member whose instance gave it.
+ * Counts the answers of an acceptor set's members to one request. If `previous` is not empty, a
+ * quorum needs a majority of each list. A grant counts only if the member's instance sent it.
  * At most one of grant() and fail() is called for each address.
  */
 class QuorumTally {
  public:
-  /** @param quorum_size replaces the majority where not zero; for tests only. */
+  /** @param quorum_size number of votes for a quorum; a majority if zero. For tests only. */
   explicit QuorumTally(const wire::AcceptorSet& set, std::size_t quorum_size = 0);
   void grant(const base::NodeAddress& address, std::uint64_t instance);
   void fail(const base::NodeAddress& address);
--- a/libraries/registers/source/register_state.h
+++ b/libraries/registers/source/register_state.h
@@ -16,13 +16,13 @@
 /** The state of one register at one acceptor. */
 struct RegisterState {
   wire::Ballot promised;
-  /** Zero where nothing was accepted. */
+  /** Zero if no value was accepted. */
   wire::Ballot accepted;
   std::string value;
   /** Ballots of the newest proposals the value was built on, oldest first. */
   std::vector<wire::Ballot> lineage;
-  /** When the value was accepted, or the register first prepared, in seconds of the acceptor's
-   * running time; zero in records of earlier releases. */
+  /** The acceptor's running time in seconds when the value was accepted or, without a value, when
+   * the register was first prepared. Zero in records of earlier releases. */
   std::uint64_t accepted_at_s = 0;
 
   template <class Archive>
@@ -31,7 +31,7 @@
   }
 };
 
-/** What stands for the registers that an acceptor has removed. */
+/** The state that an acceptor keeps for all registers it has removed. */
 struct RemovedRegisters {
   /** Highest ballot promised for a register that was removed here. */
   wire::Ballot floor;
--- a/libraries/registers/source/register_table.cc
+++ b/libraries/registers/source/register_table.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-/** Number of checks for expiry in which a pass over a large table is complete. */
+/** Number of expiry checks that make up one pass over a large table. */
 constexpr std::size_t ExpiryChecksPerPass = 600;
-/** Fewest registers in one check. */
+/** Minimum number of registers in one check. */
 constexpr std::size_t MinimumRegistersPerCheck = 200;
-/** Longest time, in seconds, that the running time is left unstored. */
+/** Longest time, in seconds, between two updates of the stored running time. */
 constexpr std::uint64_t RunningTimeStoreIntervalSeconds = 600;
 
 }  // namespace
@@ -34,8 +34,8 @@
   if (stored != records.end()) {
     removed_ = decodeRemovedRegisters(stored->second);
   }
-  // The running time is stored rarely; the youngest register proves how long this acceptor had run
-  // at least.
+  // The running time is stored rarely. The register accepted last shows the least time for which
+  // this acceptor must have run.
   for (const auto& [key, state] : states_) {
     removed_.running_s = std::max(removed_.running_s, state.accepted_at_s);
   }
--- a/libraries/registers/source/register_table.h
+++ b/libraries/registers/source/register_table.h
@@ -18,9 +18,10 @@
  * the caller commits the records of what it changed.
  *
  * Registers with a lifetime are removed once the acceptor has run for that long since it accepted
- * their value. The table then keeps one ballot for all of them, the floor: the highest ballot
- * promised for any register removed, or that the acceptors from which this one copied its registers
- * had as theirs. An absent register that may expire counts as promised at the floor.
+ * their value. For all removed registers together the table keeps one ballot, the floor: the
+ * highest ballot promised for any of them, or the floor of the acceptors from which this one copied
+ * its registers if that is higher. An absent register that may expire counts as promised at the
+ * floor.
  *
  * Runs on the acceptor's strand.
  */
@@ -32,7 +33,7 @@
 
   /**
    * Replaces the content by the stored records.
-   * @throws base::Error with RecordCorrupt where a record cannot be decoded.
+   * @throws base::Error with RecordCorrupt if a record cannot be decoded.
    */
   void load(const std::map<std::string, std::string>& records);
   /** Drops every register; the floor stays. */
@@ -40,22 +41,22 @@
 
   std::size_t size() const { return states_.size(); }
   bool empty() const { return states_.empty(); }
-  /** @return the register, or nullptr where the table does not have it. */
+  /** @return the register, or nullptr if the table does not have it. */
   const RegisterState* find(const std::string& key) const;
-  /** The registers with keys above `after`, or all where it is empty, in key order. */
+  /** The registers with keys above `after`, or all if `after` is empty, in key order. */
   States::const_iterator upperBound(const std::string& after) const;
   States::const_iterator end() const { return states_.end(); }
-  /** @return the highest ballot promised for the key; the floor where the register was removed. */
+  /** @return the highest ballot promised for the key, or the floor if the register was removed. */
   wire::Ballot promisedBallot(const std::string& key) const;
-  /** @return the floor that a new member copying from this acceptor takes over. */
+  /** @return the floor that a new member inherits when it copies from this acceptor. */
   wire::Ballot removedFloor() const;
 
-  /** Promises the ballot. @return the register, with what was accepted before. */
+  /** Promises the ballot. @return the register, with the value accepted before. */
   const RegisterState& prepare(const std::string& key, const wire::Ballot& ballot);
   void accept(const std::string& key, const wire::Ballot& ballot, const std::string& value,
               const std::vector<wire::Ballot>& lineage);
 
-  /** How the table took a register copied from another acceptor. */
+  /** Result of acceptCopy(). */
   enum class CopyResult {
     /** The copy is newer and was accepted. */
     Accepted,
@@ -66,29 +67,31 @@
     /** The register was removed here, perhaps after a promise above this ballot. */
     BelowFloor,
   };
-  /** Accepts a copied register by the rule of an accept request. */
+  /** Accepts a register copied from another acceptor, under the same condition as an accept
+   * request. */
   CopyResult acceptCopy(const wire::RegisterScanEntry& copy);
-  /** Takes over the floor of other acceptors. @return whether it is higher than that before. */
+  /** Inherits the floor of other acceptors. @return whether it is higher than the one inherited
+   * before. */
   bool inheritFloor(const wire::Ballot& floor);
 
-  /** Without a source no register expires. */
+  /** Sets the lifetimes of registers. Without a source, no register expires. */
   void setLifetimeSource(RegisterLifetimeSource source) { lifetime_source_ = std::move(source); }
   /** Whether registers with this key have a lifetime. */
   bool mayExpire(const std::string& key) const;
   /**
    * Checks the next share of the registers and removes those that have expired.
-   * @param raise_floor false in tests only: then the promises of those removed are lost.
+   * @param raise_floor false in tests only: the promises of the removed registers are then lost.
    * @return the keys removed.
    */
   std::vector<std::string> removeExpired(bool raise_floor);
-  /** Whether the stored running time is so old that a restart would lose much of it. */
+  /** Whether the stored running time lags so far behind that a restart would lose much of it. */
   bool runningTimeIsStale() const;
 
   /** @return the record of a register that the table has. */
   storage::Record record(const std::string& key) const;
-  /** Brings the stored running time up to date. @return the record of the removed registers. */
+  /** Updates the running time to be stored. @return the record of the removed registers. */
   storage::Record updateRemovedRecord();
-  /** @return the record of the removed registers as it was last brought up to date. */
+  /** @return the record of the removed registers as of the last update. */
   storage::Record removedRecord() const;
 
  private:
@@ -100,9 +103,9 @@
   const base::Dispatcher& dispatcher_;
   States states_;
   RemovedRegisters removed_;
-  /** When the running time in `removed_` was last brought up to date. */
+  /** When the running time in `removed_` was last updated. */
   base::TimePoint running_time_updated_at_;
-  /** Last key of the share checked for expiry before. */
+  /** Last key of the share that was last checked for expiry. */
   std::string expiry_cursor_;
   RegisterLifetimeSource lifetime_source_;
 };
--- a/libraries/registers/source/register_transfer.h
+++ b/libraries/registers/source/register_transfer.h
@@ -12,19 +12,20 @@
 
 namespace switchsaddle::registers {
 
-/** Bounds of a transfer. */
+/** Limits of a transfer. */
 struct RegisterTransferOptions {
+  /** Timeout of each request. */
   base::Duration call_timeout{};
-  /** Most registers in one page. */
+  /** Maximum number of registers in one page. */
   std::uint32_t page_limit = 0;
 };
 
 /**
- * Copies every register that a majority of a joint set's previous members has to one new member,
- * page by page, each register at its highest accepted ballot. A register that the new member
- * rejects, because it has promised a higher ballot, is proposed again instead. Ends at the first
- * page that fails; a later transfer starts over, and registers that are already there are not
- * written again. Runs on the acceptor's strand.
+ * Copies the registers of a majority of a joint set's previous members to one new member, page by
+ * page, each register at its highest accepted ballot. If the new member has promised a higher
+ * ballot for a register and rejects it, the registers of that page are proposed again. The transfer
+ * ends at the first page that fails. A later transfer starts from the beginning; registers that the
+ * new member already has are not written again. Runs on the acceptor's strand.
  */
 class RegisterTransfer : public std::enable_shared_from_this<RegisterTransfer> {
  public:
@@ -34,7 +35,7 @@
                    wire::AcceptorMember target, RegisterTransferOptions options);
   /**
    * @param on_page called after each page copied.
-   * @param on_done called once, with false where a page failed.
+   * @param on_done called once, with false if a page failed.
    */
   void start(std::function<void()> on_page, DoneCallback on_done);
   /** Ends the transfer without any callback. */
@@ -44,11 +45,11 @@
   void requestPage();
   void onPage(std::uint64_t page, const base::NodeAddress& from,
               const transport::CallResult& result);
-  /** Makes one page of the replies, up to the key which every source has reached. */
+  /** Merges the replies into one page, up to the last key that every reply covers. */
   void mergePage();
   void installPage();
   void onInstalled(const transport::CallResult& result);
-  /** Proposes the page's registers again, from this one on, and then installs the page. */
+  /** Proposes the page's registers from `index` on again, and then installs the page. */
   void proposeAgain(std::size_t index);
   void nextPage();
   void end(bool complete);
--- a/libraries/registers/source/scan_pages.h
+++ b/libraries/registers/source/scan_pages.h
@@ -8,9 +8,9 @@
 namespace switchsaddle::registers {
 
 /**
- * Lowers the frontier of several pages, the last key up to which all of them are complete, by one
- * page.
- * @param frontier nothing where every page so far reaches the end of the registers.
+ * Includes one more page in the frontier, the last key up to which all of several pages are
+ * complete.
+ * @param frontier std::nullopt if every page so far reaches the end of the registers.
  */
 void lowerFrontier(std::optional<std::string>& frontier, const wire::RegisterScanReply& page);
 
--- a/libraries/registers/source/scrubber.cc
+++ b/libraries/registers/source/scrubber.cc
@@ -12,8 +12,8 @@
 
 namespace {
 
-/** @return the entries of `page` that are missing or older in `other`, up to the frontier, except
- * those that may have expired there. */
+/** @return the entries of `page` up to the frontier that are missing or older in `other`, except
+ * those that may have expired in `other`. */
 std::vector<wire::RegisterScanEntry> newerEntries(const wire::RegisterScanReply& page,
                                                   const wire::RegisterScanReply& other,
                                                   const std::optional<std::string>& frontier,
--- a/libraries/registers/source/set_installation.cc
+++ b/libraries/registers/source/set_installation.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** One set on its way to the members of another. */
+/** The installation of one set at the members of the counted set. */
 struct Installation {
   Installation(const wire::AcceptorSet& counted, std::size_t calls)
       : tally(counted), outstanding(calls) {}
--- a/libraries/registers/source/set_installation.h
+++ b/libraries/registers/source/set_installation.h
@@ -18,7 +18,7 @@
 };
 
 /**
- * Sends an acceptor set to members, whose calls outlive the caller.
+ * Sends an acceptor set to members. The requests continue if the caller is destroyed.
  * @param counted the set whose members receive it and form the quorum.
  * @param callback called once every member has answered or timed out.
  */
--- a/libraries/registers/test/acceptor_set_change_test.cc
+++ b/libraries/registers/test/acceptor_set_change_test.cc
@@ -68,7 +68,7 @@
   cluster.world.runFor(seconds(1));
   ASSERT_EQ(replaceAndWait(cluster, 1, 0, joining), base::ResultCode::Ok);
   EXPECT_GE(cluster.core(joining).acceptor->registerCount(), KeyCount);
-  // A second and a third loss right after it.
+  // Right after the change, two of the other previous members lose their data as well.
   for (const std::size_t lost : {0, 1, 2}) {
     cluster.wipe(lost);
   }
@@ -93,8 +93,8 @@
   EXPECT_TRUE(cluster.core(joining).acceptor->mayVote());
 }
 
-/** The driver and one more member fail at any moment of a change; another core finishes it. */
-TEST(AcceptorSetChangeTest, AnotherCoreFinishesAfterTheDriverFailed) {
+/** One member loses its data, and the driver is killed at a time that depends on the seed. */
+TEST(AcceptorSetChangeTest, AnotherCoreFinishesTheChangeAfterTheDriverFailed) {
   std::size_t replaced = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     TestCluster cluster(seed, 5);
@@ -129,7 +129,7 @@
   EXPECT_GT(replaced, 0U);
 }
 
-TEST(AcceptorSetChangeTest, OneOfTwoDriversReplacesAMember) {
+TEST(AcceptorSetChangeTest, ExactlyOneOfTwoConcurrentDriversReplacesAMember) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     TestCluster cluster(seed, 5);
     Clients clients(cluster);
@@ -146,9 +146,9 @@
     cluster.core(1).change->replace(cluster.member(4), cluster.member(second_new),
                                     second.callback());
     cluster.world.runUntil([&] { return first.code && second.code; }, seconds(30));
-    const std::size_t winners = (first.code == base::ResultCode::Ok ? 1U : 0U) +
-                                (second.code == base::ResultCode::Ok ? 1U : 0U);
-    EXPECT_EQ(winners, 1U) << "seed " << seed;
+    const std::size_t successful_drivers = (first.code == base::ResultCode::Ok ? 1U : 0U) +
+                                           (second.code == base::ResultCode::Ok ? 1U : 0U);
+    EXPECT_EQ(successful_drivers, 1U) << "seed " << seed;
     EXPECT_EQ(cluster.core(0).acceptor->acceptorSet().members.size(), 5U) << "seed " << seed;
     clients.stop();
     cluster.world.runFor(seconds(3));
@@ -185,8 +185,8 @@
   EXPECT_TRUE(cluster.core(2).acceptor->mayVote());
 }
 
-/** The members have a set that the register does not contain, so that every swap fails. */
-TEST(AcceptorSetChangeTest, PausesAndGivesUpWhenTheRegisterLagsBehindTheMembers) {
+/** The members have a newer set than the register, so that every swap fails. */
+TEST(AcceptorSetChangeTest, RetriesWithPausesUntilNoQuorumWhenTheRegisterLagsBehindTheMembers) {
   TestCluster cluster(12, 5);
   cluster.world.runFor(milliseconds(20));
   wire::AcceptorSet ahead = cluster.core(0).acceptor->acceptorSet();
@@ -220,7 +220,7 @@
       cluster.world.runFor(milliseconds(600));
       cluster.network.conditions.loss = 0.02;
       ChangeResult outcome;
-      TestCore& driver = cluster.core(cluster.informedCore());
+      TestCore& driver = cluster.core(cluster.coreWithAcceptorSet());
       driver.change->replace(cluster.member(leaving), cluster.member(joining), outcome.callback());
       faults.run(seconds(1));
       faults.heal();
--- a/libraries/registers/test/acceptor_test.cc
+++ b/libraries/registers/test/acceptor_test.cc
@@ -73,8 +73,8 @@
   EXPECT_EQ(*acceptor().acceptedValue("old"), "kept");
 }
 
-/** Kills the node at every moment of a request: what was answered is always on the disk. */
-TEST_F(AcceptorTest, AnswersOnlyWhatIsSynced) {
+/** Kills the node at different times of a request; what it has answered must be on its disk. */
+TEST_F(AcceptorTest, AnswersOnlyAfterThePromiseIsSynced) {
   for (std::uint64_t round = 1; round <= 100; ++round) {
     bool granted = false;
     cluster_.core(1).calls->call(cluster_.core(0).address, wire::PrepareRequest{Key, {round, 1}, 1},
@@ -110,7 +110,7 @@
 TEST_F(AcceptorTest, RejectsACommitSubmittedBeforeAnEarlierOneFailed) {
   wire::AcceptorSet newer = acceptor().acceptorSet();
   newer.epoch = 2;
-  // Long enough for the request to arrive while the commit before it is in progress.
+  // Long enough for the request to arrive while the previous commit is in progress.
   disk().extra_delay = milliseconds(20);
   disk().full_for_one_commit = true;
   std::optional<bool> installed;
--- a/libraries/registers/test/bootstrap_test.cc
+++ b/libraries/registers/test/bootstrap_test.cc
@@ -18,7 +18,7 @@
   return options;
 }
 
-TEST(BootstrapTest, CommitsTheFirstSetOnlyOnceAllInitialCoresAnswered) {
+TEST(BootstrapTest, CommitsTheFirstSetOnlyAfterAllInitialCoresAnswered) {
   TestCluster cluster(1, 5, withoutFirstSet());
   for (const std::size_t index : {0, 1, 2, 3}) {
     cluster.restart(index);
@@ -57,7 +57,7 @@
   }
 }
 
-TEST(BootstrapTest, WipedCoreStaysUnadmittedAndBecomesACandidate) {
+TEST(BootstrapTest, WipedCoreDoesNotVoteAndBecomesACandidate) {
   for (const std::size_t wiped : {0, 3}) {
     TestCluster cluster(7, 5);
     cluster.world.runFor(milliseconds(50));
--- a/libraries/registers/test/clients.cc
+++ b/libraries/registers/test/clients.cc
@@ -40,11 +40,12 @@
   RegisterOutcome read;
   bool done = false;
   const std::size_t operation = history.begin(false, cluster_.world.now());
-  cluster_.core(cluster_.informedCore()).proposer->read(Key, [&](const RegisterOutcome& outcome) {
-    history.end(operation, outcome, cluster_.world.now());
-    read = outcome;
-    done = true;
-  });
+  cluster_.core(cluster_.coreWithAcceptorSet())
+      .proposer->read(Key, [&](const RegisterOutcome& outcome) {
+        history.end(operation, outcome, cluster_.world.now());
+        read = outcome;
+        done = true;
+      });
   cluster_.world.runUntil([&] { return done; }, seconds(10));
   return read;
 }
--- a/libraries/registers/test/clients.h
+++ b/libraries/registers/test/clients.h
@@ -5,7 +5,7 @@
 
 namespace switchsaddle::registers {
 
-/** Clients that change and read one register at random core nodes until stopped. */
+/** Simulated clients that change and read one register through random core nodes until stopped. */
 class Clients {
  public:
   static constexpr const char* Key = "configuration";
@@ -13,7 +13,7 @@
   explicit Clients(TestCluster& cluster) : cluster_(cluster) {}
   void start(std::size_t clients);
   void stop() { stopping_ = true; }
-  /** Reads once at a node that has the acceptor set, and waits for the outcome. */
+  /** Reads once through a node that has the acceptor set, and waits for the outcome. */
   RegisterOutcome readOnce();
 
   History history;
@@ -26,11 +26,11 @@
   bool stopping_ = false;
 };
 
-/** Injects partitions, kills, freezes and wipes at random, one fault after the other. */
+/** Injects random partitions, kills, freezes and wipes, one fault at a time. */
 class FaultInjector {
  public:
-  FaultInjector(TestCluster& cluster, std::size_t most_wipes)
-      : cluster_(cluster), wipes_left_(most_wipes) {}
+  FaultInjector(TestCluster& cluster, std::size_t maximum_wipes)
+      : cluster_(cluster), wipes_left_(maximum_wipes) {}
   void run(base::Duration duration);
   /** Ends every fault except the wipes. */
   void heal();
--- a/libraries/registers/test/history.cc
+++ b/libraries/registers/test/history.cc
@@ -22,8 +22,8 @@
 }
 
 ChangeFunction History::increment(std::size_t operation) {
-  return [operation](const std::string& present) -> std::optional<std::string> {
-    return std::to_string(numberOf(present) + 1) + "/" + std::to_string(operation);
+  return [operation](const std::string& current) -> std::optional<std::string> {
+    return std::to_string(numberOf(current) + 1) + "/" + std::to_string(operation);
   };
 }
 
@@ -83,7 +83,8 @@
       const bool in_order =
           after.is_change ? after.number > before.number : after.number >= before.number;
       if (!in_order) {
-        return "operation " + std::to_string(second) + " went back before " + std::to_string(first);
+        return "operation " + std::to_string(second) +
+               " has a number that is too low to follow operation " + std::to_string(first);
       }
     }
   }
--- a/libraries/registers/test/history.h
+++ b/libraries/registers/test/history.h
@@ -10,9 +10,9 @@
 namespace switchsaddle::registers {
 
 /**
- * The operations of the clients of one register, with their outcomes. Each change turns "N/previous
- * writer" into "N+1/writer", so that a linearizable history gives every change its own number, and
- * numbers never fall from an operation to one that started after its end.
+ * The operations of the clients of one register, with their outcomes. Each change replaces
+ * "N/previous writer" by "N+1/writer". In a linearizable history every change therefore has its own
+ * number, and an operation never has a lower number than one that ended before it started.
  */
 class History {
  public:
@@ -21,7 +21,7 @@
   /** The change function of the operation. */
   static ChangeFunction increment(std::size_t operation);
   void end(std::size_t operation, const RegisterOutcome& outcome, base::TimePoint now);
-  /** @return the first violation found; empty where the history is linearizable. */
+  /** @return the first violation found; empty if the history is linearizable. */
   std::string violation() const;
   std::size_t succeeded() const;
   std::size_t started() const { return operations_.size(); }
@@ -33,7 +33,7 @@
     base::TimePoint ended;
     bool succeeded = false;
     std::uint64_t number = 0;
-    /** The operation that wrote the value read; empty for the unwritten register. */
+    /** The operation that wrote the value read; empty if the register was never written. */
     std::string writer;
     bool changed = false;
   };
--- a/libraries/registers/test/keys.h
+++ b/libraries/registers/test/keys.h
@@ -4,7 +4,7 @@
 
 namespace switchsaddle::registers {
 
-/** Registers written by writeKeys(); more than two pages of a scan. */
+/** Number of registers written by writeKeys(); they need more than two pages of a scan. */
 inline constexpr std::size_t KeyCount = 450;
 
 std::string keyName(std::size_t index);
--- a/libraries/registers/test/quorum_proposer_test.cc
+++ b/libraries/registers/test/quorum_proposer_test.cc
@@ -24,10 +24,10 @@
   }
 };
 
-/** A change from one base value, which only one of several racing clients may win. */
+/** A change from one base value, in which only one of several concurrent clients may succeed. */
 ChangeFunction swapFrom(const std::string& base, const std::string& next) {
-  return [base, next](const std::string& present) -> std::optional<std::string> {
-    return present == base ? std::optional<std::string>(next) : std::nullopt;
+  return [base, next](const std::string& current) -> std::optional<std::string> {
+    return current == base ? std::optional<std::string>(next) : std::nullopt;
   };
 }
 
@@ -88,7 +88,7 @@
   EXPECT_LE(cluster.core(0).proposer->counters().attempts, 2U);
 }
 
-TEST(QuorumProposerTest, FailsFastWhenAMajorityRefusesConnections) {
+TEST(QuorumProposerTest, FailsAtOnceWhenAMajorityRefusesConnections) {
   TestCluster cluster(3, 5);
   cluster.world.runFor(milliseconds(20));
   for (const std::size_t index : {2, 3, 4}) {
@@ -100,7 +100,7 @@
   EXPECT_EQ(read.outcome.code, base::ResultCode::NoQuorum);
 }
 
-TEST(QuorumProposerTest, AnswersNoQuorumAtTheDeadlineInAMinority) {
+TEST(QuorumProposerTest, EndsWithNoQuorumAtTheDeadlineInAMinorityPartition) {
   TestCluster cluster(4, 5);
   cluster.world.runFor(milliseconds(20));
   for (const std::size_t index : {2, 3, 4}) {
@@ -115,30 +115,30 @@
   EXPECT_EQ(read.outcome.code, base::ResultCode::NoQuorum);
 }
 
-TEST(QuorumProposerTest, ExactlyOneOfRacingClientsWins) {
+TEST(QuorumProposerTest, ExactlyOneOfSeveralConcurrentSwapsSucceeds) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     TestCluster cluster(seed, 5);
     cluster.world.runFor(milliseconds(20));
     cluster.network.conditions.loss = 0.02;
     cluster.network.conditions.duplication = 0.05;
-    std::vector<PendingOperation> races(10);
-    for (std::size_t index = 0; index < races.size(); ++index) {
+    std::vector<PendingOperation> swaps(10);
+    for (std::size_t index = 0; index < swaps.size(); ++index) {
       const std::string next = "client " + std::to_string(index);
-      cluster.core(index % 5).proposer->change(Key, swapFrom("", next), races[index].callback());
+      cluster.core(index % 5).proposer->change(Key, swapFrom("", next), swaps[index].callback());
     }
     cluster.world.runFor(seconds(5));
-    std::size_t winners = 0;
-    for (const PendingOperation& race : races) {
-      ASSERT_EQ(race.outcome.code, base::ResultCode::Ok) << "seed " << seed;
-      EXPECT_EQ(race.outcome.value, races[0].outcome.value) << "seed " << seed;
-      winners += race.outcome.changed ? 1 : 0;
+    std::size_t successful_swaps = 0;
+    for (const PendingOperation& swap : swaps) {
+      ASSERT_EQ(swap.outcome.code, base::ResultCode::Ok) << "seed " << seed;
+      EXPECT_EQ(swap.outcome.value, swaps[0].outcome.value) << "seed " << seed;
+      successful_swaps += swap.outcome.changed ? 1 : 0;
     }
-    ASSERT_EQ(winners, 1U) << "seed " << seed;
+    ASSERT_EQ(successful_swaps, 1U) << "seed " << seed;
   }
 }
 
-/** The proposer freezes after any number of events of its change; it then resumes or is killed. */
-TEST(QuorumProposerTest, ProposerFrozenOrKilledBetweenRoundsIsSafe) {
+/** The proposer is frozen or killed after a number of events that depends on the seed. */
+TEST(QuorumProposerTest, ProposerFrozenOrKilledDuringAChangeDoesNotReplaceALaterValue) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     TestCluster cluster(seed, 5);
     cluster.world.runFor(milliseconds(20));
@@ -159,9 +159,9 @@
     cluster.core(2).proposer->read(Key, last.callback());
     cluster.world.runFor(seconds(1));
     EXPECT_EQ(last.outcome.value, second.outcome.value) << "seed " << seed;
-    const bool first_won =
+    const bool first_succeeded =
         stopped.ended && stopped.outcome.code == base::ResultCode::Ok && stopped.outcome.changed;
-    EXPECT_FALSE(first_won && second.outcome.changed) << "seed " << seed;
+    EXPECT_FALSE(first_succeeded && second.outcome.changed) << "seed " << seed;
   }
 }
 
@@ -181,7 +181,7 @@
 }
 
 /** Shows that the checker detects quorums without an intersection. */
-TEST(QuorumProposerTest, CheckerFindsQuorumsOfTwoOfFive) {
+TEST(QuorumProposerTest, CheckerDetectsQuorumsOfTwoOfFive) {
   std::size_t violations = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     violations += runUnderFaults(seed, 2, 0).violation.empty() ? 0 : 1;
--- a/libraries/registers/test/register_expiry_test.cc
+++ b/libraries/registers/test/register_expiry_test.cc
@@ -1,5 +1,5 @@
-// Registers that expire: memory and disks stay bounded, and a value removed at some acceptors never
-// replaces one that was written since and has not expired.
+// Registers that expire: memory and disks stay bounded. Guards against the return of an old value:
+// some acceptors have removed it, another one was partitioned and still has it.
 
 #include <gtest/gtest.h>
 
@@ -18,9 +18,9 @@
 constexpr base::Duration Lifetime = seconds(20);
 constexpr const char* Prefix = "claim/";
 
-TestOptions expiringOptions(bool forget_removed = false) {
+TestOptions expiringOptions(bool skip_floor = false) {
   TestOptions options;
-  options.acceptor.test_forget_removed = forget_removed;
+  options.acceptor.test_skip_floor = skip_floor;
   options.lifetimes = [](const std::string& key,
                          const std::string& /*value*/) -> std::optional<base::Duration> {
     return key.starts_with(Prefix) ? std::optional<base::Duration>(Lifetime) : std::nullopt;
@@ -28,12 +28,12 @@
   return options;
 }
 
-/** Claims keys through random nodes under faults. Each claim must last for the lifetime from its
- * start, whatever earlier claims some acceptor still has. */
+/** Claims keys through random nodes under faults. Each claim must be kept for the lifetime from its
+ * start, even if some acceptor still has an earlier claim of the key. */
 class ExpiringClaims {
  public:
-  ExpiringClaims(std::uint64_t seed, bool forget_removed)
-      : cluster_(seed, 3, expiringOptions(forget_removed)) {}
+  ExpiringClaims(std::uint64_t seed, bool skip_floor)
+      : cluster_(seed, 3, expiringOptions(skip_floor)) {}
 
   /** @return the first violation, or an empty string. */
   std::string run(base::Duration duration) {
@@ -68,7 +68,7 @@
         cluster_.restart(index);
         break;
       case 3:
-        // Mostly for longer than the lifetime of a claim.
+        // Most partitions last longer than the lifetime of a claim.
         cluster_.network.healAll();
         cluster_.partitionAtRandom(1);
         break;
@@ -94,8 +94,8 @@
         previous == claims_.end() ? std::nullopt : std::optional(previous->second);
     cluster_.core(index).proposer->change(
         key,
-        [value](const std::string& present) {
-          return present.empty() ? std::optional(value) : std::nullopt;
+        [value](const std::string& current) {
+          return current.empty() ? std::optional(value) : std::nullopt;
         },
         [this, key, value, started_at, before](const RegisterOutcome& outcome) {
           if (outcome.code == base::ResultCode::Ok) {
@@ -107,10 +107,11 @@
   void onOutcome(const std::string& key, const std::string& value, base::TimePoint started_at,
                  const std::optional<Claim>& before, const RegisterOutcome& outcome) {
     const base::TimePoint now = cluster_.world.now();
-    const bool must_last = before && started_at > before->acknowledged_at &&
-                           now < before->started_at + Lifetime && outcome.value != before->value;
-    if (must_last) {
-      violation_ = key + ": " + outcome.value + " in place of " + before->value;
+    const bool must_be_kept = before && started_at > before->acknowledged_at &&
+                              now < before->started_at + Lifetime && outcome.value != before->value;
+    if (must_be_kept) {
+      violation_ =
+          key + ": read " + outcome.value + "; expected the unexpired value " + before->value;
     }
     if (!outcome.changed || outcome.value != value) {
       return;
@@ -132,18 +133,18 @@
   std::string violation_;
 };
 
-TEST(RegisterExpiryTest, ClaimsLastForTheirLifetime) {
+TEST(RegisterExpiryTest, ClaimsAreKeptForTheirLifetime) {
   std::uint64_t again = 0;
   for (std::uint64_t seed = 1; seed <= 1'000; ++seed) {
     ExpiringClaims claims(seed, false);
     ASSERT_EQ(claims.run(seconds(300)), "") << "seed " << seed;
     again += claims.claimedAgain();
   }
-  std::cout << again << " claims taken again after their time\n";
+  std::cout << again << " keys claimed again after expiry\n";
   EXPECT_GT(again, 3'000U);
 }
 
-TEST(RegisterExpiryTest, DetectsAcceptorsWithoutAFloor) {
+TEST(RegisterExpiryTest, CheckerDetectsAcceptorsThatDoNotRaiseTheFloor) {
   std::uint64_t found = 0;
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     found += ExpiringClaims(seed, true).run(seconds(300)).empty() ? 0 : 1;
@@ -152,15 +153,15 @@
   EXPECT_GT(found, 0U);
 }
 
-/** Writes a claim each 200 ms for ten lifetimes while nodes restart in turn. */
+/** Writes a claim every 200 ms for ten lifetimes while nodes restart in turn. */
 TEST(RegisterExpiryTest, MemoryAndDisksStayBounded) {
   TestCluster cluster(1, 3, expiringOptions());
   cluster.world.runFor(milliseconds(50));
-  std::size_t most_registers = 0;
-  std::size_t most_records = 0;
-  const base::TimePoint begin = cluster.world.now();
+  std::size_t maximum_registers = 0;
+  std::size_t maximum_records = 0;
+  const base::TimePoint start = cluster.world.now();
   std::uint64_t written = 0;
-  while (cluster.world.now() < begin + 10 * Lifetime) {
+  while (cluster.world.now() < start + 10 * Lifetime) {
     for (std::size_t index = 0; index < cluster.size(); ++index) {
       cluster.restart(index);
     }
@@ -173,21 +174,22 @@
     if (written % 35 == 0) {
       cluster.kill(written / 35 % cluster.size());
     }
-    if (cluster.world.now() < begin + 3 * Lifetime) {
+    if (cluster.world.now() < start + 3 * Lifetime) {
       continue;
     }
     for (std::size_t index = 0; index < cluster.size(); ++index) {
       const TestCore& core = cluster.core(index);
-      most_registers = std::max(most_registers, core.acceptor ? core.acceptor->registerCount() : 0);
-      most_records = std::max(most_records, core.disk.records.size());
+      maximum_registers =
+          std::max(maximum_registers, core.acceptor ? core.acceptor->registerCount() : 0);
+      maximum_records = std::max(maximum_records, core.disk.records.size());
     }
   }
-  std::cout << written << " claims, at most " << most_registers << " registers and " << most_records
-            << " records\n";
-  // There are 100 claims in a lifetime. A node that is down, or loses seconds of running time at a
-  // restart, keeps some of them longer.
-  EXPECT_LE(most_registers, 200U);
-  EXPECT_LE(most_records, 210U);
+  std::cout << written << " claims, at most " << maximum_registers << " registers and "
+            << maximum_records << " records\n";
+  // There are 100 claims in a lifetime. A node keeps some of them longer if it is down, or if a
+  // restart loses seconds of its running time.
+  EXPECT_LE(maximum_registers, 200U);
+  EXPECT_LE(maximum_records, 210U);
 }
 
 TEST(RegisterExpiryTest, NewMemberInheritsTheFloorOfItsSources) {
--- a/libraries/registers/test/test_cluster.cc
+++ b/libraries/registers/test/test_cluster.cc
@@ -10,7 +10,7 @@
 
 constexpr std::uint16_t CorePort = 7000;
 /** Longest delay of a commit. */
-constexpr std::uint64_t CommitMicroseconds = 3000;
+constexpr std::uint64_t MaximumCommitMicroseconds = 3000;
 
 }  // namespace
 
@@ -30,7 +30,8 @@
 void TestRecordStore::commit(std::vector<storage::Record> records,
                              storage::CommitCallback callback) {
   const base::Duration delay =
-      disk_.extra_delay + std::chrono::microseconds(1 + world_.random().below(CommitMicroseconds));
+      disk_.extra_delay +
+      std::chrono::microseconds(1 + world_.random().below(MaximumCommitMicroseconds));
   last_completion_ = std::max<base::TimePoint>(last_completion_, world_.now() + delay);
   const base::Duration wait = last_completion_ - world_.now();
   if (disk_.failing || failed_) {
@@ -184,7 +185,7 @@
   }
 }
 
-std::size_t TestCluster::informedCore() const {
+std::size_t TestCluster::coreWithAcceptorSet() const {
   std::size_t index = 0;
   while (!cores_[index]->process.running() || cores_[index]->process.frozen() ||
          cores_[index]->acceptor->acceptorSet().epoch == 0) {
--- a/libraries/registers/test/test_cluster.h
+++ b/libraries/registers/test/test_cluster.h
@@ -27,7 +27,7 @@
   std::map<std::string, std::string> records;
   /** Record keys that the next scrub reports as damaged. */
   std::vector<std::string> damaged;
-  /** Counts wipes and power losses; writes that are incomplete at that time are lost. */
+  /** Counts wipes and power losses; writes that are pending at that time are lost. */
   std::uint64_t losses = 0;
 };
 
@@ -52,12 +52,12 @@
 /** The options of every core node of a cluster. */
 struct TestOptions {
   AcceptorOptions acceptor;
-  /** Without it registers never expire. */
+  /** Without it, registers never expire. */
   Acceptor::LifetimeSource lifetimes;
   ProposerOptions proposer;
   AcceptorSetChangeOptions change;
   ScrubberOptions scrubber;
-  /** False: Bootstrap commits the first set, and no node is started. */
+  /** If false, the cluster starts no nodes, and Bootstrap commits the first set later. */
   bool first_set_known = true;
 };
 
@@ -86,7 +86,7 @@
   std::vector<std::uint64_t> candidates;
 };
 
-/** A simulated set of core nodes that share one first acceptor set. */
+/** Simulated core nodes with the same first acceptor set. */
 class TestCluster {
  public:
   TestCluster(std::uint64_t seed, std::size_t size, TestOptions options = {});
@@ -94,17 +94,17 @@
 
   /** Adds an empty core node at a new address and starts it. @return its index. */
   std::size_t addCore();
-  /** Kills the process, in half of the cases by a power loss. */
+  /** Kills the process; with a probability of one half, this is a power loss. */
   void kill(std::size_t index);
   void restart(std::size_t index);
   /** Kills the node and empties its disk. */
   void wipe(std::size_t index);
-  /** Partitions the nodes below `boundary` of a shuffled order from the other ones. */
+  /** Partitions the first `boundary` nodes of a random order from the other ones. */
   void partitionAtRandom(std::size_t boundary);
   void partition(std::size_t first, std::size_t second);
   wire::AcceptorMember member(std::size_t index) const;
-  /** @return the first node that runs, is not frozen, and has an acceptor set. */
-  std::size_t informedCore() const;
+  /** @return the index of the first node that runs, is not frozen and has an acceptor set. */
+  std::size_t coreWithAcceptorSet() const;
   TestCore& core(std::size_t index) { return *cores_[index]; }
   std::size_t size() const { return cores_.size(); }
 
