--- a/libraries/lease/include/switchsaddle/lease/granter_set.h
+++ b/libraries/lease/include/switchsaddle/lease/granter_set.h
@@ -8,7 +8,8 @@
 
 namespace switchsaddle::lease {
 
-/** The upper bits of a term are the epoch of the acceptor set, the lower ones count within it. */
+/** Number of low-order bits of a term, which count within an epoch. The bits above them are the
+ * epoch of the acceptor set. */
 inline constexpr unsigned TermCountBits = 24;
 
 /** @return the epoch of the acceptor set to which a term belongs. */
@@ -22,10 +23,11 @@
   virtual ~GranterSet() = default;
   /** @return the members of the acceptor set, and those of the previous one during a change. */
   virtual std::vector<base::NodeAddress> coreAddresses() const = 0;
-  /** Whether these are a majority of the acceptor set, and of the previous one during a change. */
+  /** Whether these nodes are a majority of the acceptor set and, during a change, of the previous
+   * one. */
   virtual bool quorum(const std::set<base::NodeAddress>& answered) const = 0;
-  /** Whether this node may campaign for leases. A node outside the set must not, since it could not
-   * perform a holder's role. */
+  /** Whether this node may campaign for leases. A node outside the acceptor set must not, since it
+   * could not do the work of a holder. */
   virtual bool mayCampaign() const { return true; }
   /** @return the epoch of the acceptor set; terms of a later set are all higher. */
   virtual std::uint64_t setEpoch() const { return 0; }
--- a/libraries/lease/include/switchsaddle/lease/lease_granter.h
+++ b/libraries/lease/include/switchsaddle/lease/lease_granter.h
@@ -15,26 +15,28 @@
 
 namespace switchsaddle::lease {
 
-/** Test-only deviations that show that a rule is needed; never set in a daemon. */
+/** Deliberate violations of a rule, for tests that show that the rule is needed. Never set in a
+ * daemon. */
 struct LeaseGranterFaults {
   /** Grants terms of any epoch. */
   bool ignore_epoch = false;
-  /** Grants right after the start, though an earlier incarnation may have granted. */
+  /** Grants immediately after the start, although an earlier incarnation may have granted. */
   bool skip_recovery = false;
 };
 
 /**
- * A core node's part in granting leases. Keeps, for each name, the highest term it has granted,
- * which is synced before the grant is answered, and the holder until the lease ends by its own
- * clock.
+ * Grants leases on a core node. Keeps for each name the highest granted term, which is synced
+ * before the request is answered, and the holder until the lease expires by this node's clock.
  *
  * Invariant: of two grants of one name by this node, over all its incarnations, the later one has
- * the higher term and was made after the earlier one had ended or been released; renewals apart. It
- * grants only terms of the epoch of its acceptor set, so that majorities of two sets never grant
- * side by side, and a majority with a new member, which knows no earlier term, grants no lower one.
- * It grants nothing for one lease duration after it has begun to vote, since an earlier incarnation
- * may have granted. The term and its holder's instance are stored, so that a lease survives a
- * rolling restart of the granters. Runs on the control strand.
+ * the higher term and was made after the earlier one had expired or been released. Renewals are
+ * excepted.
+ *
+ * It grants only terms of the epoch of its acceptor set. Majorities of two sets therefore never
+ * grant concurrently, and a majority that includes a new member, which has no earlier terms, grants
+ * no lower term. It grants nothing for one lease duration after it has begun to vote, since an
+ * earlier incarnation may have granted. The term and its holder's instance are stored, so that a
+ * lease survives a rolling restart of the granters. Runs on the control strand.
  */
 class LeaseGranter {
  public:
@@ -44,18 +46,18 @@
 
   /**
    * Loads the stored terms; must be called before the first request.
-   * @throws base::Error with RecordCorrupt where a record cannot be decoded.
+   * @throws base::Error with RecordCorrupt if a record cannot be decoded.
    */
   void load(const storage::OpenedStore& opened);
   /** @return all records of this granter, as they are after the commits submitted so far. */
   std::vector<storage::Record> records() const;
-  /** @param may_vote called before each grant. Without it the node always votes. */
+  /** @param may_vote called before each grant. Without it, the node always votes. */
   void setMayVote(std::function<bool()> may_vote) {
     may_vote_ = std::move(may_vote);
     updateVoting();
   }
   /** @param source returns the epoch of the acceptor set; only terms of that epoch are granted.
-   *   Without it terms of any epoch are. */
+   *   Without it, terms of any epoch are granted. */
   void setEpochSource(std::function<std::uint64_t()> source) { epoch_source_ = std::move(source); }
   /** @param listener called for each failed commit, so that the store's owner reopens it. */
   void setCommitFailureListener(std::function<void(base::ResultCode)> listener) {
@@ -67,7 +69,7 @@
     std::uint64_t highest_term = 0;
     /** Whether the commit of highest_term has ended. */
     bool durable = true;
-    /** The present or the last holder; empty after the start. */
+    /** The current or the last holder; empty after the start. */
     base::NodeAddress holder;
     std::uint64_t holder_instance = 0;
     base::TimePoint expires_at;
@@ -75,7 +77,7 @@
 
   void onRequest(const wire::LeaseRequest& request, transport::ReplyFunction reply);
   void onRelease(const wire::LeaseRelease& release);
-  /** Checks the acceptor. @return whether this node may vote. */
+  /** Updates `voting_since_`. @return whether this node may vote. */
   bool updateVoting();
   bool mayGrant(const wire::LeaseRequest& request);
   void grantNewTerm(const wire::LeaseRequest& request, transport::ReplyFunction reply);
@@ -89,7 +91,7 @@
   journal::Journal& journal_;
   LeaseTimes times_;
   LeaseGranterFaults faults_;
-  /** Since when this incarnation has been voting; unset while it may not. */
+  /** When this incarnation began to vote; std::nullopt while it may not vote. */
   std::optional<base::TimePoint> voting_since_;
   std::function<bool()> may_vote_;
   std::function<std::uint64_t()> epoch_source_;
--- a/libraries/lease/include/switchsaddle/lease/lease_holder.h
+++ b/libraries/lease/include/switchsaddle/lease/lease_holder.h
@@ -16,25 +16,27 @@
 
 class LeaseRound;
 
-/** Test-only deviations that show that a rule is needed; never set in a daemon. */
+/** Deliberate violations of a rule, for tests that show that the rule is needed. Never set in a
+ * daemon. */
 struct LeaseHolderFaults {
-  /** Counts the lease from receipt of the grants instead of from the request. */
+  /** Measures the lease from the receipt of the grants instead of from the request. */
   bool count_from_receipt = false;
 };
 
 /**
  * A candidate for, and holder of, one named lease. Campaigns with random pauses until a majority of
- * granters has granted one term, then renews at a third of the duration.
+ * granters has granted one term, then renews the lease every third of its duration.
  *
- * Invariant: at most one held() in the fleet at any time, and each holder has a higher term than
- * the one before it. Where the failed campaign of a rival has used up the holder's term at a
- * granter, the holder raises its term, so that this granter grants again. held() is evaluated by
- * the clock at the time of the call; the lease counts from the request to a majority, less the
- * drift margin. Runs on the dispatcher's strand.
+ * Invariant: held() is true for at most one holder in the fleet at any time, and each holder has a
+ * higher term than the one before it. held() compares the current time with the end of the lease,
+ * which is measured from the request to the granters and shortened by the drift margin.
+ *
+ * If the failed campaign of a rival has raised the term at a granter, the holder raises its own
+ * term, so that this granter grants its renewals again. Runs on the dispatcher's strand.
  */
 class LeaseHolder {
  public:
-  /** Called with true when the lease is gained or its term has risen, and with false when it is
+  /** Called with true when the lease is gained or its term is raised, and with false when it is
    * lost or released. */
   using Listener = std::function<void(bool)>;
 
@@ -51,7 +53,7 @@
   /** Releases the lease and ends the campaigns. */
   void stop();
   bool held() const;
-  /** @return the term of the lease held; 0 where none is. */
+  /** @return the term of the lease, or 0 if it is not held. */
   std::uint64_t term() const { return held() ? term_ : 0; }
 
  private:
@@ -66,13 +68,13 @@
   void onGrantedByMajority(const RoundPtr& round);
   void onRoundEnded();
   void onExpired();
-  /** Ends the lease here, and reports the loss where the gain was reported. */
+  /** Ends the lease locally, and reports the loss if the gain was reported. */
   void endLease();
   void release(std::uint64_t term);
-  /** @return the lowest term of the granters' epoch above all terms seen. */
+  /** @return the lowest term of the current epoch above all terms seen in that epoch. */
   std::uint64_t nextTerm() const;
   bool isCurrentEpoch(std::uint64_t term) const;
-  /** The part of the duration for which the holder uses the lease. */
+  /** @return the duration less the drift margin, for which the holder uses the lease. */
   base::Duration usableDuration() const;
   base::Duration drawBackoff();
 
@@ -96,7 +98,7 @@
   RoundPtr round_;
   /** Starts the next round. */
   base::TimerPtr next_round_timer_;
-  /** Ends the present round. */
+  /** Ends the current round. */
   base::TimerPtr round_timer_;
   base::TimerPtr expiry_timer_;
   base::CallbackScope callbacks_;
--- a/libraries/lease/include/switchsaddle/lease/term_gate.h
+++ b/libraries/lease/include/switchsaddle/lease/term_gate.h
@@ -10,8 +10,8 @@
  * name never decrease. Runs on one strand. */
 class TermGate {
  public:
-  /** @return whether a message with this term is current; false (StaleTerm) below the highest seen.
-   */
+  /** @return whether a message with this term is current; false (StaleTerm) if the term is below
+   * the highest one seen. */
   bool accept(const std::string& name, std::uint64_t term);
   /** @return the highest term seen; 0 before the first. */
   std::uint64_t highest(const std::string& name) const;
--- a/libraries/lease/source/lease_granter.cc
+++ b/libraries/lease/source/lease_granter.cc
@@ -49,7 +49,10 @@
     std::uint64_t term = 0;
     std::uint64_t instance = 0;
     if (!(text >> term >> instance)) {
-      throw base::Error(base::ResultCode::RecordCorrupt, "a stored lease is not two numbers", key);
+      throw base::Error(
+          base::ResultCode::RecordCorrupt,
+          "stored lease is not of the form \"<term> <holder instance>\" (two decimal numbers)",
+          key);
     }
     Lease& lease = leases_[key.substr(KeyPrefix.size())];
     lease.highest_term = term;
@@ -148,7 +151,7 @@
   lease.durable = true;
   const bool synced = code == base::ResultCode::Ok;
   if (!synced) {
-    // The term stays used up: the next grant needs a higher one.
+    // highest_term is kept, so that the next grant needs a higher term.
     lease.holder_instance = 0;
     lease.expires_at = dispatcher_.now();
     if (commit_failure_listener_) {
--- a/libraries/lease/source/lease_holder.cc
+++ b/libraries/lease/source/lease_holder.cc
@@ -164,7 +164,7 @@
     next_round_timer_->enable(base::Duration::zero());
     return;
   }
-  // Releases the grants of the lost campaign, so that a rival need not wait until they expire.
+  // Releases the grants of the failed campaign, so that a rival need not wait until they expire.
   release(round->term());
   next_round_timer_->enable(round->rivalRemaining(granters_) + drawBackoff());
 }
--- a/libraries/lease/source/lease_round.cc
+++ b/libraries/lease/source/lease_round.cc
@@ -23,8 +23,8 @@
   const bool rival_holds =
       std::any_of(rejected_for_.begin(), rejected_for_.end(),
                   [&granters](const auto& item) { return granters.quorum(item.second); });
-  // Rivals that split the granters release their grants, so that the remaining times of these mean
-  // nothing.
+  // If the granters are split between rivals, all of them release their grants, so that the
+  // remaining times of these grants are irrelevant.
   const bool is_split = !rival_holds && granters.quorum(answered_by_);
   return is_split ? base::Duration::zero() : longest_remaining_;
 }
--- a/libraries/lease/source/lease_round.h
+++ b/libraries/lease/source/lease_round.h
@@ -30,17 +30,15 @@
   /** Set once a majority has granted the term. */
   void markWon() { won_ = true; }
   bool won() const { return won_; }
-  /** Whether all requests have ended, with answers from a majority, without a majority of grants.
-   */
+  /** Whether all requests have ended and a majority has answered, but no majority has granted. */
   bool lost(const GranterSet& granters) const {
     return !won_ && outstanding_ == 0 && granters.quorum(answered_by_);
   }
-  /** Whether the granter will never grant the round's term, since a rival has used it or a higher
-   * one.
-   */
+  /** Whether the granter will never grant the round's term, since a rival has used this term or a
+   * higher one there. */
   bool isContested(const wire::LeaseReply& reply, const base::NodeAddress& candidate) const;
-  /** @return how long a rival may still hold the lease; zero where rivals only split the granters.
-   */
+  /** @return how long a rival may still hold the lease; zero if the granters are split between
+   * rivals, so that none of them holds it. */
   base::Duration rivalRemaining(const GranterSet& granters) const;
 
  private:
@@ -52,7 +50,7 @@
   std::set<base::NodeAddress> granted_by_;
   /** The granters that rejected the request for the lease of each rival. */
   std::map<base::NodeAddress, std::set<base::NodeAddress>> rejected_for_;
-  /** Longest remaining time of a rival's lease at any granter. */
+  /** Longest remaining time of a rival's lease that any granter reported. */
   base::Duration longest_remaining_{};
   bool won_ = false;
 };
--- a/libraries/lease/test/lease_fleet.cc
+++ b/libraries/lease/test/lease_fleet.cc
@@ -75,11 +75,12 @@
     }
     ++holders;
     const std::uint64_t term = node->holder->term();
-    const bool same = node->holder.get() == last_holder_ && term == last_term;
-    if (!same && term <= last_term) {
-      violation = "term " + std::to_string(term) + " after " + std::to_string(last_term);
+    const bool unchanged = node->holder.get() == last_holder_ && term == last_term;
+    if (!unchanged && term <= last_term) {
+      violation =
+          "term " + std::to_string(term) + " was held after term " + std::to_string(last_term);
     }
-    gains += same ? 0 : 1;
+    gains += unchanged ? 0 : 1;
     last_holder_ = node->holder.get();
     last_term = std::max(last_term, term);
   }
--- a/libraries/lease/test/lease_fleet.h
+++ b/libraries/lease/test/lease_fleet.h
@@ -12,7 +12,7 @@
 
 namespace switchsaddle::lease {
 
-/** One simulated process, a granter or a candidate, with the state that outlives it. */
+/** One simulated granter or candidate, with the state that outlives its process. */
 struct LeaseNode {
   explicit LeaseNode(simulation::World& world) : process(world) {}
 
@@ -27,8 +27,8 @@
   std::unique_ptr<LeaseHolder> holder;
 };
 
-/** Five granters and three candidates under seeded faults. Checks the invariants after every event.
- */
+/** Five granters and three candidates with faults drawn from a seed. Checks the invariants after
+ * every event. */
 class LeaseFleet : public GranterSet {
  public:
   static constexpr std::size_t GranterCount = 5;
@@ -44,14 +44,14 @@
 
   void start(LeaseNode& node);
   void kill(LeaseNode& node);
-  /** Runs with the check after every event, until the first violation or until the condition is
-   * true.
+  /** Runs, with a check after every event, until the first violation, until the condition is true
+   * or until the limit has passed. @return whether the condition became true without a violation.
    */
   bool runUntil(const std::function<bool()>& condition, base::Duration limit);
   void run(base::Duration duration) {
     runUntil([] { return false; }, duration);
   }
-  /** Injects one random kill, restart, freeze or partition. */
+  /** Injects or ends faults at random: kills, restarts, freezes or partitions. */
   void injectFault();
   /** Ends every fault. */
   void repair();
--- a/libraries/lease/test/lease_granter_test.cc
+++ b/libraries/lease/test/lease_granter_test.cc
@@ -38,7 +38,7 @@
   LeaseNode client_{fleet_.world};
 };
 
-TEST_F(LeaseGranterTest, GrantsOneHolderAtATimeAndOnlyHigherTerms) {
+TEST_F(LeaseGranterTest, GrantsToOneHolderAtATimeAndOnlyHigherTerms) {
   EXPECT_TRUE(request(1, 5).granted);
   EXPECT_TRUE(request(1, 5).granted);
   const wire::LeaseReply rejected = request(2, 6);
@@ -61,7 +61,7 @@
   EXPECT_TRUE(request(2, 2).granted);
 }
 
-TEST_F(LeaseGranterTest, GrantsNothingWithoutVoteOrStorageOrDuringRecovery) {
+TEST_F(LeaseGranterTest, GrantsNothingWithoutAVoteOnStorageFailureOrDuringRecovery) {
   EXPECT_FALSE(request(1, 1, 2'001).granted);
   granter_.store->failing = true;
   EXPECT_FALSE(request(1, 1).granted);
@@ -92,7 +92,8 @@
   EXPECT_FALSE(request(1, second).granted);
   EXPECT_TRUE(request(1, first).granted);
   epoch = 2;
-  // Neither a renewal by the holder nor a rival, both of the previous set.
+  // With a term of the previous epoch, neither the holder's renewal nor a rival's request is
+  // granted.
   EXPECT_FALSE(request(1, first).granted);
   EXPECT_FALSE(request(2, first + 1).granted);
   EXPECT_TRUE(request(1, second).granted);
--- a/libraries/lease/test/lease_simulation_test.cc
+++ b/libraries/lease/test/lease_simulation_test.cc
@@ -14,7 +14,7 @@
 constexpr std::uint64_t SeedCount = 300;
 constexpr base::Duration TakeoverBound = seconds(4);
 
-/** Sixty seconds of faults under one seed. */
+/** Runs 60 s with network conditions and faults that depend on the seed. */
 void runSeed(LeaseFleet& fleet, std::uint64_t seed) {
   fleet.network.conditions.loss = static_cast<double>(seed % 4) * 0.03;
   fleet.network.conditions.duplication = static_cast<double>(seed % 3) * 0.05;
@@ -38,7 +38,7 @@
   return found;
 }
 
-TEST(LeaseSimulationTest, NeverTwoHoldersAndTermsOnlyIncrease) {
+TEST(LeaseSimulationTest, AtMostOneHolderAndTermsOnlyIncreaseUnderFaults) {
   std::uint64_t gains = 0;
   for (std::uint64_t seed = 1; seed <= SeedCount; ++seed) {
     LeaseFleet fleet(seed);
@@ -54,13 +54,13 @@
   EXPECT_GT(gains, SeedCount * 3);
 }
 
-TEST(LeaseSimulationTest, DetectsAGranterWithoutRecoveryTime) {
+TEST(LeaseSimulationTest, CheckerDetectsAGranterThatSkipsRecovery) {
   const std::uint64_t found = seedsWithViolation({.skip_recovery = true}, {});
   std::cout << "violations: " << found << " of " << SeedCount << " seeds\n";
   EXPECT_GT(found, 0U);
 }
 
-TEST(LeaseSimulationTest, DetectsAHolderThatCountsFromReceipt) {
+TEST(LeaseSimulationTest, CheckerDetectsAHolderThatMeasuresTheLeaseFromReceipt) {
   const std::uint64_t found = seedsWithViolation({}, {.count_from_receipt = true});
   std::cout << "violations: " << found << " of " << SeedCount << " seeds\n";
   EXPECT_GT(found, 0U);
@@ -87,7 +87,7 @@
 
 /** Times of a lease with a short takeover, such as the platform watcher's. */
 constexpr LeaseTimes ShortTimes{milliseconds(1'500), 0.1, milliseconds(250), milliseconds(150)};
-/** Longer than the lease and a backoff, since rivals may split the granters. */
+/** Longer than the lease and a backoff, since the granters may be split between rivals. */
 constexpr base::Duration ShortTakeoverBound = milliseconds(2'000);
 
 TEST(LeaseSimulationTest, ShortLeaseIsTakenOverWithinItsBoundFromAKilledOrPartitionedHolder) {
@@ -110,7 +110,7 @@
   }
 }
 
-TEST(LeaseSimulationTest, NeverTwoHoldersOfAShortLease) {
+TEST(LeaseSimulationTest, AtMostOneHolderOfAShortLeaseUnderFaults) {
   for (std::uint64_t seed = 1; seed <= SeedCount; ++seed) {
     LeaseFleet fleet(seed, {}, {}, ShortTimes);
     runSeed(fleet, seed);
