--- a/libraries/claims/include/switchsaddle/claims/claim_client.h
+++ b/libraries/claims/include/switchsaddle/claims/claim_client.h
@@ -7,13 +7,13 @@
 
 namespace switchsaddle::claims {
 
-/** Receives the outcome; not `available` means that the request may or may not be recorded. */
+/** Receives the outcome. If `available` is false, the request may or may not have been recorded. */
 using ClaimCallback = std::function<void(const wire::ClaimReply&)>;
 
 /**
- * Client of the claims, used by fronts. Sends a request to a core node and, where that times out or
- * fails, the same request to the next one, until the deadline. begin() and finish() are idempotent
- * for one run. Runs on the control strand.
+ * Client of the claim service, used by fronts. Sends a request to a core node and, if that node
+ * times out or fails, the same request to the next one, until the deadline. begin() and finish()
+ * are idempotent for one run. Runs on the control strand.
  */
 class ClaimClient {
  public:
--- a/libraries/claims/include/switchsaddle/claims/claim_value.h
+++ b/libraries/claims/include/switchsaddle/claims/claim_value.h
@@ -19,6 +19,7 @@
   std::uint16_t http_status = 0;
   /** The recorded response; empty unless the state is Ran. */
   std::string answer;
+  /** Lifetime of the claim in seconds. */
   std::uint32_t lifetime_s = 0;
 };
 
@@ -27,7 +28,7 @@
 
 /**
  * @return how long an acceptor keeps the register of a claim: the claim's lifetime plus a margin
- * for runs that began just before its end. Unset for registers of other kinds.
+ * for runs that began just before its end; std::nullopt for other registers.
  */
 std::optional<base::Duration> claimLifetime(const std::string& key, const std::string& value);
 
--- a/libraries/claims/include/switchsaddle/claims/peer_claim_client.h
+++ b/libraries/claims/include/switchsaddle/claims/peer_claim_client.h
@@ -13,28 +13,28 @@
 
 namespace switchsaddle::claims {
 
-/** Time-outs of the claim client. */
+/** Time limits of the claim client. */
 struct ClaimClientOptions {
-  /** After this time without a reply the next core is tried. */
+  /** After this time without a reply, the request is sent to the next core. */
   base::Duration core_timeout = std::chrono::milliseconds(300);
-  /** Bound of a begin or finish; then it ends as not available. */
+  /** Time limit of a begin or finish; then it ends with `available == false`. */
   base::Duration deadline = std::chrono::seconds(2);
-  /** Delay after all core nodes were tried without success. */
+  /** Delay before the next attempt after the attempts at all core nodes have failed. */
   base::Duration retry_delay = std::chrono::milliseconds(50);
 };
 
 /**
- * Sends claims to core nodes in turn, beginning with the one that replied last. After a time-out
- * the next core is tried, but a late reply still counts, and a core with a pending reply gets no
- * second request. Each callback is called exactly once, unless the client is destroyed before. A
- * reply with `available == false` means that the request may or may not be recorded. Runs on the
- * dispatcher's strand.
+ * Sends claim requests to one core node after the other, beginning with the one that replied last.
+ * After a timeout the request is sent to the next core. A late reply of an earlier core is still
+ * used, and a core with an outstanding request gets no second one. Each callback is called exactly
+ * once, unless the client is destroyed before. A reply with `available == false` means that the
+ * request may or may not have been recorded. Runs on the dispatcher's strand.
  */
 class PeerClaimClient : public ClaimClient {
  public:
   using CoreAddresses = std::function<std::vector<base::NodeAddress>()>;
 
-  /** @param cores evaluated at each attempt for the core nodes known then. */
+  /** @param cores returns the current addresses of the core nodes; called at each attempt. */
   PeerClaimClient(base::Dispatcher& dispatcher, transport::PeerCalls& calls, CoreAddresses cores,
                   ClaimClientOptions options = {});
 
@@ -47,14 +47,14 @@
     wire::Message request;
     ClaimCallback callback;
     base::TimePoint deadline;
-    /** Index of the core to try next, modulo their number. */
+    /** Index of the core for the next attempt, modulo the number of cores. */
     std::size_t core_index = 0;
-    /** Cores tried since the last retry delay. */
+    /** Number of attempts since the last retry delay. */
     std::size_t attempts = 0;
-    /** The core that was tried last. */
+    /** The core of the last attempt. */
     base::NodeAddress last_core;
-    /** Cores with a pending reply. */
-    std::set<base::NodeAddress> pending;
+    /** Cores with an outstanding request. */
+    std::set<base::NodeAddress> outstanding;
     base::TimerPtr timeout_timer;
     base::TimerPtr retry_timer;
   };
--- a/libraries/claims/source/claim_service.cc
+++ b/libraries/claims/source/claim_service.cc
@@ -13,15 +13,15 @@
 namespace {
 
 /**
- * @return the claim; unset where the register is empty. A corrupt claim is decoded as Unknown, so
- * that the key never runs again.
+ * @return the claim, or std::nullopt if the register is empty. A corrupt claim is decoded as
+ * Unknown, so that no further run can claim the key.
  */
-std::optional<ClaimValue> readClaim(const std::string& present) {
-  if (present.empty()) {
+std::optional<ClaimValue> readClaim(const std::string& current) {
+  if (current.empty()) {
     return std::nullopt;
   }
   try {
-    return decodeClaim(present);
+    return decodeClaim(current);
   } catch (const base::Error&) {
     ClaimValue value;
     value.state = ClaimState::Unknown;
@@ -29,10 +29,10 @@
   }
 }
 
-std::optional<std::string> applyBegin(const wire::ClaimBegin& request, const std::string& present) {
-  const std::optional<ClaimValue> claim = readClaim(present);
+std::optional<std::string> applyBegin(const wire::ClaimBegin& request, const std::string& current) {
+  const std::optional<ClaimValue> claim = readClaim(current);
   const bool claimable = !claim || claim->state == ClaimState::NotRun;
-  // A late begin whose run has ended already must not claim the key: nobody would end the claim.
+  // A late begin of a run that has ended must not claim the key, since no one would end the claim.
   const bool has_ended = claim && claim->run == request.run;
   if (!claimable || has_ended) {
     return std::nullopt;
@@ -46,13 +46,13 @@
 }
 
 std::optional<std::string> applyFinish(const wire::ClaimFinish& request,
-                                       const std::string& present) {
+                                       const std::string& current) {
   if (request.state == ClaimState::InFlight) {
     return std::nullopt;
   }
-  std::optional<ClaimValue> claim = readClaim(present);
+  std::optional<ClaimValue> claim = readClaim(current);
   if (!claim && request.state == ClaimState::NotRun) {
-    // The begin may still be in flight; the record prevents it from claiming the key later.
+    // The begin may still be in flight. The recorded claim prevents it from claiming the key later.
     claim = ClaimValue{};
     claim->run = request.run;
   }
@@ -99,8 +99,8 @@
 
 void ClaimService::begin(const wire::ClaimBegin& request,
                          std::function<void(wire::ClaimReply)> reply) {
-  const auto change = [request](const std::string& present) {
-    return applyBegin(request, present);
+  const auto change = [request](const std::string& current) {
+    return applyBegin(request, current);
   };
   proposer_.change(claimKey(request.tenant, request.idempotency_key), change,
                    [run = request.run, reply = std::move(reply)](const auto& outcome) {
@@ -110,8 +110,8 @@
 
 void ClaimService::finish(const wire::ClaimFinish& request,
                           std::function<void(wire::ClaimReply)> reply) {
-  const auto change = [request](const std::string& present) {
-    return applyFinish(request, present);
+  const auto change = [request](const std::string& current) {
+    return applyFinish(request, current);
   };
   proposer_.change(claimKey(request.tenant, request.idempotency_key), change,
                    [run = request.run, state = request.state, reply = std::move(reply)](
--- a/libraries/claims/source/claim_value.cc
+++ b/libraries/claims/source/claim_value.cc
@@ -59,10 +59,14 @@
   wire::readRecord(bytes, layout, value.state, value.fingerprint, value.run, value.http_status,
                    value.answer, value.lifetime_s);
   if (layout != LayoutVersion) {
-    throw base::Error(base::ResultCode::RecordCorrupt, "claim is of another layout");
+    throw base::Error(base::ResultCode::RecordCorrupt, "stored claim has layout version " +
+                                                           std::to_string(layout) + "; expected " +
+                                                           std::to_string(LayoutVersion));
   }
   if (value.state > wire::ClaimState::Unknown) {
-    throw base::Error(base::ResultCode::RecordCorrupt, "claim is in no known state");
+    throw base::Error(base::ResultCode::RecordCorrupt,
+                      "stored claim has an undefined state " +
+                          std::to_string(static_cast<unsigned>(value.state)));
   }
   return value;
 }
--- a/libraries/claims/source/peer_claim_client.cc
+++ b/libraries/claims/source/peer_claim_client.cc
@@ -45,7 +45,7 @@
   }
   ++operation.attempts;
   const base::NodeAddress& core = cores[operation.core_index % cores.size()];
-  if (operation.pending.contains(core)) {
+  if (operation.outstanding.contains(core)) {
     skipCore(id);
   } else {
     send(id, core, remaining);
@@ -56,7 +56,7 @@
                            base::Duration remaining) {
   Operation& operation = operations_.at(id);
   operation.last_core = core;
-  operation.pending.insert(core);
+  operation.outstanding.insert(core);
   operation.timeout_timer->enable(std::min(options_.core_timeout, remaining));
   calls_.call(core, operation.request, remaining,
               callbacks_.guard([this, id, core, core_index = operation.core_index](
@@ -70,7 +70,7 @@
     return;
   }
   Operation& operation = found->second;
-  operation.pending.erase(core);
+  operation.outstanding.erase(core);
   const auto* reply = result.as<wire::ClaimReply>();
   if (reply != nullptr && reply->available) {
     preferred_core_ = core_index;
--- a/libraries/claims/test/claim_service_test.cc
+++ b/libraries/claims/test/claim_service_test.cc
@@ -49,7 +49,7 @@
   ClaimService service{calls, proposer};
 };
 
-TEST_F(ClaimServiceTest, OneRunWinsAndMayRetry) {
+TEST_F(ClaimServiceTest, GrantsTheKeyToOneRunWhichMayRepeatItsBegin) {
   EXPECT_TRUE(begin(beginOf("a")).recorded);
   EXPECT_TRUE(begin(beginOf("a")).recorded);
   const wire::ClaimReply other = begin(beginOf("b"));
@@ -59,7 +59,7 @@
   EXPECT_EQ(other.run, "a");
 }
 
-TEST_F(ClaimServiceTest, AnotherRequestWithTheKeyGetsTheFirstFingerprint) {
+TEST_F(ClaimServiceTest, RejectedBeginReceivesTheFingerprintOfTheFirstRequest) {
   begin(beginOf("a", 7));
   const wire::ClaimReply other = begin(beginOf("b", 8));
   EXPECT_FALSE(other.recorded);
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_F(ClaimServiceTest, NotRunMayBeClaimedAgainByAnotherRunOnly) {
+TEST_F(ClaimServiceTest, KeyOfARunThatEndedAsNotRunCanBeClaimedOnlyByAnotherRun) {
   begin(beginOf("a"));
   EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).recorded);
   EXPECT_FALSE(begin(beginOf("a")).recorded);
@@ -98,36 +98,36 @@
   EXPECT_EQ(begin(beginOf("c")).state, ClaimState::InFlight);
 }
 
-TEST_F(ClaimServiceTest, AWithdrawnClaimIsNotGrantedToItsLateBegin) {
+TEST_F(ClaimServiceTest, RejectsALateBeginOfARunThatEndedAsNotRun) {
   EXPECT_FALSE(finish(finishOf("z", ClaimState::Ran, "x")).recorded);
   EXPECT_TRUE(finish(finishOf("a", ClaimState::NotRun)).recorded);
   EXPECT_FALSE(begin(beginOf("a")).recorded);
   EXPECT_TRUE(begin(beginOf("b")).recorded);
 }
 
-TEST_F(ClaimServiceTest, WithoutQuorumItIsNotAvailable) {
+TEST_F(ClaimServiceTest, RepliesUnavailableWithoutAQuorum) {
   proposer.outage = MemoryProposer::Outage::AfterChange;
-  const wire::ClaimReply lost = begin(beginOf("a"));
-  EXPECT_FALSE(lost.available);
-  EXPECT_FALSE(lost.recorded);
+  const wire::ClaimReply unavailable = begin(beginOf("a"));
+  EXPECT_FALSE(unavailable.available);
+  EXPECT_FALSE(unavailable.recorded);
   proposer.outage = MemoryProposer::Outage::None;
   EXPECT_TRUE(begin(beginOf("a")).recorded);
 }
 
-TEST_F(ClaimServiceTest, ACorruptClaimNeverRuns) {
+TEST_F(ClaimServiceTest, RejectsABeginIfTheStoredClaimIsCorrupt) {
   proposer.values[claimKey("editors", "k1")] = "torn";
   const wire::ClaimReply reply = begin(beginOf("a"));
   EXPECT_FALSE(reply.recorded);
   EXPECT_EQ(reply.state, ClaimState::Unknown);
 }
 
-TEST(ClaimKey, TenantsNeverShareAKey) {
+TEST(ClaimKey, KeysOfTwoTenantsAreDistinct) {
   EXPECT_EQ(claimKey("editors", "k"), "claim/editors/k");
   EXPECT_NE(claimKey("a/b", "c"), claimKey("a", "b/c"));
   EXPECT_NE(claimKey("a/b", "c"), claimKey("a%2Fb", "c"));
 }
 
-/** A client on a front, and two core nodes with one set of registers. */
+/** A client on a front, and two core nodes that share their registers. */
 class PeerClaimClientTest : public testing::Test {
  protected:
   struct Core {
--- a/libraries/claims/test/memory_proposer.h
+++ b/libraries/claims/test/memory_proposer.h
@@ -11,7 +11,7 @@
 /** Registers in memory, with an outage that the test controls. */
 class MemoryProposer : public registers::RegisterProposer {
  public:
-  /** How changes fail: not at all, before or after they are applied. */
+  /** Whether changes fail, and if so, before or after they are applied. */
   enum class Outage { None, BeforeChange, AfterChange };
 
   void change(const std::string& key, registers::ChangeFunction function,
--- a/libraries/claims/test/peer_claim_client_test.cc
+++ b/libraries/claims/test/peer_claim_client_test.cc
@@ -74,7 +74,7 @@
   std::size_t replies_ = 0;
 };
 
-TEST_F(SlowClaimCoresTest, AReplyAfterTheCoreTimeoutCounts) {
+TEST_F(SlowClaimCoresTest, UsesAReplyThatArrivesAfterTheCoreTimeout) {
   for (const auto& core : cores_) {
     core->reply_delay = milliseconds(500);
   }
@@ -86,7 +86,7 @@
   EXPECT_EQ(requests(), 2U);
 }
 
-TEST_F(SlowClaimCoresTest, ACoreWithAPendingReplyGetsNoSecondRequest) {
+TEST_F(SlowClaimCoresTest, SendsNoSecondRequestToACoreWithAnOutstandingOne) {
   for (const auto& core : cores_) {
     core->reply_delay = seconds(10);
   }
