--- a/libraries/lease/include/switchsaddle/lease/lease_holder.h
+++ b/libraries/lease/include/switchsaddle/lease/lease_holder.h
@@ -31,8 +31,9 @@
  * higher term than the one before it. held() compares the current time with the end of the lease,
  * which is measured from the request to the granters and shortened by the drift margin.
  *
- * If the failed campaign of a rival has raised the term at a granter, the holder raises its own
- * term, so that this granter grants its renewals again. Runs on the dispatcher's strand.
+ * If the failed campaign of a rival has used the holder's term or a higher one at a granter, the
+ * holder raises its own term, so that this granter grants its renewals again. Runs on the
+ * dispatcher's strand.
  */
 class LeaseHolder {
  public:
--- a/libraries/registers/include/switchsaddle/registers/acceptor_set_change.h
+++ b/libraries/registers/include/switchsaddle/registers/acceptor_set_change.h
@@ -34,7 +34,7 @@
  * Invariant: before M' is proposed, a majority of M has synced the joint set, so that no quorum of
  * M alone can form any more, and the new member has synced every register that a majority of M had
  * at that time. If the driver of a change fails, another one can finish the change or roll it back.
- * docs/design/registers.md has the proof.
+ * docs/design/registers.md explains why this is safe.
  *
  * Runs on the acceptor's strand; drives one change at a time.
  */
--- a/libraries/registers/source/operation_batch.h
+++ b/libraries/registers/source/operation_batch.h
@@ -23,9 +23,9 @@
 
 /**
  * The operations on one key that share one pair of rounds, and the proposals of earlier attempts
- * that a quorum may have accepted although its answers were lost. Such a proposal is recognized by
- * its ballot in the accepted value's lineage, so that no change function takes effect twice.
- * Callbacks are posted to the dispatcher, each exactly once. Runs on the proposer's strand.
+ * that acceptors may have accepted although their answers did not arrive. Such a proposal is
+ * recognized by its ballot in the accepted value's lineage, so that no change function takes effect
+ * twice. Callbacks are posted to the dispatcher, each exactly once. Runs on the proposer's strand.
  */
 class OperationBatch {
  public:
