--- a/libraries/registers/test/register_expiry_test.cc
+++ b/libraries/registers/test/register_expiry_test.cc
@@ -107,9 +107,10 @@
   void onOutcome(const std::string& key, const std::string& value, base::TimePoint started_at,
                  const std::optional<Claim>& before, const RegisterOutcome& outcome) {
     const base::TimePoint now = cluster_.world.now();
-    const bool must_be_kept = before && started_at > before->acknowledged_at &&
-                              now < before->started_at + Lifetime && outcome.value != before->value;
-    if (must_be_kept) {
+    const bool replaced_early = before && started_at > before->acknowledged_at &&
+                                now < before->started_at + Lifetime &&
+                                outcome.value != before->value;
+    if (replaced_early) {
       violation_ =
           key + ": read " + outcome.value + "; expected the unexpired value " + before->value;
     }
