--- a/libraries/sessions/include/switchsaddle/sessions/address_digest.h
+++ b/libraries/sessions/include/switchsaddle/sessions/address_digest.h
@@ -8,7 +8,7 @@
 
 /**
  * @file
- * Digests by which nodes compare the addresses that they know without sending them.
+ * Digests of address lists, by which nodes compare their views without sending the addresses.
  */
 
 namespace switchsaddle::sessions {
--- a/libraries/sessions/include/switchsaddle/sessions/core_view.h
+++ b/libraries/sessions/include/switchsaddle/sessions/core_view.h
@@ -14,13 +14,14 @@
   virtual ~CoreView() = default;
   /** @return the members of the acceptor set, and those of the previous one during a change. */
   virtual std::vector<base::NodeAddress> coreAddresses() const = 0;
-  /** Whether these are a majority of the acceptor set, and of the previous one during a change. */
+  /** @return whether these are a majority of the acceptor set and, during a change, of the previous
+   * set. */
   virtual bool quorum(const std::set<base::NodeAddress>& answered) const = 0;
   /** @return the configuration version that the local acceptor has accepted and synced. */
   virtual std::uint64_t acceptedVersion() const = 0;
   /** @return the epoch of the acceptor set. */
   virtual std::uint64_t setEpoch() const { return 0; }
-  /** Whether the change of the acceptor set that admits the own instance is in progress. */
+  /** Whether the change of the acceptor set that admits this node's instance is in progress. */
   virtual bool joining() const { return false; }
   /** False while the local acceptor's instance is not admitted or has lost its state. */
   virtual bool mayVote() const = 0;
--- a/libraries/sessions/include/switchsaddle/sessions/session_client.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_client.h
@@ -12,35 +12,39 @@
 
 /** The state of a front's session. */
 enum class SessionState : std::uint8_t {
-  /** Not open, or lapsed: new work is rejected. */
+  /** Not open, or expired: new requests are rejected. */
   Expired,
-  /** Open, but the configuration version that it requires is not yet in force here. */
+  /** Open, but the required configuration version is not yet in force at this front. */
   CatchingUp,
-  /** Open and in force: new work is accepted. */
+  /** Open, with the required version in force: new requests are accepted. */
   Serving,
-  /** A majority of cores refuse connections: new work is accepted within the configured grace. */
+  /** A majority of cores refuse connections: new requests are accepted for the configured grace
+   * period. */
   ServingWithoutCore,
 };
 
 /**
  * The front's side of its session with the cores. The front's limit counts from the request, on a
- * clock that advances during suspension, so that the session of a frozen front has lapsed when it
- * resumes. Runs on the dispatcher's strand.
+ * clock that advances during suspension, so the session of a suspended front has expired when the
+ * front resumes. Runs on the dispatcher's strand.
  */
 class SessionClient {
  public:
   virtual ~SessionClient() = default;
   virtual void start() = 0;
-  /** Ends the session. @param closed called once a majority has recorded the end or the session has
-   * lapsed. */
+  /**
+   * Ends the session.
+   *
+   * @param closed called once a majority has recorded the end or the session has expired.
+   */
   virtual void close(std::function<void()> closed) = 0;
-  /** Evaluated by the clock at the time of the call; must be called right before each dispatch. */
+  /** Evaluated by the clock when called; must be called right before each dispatch. */
   virtual SessionState state() const = 0;
   bool mayDispatch() const {
     const SessionState now = state();
     return now == SessionState::Serving || now == SessionState::ServingWithoutCore;
   }
-  /** Reports a change of the configuration in force here; one renewal is sent at once. */
+  /** Reports a change of the configuration in force at this front and sends a renewal at once. */
   virtual void setApplied(std::uint64_t version, std::uint64_t digest) = 0;
   virtual const std::vector<base::NodeAddress>& coreAddresses() const = 0;
   virtual const std::vector<base::NodeAddress>& frontAddresses() const = 0;
--- a/libraries/sessions/include/switchsaddle/sessions/session_table.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_table.h
@@ -19,13 +19,13 @@
 class SessionReader;
 class SessionRecords;
 
-/** Test-only deviations that show that a rule is needed; never set in a daemon. */
+/** Test-only deviations, each of which shows that a rule is needed. Never set in a daemon. */
 struct SessionTableFaults {
-  /** Answers table requests right after the start as if no record could be missing. */
+  /** Answers table requests from the start, as if no record could be missing. */
   bool skip_recovery = false;
-  /** Allows the answers of one read to lie as far apart as its deadline. */
+  /** Bounds the time between the answers of one read by the read deadline only. */
   bool unbounded_read = false;
-  /** Records for, and answers, cores that count majorities of another acceptor set. */
+  /** Records sessions for, and answers, cores that count majorities in another acceptor set. */
   bool ignore_epoch = false;
 };
 
@@ -34,16 +34,17 @@
  * stores the records its peers send, and reads the live sessions of the fleet.
  *
  * Invariant: a front that a completed readLive() does not return dispatches nothing until it has
- * opened again with a version at least as new as every one accepted at a majority before the read.
- * It rests on five rules:
+ * opened a new session. That session requires a version at least as new as every version accepted
+ * at a majority before the read. The invariant rests on five rules:
  *
- * - records live longer at a core than at their front;
+ * - a session expires later at a core than at its front;
  * - a core that may have missed records does not count in reads for one core limit;
- * - all answers of one read lie within the difference of the two limits;
- * - a front takes its version only from a request made after its session was first granted;
+ * - all answers of one read are given within the difference of the two limits;
+ * - a front takes the required version only from a request made after its session was first
+ *   granted;
  * - majorities are counted among cores of one set epoch, and a core that joins counts in reads only
- *   one core limit after its set was committed. Until then the majority of the previous set, which
- *   may grant sessions that it never records, could still grant.
+ *   one core limit after its set was committed. Until then the majority of the previous set could
+ *   still grant sessions that the joining core never records.
  *
  * Runs on the control strand.
  */
@@ -64,10 +65,10 @@
   void readLagging(std::uint64_t version, LiveSessionsCallback callback) override;
   std::vector<wire::SessionTableEntry> localSessions() const override;
   std::vector<wire::SessionTableEntry> localLagging(std::uint64_t version) const override;
-  /** Calls the visitor for each live session recorded here, without a copy of its record. */
+  /** Calls the visitor for each live session in this node's table, without copying its record. */
   void visitLocal(const std::function<void(const wire::SessionRecord&)>& visitor) const;
   void setGrantSource(GrantSource source);
-  /** @param listener called for each record that is newer than the one before of its session. */
+  /** @param listener called for each record that is newer than its session's previous record. */
   void setRecordListener(RecordListener listener);
   /** Whether sessions granted before may be missing from this node's table. */
   bool recovering() const;
--- a/libraries/sessions/include/switchsaddle/sessions/session_times.h
+++ b/libraries/sessions/include/switchsaddle/sessions/session_times.h
@@ -8,9 +8,10 @@
 
 /** Time limits of sessions; all nodes of a fleet must share them. */
 struct SessionTimes {
-  /** A front's own limit, counted from its request. */
+  /** Time after which a session expires at its front, counted from the request. */
   base::Duration front_limit = std::chrono::milliseconds(1'000);
-  /** A core's limit, counted from receipt of the record; above the front's. */
+  /** Time after which a session expires at a core, counted from receipt of the record. Must exceed
+   * front_limit. */
   base::Duration core_limit = std::chrono::milliseconds(1'500);
   /** Interval of renewals. */
   base::Duration renewal = std::chrono::milliseconds(250);
@@ -18,15 +19,15 @@
   base::Duration core_timeout = std::chrono::milliseconds(300);
   /** Time-out of a read of the live sessions. */
   base::Duration read_deadline = std::chrono::milliseconds(2'000);
-  /** How long after its last grant a front may serve while a majority of cores refuse connections;
-   * zero: not at all. */
+  /** How long after its session expired a front may serve while a majority of cores refuse
+   * connections. Zero disables serving without a core. */
   base::Duration core_refused_grace = std::chrono::seconds(60);
-  /** Least time between two batches of records from one core to its peers. */
+  /** Minimum time between two batches of records from one core to its peers. */
   base::Duration batch_interval = std::chrono::milliseconds(20);
-  /** The same where a record shows a version that its front has newly applied, since a change may
-   * wait for it. */
+  /** The same if a record shows a version that its front has newly applied, since a change may wait
+   * for it. */
   base::Duration applied_batch_interval = std::chrono::milliseconds(2);
-  /** Longest time for which a batch waits until a majority has recorded the one before. */
+  /** Maximum time for which a batch waits until a majority has recorded the previous one. */
   base::Duration longest_batch_interval = std::chrono::milliseconds(100);
 };
 
--- a/libraries/sessions/source/grant_chain.h
+++ b/libraries/sessions/source/grant_chain.h
@@ -12,15 +12,16 @@
   base::TimePoint requested_at;
   base::TimePoint received_at;
   base::TimePoint expires_at;
-  /** Highest version that one of the cores which recorded the request had accepted. */
+  /** Highest version that any of the cores that recorded the request had accepted. */
   std::uint64_t committed_version = 0;
 };
 
 /**
- * A session as the front has it: an unbroken chain of grants, each received before the previous one
- * expired. The version that must be in force is taken from the first request made after the chain's
- * first grant was received. Only then do all cores that answer do so after a majority has recorded
- * the session.
+ * The front's view of its session: an unbroken chain of grants, each received before the previous
+ * one expired. The required version is taken from the grant of the first request made after the
+ * chain's first grant was received. All cores answer such a request after a majority has recorded
+ * the session, so the version cannot be older than one committed before a read that missed the
+ * session.
  */
 class GrantChain {
  public:
@@ -31,9 +32,9 @@
   /** Adds a grant that has not expired. @return whether it began a new chain. */
   bool add(const ReceivedGrant& grant);
   bool valid(base::TimePoint now) const { return expires_at_ && now < *expires_at_; }
-  /** @return when the chain ends, or ended; nothing before the first grant. */
+  /** @return when the chain expires or expired; std::nullopt before the first grant. */
   const std::optional<base::TimePoint>& expiresAt() const { return expires_at_; }
-  /** Whether this version may be dispatched by. */
+  /** Whether requests may be dispatched by this configuration version. */
   bool allowsVersion(std::uint64_t version) const {
     return required_version_ && version >= *required_version_;
   }
@@ -43,7 +44,7 @@
   std::optional<base::TimePoint> expires_at_;
   /** When the first grant of the chain was received. */
   base::TimePoint began_at_;
-  /** Unset until a request made after the chain's first grant is granted. */
+  /** std::nullopt until a request made after the chain's first grant is granted. */
   std::optional<std::uint64_t> required_version_;
 };
 
--- a/libraries/sessions/source/quorum_session_client.cc
+++ b/libraries/sessions/source/quorum_session_client.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-/** A renewal timer that runs later than this shows that the process was suspended. */
+/** If the renewal timer expires later than this, the process is taken to have been suspended. */
 constexpr base::Duration SuspensionThreshold = std::chrono::milliseconds(100);
-/** Pause after a suspension, in which the answers that queued up meanwhile are handled. */
+/** Pause after a suspension, in which the answers that queued up during it are handled. */
 constexpr base::Duration PauseAfterSuspension = std::chrono::milliseconds(10);
 
 }  // namespace
@@ -68,7 +68,7 @@
     renewAtAllCores();
     return;
   }
-  // A core that is slow to answer must not receive more requests for it.
+  // A core that answers slowly must not receive additional requests.
   const base::NodeAddress* current = cores_->current();
   if (current != nullptr && !renewalPending(*current)) {
     renewAtCurrentCore();
@@ -187,7 +187,7 @@
 }
 
 void QuorumSessionClient::onRefused(const base::NodeAddress& core, base::TimePoint requested_at) {
-  // A refusal that waited in the queue of this process shows nothing about the present.
+  // A refusal that was queued in this process for longer is outdated.
   if (dispatcher_.now() < requested_at + times_.core_timeout) {
     grace_->addRefusal(core, requested_at);
     updateGrace();
@@ -205,7 +205,7 @@
   if (!until) {
     return;
   }
-  if (newerVersionShown()) {
+  if (newerVersionObserved()) {
     grace_->end();
     return;
   }
@@ -216,8 +216,8 @@
 }
 
 void QuorumSessionClient::observeNewerVersion(std::uint64_t version) {
-  newest_version_shown_ = std::max(newest_version_shown_, version);
-  if (newerVersionShown() && !sessionValid()) {
+  newest_observed_version_ = std::max(newest_observed_version_, version);
+  if (newerVersionObserved() && !sessionValid()) {
     grace_->end();
   }
 }
@@ -242,7 +242,7 @@
   }
   const base::TimePoint now = dispatcher_.now();
   const std::optional<base::TimePoint>& expired_at = grants_->expiresAt();
-  const bool refused = grace_->covers(now) && !newerVersionShown();
+  const bool refused = grace_->covers(now) && !newerVersionObserved();
   const bool within_grace = expired_at && now < *expired_at + times_.core_refused_grace;
   return refused && within_grace ? SessionState::ServingWithoutCore : SessionState::Expired;
 }
--- a/libraries/sessions/source/recording_eligibility.h
+++ b/libraries/sessions/source/recording_eligibility.h
@@ -11,15 +11,16 @@
 
 /**
  * Decides whether this core may record sessions, and whether its table counts in majority reads. A
- * core that may have missed records, since it was not eligible to record them, is recovering for
- * one core limit. Runs on the control strand.
+ * core that was not eligible to record sessions may have missed records, and is recovering for one
+ * core limit. Runs on the control strand.
  */
 class RecordingEligibility {
  public:
   RecordingEligibility(const base::Dispatcher& dispatcher, const CoreView& view,
                        base::Duration core_limit, SessionTableFaults faults);
 
-  /** Checks the acceptor. Called often enough to notice each interval in which it may not vote. */
+  /** Checks the acceptor. Must be called often enough to detect each interval in which it may not
+   * vote. */
   void update();
   /** Whether sessions granted before may be missing from this core's table. */
   bool recovering();
@@ -31,8 +32,8 @@
   const CoreView& view_;
   base::Duration core_limit_;
   SessionTableFaults faults_;
-  /** Since when this incarnation has recorded every session; unset while it may not vote, or joins.
-   */
+  /** Since when this incarnation has recorded every session; std::nullopt while it may not vote or
+   * is joining. */
   std::optional<base::TimePoint> eligible_since_;
 };
 
--- a/libraries/sessions/source/refusal_grace.h
+++ b/libraries/sessions/source/refusal_grace.h
@@ -11,9 +11,9 @@
 namespace switchsaddle::sessions {
 
 /**
- * Tracks whether a majority of cores refuse connections, so that a front may serve without a
- * session. The refusals cover the present time while a majority of the known cores have refused
- * within the lifetime of a refusal, without a gap since before the session lapsed.
+ * Tracks whether a majority of cores refuse connections, in which case a front may serve without a
+ * session. The refusals cover the present time if a majority of the known cores have refused within
+ * the lifetime of a refusal, without a gap since before the session expired.
  */
 class RefusalGrace {
  public:
@@ -21,11 +21,11 @@
   void addRefusal(const base::NodeAddress& core, base::TimePoint requested_at);
   /** Records an answer of a core, which ends the coverage. */
   void removeRefusal(const base::NodeAddress& core);
-  /** Drops all refusals; the coverage goes on until it expires. */
+  /** Drops all refusals; the coverage continues until it expires. */
   void clearRefusals() { refusals_.clear(); }
   bool hasRefusals() const { return !refusals_.empty(); }
 
-  /** @return until when a majority of the cores count as refusing; nothing where fewer refuse. */
+  /** @return until when a majority of the cores count as refusing; std::nullopt if fewer refuse. */
   std::optional<base::TimePoint> majorityRefusesUntil(
       const std::vector<base::NodeAddress>& cores) const;
   void coverUntil(base::TimePoint until) { covered_until_ = until; }
--- a/libraries/sessions/source/session_granter.h
+++ b/libraries/sessions/source/session_granter.h
@@ -15,9 +15,9 @@
 
 /**
  * Grants sessions. The records of the requests received within an interval are sent to all cores in
- * one batch, and the sessions granted once a majority of the same acceptor set has recorded it. The
- * next batch waits until a majority has recorded the one before, up to a bound: while cores are
- * slow, batches get fewer and larger. Runs on the control strand.
+ * one batch. The sessions are granted once a majority of the same acceptor set has recorded the
+ * batch. The next batch waits until a majority has recorded the previous one, up to a maximum time,
+ * so that slow cores receive fewer and larger batches. Runs on the control strand.
  */
 class SessionGranter {
  public:
@@ -42,14 +42,14 @@
     std::vector<PendingGrant> grants;
     /** The cores that have recorded the batch. */
     std::set<base::NodeAddress> recorded_at;
-    /** Highest version that one of them has accepted. */
+    /** Highest version that any of them has accepted. */
     std::uint64_t committed_version = 0;
     /** Whether a majority has recorded the batch. */
     bool recorded = false;
   };
 
-  /** Sends the queued records once the interval has passed since the last batch and a majority has
-   * recorded that, or earlier where that is due already. */
+  /** Schedules the next batch for when the interval has passed since the last one and a majority
+   * has recorded that. An earlier schedule is kept. */
   void scheduleFlush(base::Duration interval);
   void flush();
   void onBatchReply(const base::NodeAddress& peer, Batch& batch,
@@ -69,7 +69,7 @@
   base::Duration queue_interval_ = base::Duration::max();
   std::optional<base::TimePoint> last_flush_;
   std::uint64_t newest_batch_ = 0;
-  /** Whether no majority has recorded the newest batch yet. */
+  /** Whether the newest batch has not been recorded by a majority. */
   bool batch_in_flight_ = false;
   /** When the flush timer expires, while it runs. */
   base::TimePoint flush_due_;
--- a/libraries/sessions/source/session_reader.cc
+++ b/libraries/sessions/source/session_reader.cc
@@ -19,7 +19,7 @@
   if (faults_.unbounded_read) {
     return times_.read_deadline;
   }
-  // A fifth of the difference allows for clocks that run at different speeds.
+  // A fifth of the difference is a margin for clocks that run at different speeds.
   return (times_.core_limit - times_.front_limit) * 4 / 5;
 }
 
--- a/libraries/sessions/source/session_reader.h
+++ b/libraries/sessions/source/session_reader.h
@@ -14,8 +14,8 @@
 namespace switchsaddle::sessions {
 
 /**
- * Reads the live sessions of the fleet from a majority of cores. All answers of one read are given
- * within a bound; a read whose answers are further apart starts another round and keeps nothing.
+ * Reads the live sessions of the fleet from a majority of cores. All answers of one read must be
+ * given within roundLimit(). Otherwise the read discards them and starts another round.
  * Runs on the control strand.
  */
 class SessionReader {
@@ -24,20 +24,20 @@
                 const CoreView& view, const RecordingEligibility& eligibility,
                 SessionTableFaults faults);
 
-  /** Reads the sessions of fronts that have an older version than this in force. */
+  /** Reads the sessions of fronts with a version below `below_version` in force. */
   void read(std::uint64_t below_version, LiveSessionsCallback callback);
 
  private:
   /** One read in progress. */
   struct Read {
     std::uint64_t below_version = UINT64_MAX;
-    /** Unset once the read has ended. */
+    /** Empty once the read has ended. */
     LiveSessionsCallback callback;
     base::TimePoint deadline;
     base::TimePoint round_started;
     std::uint64_t round = 0;
     std::uint64_t set_epoch = 0;
-    /** The cores that have answered the present round. */
+    /** The cores that have answered in the present round. */
     std::set<base::NodeAddress> answered;
     std::map<SessionKey, wire::SessionTableEntry> live;
     base::TimerPtr timer;
@@ -50,7 +50,7 @@
   static void merge(Read& read, const wire::SessionTableEntry& entry);
   /** @param read by value, since it must outlive its removal from `reads_`. */
   void finish(ReadPtr read, base::ResultCode code);
-  /** Longest time between the start of a round and an answer that counts. */
+  /** @return the maximum time between the start of a round and an answer that counts. */
   base::Duration roundLimit() const;
 
   base::Dispatcher& dispatcher_;
--- a/libraries/sessions/source/session_records.cc
+++ b/libraries/sessions/source/session_records.cc
@@ -9,9 +9,9 @@
 
 namespace {
 
-/** A record without the front's load and demand. Tables are read many times a second while a change
- * waits for fronts, and these fields are most of their size. */
-wire::SessionRecord bareRecord(const wire::SessionRecord& record) {
+/** @return the record without the front's load and demand, which are most of its size. Tables are
+ * read many times a second while a change waits for fronts. */
+wire::SessionRecord withoutLoadAndDemand(const wire::SessionRecord& record) {
   return {record.front,          record.instance, record.sequence, record.applied_version,
           record.applied_digest, record.zone,     record.closed};
 }
@@ -63,19 +63,19 @@
 
 void SessionRecords::removeExpired() {
   const base::TimePoint now = dispatcher_.now();
-  std::vector<wire::SessionRecord> lapsed;
-  std::erase_if(entries_, [this, &lapsed, now](const auto& item) {
+  std::vector<wire::SessionRecord> expired;
+  std::erase_if(entries_, [this, &expired, now](const auto& item) {
     const Entry& entry = item.second;
     if (now < entry.expires_at) {
       return false;
     }
     if (!entry.record.closed) {
-      lapsed.push_back(entry.record);
+      expired.push_back(entry.record);
     }
     fronts_outdated_ = true;
     return true;
   });
-  for (const wire::SessionRecord& record : lapsed) {
+  for (const wire::SessionRecord& record : expired) {
     journalSession(record);
   }
 }
@@ -109,7 +109,8 @@
   const base::TimePoint now = dispatcher_.now();
   for (const auto& [key, entry] : entries_) {
     if (isLive(entry, now) && entry.record.applied_version < version) {
-      sessions.push_back({bareRecord(entry.record), remainingMilliseconds(entry.expires_at, now)});
+      sessions.push_back(
+          {withoutLoadAndDemand(entry.record), remainingMilliseconds(entry.expires_at, now)});
     }
   }
   return sessions;
--- a/libraries/sessions/source/session_records.h
+++ b/libraries/sessions/source/session_records.h
@@ -15,7 +15,7 @@
 /** A front process: its address and its random instance. */
 using SessionKey = std::pair<base::NodeAddress, std::uint64_t>;
 
-/** The fronts of all sessions on record that are not closed. */
+/** The fronts of all recorded sessions that are not closed. */
 struct FrontMembership {
   /** In ascending order. */
   std::vector<base::NodeAddress> fronts;
@@ -23,10 +23,10 @@
 };
 
 /**
- * The session records at one core. A record expires one core limit after it was received. Two
- * instances at one front address are kept side by side until they expire: nothing in a record shows
- * which process is the newer, and a late record of the one that ended must not hide the running
- * one. Runs on the control strand.
+ * The session records at one core. A record expires one core limit after it was received. The
+ * records of two instances at one front address are kept until each expires: nothing in a record
+ * shows which process is the newer, and a late record of the ended process must not replace that of
+ * the running one. Runs on the control strand.
  */
 class SessionRecords {
  public:
@@ -36,11 +36,11 @@
   SessionRecords(const base::Dispatcher& dispatcher, journal::Journal& journal,
                  base::Duration core_limit);
 
-  /** @param listener called for each record that is newer than the one before of its session. */
+  /** @param listener called for each record that is newer than its session's previous record. */
   void setListener(RecordListener listener) { listener_ = std::move(listener); }
-  /** Stores the record where its sequence is above that of the one on record. */
+  /** Stores the record if its sequence is above that of the session's stored record. */
   void store(const wire::SessionRecord& record);
-  /** Whether the record shows a version that its front has applied since the one on record. */
+  /** Whether the record shows a newer applied version than the session's stored record. */
   bool showsNewerVersion(const wire::SessionRecord& record) const;
   void removeExpired();
 
@@ -48,9 +48,10 @@
   void visitLive(const Visitor& visitor) const;
   /** @return the live sessions with complete records. */
   std::vector<wire::SessionTableEntry> liveSessions() const;
-  /** @return the live sessions of fronts with an older version than this, in bare records. */
+  /** @return the live sessions of fronts with a version below `version`, without load and demand.
+   */
   std::vector<wire::SessionTableEntry> laggingSessions(std::uint64_t version) const;
-  /** @return the fronts, computed again only where they may have changed. */
+  /** @return the fronts, recomputed only if they may have changed. */
   const FrontMembership& fronts();
 
  private:
@@ -60,7 +61,7 @@
   };
 
   static bool isLive(const Entry& entry, base::TimePoint now);
-  /** Journals which instances at the record's address have sessions now. */
+  /** Journals which instances at the record's address have sessions at present. */
   void journalSession(const wire::SessionRecord& record);
 
   const base::Dispatcher& dispatcher_;
--- a/libraries/sessions/test/quorum_session_client_test.cc
+++ b/libraries/sessions/test/quorum_session_client_test.cc
@@ -50,28 +50,28 @@
   EXPECT_EQ(state(), SessionState::Serving);
 }
 
-TEST_F(QuorumSessionClientTest, KeepsServingWhileCoresFreezeOneAfterAnother) {
+TEST_F(QuorumSessionClientTest, KeepsServingWhileEachCoreFreezesInTurn) {
   for (std::size_t index = 0; index < SessionFleet::CoreCount; ++index) {
     fleet_.core(index).process.freeze();
-    const bool lapsed =
+    const bool expired =
         fleet_.runUntil([this] { return !front_.client->mayDispatch(); }, seconds(3));
-    EXPECT_FALSE(lapsed) << "core " << index;
+    EXPECT_FALSE(expired) << "core " << index;
     fleet_.core(index).process.wake();
     fleet_.run(seconds(2));
   }
 }
 
 TEST_F(QuorumSessionClientTest, KeepsServingWhileEveryCoreExceedsTheTimeout) {
-  // Four messages: the request, the batch, its reply and the grant.
+  // A renewal takes four messages: the request, the batch, its reply and the grant.
   fleet_.network.conditions.minimum_delay = milliseconds(95);
   fleet_.network.conditions.maximum_delay = milliseconds(105);
   fleet_.run(seconds(2));
-  const bool lapsed =
+  const bool expired =
       fleet_.runUntil([this] { return !front_.client->mayDispatch(); }, seconds(10));
-  EXPECT_FALSE(lapsed);
+  EXPECT_FALSE(expired);
 }
 
-TEST_F(QuorumSessionClientTest, SendsNoMoreRenewalsWhenEveryCoreIsSlow) {
+TEST_F(QuorumSessionClientTest, SendsNoAdditionalRenewalsWhenEveryCoreIsSlow) {
   std::size_t renewals = 0;
   fleet_.network.observer = [&](const auto&, const wire::Envelope& envelope, std::size_t) {
     renewals += std::holds_alternative<wire::SessionOpenRequest>(envelope.message) ? 1 : 0;
@@ -96,9 +96,9 @@
   killCores(3);
   fleet_.run(seconds(2));
   EXPECT_EQ(state(), SessionState::ServingWithoutCore);
-  const bool lapsed =
+  const bool expired =
       fleet_.runUntil([this] { return state() == SessionState::Expired; }, seconds(57));
-  EXPECT_FALSE(lapsed);
+  EXPECT_FALSE(expired);
   fleet_.run(seconds(3));
   EXPECT_EQ(state(), SessionState::Expired);
   for (std::size_t index = 0; index < 3; ++index) {
@@ -107,7 +107,7 @@
   EXPECT_TRUE(fleet_.runUntil([this] { return state() == SessionState::Serving; }, seconds(2)));
 }
 
-TEST_F(QuorumSessionClientTest, GraceEndsForGoodWithANewerVersion) {
+TEST_F(QuorumSessionClientTest, NewerVersionEndsTheGracePermanently) {
   killCores(5);
   fleet_.run(seconds(2));
   ASSERT_EQ(state(), SessionState::ServingWithoutCore);
@@ -176,9 +176,9 @@
   }
   EXPECT_LE(listed, SessionFleet::CoreCount * (SessionFleet::FrontCount - 1) + 2);
   killCores(5);
-  bool lapsed = false;
-  fleet_.front(1).client->close([&] { lapsed = true; });
-  EXPECT_TRUE(fleet_.runUntil([&] { return lapsed; }, milliseconds(1'000)));
+  bool expired = false;
+  fleet_.front(1).client->close([&] { expired = true; });
+  EXPECT_TRUE(fleet_.runUntil([&] { return expired; }, milliseconds(1'000)));
 }
 
 }  // namespace
--- a/libraries/sessions/test/session_fleet.h
+++ b/libraries/sessions/test/session_fleet.h
@@ -11,7 +11,7 @@
 
 namespace switchsaddle::sessions {
 
-/** The deviations of all nodes of a fleet; all off in ordinary runs. */
+/** The deviations of all nodes of a fleet; none is set in runs that must keep the invariant. */
 struct FleetFaults {
   SessionTableFaults table = {};
   SessionClientFaults client = {};
@@ -23,7 +23,7 @@
 
   base::NodeAddress address;
   simulation::Process process;
-  /** The version that a core has accepted, which is durable. */
+  /** The version that a core has accepted. Durable: it survives a restart. */
   std::uint64_t accepted = 0;
   /** The version that a front has in force. */
   std::uint64_t applied = 0;
@@ -37,9 +37,9 @@
 };
 
 /**
- * Five cores and three fronts. After every event it checks the invariant: once a majority read has
- * completed without a front's instance, that instance dispatches only with a version in force at
- * least as new as any accepted at a majority before the read began.
+ * Five cores and three fronts. After every event it checks the invariant: if a completed majority
+ * read lacks a front's instance, that instance dispatches only with a version in force that is at
+ * least as new as every version accepted at a majority before the read began.
  */
 class SessionFleet {
  public:
@@ -54,7 +54,10 @@
   void kill(SessionNode& node);
   /** Partitions the node from all cores. */
   void isolate(SessionNode& node);
-  /** Runs with the check after every event. @return false at a violation or once the limit passed.
+  /**
+   * Runs until the condition holds, and checks the invariant after every event.
+   *
+   * @return false after a violation or when the limit has passed.
    */
   bool runUntil(const std::function<bool()>& condition, base::Duration limit);
   void run(base::Duration duration) {
@@ -62,7 +65,8 @@
   }
   /** A random majority of the running cores accepts a new version, each after its own delay. */
   void commit();
-  /** Reads the live sessions at a core and records what the invariant then requires. */
+  /** Reads the live sessions at a core and records the versions that the invariant then requires.
+   */
   void read(SessionNode& reader);
   /** Injects one random kill, restart, freeze or partition. */
   void injectFault();
--- a/libraries/sessions/test/session_simulation_test.cc
+++ b/libraries/sessions/test/session_simulation_test.cc
@@ -11,10 +11,10 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t SeedCount = 300;
-/** Number of seeds of the runs in which a rule is switched off. */
+/** Number of seeds for runs with a rule switched off. */
 constexpr std::uint64_t FaultySeedCount = 150;
 
-/** Thirty seconds of faults, commits and reads under one seed. */
+/** 30 s of faults, commits and reads under one seed. */
 void runSeed(SessionFleet& fleet, std::uint64_t seed) {
   fleet.network.conditions.loss = static_cast<double>(seed % 4) * 0.03;
   fleet.network.conditions.duplication = static_cast<double>(seed % 3) * 0.05;
@@ -34,7 +34,7 @@
   }
 }
 
-/** Twenty seconds of front restarts during slow messages, commits and reads under one seed. */
+/** 20 s of front restarts with slow messages, commits and reads under one seed. */
 void runOpenings(SessionFleet& fleet, std::uint64_t /*seed*/) {
   fleet.network.conditions.maximum_delay = milliseconds(90);
   const base::TimePoint end = fleet.world.now() + seconds(20);
@@ -74,7 +74,7 @@
     runSeed(fleet, seed);
     ASSERT_EQ(fleet.violation, "") << "seed " << seed;
     fleet.network.conditions = {};
-    // Freezes end, with a partition, up to 20 s after they began.
+    // Freezes end, some of them with a partition, up to 20 s after they began.
     fleet.run(seconds(21));
     fleet.repair();
     fleet.run(seconds(5));
@@ -117,8 +117,9 @@
 }
 
 /**
- * A read from core 4 whose last answer, that of the frozen core 2, is late: cores 0 to 2 had the
- * front's session when the read began; cores 0, 1 and 3 have it when the read ends.
+ * A read from core 4 whose last answer, from the frozen core 2, is late. Cores 0 to 2 have the
+ * front's session when the read begins; cores 0, 1 and 3 have it when the read ends. A read that
+ * accepts the late answer misses the session.
  */
 void runLateAnswer(SessionFleet& fleet) {
   fleet.apply_versions = false;
@@ -145,13 +146,13 @@
   EXPECT_EQ(front.client->state(), SessionState::Serving);
 }
 
-TEST(SessionSimulationTest, ReadRejectsAnswersTooFarApart) {
+TEST(SessionSimulationTest, ReadRejectsAnswersBeyondTheRoundLimit) {
   SessionFleet fleet(1);
   runLateAnswer(fleet);
   EXPECT_EQ(fleet.violation, "");
 }
 
-TEST(SessionSimulationTest, DetectsAReadWithoutBound) {
+TEST(SessionSimulationTest, DetectsAReadWithoutRoundLimit) {
   SessionFleet fleet(1, {.table = {.unbounded_read = true}});
   runLateAnswer(fleet);
   EXPECT_NE(fleet.violation, "");
--- a/libraries/sessions/test/session_table_epoch_test.cc
+++ b/libraries/sessions/test/session_table_epoch_test.cc
@@ -1,4 +1,5 @@
-// Sessions while the acceptor set changes: majorities of two sets must intersect.
+// Sessions during a change of the acceptor set: majorities of the two sets need not intersect, so a
+// session granted by one may be missing from a read by the other.
 
 #include <gtest/gtest.h>
 
@@ -35,7 +36,7 @@
   bool is_joining = false;
 };
 
-/** Six cores, of which the last replaces the fifth. */
+/** Six cores, of which the sixth replaces the fifth. */
 class SessionTableEpochTest : public testing::Test {
  protected:
   static constexpr std::size_t Leaving = 4;
@@ -92,7 +93,7 @@
     return granted;
   }
 
-  /** @return the number of sessions in a read; nothing where it finds no majority. */
+  /** @return the number of sessions in a read; std::nullopt if no majority answers. */
   std::optional<std::size_t> read(std::size_t core) {
     std::optional<std::size_t> found;
     bool ended = false;
@@ -106,7 +107,7 @@
     return found;
   }
 
-  /** Cores 3 and 4 do not adopt the final set, and reach only core 2 of those that do. */
+  /** Cores 3 and 4 do not adopt the final set. Of the cores that do, they reach only core 2. */
   void partitionSets() {
     for (const std::size_t index : {std::size_t{0}, std::size_t{1}, std::size_t{2}, Joining}) {
       adoptFinalSet(index);
--- a/libraries/sessions/test/session_table_test.cc
+++ b/libraries/sessions/test/session_table_test.cc
@@ -144,7 +144,7 @@
   }
   fleet_.run(milliseconds(400));
   EXPECT_EQ(granted_, Opens);
-  // A majority records each batch after 80 ms; it goes to four peers, each with a reply.
+  // A majority records each batch after 80 ms. A batch goes to four peers, each of which replies.
   EXPECT_LE(fleet_.network.envelopesSent() - before, std::size_t{2} * Opens + std::size_t{8} * 8);
 }
 
@@ -158,7 +158,7 @@
   }
   fleet_.run(milliseconds(100));
   EXPECT_EQ(granted_, 500U);
-  // 500 requests and replies; at most two batches, to four peers, with replies.
+  // 500 requests and replies, and at most two batches to four peers with their replies.
   EXPECT_LE(fleet_.network.envelopesSent() - before, 1'000U + 16U);
 }
 
