--- a/libraries/core/include/switchsaddle/core/change_coordinator.h
+++ b/libraries/core/include/switchsaddle/core/change_coordinator.h
@@ -21,7 +21,7 @@
   /** The version that the change created, or the version in force for a conflict. */
   std::uint64_t version = 0;
   std::vector<configuration::Fault> faults;
-  /** Whether this is the recorded outcome of an earlier attempt. */
+  /** Whether this is the recorded outcome of an earlier submission of the change. */
   bool repeated = false;
 };
 
@@ -29,7 +29,7 @@
 class ChangeCoordinator {
  public:
   virtual ~ChangeCoordinator() = default;
-  /** @param dry_run only checks the change against the present value. */
+  /** @param dry_run whether to only check the change against the present value. */
   virtual void submit(const configuration::Change& change, bool dry_run,
                       std::function<void(const ChangeAnswer&)> callback) = 0;
   /** Replaces the source document. */
@@ -38,14 +38,14 @@
   using Decide =
       std::function<configuration::ChangeDecision(const configuration::RegisterValue& present)>;
   /**
-   * Commits what a function decides on the present value.
+   * Commits the decision that a function makes on the present value.
    *
-   * @param decide may run more than once.
+   * @param decide may be called more than once.
    * @param change_id identifies the recorded decision.
    */
   virtual void submitOrder(Decide decide, const std::string& change_id,
                            std::function<void(const ChangeAnswer&)> callback) = 0;
-  /** Evacuates a zone, or ends its evacuation. Without effect on a zone in that state. */
+  /** Evacuates a zone, or ends its evacuation. No effect on a zone already in that state. */
   virtual void submitEvacuation(const std::string& zone, bool evacuated,
                                 std::function<void(const ChangeAnswer&)> callback) = 0;
 };
--- a/libraries/core/include/switchsaddle/core/configuration_follower.h
+++ b/libraries/core/include/switchsaddle/core/configuration_follower.h
@@ -15,22 +15,22 @@
 struct FollowerOptions {
   /**
    * Time for the proposer of an accepted version to commit it and to send its delta, before this
-   * node reads the register. A read transfers the whole value five times and competes with reads of
-   * peers, so it is meant for a proposer that failed.
+   * node reads the register. A read transfers the whole value five times and competes with reads by
+   * peers, so it is only meant for the case that the proposer failed.
    */
   base::Duration first_delay = std::chrono::milliseconds(300);
   /** Delay after a read that did not return the accepted version. */
   base::Duration retry_delay = std::chrono::milliseconds(200);
-  /** Interval of reads while no newer version is known. */
+  /** Interval of reads while the replica is not lagging. */
   base::Duration idle_interval = std::chrono::seconds(30);
 };
 
 /**
- * Keeps a core node's replica at the committed configuration. A version that the local acceptor has
- * accepted, but that this node does not know to be committed, is read from a quorum, which
- * completes a proposal that its proposer abandoned; otherwise fronts whose sessions require that
- * version would wait for ever. The version read is pushed to the fronts with sessions. Runs on the
- * control strand.
+ * Keeps a core node's replica at the committed configuration. If the local acceptor has accepted a
+ * version newer than the replica's, the follower reads the register from a quorum. The read
+ * completes a proposal that its proposer abandoned; without it, fronts whose sessions require that
+ * version would wait indefinitely. The version read is pushed to the fronts with sessions. Runs on
+ * the control strand.
  */
 class ConfigurationFollower {
  public:
@@ -58,7 +58,7 @@
   dissemination::ConfigurationReplica& replica_;
   InForceTracker& tracker_;
   FollowerOptions options_;
-  /** When the register is next read while no newer version is known. */
+  /** When the register is read next if the replica is not lagging. */
   base::TimePoint idle_due_;
   base::TimerPtr timer_;
   bool running_ = false;
--- a/libraries/core/include/switchsaddle/core/configuration_pusher.h
+++ b/libraries/core/include/switchsaddle/core/configuration_pusher.h
@@ -13,7 +13,7 @@
 
 /** Backoff of the pusher. */
 struct PushOptions {
-  /** Delay before a version is pushed to a front again; doubled with each further push. */
+  /** Delay before a version is pushed to a front again; doubles with each further push. */
   base::Duration initial_backoff = std::chrono::milliseconds(100);
   base::Duration maximum_backoff = std::chrono::milliseconds(800);
 };
@@ -30,7 +30,7 @@
 
   /** Pushes the replica's version to the fronts of these sessions that lack it. */
   void push(const std::vector<wire::SessionTableEntry>& sessions);
-  /** Pushes a delta to the fronts of all these sessions, without regard to their backoff. */
+  /** Pushes a delta to the fronts of all these sessions, regardless of their backoff. */
   void pushDelta(const wire::ConfigurationDelta& delta,
                  const std::vector<wire::SessionTableEntry>& sessions);
 
@@ -42,7 +42,9 @@
     base::Duration backoff;
   };
 
-  /** @return whether the front is to get the replica's version now; starts its next backoff. */
+  /** Starts the front's next backoff if its last one has expired.
+   *
+   * @return whether to push the replica's version now. */
   bool startPush(const base::NodeAddress& front, base::TimePoint now);
 
   base::Dispatcher& dispatcher_;
--- a/libraries/core/include/switchsaddle/core/configuration_stack.h
+++ b/libraries/core/include/switchsaddle/core/configuration_stack.h
@@ -14,8 +14,8 @@
 
 /**
  * The configuration on one core node: the replica, its dissemination, the tracking of versions in
- * force, and the commit of changes. Only wires the state machines together; a delta committed here
- * is sent to the peer cores. Runs on the control strand.
+ * force, and the commit of changes. Only connects the state machines. A delta committed by this
+ * node is sent to the peer cores. Runs on the control strand.
  */
 struct ConfigurationStack {
   ConfigurationStack(const CoreEnvironment& environment, RegisterStack& registers,
--- a/libraries/core/include/switchsaddle/core/control_service.h
+++ b/libraries/core/include/switchsaddle/core/control_service.h
@@ -27,7 +27,7 @@
   ControlService(const ControlService&) = delete;
   ControlService& operator=(const ControlService&) = delete;
 
-  /** @return whether the target's path belongs to the control API, whatever the method. */
+  /** @return whether the target's path belongs to the control API, with any method. */
   static bool serves(const std::string& target);
   void handle(const http::Request& request, Respond respond);
 
--- a/libraries/core/include/switchsaddle/core/core_environment.h
+++ b/libraries/core/include/switchsaddle/core/core_environment.h
@@ -23,7 +23,7 @@
   const configuration::Settings& settings;
   /** Test-only deviations from the protocols. */
   CoreFaults faults = {};
-  /** Receives the events meant for operators; null: they are dropped. */
+  /** Receives the events meant for operators; they are dropped if null. */
   base::IncidentSink* incidents = nullptr;
 
   /** @return the sink for operator events, which may drop them. */
--- a/libraries/core/include/switchsaddle/core/core_membership.h
+++ b/libraries/core/include/switchsaddle/core/core_membership.h
@@ -12,9 +12,9 @@
 namespace switchsaddle::core {
 
 /**
- * The local acceptor's set of acceptors, in which sessions and leases count their majorities. While
- * a change of the set is in progress, a quorum needs a majority of the previous and of the next
- * set. Runs on the control strand.
+ * The local acceptor's view of the acceptor set, in which sessions and leases count majorities.
+ * While a change of the set is in progress, a quorum needs a majority of the previous and of the
+ * next set. Runs on the control strand.
  */
 class CoreMembership : public sessions::CoreView, public lease::GranterSet {
  public:
@@ -32,9 +32,9 @@
   /** @return whether this node's instance is in the present set. */
   bool isMember() const;
   /**
-   * Records the version that the acceptor has accepted and synced. It may be lower than the one
-   * before: a value that a higher ballot replaced by an older version was never committed, and a
-   * session required to wait for it would never be granted.
+   * Records the version that the acceptor has accepted and synced. It may be lower than the
+   * previous one: if a higher ballot replaced a value by an older version, that value was never
+   * committed, and a session required to wait for it would never be granted.
    */
   void noteAcceptedVersion(std::uint64_t version);
 
--- a/libraries/core/include/switchsaddle/core/core_node.h
+++ b/libraries/core/include/switchsaddle/core/core_node.h
@@ -25,7 +25,7 @@
 namespace switchsaddle::core {
 
 /**
- * One core node, assembled of its state machines: registers, session table, lease granter,
+ * One core node, composed of its state machines: registers, session table, lease granter,
  * configuration, singleton roles, claims, limit ledgers and control API. It serves once its store
  * is open. It has no sockets, threads or files of its own, so that it runs unchanged in the
  * simulation. Runs on the control strand.
@@ -46,7 +46,7 @@
    */
   void stop(std::function<void()> stopped);
 
-  /** Sets the cores to query for the acceptor set while this node is no member. */
+  /** Sets the cores to query for the acceptor set while this node is not a member. */
   void setSeeds(std::vector<base::NodeAddress> seeds) {
     registers_.bootstrap.setSeeds(std::move(seeds));
   }
@@ -76,7 +76,7 @@
   void activate();
   /**
    * Campaigns for the leases of the singleton roles while this node is a member of the acceptor
-   * set: a core that has not joined yet, or has left, could not do the work of the roles.
+   * set. A core that has not joined or has left cannot perform the roles.
    */
   void updateCampaigns();
   /** Periodic work: campaigns, the health ranking, and the peers of the gossip. */
--- a/libraries/core/include/switchsaddle/core/fleet_demand.h
+++ b/libraries/core/include/switchsaddle/core/fleet_demand.h
@@ -27,36 +27,39 @@
 
 /**
  * Aggregates the quota demand that the fronts report in their session records. An unresponsive
- * front counts with what it had admitted and, unless another process has its address, with the
- * equal share of the quota that it may admit while partitioned. Runs on the control strand.
+ * front counts with the units it had admitted. Unless another process has its address, it also
+ * counts with the equal share of the quota that it may admit while partitioned. Runs on the control
+ * strand.
  */
 class FleetDemand {
  public:
   using RecordVisitor = std::function<void(const wire::SessionRecord&)>;
   /** Passes the record of each live session to the visitor. */
   using RecordSource = std::function<void(const RecordVisitor&)>;
-  /** The tenant's units in any window; unset where it has no quota. */
+  /** The tenant's quota in units per window; std::nullopt if it has none. */
   using LimitOf = std::function<std::optional<double>(const std::string& tenant)>;
 
   /** Reads the records of the live sessions. */
   void update(const RecordSource& records, base::Duration window, base::TimePoint now);
-  /** Sums up the demand of all fronts, by the records last read. */
+  /** Sums up the demand of all fronts in the records last read. */
   void aggregate(const LimitOf& limit_of);
 
   /** The sums of the last aggregate(), by tenant. */
   const std::map<std::string, TenantTotal>& totals() const { return totals_; }
   std::size_t liveFronts() const { return live_; }
-  /** @return the live fronts that have run for less than a window. */
-  std::size_t youngFronts() const { return young_; }
-  bool mostFrontsAreYoung() const { return live_ > 0 && 2 * young_ >= live_; }
+  /** @return the number of live fronts that have run for less than a window. */
+  std::size_t recentlyStartedFronts() const { return recently_started_; }
+  bool mostFrontsStartedRecently() const { return live_ > 0 && 2 * recently_started_ >= live_; }
   /**
-   * @return whether no front can have ended within the window unseen: every live front has run for
-   * a whole window and knows of exactly the live fronts.
+   * @return whether no front can have ended within the window without a record here: every live
+   * front has run for a whole window and its view contains exactly the live fronts.
    */
   bool allFrontsKnown() const;
-  /** @return the units that the front had admitted by the records last read, by tenant. */
+  /** @return the units that the front had admitted, by tenant, according to the last record read.
+   */
   std::map<std::string, double> admittedBy(const FrontKey& key) const;
-  /** @return the quota requests settled by the front's record; unset where it is unknown. */
+  /** @return the number up to which the front's record settles its quota requests; std::nullopt if
+   * the front is unknown. */
   std::optional<std::uint64_t> completedRequests(const FrontKey& key) const;
 
  private:
@@ -75,7 +78,7 @@
   base::TimePoint updated_at_{};
   std::map<std::string, TenantTotal> totals_;
   std::size_t live_ = 0;
-  std::size_t young_ = 0;
+  std::size_t recently_started_ = 0;
   std::map<FrontKey, Front> fronts_;
 };
 
--- a/libraries/core/include/switchsaddle/core/fleet_telemetry.h
+++ b/libraries/core/include/switchsaddle/core/fleet_telemetry.h
@@ -18,9 +18,9 @@
 namespace switchsaddle::core {
 
 /**
- * Aggregates what the fronts report in their session records (load, quota use, evidence of worker
- * health) and returns the aggregates to each front with the grant of its session. Runs on the
- * control strand.
+ * Aggregates the load, quota use and evidence of worker health that the fronts report in their
+ * session records, and returns the aggregates to each front with the grant of its session. Runs on
+ * the control strand.
  */
 class FleetTelemetry {
  public:
@@ -38,12 +38,12 @@
   void setConfiguration(const std::shared_ptr<const configuration::View>& view);
   /** Adds quota allocations, health advice and the peers' load to the grant of a session. */
   void addToGrant(const wire::SessionRecord& record, wire::SessionOpenReply& granted);
-  /** Computes the ranking anew, unless it is recent. */
+  /** Recomputes the ranking, unless it is recent. */
   void refreshRanking();
 
   QuotaAllocator& quotas() { return quotas_; }
   const worker_health::HealthRanking& ranking() const { return ranking_; }
-  /** @return the requests in flight on the worker with this identifier; 0 where it is unknown. */
+  /** @return the requests in flight on the worker with this identifier; 0 if it is unknown. */
   std::uint32_t requestsOn(const std::string& worker) const;
 
  private:
@@ -61,7 +61,7 @@
   RankingListener ranking_listener_;
   /** Null until a configuration is in force. */
   std::shared_ptr<const configuration::View> view_;
-  /** When the ranking was computed for the present workers; unset: not yet. */
+  /** When the ranking was last computed for the present workers; std::nullopt if never. */
   std::optional<base::TimePoint> ranked_at_;
 };
 
--- a/libraries/core/include/switchsaddle/core/in_force_tracker.h
+++ b/libraries/core/include/switchsaddle/core/in_force_tracker.h
@@ -14,13 +14,13 @@
 
 namespace switchsaddle::core {
 
-/** Intervals of the tracker's readings. */
+/** Intervals of the tracker's readings of the session tables. */
 struct InForceOptions {
-  /** Least interval between two polls of the session tables. */
+  /** Minimum interval between two polls of the session tables. */
   base::Duration reading_interval = std::chrono::milliseconds(10);
   /**
-   * Bound of the interval where readings are slow: it is twice the duration of the last one. Also
-   * the longest time for which the local table alone is polled while it shows lagging fronts.
+   * Maximum interval between two polls; the interval is twice the duration of the last reading.
+   * Also the maximum time for which only the local table is polled while it shows lagging fronts.
    */
   base::Duration maximum_reading_interval = std::chrono::milliseconds(200);
   PushOptions push;
@@ -33,18 +33,18 @@
   std::size_t readings = 0;
   /** Live sessions with an older version. */
   std::size_t lagging = 0;
-  /** One of these fronts; empty where there is none. */
+  /** The front of one of these sessions; empty if there is none. */
   base::NodeAddress first_lagging;
 };
 
 /**
  * Pushes the committed configuration to the fronts with live sessions, and determines when a
- * version is in force: each front has confirmed it, or its session has lapsed.
+ * version is in force: each front has confirmed it, or its session has expired.
  *
- * Invariant: for a pending version only those readings of a majority's session tables count that
- * began after the wait, so that every front that may still serve by an older version is among the
- * sessions read. One reading serves all pending versions. While the local table shows lagging
- * fronts, the peers' tables are seldom read. Runs on the control strand.
+ * Invariant: a reading of a majority's session tables counts for a pending version only if it began
+ * after the wait did. Every front that may still serve by an older version is then among the
+ * sessions read. One reading counts for all pending versions. While the local table shows lagging
+ * fronts, the peers' tables are rarely read. Runs on the control strand.
  */
 class InForceTracker {
  public:
@@ -62,11 +62,12 @@
    * @param callback called once, at the latest at `deadline`.
    */
   void wait(std::uint64_t version, base::TimePoint deadline, Callback callback);
-  /** Pushes the replica's version to the fronts in the local session table that lack it. */
+  /** Pushes the replica's version to the fronts in the local session table with an older version.
+   */
   void pushToLocalSessions();
   /**
-   * Pushes a committed delta before it is applied to the local replica, so that the fronts need not
-   * wait for that.
+   * Pushes a committed delta to the fronts before it is applied to the local replica, which saves
+   * them that time.
    */
   void pushCommitted(const wire::ConfigurationDelta& delta);
 
@@ -81,12 +82,12 @@
     base::TimerPtr deadline_timer;
   };
 
-  /** Starts a reading, or retries later where the local table shows lagging fronts. */
+  /** Starts a reading, or retries later if the local table shows lagging fronts. */
   void startReadingIfDue();
   /**
-   * Pushes to the fronts in the local table that lack the newest pending version.
+   * Pushes to the fronts in the local table with a version older than the newest pending one.
    *
-   * @return whether some of them lack the oldest one.
+   * @return whether some of them have a version older than the oldest pending one.
    */
   bool pushToLocalLagging();
   std::uint64_t newestPending() const;
@@ -94,7 +95,7 @@
   void startReading();
   void onReading(base::ResultCode code, const std::vector<wire::SessionTableEntry>& sessions);
   void applyReading(const std::vector<wire::SessionTableEntry>& sessions);
-  /** @return whether the pending version is in force by these sessions. */
+  /** @return whether the pending version is in force according to these sessions. */
   static bool updateOutcome(PendingVersion& pending,
                             const std::vector<wire::SessionTableEntry>& sessions);
   void finish(std::uint64_t id);
@@ -110,7 +111,7 @@
   base::TimePoint reading_began_at_;
   /** When the last reading began, or the first of the pending versions was added. */
   base::TimePoint last_reading_at_;
-  /** Number of the newest reading begun. */
+  /** Number of the newest reading. */
   std::uint64_t reading_number_ = 0;
   std::uint64_t next_id_ = 1;
   std::map<std::uint64_t, PendingVersion> pending_;
--- a/libraries/core/include/switchsaddle/core/ledger_host.h
+++ b/libraries/core/include/switchsaddle/core/ledger_host.h
@@ -28,7 +28,7 @@
 
   /** Campaigns for the leases. */
   void start();
-  /** Releases the leases and campaigns no more. */
+  /** Releases the leases and stops campaigning. */
   void stop();
   /** Sets the limits of the configuration in force. */
   void setConfiguration(const configuration::View& view);
--- a/libraries/core/include/switchsaddle/core/load_ledger.h
+++ b/libraries/core/include/switchsaddle/core/load_ledger.h
@@ -14,7 +14,7 @@
 /**
  * Sums up the load that the fronts report for each worker in their session records, and gives each
  * front the load of its peers. Every core receives all records, so that all cores compute the same
- * sums without messages of their own. A front that has ended or has timed out counts with nothing.
+ * sums without further messages. A front that has ended or timed out does not count.
  * Runs on the control strand.
  */
 class LoadLedger {
@@ -22,11 +22,11 @@
   LoadLedger(base::Dispatcher& dispatcher, base::Duration unresponsive_timeout)
       : dispatcher_(dispatcher), unresponsive_timeout_(unresponsive_timeout) {}
 
-  /** Replaces what the front's process reported before. */
+  /** Replaces the previous report of the front's process. */
   void update(const wire::SessionRecord& record);
   /**
-   * Maximum of workers reported individually to a front, which bounds its control traffic to 5 KB a
-   * second whatever the size of the fleet.
+   * Maximum number of workers reported individually to a front. Bounds its control traffic to 5 KB
+   * per second for any size of the fleet.
    */
   static constexpr std::size_t MaximumReportedWorkers = 128;
 
--- a/libraries/core/include/switchsaddle/core/member_liveness.h
+++ b/libraries/core/include/switchsaddle/core/member_liveness.h
@@ -11,7 +11,7 @@
 namespace switchsaddle::core {
 
 /**
- * When the members of the acceptor set were last seen by their heartbeats, and the zones they
+ * When the members of the acceptor set last replied to a heartbeat, and the zones that they
  * reported. Runs on the control strand.
  */
 class MemberLiveness {
@@ -21,13 +21,13 @@
   /** @param timeout a member without a heartbeat for this long counts as unresponsive. */
   explicit MemberLiveness(base::Duration timeout) : timeout_(timeout) {}
 
-  /** Drops what was seen; the time-outs of all members start anew. */
+  /** Clears the recorded times; the time-outs of all members restart. */
   void reset() { last_seen_.clear(); }
-  /** Drops members that left the set, and starts the time-out of those that joined. */
+  /** Removes members that left the set, and starts the time-outs of those that joined. */
   void setMembers(const Members& members, base::TimePoint now);
   bool tracks(const wire::AcceptorMember& member) const { return last_seen_.contains(member); }
   void noteAlive(const wire::AcceptorMember& member, const std::string& zone, base::TimePoint now);
-  /** Lets the member's time-out expire, since its process has ended. */
+  /** Expires the member's time-out, since its process has ended. */
   void noteEnded(const wire::AcceptorMember& member, base::TimePoint now);
 
   const std::map<wire::AcceptorMember, base::TimePoint>& lastSeen() const { return last_seen_; }
@@ -43,7 +43,7 @@
 
  private:
   base::Duration timeout_;
-  /** When each member was last seen; at first, when it was tracked. */
+  /** When each member was last seen; initially, when tracking began. */
   std::map<wire::AcceptorMember, base::TimePoint> last_seen_;
   std::map<wire::AcceptorMember, std::string> zones_;
 };
--- a/libraries/core/include/switchsaddle/core/member_spread.h
+++ b/libraries/core/include/switchsaddle/core/member_spread.h
@@ -10,8 +10,8 @@
 
 /**
  * @file
- * Selection of the core processes that are acceptors, by the losses to be tolerated: a majority of
- * the set must survive the simultaneous loss of a number of cores or of zones. Pure functions.
+ * Selects the core processes that are acceptors by the losses to tolerate: a majority of the set
+ * must survive the simultaneous loss of a number of cores or of zones. Pure functions.
  */
 
 namespace switchsaddle::core {
@@ -19,11 +19,12 @@
 /** A core process and its failure domain. */
 struct PlacedCore {
   wire::AcceptorMember member;
-  /** Empty while it is unknown. */
+  /** Empty while unknown. */
   std::string zone;
 };
 
-/** Cores or zones, not both together, whose simultaneous loss must leave a majority. */
+/** Numbers of cores or of zones, not both together, whose simultaneous loss must leave a
+ * majority. */
 struct ToleratedLosses {
   std::uint32_t cores = 0;
   std::uint32_t zones = 0;
@@ -44,23 +45,24 @@
   Zones
 };
 
-/** @return the members that the losses require; zero where none are configured. */
+/** @return the number of members that the losses require; zero if no losses are configured. */
 std::size_t requiredMembers(ToleratedLosses tolerated);
 
-/** @return the candidate in the zone with the fewest members; unset without candidates. */
+/** @return the candidate in the zone with the fewest members; std::nullopt without candidates. */
 std::optional<wire::AcceptorMember> memberToAdd(const std::vector<PlacedCore>& members,
                                                 const std::vector<PlacedCore>& candidates);
 
 /**
- * @return an exchange that spreads the members more evenly over zones, where the loss of zones
- * would lose the majority; unset where there is none or a zone is unknown. Repeated exchanges
- * terminate, since each makes the largest zone smaller.
+ * @return an exchange that spreads the members more evenly over zones, if the loss of zones would
+ * lose the majority; std::nullopt if there is no such exchange or a zone is unknown. Repeated
+ * exchanges terminate, since each replaces a member in the largest zone by one in a zone that has
+ * at least two members fewer.
  */
 std::optional<MemberExchange> exchangeForSpread(const std::vector<PlacedCore>& members,
                                                 const std::vector<PlacedCore>& candidates,
                                                 ToleratedLosses tolerated);
 
-/** @return None also while the zone of some member is unknown. */
+/** @return the shortfall of the set; None also while the zone of some member is unknown. */
 SpreadShortfall shortfallOf(const std::vector<PlacedCore>& members, ToleratedLosses tolerated);
 
 }  // namespace switchsaddle::core
--- a/libraries/core/include/switchsaddle/core/membership_reconciler.h
+++ b/libraries/core/include/switchsaddle/core/membership_reconciler.h
@@ -18,39 +18,40 @@
 
 namespace switchsaddle::core {
 
-/** Times and tolerances of the reconciler. */
+/** Times of the reconciler, and the losses to tolerate. */
 struct MembershipOptions {
   /** A member without a heartbeat for this long may be replaced. */
   base::Duration unresponsive_timeout = std::chrono::seconds(10);
   base::Duration check_interval = std::chrono::milliseconds(500);
   base::Duration call_timeout = std::chrono::milliseconds(400);
-  /** A candidate that has not announced itself for this long is dropped. */
+  /** A candidate is removed if it does not announce itself for this long. */
   base::Duration candidate_lifetime = std::chrono::seconds(3);
   /**
-   * Losses to tolerate. A set that is too small for them gets announced cores added; in a set with
-   * too few zones members are exchanged. Both zero: the set keeps its initial size and spread.
+   * Losses to tolerate. Candidates are added to a set that is too small for them; members are
+   * exchanged in a set with too few zones. If both are zero, the set keeps its initial size and
+   * spread.
    */
   ToleratedLosses tolerated;
-  /** A shortfall is reported once it has lasted for this long. */
+  /** A shortfall is reported after it has lasted for this long. */
   base::Duration shortfall_report_delay = std::chrono::seconds(15);
-  /** Least interval between two forwards of one candidate's announcement. */
+  /** Minimum interval between two forwards of one candidate's announcement. */
   base::Duration forward_interval = std::chrono::milliseconds(500);
 };
 
 /**
- * Reconciles the acceptor set with the live cores and the losses to be tolerated.
+ * Reconciles the acceptor set with the live cores and the losses to tolerate.
  *
  * Every core records the candidates that announce themselves and forwards their announcements to
- * the members, since a new core knows only its seeds. While this node holds the core-membership
- * lease, it sends heartbeats to the members and replaces one that has timed out, or at whose
- * address another instance replies, by a candidate; where the set tolerates fewer losses than
- * configured, it adds or exchanges a member. Candidates are preferred in the zone with the fewest
- * members. At most one change of the set is in progress. Runs on the control strand.
+ * the members, since a new core contacts only its seeds. While this node holds the core-membership
+ * lease, it sends heartbeats to the members. It replaces a member by a candidate if the member has
+ * timed out, or if another instance replies at its address. If the set tolerates fewer losses than
+ * configured, it adds or exchanges a member. Candidates in the zone with the fewest members are
+ * preferred. At most one change of the set is in progress. Runs on the control strand.
  */
 class MembershipReconciler {
  public:
   using Callback = std::function<void(base::ResultCode)>;
-  /** Receives a lasting shortfall, and None when it has ended. */
+  /** Receives a shortfall that has lasted for the delay, and None when it has ended. */
   using ShortfallListener = std::function<void(SpreadShortfall)>;
 
   /** @param holds_lease evaluated right before each change of the set. */
@@ -64,17 +65,17 @@
   void setShortfallListener(ShortfallListener listener) {
     shortfall_listener_ = std::move(listener);
   }
-  /** The lease was gained; the time-outs of all members start now. */
+  /** Called when the lease was gained. Starts the time-outs of all members. */
   void start();
-  /** The lease was lost. */
+  /** Called when the lease was lost. */
   void stop();
-  /** Handles the announcement of a core that is no member. */
+  /** Handles the announcement of a core that is not a member. */
   void onCandidate(const wire::CoreAnnounce& announce);
   /**
-   * Replaces a member on an operator's order, without waiting for its time-out.
+   * Replaces a member at an operator's request, without waiting for its time-out.
    *
-   * @param callback receives InvalidValue where `old_member` is no member or `new_member` cannot
-   * join, or the outcome of the change.
+   * @param callback receives InvalidValue if `old_member` is not a member or `new_member` cannot
+   * join, else the outcome of the change.
    */
   void replace(const base::NodeAddress& old_member, const base::NodeAddress& new_member,
                Callback callback);
@@ -90,18 +91,19 @@
   void sendHeartbeats();
   void onHeartbeatReply(const wire::AcceptorMember& member, const transport::CallResult& result);
   void updateShortfall();
-  /** @return whether a replacement was begun. */
+  /** @return whether a replacement was started. */
   bool replaceUnresponsiveMember();
-  /** @return whether a core was found that the set needs, and its addition begun. */
+  /** @return whether the set is too small and the addition of a candidate was started. */
   bool addMissingMember();
   void spreadOverZones();
   void replaceMember(const wire::AcceptorMember& leaving, const wire::AcceptorMember& joining,
                      const Callback& callback);
-  /** @return the candidate to replace a member: the one at its own address, else any. */
+  /** @return the candidate to replace a member: the one at the member's address, else the preferred
+   * candidate at another address. */
   std::optional<wire::AcceptorMember> candidateFor(const wire::AcceptorMember& member) const;
   /**
-   * Queries the core at an address for its instance, in up to `attempts` calls: one that has just
-   * started does not reply until its store is open.
+   * Queries the core at an address for its instance, up to `attempts` times, since a core that has
+   * just started does not reply until its store is open.
    */
   void queryInstance(const base::NodeAddress& address, std::uint32_t attempts,
                      const CallHandler& handler);
--- a/libraries/core/include/switchsaddle/core/membership_role.h
+++ b/libraries/core/include/switchsaddle/core/membership_role.h
@@ -28,7 +28,7 @@
 
   /** Campaigns for the lease. */
   void startCampaign() { lease_.start(); }
-  /** Releases the lease and campaigns no more. */
+  /** Releases the lease and stops campaigning. */
   void stopCampaign() { lease_.stop(); }
   /** Stops the reconciler; the lease is released by stopCampaign(). */
   void stop() { reconciler_.stop(); }
--- a/libraries/core/include/switchsaddle/core/node_information.h
+++ b/libraries/core/include/switchsaddle/core/node_information.h
@@ -12,11 +12,11 @@
 
 namespace switchsaddle::core {
 
-/** The lease of one singleton role as this node knows it. */
+/** This node's view of the lease of one singleton role. */
 struct LeaseStatus {
   std::string name;
   bool held = false;
-  /** Term of the lease; zero where this node does not hold it. */
+  /** Term of the lease; zero if this node does not hold it. */
   std::uint64_t term = 0;
 };
 
@@ -29,7 +29,7 @@
   /** Whether this node's acceptor may vote at present. */
   bool may_vote = false;
   std::size_t register_count = 0;
-  /** Why the store is new, or could not be opened; empty where it is intact. */
+  /** Why the store is new or could not be opened; empty if it is intact. */
   std::string storage_fault;
   wire::AcceptorSet acceptor_set;
   std::vector<LeaseStatus> leases;
@@ -42,9 +42,9 @@
   virtual NodeStatus status() const = 0;
   /** The latest journal entry of each subject and key. */
   virtual const journal::StateView& stateView() const = 0;
-  /** The health of workers as this node ranks it. */
+  /** This node's ranking of the workers' health. */
   virtual const worker_health::HealthRanking& health() const = 0;
-  /** The workers that this node knows; never null. */
+  /** The workers in this node's view; never null. */
   virtual workers::WorkerSnapshotPtr fleet() const = 0;
   /** @return the requests in flight on a worker, as reported by the fronts. */
   virtual std::uint32_t requestsOn(const std::string& worker) const = 0;
--- a/libraries/core/include/switchsaddle/core/observed_proposer.h
+++ b/libraries/core/include/switchsaddle/core/observed_proposer.h
@@ -15,13 +15,13 @@
   std::uint64_t operations = 0;
   /** Operations that ended without a quorum. */
   std::uint64_t without_quorum = 0;
-  /** Time from the call to its completion. */
+  /** Time from the start of an operation to its completion. */
   metrics::Histogram latency{metrics::roundTripBounds()};
 };
 
 /**
- * Decorates a proposer: counts and times its register operations and reports each that ended
- * without a quorum to the operators. Runs on the control strand.
+ * Decorates a proposer: counts and times its register operations, and reports to the operators each
+ * operation that ended without a quorum. Runs on the control strand.
  */
 class ObservedProposer : public registers::RegisterProposer {
  public:
--- a/libraries/core/include/switchsaddle/core/platform_watcher_role.h
+++ b/libraries/core/include/switchsaddle/core/platform_watcher_role.h
@@ -19,11 +19,12 @@
 
 /**
  * The singleton role that polls the platform and publishes the worker view. Campaigns for its lease
- * and runs the watcher while the lease is held; releases the lease where this node cannot read the
+ * and runs the watcher while the lease is held; releases the lease if this node cannot read the
  * platform, so that a peer takes over.
  *
- * Invariant: a view is published only while the lease of the view's term is held, except the
- * initial view of term 0, which any view of a lease holder supersedes. Runs on the control strand.
+ * Invariant: a view is published only while the lease with the view's term is held. The exception
+ * is the initial view of term 0, which any view of a lease holder supersedes. Runs on the control
+ * strand.
  */
 class PlatformWatcherRole {
  public:
@@ -36,13 +37,14 @@
 
   /** Campaigns for the lease. */
   void startCampaign();
-  /** Releases the lease and campaigns no more. */
+  /** Releases the lease and stops campaigning. */
   void stopCampaign();
   /** Stops the watcher and every pending action; the lease is released by stopCampaign(). */
   void stop();
   /**
-   * Polls the platform once and publishes the workers, unless some view is known by then. Without
-   * it a fleet that lost all memory would know no worker until the lease is granted.
+   * Polls the platform once and publishes the workers, unless this node has received a view by
+   * then. Without the initial view, a fleet in which all processes restarted has no workers until
+   * the lease is granted.
    */
   void publishInitialView();
   LeaseStatus status() const;
--- a/libraries/core/include/switchsaddle/core/quota_leases.h
+++ b/libraries/core/include/switchsaddle/core/quota_leases.h
@@ -14,8 +14,8 @@
 
 /**
  * The leases under which quota ledgers decide, one for each shard of the tenants. They are separate
- * from those of the slot ledgers, since a core that does not know what the fleet admitted may
- * manage slots but must not decide on quotas. Runs on the control strand.
+ * from those of the slot ledgers, since a core without the records of the last window may manage
+ * slots but must not decide on quotas. Runs on the control strand.
  */
 class QuotaLeases {
  public:
@@ -24,9 +24,9 @@
   QuotaLeases(const QuotaLeases&) = delete;
   QuotaLeases& operator=(const QuotaLeases&) = delete;
 
-  /** Campaigns for the leases, or releases them; without effect where that is the state. */
+  /** Campaigns for the leases, or releases them. No effect if already in that state. */
   void setCampaigning(bool campaigning);
-  /** @return when the lease of the tenant's shard was gained; unset while it is not held. */
+  /** @return when the lease of the tenant's shard was gained; std::nullopt if not held. */
   std::optional<base::TimePoint> heldSince(const std::string& tenant) const;
   void appendStatus(std::vector<LeaseStatus>& leases) const;
 
--- a/libraries/core/include/switchsaddle/core/quota_ledger.h
+++ b/libraries/core/include/switchsaddle/core/quota_ledger.h
@@ -17,18 +17,19 @@
 namespace switchsaddle::core {
 
 /**
- * Admits the requests of tenants near their quota, one by one, for all fronts: with many fronts the
- * shares of what remains are smaller than a single request, while a single node needs no shares.
- * Handles QuotaRequest.
+ * Admits the requests of tenants near their quota, one by one, for all fronts. With many fronts,
+ * the shares of the remaining quota are smaller than a single request; a single ledger needs no
+ * shares. Handles QuotaRequest.
  *
- * Used is what all fronts report with their session renewals, plus the grants of this ledger that
- * the records do not include yet. Invariant: the ledger decides only while it holds the lease of
- * the tenant's shard, and has held it for so long that the grants of its predecessor are included
- * in the records. Grants are paced by a QuotaPacer for each tenant. Runs on the control strand.
+ * The use of a quota is the use that all fronts report with their session renewals, plus the grants
+ * of this ledger that the records do not include yet. Invariant: the ledger decides only while it
+ * holds the lease of the tenant's shard, and only after it has held the lease for long enough that
+ * the records include its predecessor's grants. Grants are paced by a QuotaPacer for each tenant.
+ * Runs on the control strand.
  */
 class QuotaLedger {
  public:
-  /** When this node gained the lease of the tenant's shard; unset while it does not hold it. */
+  /** When this node gained the lease of the tenant's shard; std::nullopt if it does not hold it. */
   using HeldSince = std::function<std::optional<base::TimePoint>(const std::string& tenant)>;
 
   /** @param window_s length of the quotas' window, in seconds. */
--- a/libraries/core/include/switchsaddle/core/quota_pacer.h
+++ b/libraries/core/include/switchsaddle/core/quota_pacer.h
@@ -11,8 +11,8 @@
  * Paces the grants of one tenant's quota by a token bucket, and reserves units for more urgent
  * requests. The bucket fills at the rate that uses up the quota within its window, so that a tenant
  * above its quota is admitted evenly and not in bursts. A granted request may overdraw the bucket,
- * so that large requests fare as small ones. A minimum share of each urgency is granted whatever
- * the more urgent request, so that none starves. Runs on the control strand.
+ * so that large requests are treated like small ones. Each urgency is granted a minimum share
+ * regardless of more urgent requests, so that none starves. Runs on the control strand.
  */
 class QuotaPacer {
  public:
--- a/libraries/core/include/switchsaddle/core/quota_role.h
+++ b/libraries/core/include/switchsaddle/core/quota_role.h
@@ -24,8 +24,8 @@
   QuotaRole& operator=(const QuotaRole&) = delete;
 
   /**
-   * Campaigns for the leases, or releases them. A core campaigns only while it knows what all
-   * fronts have admitted.
+   * Campaigns for the leases, or releases them. A core campaigns only while
+   * QuotaAllocator::mayDecide().
    *
    * @param is_member whether this node is an active member of the acceptor set.
    */
--- a/libraries/core/include/switchsaddle/core/register_change_coordinator.h
+++ b/libraries/core/include/switchsaddle/core/register_change_coordinator.h
@@ -21,11 +21,12 @@
  * Commits changes in the configuration register, applies the result to this node's replica, and
  * waits until it is in force on every front with a live session.
  *
- * The decision is made inside the register's change function, so that of two changes on one base
- * version exactly one is committed, and a retried change finds its recorded outcome. The outcome
- * reported is the one recorded in the committed value, not that of the function's last run. A
- * rejected change is reported at once; a committed one waits, at most until the acknowledgement
- * deadline, counted from its submission. The event `change-ended` reports outcome and durations.
+ * The decision is made inside the register's change function. Exactly one of two changes with the
+ * same base version is committed, and a retried change finds its recorded outcome. The reported
+ * outcome is the one recorded in the committed value, not that of the function's last run. A
+ * rejected change is reported at once. A committed one is reported when it is in force, or at the
+ * acknowledgement deadline, counted from its submission. The event `change-ended` reports the
+ * outcome and durations.
  * Runs on the control strand.
  */
 class RegisterChangeCoordinator : public ChangeCoordinator {
@@ -36,8 +37,8 @@
                             CoreFaults faults = {});
 
   /**
-   * Receives the delta of each version committed here, before it is applied to the local replica.
-   * Sent to the peer cores, it saves them a read of the register.
+   * Receives the delta of each version committed by this node, before it is applied to the local
+   * replica. The delta, sent to the peer cores, saves them a read of the register.
    */
   using CommittedListener = std::function<void(const wire::ConfigurationDelta&)>;
   void setCommittedListener(CommittedListener listener) { listener_ = std::move(listener); }
@@ -54,7 +55,7 @@
  private:
   using Callback = std::function<void(const ChangeAnswer&)>;
 
-  /** @param change_id empty where the decision is not recorded under a known identifier. */
+  /** @param change_id empty if the caller gave no identifier for the recorded decision. */
   void commit(Decide decide, const std::string& change_id, Callback callback);
   void check(const configuration::Change& change, Callback callback);
   void applyCommitted(const configuration::Document& document);
--- a/libraries/core/include/switchsaddle/core/register_stack.h
+++ b/libraries/core/include/switchsaddle/core/register_stack.h
@@ -13,8 +13,8 @@
 
 /**
  * The replicated registers of one core node: acceptor, proposer, bootstrap, change of the acceptor
- * set, scrubber, and the acceptor set as sessions and leases count majorities in it. Only wires the
- * state machines together. Runs on the control strand.
+ * set, scrubber, and the acceptor set in which sessions and leases count majorities. Only connects
+ * the state machines. Runs on the control strand.
  */
 struct RegisterStack {
   explicit RegisterStack(const CoreEnvironment& environment);
--- a/libraries/core/include/switchsaddle/core/shortfall_monitor.h
+++ b/libraries/core/include/switchsaddle/core/shortfall_monitor.h
@@ -16,8 +16,8 @@
   explicit ShortfallMonitor(base::Duration report_delay) : report_delay_(report_delay) {}
 
   void reset();
-  /** @return what is to be reported now, None for the end of a reported shortfall; unset: nothing.
-   */
+  /** @return the shortfall to report now, None for the end of a reported shortfall, or std::nullopt
+   * if there is nothing to report. */
   std::optional<SpreadShortfall> update(SpreadShortfall shortfall, base::TimePoint now);
 
  private:
--- a/libraries/core/include/switchsaddle/core/store_recovery.h
+++ b/libraries/core/include/switchsaddle/core/store_recovery.h
@@ -12,7 +12,7 @@
 
 /**
  * Opens a core node's record store and loads the acceptor and the lease granter from it. A store
- * that cannot be opened or read is opened again after a pause. Runs on the control strand.
+ * that cannot be opened or read is opened again after a delay. Runs on the control strand.
  */
 class StoreRecovery {
  public:
@@ -23,9 +23,9 @@
   StoreRecovery& operator=(const StoreRecovery&) = delete;
 
   void start();
-  /** Cancels a pending attempt. */
+  /** Cancels a pending retry. */
   void stop();
-  /** @return why the store is new or could not be opened; empty where it is intact. */
+  /** @return why the store is new or could not be opened; empty if it is intact. */
   const std::string& fault() const { return fault_; }
 
  private:
--- a/libraries/core/include/switchsaddle/core/unsettled_grants.h
+++ b/libraries/core/include/switchsaddle/core/unsettled_grants.h
@@ -9,13 +9,13 @@
 namespace switchsaddle::core {
 
 /**
- * The grants of one tenant's quota that are not known to be included in the session records of
- * their fronts. Runs on the control strand.
+ * The grants of one tenant's quota that the session records of their fronts do not include as far
+ * as this core can tell. Runs on the control strand.
  */
 class UnsettledGrants {
  public:
   void add(const wire::QuotaRequest& request, base::TimePoint now);
-  /** Removes the grants that the records include by now, and those that have expired. */
+  /** Removes the grants that the records now include, and those that have expired. */
   void removeSettled(const QuotaAllocator& allocator, base::TimePoint now);
   double units() const { return units_; }
 
--- a/libraries/core/source/configuration_follower.cc
+++ b/libraries/core/source/configuration_follower.cc
@@ -77,7 +77,7 @@
       const configuration::RegisterValue value = configuration::decodeRegisterValue(outcome.value);
       replica_.apply(value.document.deltaSince(replica_.version()));
     } catch (const base::Error&) {
-      // The next read and the scrubber find a corrupt value again.
+      // The next read and the scrubber detect a corrupt value again.
     }
     tracker_.pushToLocalSessions();
   }
--- a/libraries/core/source/configuration_handlers.h
+++ b/libraries/core/source/configuration_handlers.h
@@ -34,7 +34,7 @@
 
  private:
   void submit(const configuration::Change& change, bool dry_run, Respond respond) const;
-  /** Submits the change of an order, or responds with the faults of its body. */
+  /** Submits the change of an operator's request, or responds with the faults of its body. */
   void submitOrder(const configuration::Change& change,
                    const std::vector<configuration::Fault>& faults, Respond respond) const;
 
--- a/libraries/core/source/configuration_pusher.cc
+++ b/libraries/core/source/configuration_pusher.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** A push is forgotten after this time, well above the longest backoff. */
+/** The record of a push is removed after this time, well above the longest backoff. */
 constexpr base::Duration PushLifetime = std::chrono::seconds(10);
 
 }  // namespace
@@ -16,7 +16,7 @@
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(pushes_,
                 [&](const auto& item) { return now - item.second.pushed_at > PushLifetime; });
-  // Most fronts lack the same versions, and computing a delta iterates over the whole document.
+  // Most lagging fronts have the same version, and computing a delta iterates over the document.
   std::map<std::uint64_t, std::vector<base::NodeAddress>> fronts_by_version;
   for (const wire::SessionTableEntry& session : sessions) {
     const bool is_lagging =
--- a/libraries/core/source/configuration_reader.h
+++ b/libraries/core/source/configuration_reader.h
@@ -21,7 +21,7 @@
 
   /** Reads the register and passes its value to the handler, or responds with the failure. */
   void read(ValueHandler handler, Respond respond) const;
-  /** Reads the source document; it is empty where the result code is not Ok. */
+  /** Reads the source document; it is empty if the result code is not Ok. */
   void readSource(ControlService::SourceReader reader) const;
 
  private:
--- a/libraries/core/source/control_requests.h
+++ b/libraries/core/source/control_requests.h
@@ -12,7 +12,7 @@
 /**
  * @file
  * Parsing of control requests other than the bodies of changes, and the common responses. Parsers
- * append the faults they find; their result is valid only where none was appended.
+ * append the faults they find; their result is valid only if none was appended.
  */
 
 namespace switchsaddle::core {
@@ -27,7 +27,7 @@
 inline constexpr std::uint16_t StatusOk = 200;
 
 http::Response jsonResponse(std::uint16_t status, std::string body);
-/** The JSON error of a rejected request, with its result code and the faults found. */
+/** @return the JSON error of a rejected request, with its result code and the faults found. */
 http::Response controlError(base::ResultCode code,
                             const std::vector<configuration::Fault>& faults = {});
 
@@ -41,11 +41,11 @@
 /** @return whether the query has the flag, alone or with a value other than "false". */
 bool queryFlag(std::string_view target, std::string_view name);
 
-/** @return the request's bearer key; empty where it has none. */
+/** @return the request's bearer key; empty if it has none. */
 std::string bearerOf(const http::Request& request);
 
 /**
- * @return the change identifier of an order with no other field, from the body or, where the body
+ * @return the change identifier of a request with no other field, from the body or, if the body
  * is empty, from the query.
  */
 std::string changeIdOf(const http::Request& request, std::vector<configuration::Fault>& faults);
--- a/libraries/core/source/control_routes.cc
+++ b/libraries/core/source/control_routes.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Stands in a pattern for the variable segment of the path. */
+/** Placeholder in a pattern for the variable segment of the path. */
 constexpr std::string_view NameSegment = "{}";
 
 struct RoutePattern {
@@ -49,7 +49,8 @@
   return segments;
 }
 
-/** @return the variable segment where the path fits the pattern; empty where there is none. */
+/** @return the variable segment, empty if the pattern has none; std::nullopt if the path does not
+ * match. */
 std::optional<std::string> match(std::string_view pattern, std::string_view path) {
   const std::vector<std::string_view> expected = segmentsOf(pattern);
   const std::vector<std::string_view> actual = segmentsOf(path);
--- a/libraries/core/source/control_routes.h
+++ b/libraries/core/source/control_routes.h
@@ -34,11 +34,11 @@
 
 /** The result of routing one request. */
 struct ControlRoute {
-  /** Whether some operation has the path, whatever its method. */
+  /** Whether some operation has the path, with any method. */
   bool known_path = false;
-  /** Unset where no operation has both path and method. */
+  /** std::nullopt if no operation has both path and method. */
   std::optional<ControlOperation> operation;
-  /** The variable segment of the path, such as a zone or a worker; empty where there is none. */
+  /** The variable segment of the path, such as a zone or a worker; empty if there is none. */
   std::string name;
 };
 
--- a/libraries/core/source/core_node.cc
+++ b/libraries/core/source/core_node.cc
@@ -187,7 +187,7 @@
 }
 
 void CoreNode::reportTopChange(const worker_health::TopChange& change) {
-  // Every core ranks the workers alike; one of them reports.
+  // All cores compute the same ranking; only the holder of the membership lease reports.
   if (!membership_role_.holdsLease()) {
     return;
   }
--- a/libraries/core/source/core_options.h
+++ b/libraries/core/source/core_options.h
@@ -18,8 +18,8 @@
 
 lease::LeaseTimes leaseTimesOf(const configuration::TimeSettings& times);
 /**
- * Times for leases that must fail over within two seconds: the platform watcher's, since workers
- * that come or leave are unknown meanwhile, and the quota ledgers'.
+ * Times for leases that must fail over within two seconds: the quota ledgers' and the platform
+ * watcher's, since changes of the workers are not published during a failover.
  */
 lease::LeaseTimes shortLeaseTimesOf(const configuration::TimeSettings& times);
 registers::AcceptorOptions acceptorOptionsOf(const CoreFaults& faults);
--- a/libraries/core/source/fleet_demand.cc
+++ b/libraries/core/source/fleet_demand.cc
@@ -9,9 +9,10 @@
 
 namespace {
 
-/** What an unresponsive front had admitted counts for this time: at least any quota's window. */
+/** How long the units admitted by an unresponsive front count. At least the longest quota window.
+ */
 constexpr base::Duration AdmittedRetention = std::chrono::seconds(10);
-/** An unresponsive front's equal share is reserved for this time: it may be partitioned. */
+/** How long an unresponsive front's equal share is reserved, since it may be partitioned. */
 constexpr base::Duration UnresponsiveRetention = std::chrono::seconds(60);
 
 }  // namespace
@@ -19,11 +20,11 @@
 void FleetDemand::update(const RecordSource& records, base::Duration window, base::TimePoint now) {
   updated_at_ = now;
   live_ = 0;
-  young_ = 0;
+  recently_started_ = 0;
   const std::int64_t window_ms = base::toMilliseconds(window);
   records([this, window_ms](const wire::SessionRecord& record) {
     ++live_;
-    young_ += record.fleet_knowledge.age_ms < window_ms ? 1 : 0;
+    recently_started_ += record.fleet_knowledge.age_ms < window_ms ? 1 : 0;
     Front& front = fronts_[FrontKey{record.front, record.instance}];
     front.last_seen = updated_at_;
     front.demand = record.demand;
@@ -68,7 +69,7 @@
     }
   }
   for (const auto& [key, front] : fronts_) {
-    // Once for each address, since at most one of several processes there serves.
+    // Each address counts once, since at most one of the processes there serves.
     if (!counted.insert(key.first).second) {
       continue;
     }
@@ -83,7 +84,7 @@
 }
 
 bool FleetDemand::allFrontsKnown() const {
-  if (live_ == 0 || young_ > 0) {
+  if (live_ == 0 || recently_started_ > 0) {
     return false;
   }
   std::set<base::NodeAddress> live;
--- a/libraries/core/source/health_handlers.cc
+++ b/libraries/core/source/health_handlers.cc
@@ -7,8 +7,9 @@
 namespace switchsaddle::core {
 
 void HealthHandlers::getRanking(const Respond& respond) const {
-  const std::set<std::string>& maintained = dependencies_.replica.view()->workers_in_maintenance;
-  respond(jsonResponse(StatusOk, renderRanking(dependencies_.node.health(), maintained,
+  const std::set<std::string>& in_maintenance =
+      dependencies_.replica.view()->workers_in_maintenance;
+  respond(jsonResponse(StatusOk, renderRanking(dependencies_.node.health(), in_maintenance,
                                                dependencies_.dispatcher.now())));
 }
 
--- a/libraries/core/source/health_json.h
+++ b/libraries/core/source/health_json.h
@@ -17,24 +17,24 @@
 
 namespace switchsaddle::core {
 
-/** The ranking, the most unhealthy worker first, and the history of its top. */
+/** @return the ranking, the most unhealthy worker first, and the history of its first place. */
 std::string renderRanking(const worker_health::HealthRanking& ranking,
                           const std::set<std::string>& in_maintenance, base::TimePoint now);
-/** @return one worker of the ranking with its evidence; unset where it is not ranked. */
+/** @return one worker of the ranking with its evidence; std::nullopt if it is not ranked. */
 std::optional<std::string> renderWorkerHealth(const worker_health::HealthRanking& ranking,
                                               const std::string& worker, bool in_maintenance);
 
 /** A worker in maintenance. */
 struct MaintainedWorker {
   configuration::FleetWorker worker;
-  /** Whether the worker view contains it. */
+  /** Whether the worker view contains the worker. */
   bool listed = false;
-  /** Requests on it, as reported by the fronts. */
+  /** Requests in flight on the worker, as reported by the fronts. */
   std::uint32_t in_flight = 0;
 };
 
 std::string renderMaintenance(const std::vector<MaintainedWorker>& workers);
-/** @param worker empty where none was taken into maintenance. */
+/** @param worker empty if none was taken into maintenance. */
 std::string renderMaintenanceResult(const ChangeAnswer& answer, const std::string& worker);
 
 }  // namespace switchsaddle::core
--- a/libraries/core/source/in_force_tracker.cc
+++ b/libraries/core/source/in_force_tracker.cc
@@ -98,7 +98,7 @@
     applyReading(sessions);
   }
   if (!pending_.empty() && !reading_) {
-    // A slow reading shows that the cores are busy, so the next one starts later.
+    // A slow reading indicates busy cores, so the next one starts later.
     const base::Duration duration = dispatcher_.now() - reading_began_at_;
     reading_timer_->enable(std::clamp<base::Duration>(2 * duration, options_.reading_interval,
                                                       options_.maximum_reading_interval));
--- a/libraries/core/source/load_ledger.cc
+++ b/libraries/core/source/load_ledger.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Interval of the time-out check of fronts and of the sums over kinds of work. */
+/** Interval at which the fronts' time-outs are checked and the kinds of work are summed. */
 constexpr base::Duration RefreshInterval = std::chrono::milliseconds(200);
 
 /** Weight of a request in flight, in milliseconds of prefill, in the choice of reported workers. */
--- a/libraries/core/source/maintenance_handlers.cc
+++ b/libraries/core/source/maintenance_handlers.cc
@@ -105,7 +105,7 @@
     respond(jsonResponse(status, renderMaintenanceResult(answer, {})));
     return;
   }
-  // The register records the worker, also where an earlier attempt of the change decided.
+  // The register records the worker, also if an earlier submission of the change selected it.
   reader_.read(
       [answer, change_id, status](const RegisterValue& value, const Respond& then) {
         const auto worker = configuration::workerPutIntoMaintenance(value, change_id);
--- a/libraries/core/source/member_spread.cc
+++ b/libraries/core/source/member_spread.cc
@@ -22,18 +22,18 @@
   return std::ranges::none_of(members, [](const PlacedCore& core) { return core.zone.empty(); });
 }
 
-/** Whether a majority survives the loss of the `zones` zones with the most members. */
+/** @return whether a majority survives the loss of the `zones` zones with the most members. */
 bool toleratesZoneLosses(const std::vector<PlacedCore>& members, std::uint32_t zones) {
   std::vector<std::size_t> sizes;
   for (const auto& [zone, count] : countZones(members)) {
     sizes.push_back(count);
   }
   std::ranges::sort(sizes, std::greater<>());
-  std::size_t left = members.size();
+  std::size_t remaining = members.size();
   for (std::size_t index = 0; index < sizes.size() && index < zones; ++index) {
-    left -= sizes[index];
+    remaining -= sizes[index];
   }
-  return left > members.size() / 2;
+  return remaining > members.size() / 2;
 }
 
 /** @return the candidate whose zone has the fewest members; null without candidates. */
--- a/libraries/core/source/membership_reconciler.cc
+++ b/libraries/core/source/membership_reconciler.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Queries to a new core before the operator's order fails. */
+/** Number of queries to a new core before the operator's request fails. */
 constexpr std::uint32_t InstanceQueryAttempts = 5;
 
 }  // namespace
@@ -34,7 +34,7 @@
   liveness_.reset();
   shortfall_.reset();
   timer_->enable(options_.check_interval);
-  // A change that another lease holder left in progress is completed first.
+  // First completes a change that a previous lease holder left in progress.
   change_.resume([](base::ResultCode) {});
 }
 
@@ -102,7 +102,7 @@
   const bool is_member =
       std::ranges::find(members(), instance, &wire::AcceptorMember::instance) != members().end();
   if (!is_member) {
-    // Another instance has the member's address, so the member's instance has ended for good.
+    // Another instance has the member's address, so the member's instance will not return.
     candidates_.insert({reply->member, reply->holds_state, reply->zone}, now);
     liveness_.noteEnded(member, now);
   }
--- a/libraries/core/source/node_handlers.cc
+++ b/libraries/core/source/node_handlers.cc
@@ -36,7 +36,8 @@
       order.old_member, order.new_member, [respond = std::move(respond)](ResultCode code) {
         std::vector<Fault> causes;
         if (code == ResultCode::InvalidValue) {
-          causes.push_back({"old", code, "is no member, or `new` is no core node without a place"});
+          causes.push_back(
+              {"old", code, "must be a member, and `new` a core node that is not a member"});
         }
         respond(code == ResultCode::Ok ? jsonResponse(StatusOk, "{}") : controlError(code, causes));
       });
--- a/libraries/core/source/node_handlers.h
+++ b/libraries/core/source/node_handlers.h
@@ -17,7 +17,7 @@
   explicit NodeHandlers(const ControlDependencies& dependencies) : dependencies_(dependencies) {}
 
   void getStatus(const Respond& respond) const;
-  /** Responds with the node's state as its journal records it. */
+  /** Responds with the node's state as recorded in its journal. */
   void getState(const Respond& respond) const;
   /** Replaces a member of the acceptor set. */
   void postReplacement(const http::Request& request, Respond respond) const;
--- a/libraries/core/source/platform_watcher_role.cc
+++ b/libraries/core/source/platform_watcher_role.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Time for the peers' replies with the last view before a new watcher polls. */
+/** Time for peers to reply with the last view before a new watcher polls. */
 constexpr base::Duration ViewPullTime = std::chrono::milliseconds(400);
 /** Time in which a peer can win the lease that this node released. */
 constexpr base::Duration YieldTime = std::chrono::seconds(3);
@@ -112,8 +112,8 @@
 }
 
 void PlatformWatcherRole::publish(const wire::WorkerView& view) {
-  // The lease is judged by the present clock, so that a process resumed from a freeze publishes
-  // nothing under a lease that has expired.
+  // The lease is checked against the clock, so that a process that resumes after a suspension
+  // publishes nothing under an expired lease.
   if (lease_.held() && lease_.term() == view.term) {
     publishToAll(view);
   }
--- a/libraries/core/source/quota_allocator.cc
+++ b/libraries/core/source/quota_allocator.cc
@@ -9,13 +9,13 @@
 
 namespace {
 
-/** One aggregation of the records serves the grants of this time. */
+/** Minimum time between two aggregations of the records. */
 constexpr base::Duration RefreshInterval = std::chrono::milliseconds(100);
-/** Fraction of the quota that is divided equally, for demand that moves between fronts. */
+/** Fraction of the quota that is divided equally, to allow for demand that moves between fronts. */
 constexpr double EqualShare = 0.3;
-/** A quota is reported to fronts from this fraction of use on, including the demand to come. */
-constexpr double MuchUsedShare = 0.4;
-/** How far ahead demand is counted as used, in seconds. */
+/** A quota is reported to fronts if the expected use is at least this fraction of it. */
+constexpr double ReportingThreshold = 0.4;
+/** The demand of this time, in seconds, is added to the present use to get the expected use. */
 constexpr double DemandHorizonS = 1.0;
 
 }  // namespace
@@ -32,10 +32,11 @@
   return found == view_->forwarding.tenants.end() ? std::nullopt : bounds_.limitOf(found->second);
 }
 
-bool QuotaAllocator::isMuchUsed(const std::string& tenant, const TenantTotal& total) const {
+bool QuotaAllocator::exceedsReportingThreshold(const std::string& tenant,
+                                               const TenantTotal& total) const {
   const std::optional<double> limit = limitOf(tenant);
-  const double soon_used = total.admitted + total.units_per_s * DemandHorizonS;
-  return limit && soon_used >= *limit * MuchUsedShare;
+  const double expected_use = total.admitted + total.units_per_s * DemandHorizonS;
+  return limit && expected_use >= *limit * ReportingThreshold;
 }
 
 base::Duration QuotaAllocator::window() const {
@@ -70,7 +71,7 @@
 std::optional<QuotaUse> QuotaAllocator::useOf(const std::string& tenant) {
   const std::optional<double> limit = limitOf(tenant);
   const bool is_known = hasFullWindow();
-  if (!limit || (!is_known && !demand_.mostFrontsAreYoung())) {
+  if (!limit || (!is_known && !demand_.mostFrontsStartedRecently())) {
     return std::nullopt;
   }
   const double unknown = is_known ? 0 : unknownShare() * *limit * configuration::UsableQuotaShare;
@@ -86,7 +87,7 @@
 }
 
 bool QuotaAllocator::mayDecide() {
-  return hasQuotas() && (hasFullWindow() || demand_.mostFrontsAreYoung());
+  return hasQuotas() && (hasFullWindow() || demand_.mostFrontsStartedRecently());
 }
 
 double QuotaAllocator::unknownShare() const {
@@ -94,7 +95,7 @@
       std::chrono::duration<double>(dispatcher_.now() - *receiving_since_).count();
   const double unknown_window = std::max(0.0, 1 - received_s / bounds_.window_s);
   const auto live = static_cast<double>(std::max<std::size_t>(1, demand_.liveFronts()));
-  return unknown_window * static_cast<double>(demand_.youngFronts()) / live;
+  return unknown_window * static_cast<double>(demand_.recentlyStartedFronts()) / live;
 }
 
 std::optional<std::vector<wire::TenantAllocation>> QuotaAllocator::allocate(
@@ -110,7 +111,7 @@
       demand_.admittedBy(FrontKey{record.front, record.instance});
   std::vector<wire::TenantAllocation> allocations;
   for (const auto& [tenant, total] : demand_.totals()) {
-    if (isMuchUsed(tenant, total)) {
+    if (exceedsReportingThreshold(tenant, total)) {
       const auto before = counted.find(tenant);
       allocations.push_back(allocationOf(tenant, total, reported[tenant],
                                          before == counted.end() ? 0 : before->second));
--- a/libraries/core/source/quota_ledger.cc
+++ b/libraries/core/source/quota_ledger.cc
@@ -9,11 +9,12 @@
 
 namespace {
 
-/** After this time the fronts' records include what a predecessor granted, or never will. */
+/** After this time with the lease, the fronts' records include the predecessor's grants, or never
+ * will. */
 constexpr base::Duration TakeoverDelay = std::chrono::milliseconds(700);
-/** Compensates that records include units for some 0.2 s after these have left the window. */
+/** Compensates for records that include units for about 0.2 s after they have left the window. */
 constexpr double StaleUseFactor = 1.05;
-/** Least length of a quota's window, in seconds. */
+/** Minimum length of a quota's window, in seconds. */
 constexpr double MinimumWindowS = 1;
 constexpr double MinimumRetryAfterMs = 200;
 constexpr double MaximumRetryAfterMs = 2'000;
@@ -44,7 +45,7 @@
   if (!held_since || dispatcher_.now() - *held_since < TakeoverDelay) {
     return reply;
   }
-  // Without a quota here this node's configuration may be older than the front's.
+  // If this node finds no quota, its configuration may be older than the front's.
   if (const std::optional<QuotaUse> use = allocator_.useOf(request.tenant)) {
     reply.known = true;
     admit(request, *use, reply);
--- a/libraries/core/source/quota_pacer.cc
+++ b/libraries/core/source/quota_pacer.cc
@@ -9,15 +9,15 @@
 
 /** Half-life of the sums of requested and granted units, in seconds. */
 constexpr double FlowHalfLifeS = 2.0;
-/** The mean age of a decayed sum, half-life / ln 2, in seconds: the rate is the sum by this. */
+/** Mean age of a decayed sum in seconds (half-life / ln 2). The sum divided by it is the rate. */
 constexpr double FlowMeanAgeS = FlowHalfLifeS / 0.693;
-/** The bucket's capacity is its inflow in this time, in seconds. */
+/** The bucket's capacity is its inflow during this time, in seconds. */
 constexpr double BucketTimeS = 0.5;
-/** The expected demand of more urgent requests in this time is reserved, in seconds. */
+/** The expected demand of more urgent requests during this time, in seconds, is reserved. */
 constexpr double ReserveTimeS = 0.25;
-/** The greatest fraction of the bucket that is reserved. */
+/** Maximum fraction of the bucket that is reserved. */
 constexpr double MaximumReservedShare = 0.8;
-/** Each urgency gets at least this fraction of the mean granted share of all requests. */
+/** Each urgency is granted at least this fraction of the mean granted share of all requests. */
 constexpr double MinimumGrantedShare = 0.4;
 
 double seconds(base::Duration duration) {
@@ -60,7 +60,7 @@
   if (more_urgent <= 0) {
     return 0;
   }
-  // A request may overdraw the bucket; the more urgent must not wait until it has filled again.
+  // A request may overdraw the bucket. More urgent requests must not wait until it has refilled.
   const Flow& own = flows_[urgency];
   const double mean_units = own.requests > 0 ? own.requested_units / own.requests : 0;
   return std::min(more_urgent / FlowMeanAgeS * ReserveTimeS + mean_units,
--- a/libraries/core/source/register_change_coordinator.cc
+++ b/libraries/core/source/register_change_coordinator.cc
@@ -23,7 +23,7 @@
   return answer;
 }
 
-/** @return the outcome recorded in the value for a change; `otherwise` where it has none. */
+/** @return the outcome that the value records for a change, or `otherwise` if it records none. */
 ChangeAnswer recordedAnswer(const std::optional<RegisterValue>& value, const std::string& change_id,
                             const ChangeAnswer& otherwise, bool changed) {
   const RecordedChange* recorded = value ? value->findRecorded(change_id) : nullptr;
@@ -43,7 +43,7 @@
   return answer;
 }
 
-/** @return the decoded value; unset where it is corrupt. */
+/** @return the decoded value; std::nullopt if it is corrupt. */
 std::optional<RegisterValue> decode(const std::string& bytes) {
   try {
     return configuration::decodeRegisterValue(bytes);
@@ -115,8 +115,8 @@
 void RegisterChangeCoordinator::commit(Decide decide, const std::string& change_id,
                                        Callback callback) {
   const base::TimePoint begun_at = dispatcher_.now();
-  // Used only for changes that were not written: the last run of the function need not be the one
-  // that was committed, since an earlier proposal may be found to have been chosen.
+  // Used only for changes that were not written. The result of the function's last run may differ
+  // from the committed one, since an earlier proposal may turn out to have been chosen.
   auto decision = std::make_shared<ChangeDecision>();
   auto function = [decide = std::move(decide), decision,
                    faults = faults_](const std::string& bytes) -> std::optional<std::string> {
--- a/libraries/core/source/unsettled_grants.cc
+++ b/libraries/core/source/unsettled_grants.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** A grant that no record includes counts for this time: longer than any quota's window. */
+/** How long a grant counts that no record includes. Longer than any quota's window. */
 constexpr base::Duration GrantLifetime = std::chrono::seconds(10);
 
 }  // namespace
@@ -21,10 +21,10 @@
   refreshes_ = allocator.refreshes();
   std::erase_if(grants_, [this, &allocator, now](const Grant& grant) {
     const auto settled = allocator.completedRequests(grant.front, grant.instance);
-    const bool is_over =
+    const bool is_removed =
         (settled && *settled >= grant.number) || now - grant.granted_at > GrantLifetime;
-    units_ -= is_over ? grant.units : 0;
-    return is_over;
+    units_ -= is_removed ? grant.units : 0;
+    return is_removed;
   });
 }
 
--- a/libraries/core/test/candidate_table_test.cc
+++ b/libraries/core/test/candidate_table_test.cc
@@ -33,7 +33,7 @@
   EXPECT_FALSE(table_.atAddress({"127.0.0.1", 3}, members));
 }
 
-TEST_F(CandidateTableTest, AMemberIsNoCandidateAtItsOwnAddress) {
+TEST_F(CandidateTableTest, MemberIsNotACandidateAtItsOwnAddress) {
   table_.update(announceOf(1, 10), start_);
   EXPECT_FALSE(table_.atAddress({"127.0.0.1", 1}, {{{"127.0.0.1", 1}, 10}}));
 }
--- a/libraries/core/test/control_service_test.cc
+++ b/libraries/core/test/control_service_test.cc
@@ -77,7 +77,7 @@
                            {configuration::sha256Hex(OperatorKey)}}};
 };
 
-TEST_F(ControlServiceTest, ServesOnlyOperators) {
+TEST_F(ControlServiceTest, AcceptsOnlyKeysOfOperators) {
   EXPECT_EQ(send("GET", "/v1/configuration", {}, "").status,
             base::describe(ResultCode::MissingKey).http_status);
   EXPECT_EQ(send("GET", "/v1/configuration", {}, "wrong").status,
@@ -94,7 +94,7 @@
             base::describe(ResultCode::UnknownKey).http_status);
 }
 
-TEST_F(ControlServiceTest, UnknownPathsAndMethodsHaveTheirCodes) {
+TEST_F(ControlServiceTest, RejectsUnknownPathsAndMethods) {
   EXPECT_EQ(errorCode(expect("GET", "/v1/nothing", {}, ResultCode::UnknownPath)),
             static_cast<int>(ResultCode::UnknownPath));
   EXPECT_EQ(errorCode(expect("DELETE", "/v1/configuration", {}, ResultCode::MethodNotAllowed)),
@@ -112,7 +112,7 @@
   EXPECT_NE(history.body.find("\"setup\""), std::string::npos);
 }
 
-TEST_F(ControlServiceTest, ADryRunIsOnlyChecked) {
+TEST_F(ControlServiceTest, DryRunChecksWithoutCommitting) {
   const std::string body = R"({"change_id":"d","base_version":1,"set":{"evacuations/z1":{}}})";
   expect("POST", "/v1/configuration/changes?dry_run", body);
   EXPECT_EQ(replica_.version(), 1U);
@@ -129,7 +129,7 @@
   EXPECT_EQ(body.integerOf("version"), 1);
 }
 
-TEST_F(ControlServiceTest, FaultyBodiesAreRejectedWithAllTheirFaults) {
+TEST_F(ControlServiceTest, RejectsAFaultyBodyWithAllItsFaults) {
   EXPECT_EQ(errorCode(expect("POST", "/v1/configuration/changes", "{", ResultCode::MalformedJson)),
             static_cast<int>(ResultCode::MalformedJson));
   const http::Response response =
@@ -140,7 +140,7 @@
   EXPECT_NE(response.body.find("shapes/b"), std::string::npos);
 }
 
-TEST_F(ControlServiceTest, EvacuatesAndRestoresAZoneWhateverTheVersion) {
+TEST_F(ControlServiceTest, EvacuatesAndRestoresAZoneWithoutABaseVersion) {
   expect("POST", "/v1/zones/z1/evacuation", R"({"change_id":"e1"})");
   EXPECT_TRUE(replica_.view()->evacuated_zones.contains("z1"));
   const std::uint64_t version = replica_.version();
@@ -152,7 +152,7 @@
   expect("DELETE", "/v1/zones/z1/evacuation?change_id=e2");
 }
 
-TEST_F(ControlServiceTest, AnOrderWithoutChangeIdIsRejected) {
+TEST_F(ControlServiceTest, RejectsAnEvacuationWithoutChangeId) {
   expect("POST", "/v1/zones/z1/evacuation", "{}", ResultCode::ConfigurationInvalid);
   EXPECT_EQ(replica_.version(), 1U);
 }
@@ -169,7 +169,7 @@
   expect("GET", "/v1/configuration/in-force", {}, ResultCode::NoQuorum);
 }
 
-TEST_F(ControlServiceTest, WithoutAQuorumReadsAreRejected) {
+TEST_F(ControlServiceTest, RejectsReadsWithoutAQuorum) {
   proposer_.has_quorum = false;
   expect("GET", "/v1/configuration", {}, ResultCode::NoQuorum);
   EXPECT_EQ(send("GET", "/v1/status").status, 200);
@@ -230,7 +230,7 @@
   EXPECT_EQ(body.find("history")->elements.front().textOf("sickest"), "w9");
 }
 
-TEST_F(ControlHealthTest, ExplainsOneWorker) {
+TEST_F(ControlHealthTest, ReportsTheHealthOfOneWorker) {
   const configuration::JsonValue body = expect("GET", "/v1/health/workers/w9");
   EXPECT_EQ(body.integerOf("compared_streams"), 100);
   ASSERT_NE(body.find("explained"), nullptr);
@@ -242,7 +242,7 @@
 TEST_F(ControlHealthTest, NextMaintenanceIsIdempotent) {
   const configuration::JsonValue first = expect("POST", "/v1/maintenance/next", order("n1"));
   EXPECT_EQ(first.textOf("worker"), "w9");
-  // Another worker may be unhealthy by now; the retried order stays with the first.
+  // Another worker may be unhealthy by now; a retried request still selects the first one.
   const configuration::JsonValue again = expect("POST", "/v1/maintenance/next", order("n1"));
   EXPECT_EQ(again.textOf("worker"), "w9");
   EXPECT_EQ(again.integerOf("version"), first.integerOf("version"));
@@ -251,7 +251,7 @@
   EXPECT_EQ(status.find("workers")->elements.front().textOf("state"), "draining");
 }
 
-TEST_F(ControlHealthTest, RejectionsHaveTheirCodes) {
+TEST_F(ControlHealthTest, RejectsMaintenanceWithTheCodeOfTheReason) {
   expect("POST", "/v1/maintenance/workers/w3", order("a"));
   EXPECT_EQ(errorCode(expect("POST", "/v1/maintenance/workers/w3", order("b"),
                              ResultCode::AlreadyInMaintenance)),
--- a/libraries/core/test/fakes.h
+++ b/libraries/core/test/fakes.h
@@ -11,7 +11,7 @@
 
 namespace switchsaddle::core {
 
-/** One register in memory, shared by proposers; replies immediately. */
+/** A fake proposer with one register in memory; replies immediately. */
 class FakeProposer : public registers::RegisterProposer {
  public:
   void change(const std::string& /*key*/, registers::ChangeFunction function,
@@ -36,7 +36,7 @@
 
   std::string value;
   bool has_quorum = true;
-  /** How often the change function runs, as after rejected ballots. */
+  /** How often the change function runs, as if ballots had been rejected. */
   int runs = 1;
 };
 
@@ -82,14 +82,14 @@
   std::vector<wire::SessionTableEntry> live;
   base::ResultCode code = base::ResultCode::Ok;
   int reads = 0;
-  /** As at a node that is no member of the acceptor set. */
+  /** Whether the local table is empty, as at a node that is not a member of the acceptor set. */
   bool local_table_empty = false;
-  /** Keeps the callbacks in `pending` for the test to run. */
+  /** Whether to store the callbacks in `pending` for the test to run. */
   bool defers_replies = false;
   std::vector<sessions::LiveSessionsCallback> pending;
 };
 
-/** A node with made-up state. */
+/** A fake node whose state the test sets. */
 class FakeNode : public NodeInformation {
  public:
   FakeNode(base::Dispatcher& dispatcher, journal::Journal& journal)
--- a/libraries/core/test/in_force_tracker_test.cc
+++ b/libraries/core/test/in_force_tracker_test.cc
@@ -12,7 +12,7 @@
  protected:
   InForceTrackerTest() : ChangeFixture(1) {}
 
-  /** @return the readings in two seconds for a version that is never in force. */
+  /** @return the number of readings in 2 s for a version that is never in force. */
   int readings(base::Duration each) {
     directory_.setSession({"127.0.0.2", 7000}, 0);
     directory_.local_table_empty = true;
@@ -29,7 +29,7 @@
   }
 };
 
-TEST_F(InForceTrackerTest, ReadsFrequentlyWhereCoresReplyFast) {
+TEST_F(InForceTrackerTest, ReadsFrequentlyIfCoresReplyFast) {
   EXPECT_GT(readings(milliseconds(5)), 80);
 }
 
@@ -84,7 +84,7 @@
   EXPECT_LE(pushes, 6);
 }
 
-TEST_F(InForceTrackerTest, ReadsLessFrequentlyWhereReadingsAreSlow) {
+TEST_F(InForceTrackerTest, ReadsLessFrequentlyIfReadingsAreSlow) {
   EXPECT_LE(readings(milliseconds(100)), 14);
 }
 
--- a/libraries/core/test/load_ledger_test.cc
+++ b/libraries/core/test/load_ledger_test.cc
@@ -75,7 +75,7 @@
   EXPECT_THAT(reportedTo(second), testing::IsEmpty());
 }
 
-TEST_F(LoadLedgerTest, AFrontThatEndedOrTimedOutCountsWithNothing) {
+TEST_F(LoadLedgerTest, AFrontThatEndedOrTimedOutDoesNotCount) {
   ledger.update(first);
   first.closed = true;
   ledger.update(first);
--- a/libraries/core/test/member_spread_test.cc
+++ b/libraries/core/test/member_spread_test.cc
@@ -9,7 +9,7 @@
 namespace switchsaddle::core {
 namespace {
 
-/** Cores of a deployment: how many run in each zone. */
+/** The number of cores in each zone of a deployment. */
 using Layout = std::vector<std::size_t>;
 
 std::vector<PlacedCore> coresOf(const Layout& layout) {
@@ -24,7 +24,7 @@
   return cores;
 }
 
-/** The set that the reconciler converges to from the initial members, one change at a time. */
+/** @return the set to which the members converge, one change at a time. */
 std::vector<PlacedCore> converged(std::vector<PlacedCore> members,
                                   std::vector<PlacedCore> candidates, ToleratedLosses tolerated) {
   const auto move = [](std::vector<PlacedCore>& from, std::vector<PlacedCore>& to,
@@ -59,7 +59,7 @@
   return zones;
 }
 
-/** The most members that the loss of `zones` zones can affect. */
+/** @return the maximum number of members that the loss of `zones` zones can affect. */
 std::size_t worstZoneLoss(const std::vector<PlacedCore>& members, std::size_t zones) {
   std::vector<std::size_t> sizes;
   for (const auto& [zone, count] : zonesOf(members)) {
@@ -73,7 +73,7 @@
   return lost;
 }
 
-/** Whether some choice of as many cores as required leaves a majority without any `zones` zones. */
+/** @return whether some set of the required size keeps a majority after the tolerated losses. */
 bool possible(const Layout& layout, ToleratedLosses tolerated) {
   const std::size_t required = requiredMembers(tolerated);
   std::size_t all = 0;
@@ -86,7 +86,7 @@
   if (tolerated.zones == 0) {
     return true;
   }
-  // Zones filled evenly up to their sizes: no choice has a smaller largest zone.
+  // Fills the zones evenly up to their sizes, which minimizes the size of the largest zone.
   Layout chosen(layout.size(), 0);
   for (std::size_t left = required; left > 0; --left) {
     std::size_t best = layout.size();
@@ -140,8 +140,8 @@
 }
 
 /** Every layout of up to four zones with up to three cores each, every tolerance, random initial
- * members: wherever some set tolerates the losses, the set converged to does. */
-TEST(MemberSpreadTest, ToleratesTheLossesWhereverSomeSetDoes) {
+ * members: if some set tolerates the losses, the members converge to one that does. */
+TEST(MemberSpreadTest, ConvergesToASetThatToleratesTheLossesIfOneExists) {
   std::mt19937 random(1);
   std::size_t tolerated_layouts = 0;
   for (std::size_t code = 0; code < 256; ++code) {
--- a/libraries/core/test/quota_allocator_test.cc
+++ b/libraries/core/test/quota_allocator_test.cc
@@ -86,23 +86,24 @@
   world.runFor(std::chrono::milliseconds(200));
   EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 600);
   records.pop_back();
-  // The units it admitted have left the window, but it may be partitioned and use its share.
+  // The units admitted by the front have left the window, but it may be partitioned and use its
+  // share.
   world.runFor(std::chrono::seconds(11));
   EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 700);
   world.runFor(std::chrono::seconds(61));
   EXPECT_FLOAT_EQ(allocationsFor(0)[0].fleet_admitted, 300);
 }
 
-TEST_F(QuotaAllocatorTest, ACoreWithoutKnowledgeDecidesOnlyWhereNoCoreHasIt) {
+TEST_F(QuotaAllocatorTest, CoreWithoutAFullWindowDecidesOnlyIfMostFrontsHaveJustStarted) {
   wire::SessionRecord& old = front(1, 50, 300);
   old.fleet_knowledge.age_ms = 60'000;
   EXPECT_TRUE(allocator.mayDecide());
   EXPECT_DOUBLE_EQ(allocator.useOf("t").value().admitted, 300);
-  // It was partitioned: the fronts kept running, and other cores received their records.
+  // The core was partitioned: the fronts kept running, and other cores received their records.
   allocator.stopReceiving();
   EXPECT_FALSE(allocator.mayDecide());
   EXPECT_FALSE(allocator.useOf("t").has_value());
-  // All fronts have just started: no core knows, and earlier use leaves the window gradually.
+  // All fronts have just started: no core has records, and earlier use leaves the window gradually.
   records.clear();
   front(2, 50, 10);
   world.runFor(std::chrono::milliseconds(200));
--- a/libraries/core/test/quota_pacer_test.cc
+++ b/libraries/core/test/quota_pacer_test.cc
@@ -18,7 +18,7 @@
   QuotaPacer pacer_;
 };
 
-TEST_F(QuotaPacerTest, TheBucketHoldsTheInflowOfHalfASecond) {
+TEST_F(QuotaPacerTest, BucketCapacityIsTheInflowOfHalfASecond) {
   EXPECT_DOUBLE_EQ(pacer_.available(), 50);
   pacer_.noteGrant(0, 50);
   EXPECT_DOUBLE_EQ(pacer_.available(), 0);
@@ -40,7 +40,7 @@
   EXPECT_GT(pacer_.reserveFor(1, UnitsPerS), 0);
 }
 
-TEST_F(QuotaPacerTest, AStarvedUrgencyHasNoReserveAgainstIt) {
+TEST_F(QuotaPacerTest, ReservesNothingAgainstAStarvedUrgency) {
   pacer_.noteRequest(0, 100);
   pacer_.noteGrant(0, 100);
   pacer_.noteRequest(1, 100);
--- a/libraries/core/test/register_change_coordinator_test.cc
+++ b/libraries/core/test/register_change_coordinator_test.cc
@@ -141,7 +141,7 @@
   EXPECT_EQ(answer->code, ResultCode::Ok);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, OfTwoChangesOnOneBaseExactlyOneCommits) {
+TEST_F(RegisterChangeCoordinatorTest, CommitsExactlyOneOfTwoChangesWithTheSameBaseVersion) {
   EXPECT_EQ(submit(changeOf("1", 0)).code, ResultCode::Ok);
   const ChangeAnswer loser = submit(changeOf("2", 0));
   EXPECT_EQ(loser.code, ResultCode::ConfigurationConflict);
@@ -172,12 +172,12 @@
   EXPECT_EQ(replica_.version(), 0U);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, WithoutAQuorumNothingIsAcknowledged) {
+TEST_F(RegisterChangeCoordinatorTest, DoesNotAcknowledgeWithoutAQuorum) {
   proposer_.has_quorum = false;
   EXPECT_EQ(submit(changeOf("1", 0)).code, ResultCode::NoQuorum);
 }
 
-TEST_F(RegisterChangeCoordinatorTest, WithoutAReadingOfTheTablesNothingIsAcknowledged) {
+TEST_F(RegisterChangeCoordinatorTest, DoesNotAcknowledgeWithoutAReadingOfTheTables) {
   directory_.code = ResultCode::NoQuorum;
   EXPECT_EQ(submit(changeOf("1", 0)).code, ResultCode::CommittedNotYetInForce);
 }
--- a/libraries/core/test/shortfall_monitor_test.cc
+++ b/libraries/core/test/shortfall_monitor_test.cc
@@ -25,7 +25,7 @@
   EXPECT_FALSE(updateAt(32, SpreadShortfall::None));
 }
 
-TEST_F(ShortfallMonitorTest, AnInterruptionStartsTheDelayAnew) {
+TEST_F(ShortfallMonitorTest, InterruptionRestartsTheDelay) {
   EXPECT_FALSE(updateAt(0, SpreadShortfall::Zones));
   EXPECT_FALSE(updateAt(10, SpreadShortfall::None));
   EXPECT_FALSE(updateAt(11, SpreadShortfall::Zones));
@@ -33,7 +33,7 @@
   EXPECT_EQ(updateAt(26, SpreadShortfall::Zones), SpreadShortfall::Zones);
 }
 
-TEST_F(ShortfallMonitorTest, AResetForgetsWhatWasReported) {
+TEST_F(ShortfallMonitorTest, ResetClearsTheReportedShortfall) {
   updateAt(0, SpreadShortfall::Cores);
   ASSERT_TRUE(updateAt(15, SpreadShortfall::Cores));
   monitor_.reset();
