--- a/libraries/core/include/switchsaddle/core/configuration_pusher.h
+++ b/libraries/core/include/switchsaddle/core/configuration_pusher.h
@@ -42,9 +42,11 @@
     base::Duration backoff;
   };
 
-  /** Starts the front's next backoff if its last one has expired.
+  /**
+   * Starts the front's next backoff, unless its last push of the same version is still in backoff.
    *
-   * @return whether to push the replica's version now. */
+   * @return whether to push the replica's version now.
+   */
   bool startPush(const base::NodeAddress& front, base::TimePoint now);
 
   base::Dispatcher& dispatcher_;
--- a/libraries/core/include/switchsaddle/core/fleet_demand.h
+++ b/libraries/core/include/switchsaddle/core/fleet_demand.h
@@ -36,7 +36,7 @@
   using RecordVisitor = std::function<void(const wire::SessionRecord&)>;
   /** Passes the record of each live session to the visitor. */
   using RecordSource = std::function<void(const RecordVisitor&)>;
-  /** The tenant's quota in units per window; std::nullopt if it has none. */
+  /** The tenant's maximum units in any window; std::nullopt if it has no quota. */
   using LimitOf = std::function<std::optional<double>(const std::string& tenant)>;
 
   /** Reads the records of the live sessions. */
--- a/libraries/core/include/switchsaddle/core/quota_allocator.h
+++ b/libraries/core/include/switchsaddle/core/quota_allocator.h
@@ -16,7 +16,7 @@
 
 /** The fleet's use of one tenant's quota. */
 struct QuotaUse {
-  /** Units per window. */
+  /** Maximum units in any window. */
   double limit = 0;
   /**
    * Units admitted within the last window, plus units possibly admitted by partitioned fronts or by
@@ -81,7 +81,7 @@
   /** @return whether this core has the records of all fronts for the last window. */
   bool hasFullWindow();
   base::Duration window() const;
-  /** @return the tenant's quota in units per window; std::nullopt if it has none. */
+  /** @return the tenant's maximum units in any window; std::nullopt if it has no quota. */
   std::optional<double> limitOf(const std::string& tenant) const;
   bool exceedsReportingThreshold(const std::string& tenant, const TenantTotal& total) const;
   /** @return the fraction of a quota that may have been used by ended fronts without a record here.
