--- a/libraries/front/include/switchsaddle/front/attempt/retry_budget.h
+++ b/libraries/front/include/switchsaddle/front/attempt/retry_budget.h
@@ -12,19 +12,19 @@
 /**
  * Limits the retries of each service to a share of its first attempts in a sliding window.
  *
- * Invariant: the retries of a window stay within the share over the complete fleet. Therefore
- * there is no minimum per front, unless the caller grants its share of a fleet-wide one; retries
- * expire late by up to one slice, so that rounding never allows one too many; and first attempts
- * expire early, since the fronts' loads vary while retries that they allowed remain in the
- * window. Runs on the control strand.
+ * Invariant: the retries of a window stay within the share over the complete fleet. Three rules
+ * ensure this. There is no minimum per front, except for the `extra` that a caller passes as its
+ * part of a fleet-wide allowance. Retries expire up to one slice late, so that rounding never
+ * allows one too many. First attempts expire early: a front's load may fall while the retries that
+ * its earlier load allowed are still in the window. Runs on the control strand.
  */
 class RetryBudget {
  public:
   static constexpr base::Duration Window = std::chrono::seconds(10);
   static constexpr base::Duration Slice = std::chrono::milliseconds(100);
-  /** First attempts expire earlier than retries by this time, as each front's load varies. */
+  /** First attempts expire this much earlier than retries, since each front's load varies. */
   static constexpr base::Duration Headroom = std::chrono::milliseconds(500);
-  /** Within this time retries may exceed their share by one, which prevents bursts. */
+  /** In this window retries may exceed their share by at most one, which prevents bursts. */
   static constexpr base::Duration ShortWindow = std::chrono::seconds(1);
 
   explicit RetryBudget(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
@@ -39,7 +39,7 @@
    */
   bool mayAcquire(const std::string& service, double share, double extra = 0);
   /**
-   * Counts a retry if the budget allows it; to be called right before the retry is sent.
+   * Counts a retry if the budget allows it. Must be called right before the retry is sent.
    * @return whether the retry is allowed; if not, nothing is counted.
    */
   bool tryAcquire(const std::string& service, double share, double extra = 0);
@@ -58,7 +58,7 @@
     Counts retries;
   };
 
-  /** @return a lower estimate of the first attempts, which allows for random variation. */
+  /** @return a lower bound of the expected first attempts, which allows for random variation. */
   static double lowerEstimate(std::uint64_t first_attempts);
   std::uint64_t countWithin(const Counts& counts, base::Duration age) const;
   void count(Counts& counts);
--- a/libraries/front/include/switchsaddle/front/attempt/worker_circuit.h
+++ b/libraries/front/include/switchsaddle/front/attempt/worker_circuit.h
@@ -11,9 +11,9 @@
 
 /**
  * A circuit breaker for each worker instance that refuses connections. A refused connection opens
- * the circuit for a backoff time that doubles up to a maximum; then one request may pass (half
- * open), and the circuit closes when the worker responds. Another instance of the worker starts
- * with a closed circuit. Runs on the control strand.
+ * the circuit for a backoff time, which doubles with each refusal up to a maximum. Then the circuit
+ * is half open and one request may pass. The circuit closes when the worker accepts a connection. A
+ * new instance of the worker starts with a closed circuit. Runs on the control strand.
  */
 class WorkerCircuit {
  public:
@@ -24,13 +24,14 @@
 
   /** Whether a request may be dispatched to the worker now. Changes no state. */
   bool mayAttempt(const workers::Worker& worker) const;
-  /** A request is dispatched to the worker; of a half-open circuit it is the trial request. */
+  /** Records that a request is dispatched to the worker: the trial request if the circuit is half
+   * open. */
   void onDispatch(const workers::Worker& worker);
-  /** The worker refused a connection. */
+  /** Records that the worker refused a connection. */
   void onRefused(const workers::Worker& worker);
-  /** The worker accepted a connection. */
+  /** Records that the worker accepted a connection. */
   void onConnected(const workers::Worker& worker);
-  /** @return ids of the workers to which no request may be dispatched now. */
+  /** @return the ids of the workers whose circuit allows no request now. */
   std::vector<std::string> openWorkers() const;
 
  private:
--- a/libraries/front/include/switchsaddle/front/forward/forward_flow.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_flow.h
@@ -25,8 +25,7 @@
 struct RetryAllowance {
   /** Retries as a share of the first attempts in the window. */
   double share = 0.1;
-  /** Retries in a window beyond the share, for the complete fleet; each front gets an equal share.
-   */
+  /** Retries of the complete fleet in a window beyond the share; each front gets an equal part. */
   double fleet_extra = 0;
 };
 
@@ -51,15 +50,16 @@
 class ForwardRun;
 
 /**
- * Forwards requests to workers: quota → place → dispatch → relay.
+ * Forwards requests to workers. Steps: acquire quota → place → dispatch → relay.
  *
- * Invariants: a request that may have run is retried only if its kind is idempotent; the response
- * is 429 or 503 only if nothing ran; a broken stream continues at another worker after its last
- * complete event if its kind allows that, and is aborted otherwise. Runs on the control strand.
+ * Invariants: a request that may have run is retried only if its kind is idempotent. The response
+ * is 429 or 503 only if no worker ran the request. A broken stream that is resumable continues at
+ * another worker after its last complete event; any other broken stream is aborted. Runs on the
+ * control strand.
  */
 class ForwardFlow {
  public:
-  /** Limit of requests in flight. */
+  /** Maximum number of requests in flight. */
   static constexpr std::size_t MaximumRuns = 4'096;
 
   explicit ForwardFlow(ForwardEnvironment environment);
@@ -73,8 +73,8 @@
   std::size_t active() const { return runs_.size(); }
   /** Sets the number of fronts in the fleet, which share the extra retries. */
   void setFronts(std::size_t fronts);
-  /** Moves resumable streams away from workers that the configuration has put into maintenance;
-   * other requests at such workers run to their end there. */
+  /** Moves resumable streams away from workers that are in maintenance by the configuration. Other
+   * requests complete at their workers. */
   void migrateFromMaintenance(const configuration::View& view);
   /** Ends all requests at once, without responses. */
   void abandon();
--- a/libraries/front/include/switchsaddle/front/forward/forward_headers.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_headers.h
@@ -9,9 +9,9 @@
  * request. A deployment whose callers and workers use other names configures them.
  */
 struct ForwardHeaders {
-  /** Id of one attempt of a caller; workers echo it. */
+  /** Id of one attempt of a caller; workers repeat it in their responses. */
   std::string request_id = "Request-Id";
-  /** Time until the sender's time-out, in milliseconds. */
+  /** Time until the sender's timeout, in milliseconds. */
   std::string deadline_ms = "Deadline-Ms";
   /** The caller's key. Never forwarded. */
   std::string key = "Caller-Key";
@@ -24,9 +24,9 @@
   std::string prefix_segments = "Prefix-Parts";
   /** 0 to 9; 0 is the highest. */
   std::string priority = "Request-Priority";
-  /** The worker instance that is meant; any other rejects the request without running it. */
+  /** The worker instance that the request is for; others reject it without running it. */
   std::string expect_instance = "Expect-Instance";
-  /** In a response: the worker did not run the request. */
+  /** In a response: present if the worker did not run the request. */
   std::string not_run = "Not-Run";
   /** In a response: the version of the weights that generated it. */
   std::string weights_version = "Versions";
--- a/libraries/front/include/switchsaddle/front/forward/forward_losses.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_losses.h
@@ -12,32 +12,32 @@
 
 /** Why a forwarded request was not served, or missed its latency target. */
 enum class ForwardLoss : std::uint8_t {
-  /** Rejected: its tenant's quota was exhausted. */
+  /** Rejected because the tenant's quota was exhausted. */
   QuotaSpent,
-  /** Rejected: no worker was available. */
+  /** Rejected because no worker was available. */
   NoWorker,
-  /** Rejected: the workers it was dispatched to had no capacity. */
+  /** Rejected because the workers that it was dispatched to had no capacity. */
   WorkersFull,
   /** Ended without a response at its deadline. */
   TimeLimit,
-  /** Ended without a response, or with a truncated stream, since the worker was lost. */
+  /** Ended without a response or with a truncated stream because the worker failed. */
   WorkerLost,
-  /** First event late, as estimated at placement: the prefill of its own prompt is too long. */
+  /** First event late, as estimated at placement, because the prefill of its prompt is too long. */
   LateOwnPrompt,
-  /** First event late, as estimated at placement: prefills queued at the worker before it. */
+  /** First event late, as estimated at placement, because of prefills queued at the worker. */
   LateQueue,
-  /** First event late, in contrast to the estimate at placement. */
-  LateUnforeseen,
-  /** First event in time, but a gap between two events was above the route's target. */
-  LatePause,
+  /** First event late, although the estimate at placement met the route's target. */
+  LateDespiteEstimate,
+  /** A gap between two events was longer than the route's target. */
+  LateEvent,
 };
 
-/** @return the name of the loss in the log. */
+/** @return the name under which the loss is reported. */
 std::string_view forwardLossName(ForwardLoss loss);
 
 /**
- * Counts losses of forwarding by route and cause, and reports them to operators in one incident for
- * each route every few seconds, as long as there are any. Runs on the control strand.
+ * Counts losses of forwarding by route and cause. Reports them to operators every few seconds, in
+ * one incident for each route that has any. Runs on the control strand.
  */
 class ForwardLosses {
  public:
--- a/libraries/front/include/switchsaddle/front/forward/forward_placer.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_placer.h
@@ -26,11 +26,12 @@
 };
 
 /**
- * Chooses workers of a pool: for models by the router of ADR-0021, for other services the one with
- * the fewest requests of this front or, if the loads of the fleet are known, by a draw weighted
- * with the free slots. Workers that are shutting down, closed, evacuated or excluded are never
- * used; those with an open circuit or found failing by the cores are the last choice; and those
- * that are warming up are used within the limits of slow start.
+ * Chooses workers of a pool. For models the router of ADR-0021 chooses. For other services it is
+ * the worker with the fewest requests of this front or, if the loads of the fleet are known, a
+ * random one weighted by the free slots. Workers that are shutting down, closed, evacuated or
+ * excluded are never used. Workers with an open circuit, and those that the cores have ejected, are
+ * used only if there are no others. Workers that are warming up are used within the limits of slow
+ * start.
  *
  * Invariant: each placement counts as in flight until it is completed. Runs on the control strand.
  */
@@ -41,26 +42,27 @@
 
   /**
    * @param excluded ids of workers that must not be used.
-   * @return the placement, or nothing if no worker is available.
+   * @return the placement, or std::nullopt if no worker is available.
    */
   std::optional<ForwardPlacement> choose(const configuration::ForwardPool& pool,
                                          const routing::Prompt& prompt,
                                          const std::vector<std::string>& excluded);
   /**
-   * Ends a placement; to be called once for each.
+   * Ends a placement. Must be called once for each.
    * @param completion the measurements for the router.
    */
   void complete(const ForwardPlacement& placement, routing::Completion completion);
-  /** The first event of a stream has been received. */
+  /** Records that the first event of a stream was received. */
   void onFirstToken(const ForwardPlacement& placement);
-  /** @return the requests of this front in flight at workers, for its peers. */
+  /** @return this front's requests in flight by worker, to be sent to its peers. */
   wire::FrontLoad load() const;
   /** Applies the loads of the other fronts. */
   void setPeerLoads(const wire::FleetLoad& loads);
   void setFronts(const std::vector<base::NodeAddress>& fronts);
   /**
-   * Sets the workers that the cores found failing; they are the last choice until this expires.
-   * @param workers keys by worker_health::workerKey().
+   * Sets the workers that the cores have ejected. They are used only if there are no others, until
+   * the list expires.
+   * @param workers keys from worker_health::workerKey().
    */
   void setEjected(const std::vector<std::uint64_t>& workers);
 
@@ -70,39 +72,39 @@
     /** workers::loadKey() of the instance. */
     std::uint32_t load_key = 0;
     routing::SlowStartState slow_start;
-    /** When the last request ended with a response, so that its connection may be reused. */
+    /** When the last request ended with a response; its connection may be reused. */
     std::optional<base::TimePoint> last_ended;
   };
 
   /** A worker that may get the request. */
   struct Eligible {
     const workers::Worker* worker = nullptr;
-    /** Requests in flight there: of this front, and of its peers as far as known. */
+    /** Requests in flight at the worker: those of this front, and those that its peers reported. */
     double load = 0;
-    /** This front probably has an idle connection to it. */
+    /** Whether this front probably has an idle connection to the worker. */
     bool has_idle_connection = false;
   };
 
-  /** @return the workers of first choice, or if there are none, those of last choice. */
+  /** @return the preferred workers or, if there are none, those that are used as a last resort. */
   std::vector<Eligible> eligibleWorkers(const configuration::ForwardPool& pool,
                                         const workers::WorkerSnapshot& snapshot,
                                         const std::vector<std::string>& excluded);
-  /** @return the weight of a worker in the draw. If the loads of the fleet are known, it grows with
-   * the free slots: fronts that receive the same loads at the same time must not all choose the
-   * least loaded worker. */
+  /** @return the weight of a worker in the random choice. If the loads of the fleet are known, it
+   * grows with the free slots, so that fronts that receive the same loads at the same time do not
+   * all choose the least loaded worker. */
   double weightOf(const Eligible& eligible, double least_load, bool fleet_known) const;
   std::optional<ForwardPlacement> chooseLearned(const configuration::ForwardPool& pool,
                                                 const routing::Prompt& prompt,
                                                 const std::vector<std::string>& excluded);
   std::optional<ForwardPlacement> chooseLeastLoaded(const configuration::ForwardPool& pool,
                                                     const std::vector<std::string>& excluded);
-  /** Draws one of the workers by their weights. */
+  /** Chooses one of the workers at random by their weights. */
   const workers::Worker& draw(const std::vector<Eligible>& eligible);
   bool isEjected(const wire::WorkerEntry& entry) const;
   std::vector<std::string> ejectedWorkers(const configuration::ForwardPool& pool) const;
   /** Whether slow start allows another request at the worker. */
   bool mayUse(const workers::Worker& worker, const configuration::ForwardPool& pool);
-  /** Drops the state of workers that are no longer listed. */
+  /** Removes the state of workers that are no longer listed. */
   void removeUnlisted(const workers::WorkerSnapshot& snapshot);
 
   base::Dispatcher& dispatcher_;
@@ -115,7 +117,7 @@
   std::map<std::string, Usage> usage_;
   routing::PeerLoad peer_load_;
   std::uint64_t known_revision_ = 0;
-  /** Keys of failing workers; expires at `ejected_until_`. */
+  /** Keys of ejected workers; expires at `ejected_until_`. */
   std::set<std::uint64_t> ejected_;
   base::TimePoint ejected_until_{};
 };
--- a/libraries/front/include/switchsaddle/front/forward/forward_request.h
+++ b/libraries/front/include/switchsaddle/front/forward/forward_request.h
@@ -22,13 +22,13 @@
   /** Null on an open route, and if the configuration has no tenants. */
   const configuration::ForwardTenant* tenant = nullptr;
   std::string request_id;
-  /** The caller's time-out, if it sent one. */
+  /** Time until the caller's timeout, if the caller sent it. */
   std::optional<base::Duration> deadline;
-  /** Model, prefix segments and tokens; defaults for those that the caller did not send. */
+  /** Model, prefix segments and tokens; defaults for those fields that the caller did not send. */
   routing::Prompt prompt;
-  /** Whether the caller sent its numbers of tokens. */
+  /** Whether the caller sent the numbers of tokens. */
   bool reports_tokens = false;
-  /** As received. */
+  /** The request as received. */
   http::Request message;
 
   /** @return the units that the request counts against its tenant's quota. */
@@ -41,8 +41,8 @@
 std::string hostName(std::string_view host);
 
 /**
- * Finds the route and the tenant of a request and parses its typed fields; a malformed field counts
- * as absent.
+ * Finds the route and the tenant of a request and parses its typed fields. A malformed field is
+ * treated as absent.
  * @throws base::Error with UnknownRoute, MissingKey or UnknownKey.
  */
 ForwardRequest parseForwardRequest(std::shared_ptr<const configuration::View> view,
@@ -51,9 +51,9 @@
 /**
  * Builds the message for a worker: the caller's message without the headers of its connection and
  * its key, and with the fields that the front sets.
- * @param instance id of the worker instance that is meant.
+ * @param instance id of the worker instance that the request is for.
  * @param remaining time until the request's deadline.
- * @param last_event_id the last event of the stream that the caller has received, on a resume.
+ * @param last_event_id id of the last event that the caller has received, if a stream is resumed.
  */
 http::Request workerMessage(const ForwardRequest& request, const ForwardHeaders& headers,
                             const std::string& instance, base::Duration remaining,
--- a/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
+++ b/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
@@ -28,7 +28,7 @@
 /** A one-shot request after parsing and authentication. */
 struct OneShotRequest {
   std::string tenant;
-  /** Hash of the caller's key, which must be in force at each dispatch. */
+  /** Hash of the caller's key; the key must be in force at each dispatch. */
   std::string key_hash;
   /** Branch of the limits that the request counts against. */
   std::string branch;
@@ -36,23 +36,23 @@
   std::string idempotency_key;
   /** The caller's Request-Id; may be empty. */
   std::string caller_request_id;
-  /** Hash of the request, by which a key reused for another request is detected. */
+  /** Hash of the request; detects a key that is reused for another request. */
   std::uint64_t fingerprint = 0;
   /** Body of the request to the worker. */
   std::string body;
   base::Duration deadline = std::chrono::seconds(10);
 };
 
-/** Whether a request has run at a worker; Unknown unless proven. */
+/** Whether a request has run at a worker; Unknown unless it is proven. */
 enum class Outcome : std::uint8_t { Ran, NotRun, Unknown };
 
 /** @return "ran", "not-run" or "unknown". */
 std::string_view outcomeName(Outcome outcome);
 
-/** The result of a one-shot. */
+/** The result of a one-shot request. */
 struct OneShotAnswer {
   Outcome outcome = Outcome::Unknown;
-  /** The answer is the recorded one of an earlier request with the same key. */
+  /** Whether the answer was recorded for an earlier request with the same key. */
   bool replayed = false;
   /** Body of the worker's response; set with outcome Ran only. */
   std::string answer;
@@ -83,11 +83,11 @@
  * Runs one-shots at most once for each idempotency key. The steps of each: claim the key → acquire
  * a slot → check the session → dispatch on a new connection → record the end in the claim → answer.
  *
- * Invariants: a byte is sent to a worker only while this run owns the claim in flight, and only
+ * Invariants: a request is sent to a worker only while its run owns the claim in flight, and only
  * once for each run. NotRun is recorded and answered only if no byte was sent or the worker
- * rejected this attempt with Not-Run. Any other attempt without a matching response is Unknown for
- * good. The slot is acquired after the claim, so that a rejection for lack of slots proves that the
- * key has not run.
+ * rejected this attempt with Not-Run. Any other attempt without a matching response is permanently
+ * Unknown. The slot is acquired after the claim, so that a rejection for lack of slots proves that
+ * the key has not run.
  *
  * Runs on the control strand. Each callback runs exactly once unless the flow is destroyed before.
  */
@@ -104,7 +104,7 @@
    * @return the runs; their slots are released when these are destroyed.
    */
   std::set<std::shared_ptr<OneShotRun>> abandon();
-  /** One-shots not yet answered. */
+  /** Number of one-shots that have not been answered. */
   std::size_t active() const { return runs_.size(); }
 
  private:
@@ -116,14 +116,14 @@
                                       const OneShotRequest& request,
                                       const std::vector<std::string>& excluded) const;
   std::string newRunName();
-  /** Records the end of a run, with `attempts_left` retries while the core can't be reached. */
+  /** Records the end of a run. Retries up to `attempts_left` times if the core can't be reached. */
   void record(const wire::ClaimFinish& finish, claims::ClaimCallback callback, int attempts_left);
 
   OneShotEnvironment environment_;
   std::set<std::shared_ptr<OneShotRun>> runs_;
-  /** One-shots in flight by worker id; without entries of zero. */
+  /** One-shots in flight by worker id; contains no zeros. */
   std::map<std::string, std::uint32_t> in_flight_;
-  /** Never empty; replaced by abandon(), which ends the pending callbacks. */
+  /** Never empty; replaced by abandon(), which disables the pending callbacks. */
   std::optional<base::CallbackScope> callbacks_{std::in_place};
 };
 
--- a/libraries/front/include/switchsaddle/front/request/caller_connection.h
+++ b/libraries/front/include/switchsaddle/front/request/caller_connection.h
@@ -9,9 +9,9 @@
 
 namespace switchsaddle::front {
 
-/** What became of data that was written to a caller. */
+/** The result of writing data to a caller. */
 enum class WriteOutcome : std::uint8_t {
-  /** The caller's connection has accepted it. */
+  /** The caller's connection has accepted the data. */
   Written,
   /** The caller has closed its connection. */
   Disconnected,
@@ -38,7 +38,7 @@
   void writeChunk(std::string chunk, WriteCallback written);
   /** Ends the stream in order; the last call. */
   void endStream();
-  /** Closes the connection, so that the caller sees a truncated response; the last call. */
+  /** Closes the connection, so that the caller receives a truncated response; the last call. */
   void abort();
 
  private:
--- a/libraries/front/include/switchsaddle/front/request/caller_service.h
+++ b/libraries/front/include/switchsaddle/front/request/caller_service.h
@@ -36,8 +36,8 @@
   OneShotFlow& one_shots;
   ControlForwarder& control;
   Counters& counters;
-  /** Hashes of the operators' keys from the settings, in force besides those of the configuration.
-   */
+  /** Hashes of the operators' keys from the settings. They are in force in addition to those of the
+   * configuration. */
   std::vector<std::string> operator_hashes;
   /** Returns the body of GET /v1/beliefs. */
   std::function<std::string()> state_report;
@@ -45,24 +45,25 @@
   std::function<std::string()> metrics;
   /** Returns the JSON object that describes this node in GET /v1/routing. */
   std::function<std::string()> node_report;
-  /** Receives reports of one-shots of unknown outcome; may be null. */
+  /** Receives reports of one-shot requests with an unknown outcome; may be null. */
   base::IncidentSink* incidents = nullptr;
-  /** Null: nothing is forwarded. */
+  /** Null if this node forwards no requests. */
   ForwardFlow* forwards = nullptr;
   ForwardHeaders forward_headers = {};
-  configuration::ExpiredSessionPolicy lapsed_session = configuration::ExpiredSessionPolicy::Refuse;
+  configuration::ExpiredSessionPolicy expired_session_policy =
+      configuration::ExpiredSessionPolicy::Refuse;
 };
 
 /**
  * Serves callers' HTTP requests: parses and authenticates them and submits them to the flows.
  *
- * Invariants: each request gets exactly one response unless the service is destroyed before. A
- * one-shot that is rejected before its claim was read gets "unknown": it may be the retry of one
- * that ran. Runs on the control strand, except enqueue().
+ * Invariants: each request gets exactly one response unless the service is destroyed first. A
+ * one-shot request that is rejected before its claim was read gets "unknown", since the caller may
+ * be resending a request that ran. Runs on the control strand, except enqueue().
  */
 class CallerService {
  public:
-  /** Limit of requests queued for the control strand. */
+  /** Maximum number of requests queued for the control strand. */
   static constexpr std::size_t QueueBound = 1'024;
 
   explicit CallerService(CallerDependencies dependencies);
@@ -78,17 +79,18 @@
    * Stopping, but accepts forwarded requests until stopForwarding(). */
   void stop() { stopping_ = true; }
   void stopForwarding() { forwarding_stopped_ = true; }
-  /** @return the number of requests rejected since the queue was full. */
+  /** @return the number of requests rejected because the queue was full. */
   std::uint64_t queueRefusals() const { return queue_refusals_.load(); }
   /** Whether this node accepts new work. */
   bool ready() const { return readiness() == base::ResultCode::Ok; }
 
  private:
   void route(const http::Request& request, const http::ResponseWriterPtr& writer);
-  /** Whether the request is to be forwarded: it is for none of this node's own resources. */
+  /** Whether the request is forwarded: its host has routes, or its path is not one of this node's
+   * own resources. */
   bool isForwarded(const http::Request& request) const;
   void forward(const http::Request& request, const http::ResponseWriterPtr& writer);
-  /** @return Ok if this node accepts new work, else the reason why not. */
+  /** @return Ok if this node accepts new work, else the code of the reason. */
   base::ResultCode readiness() const;
   bool servesForwarding() const;
   void reject(const http::Request& request, const base::Error& error,
--- a/libraries/front/include/switchsaddle/front/request/control_forwarder.h
+++ b/libraries/front/include/switchsaddle/front/request/control_forwarder.h
@@ -21,15 +21,16 @@
   using CoreAddresses = std::function<std::vector<base::NodeAddress>()>;
   using Respond = std::function<void(http::Response)>;
 
-  /** Time-out of one core node: above the deadlines of a register and of acknowledgements. */
+  /** Timeout of a call to one core node. Longer than the deadlines of register operations and of
+   * acknowledgements. */
   static constexpr base::Duration CoreTimeout = std::chrono::seconds(5);
 
   ControlForwarder(transport::PeerCalls& calls, CoreAddresses cores);
 
-  /** Whether the path belongs to the part of the control API that the core serves. */
+  /** Whether the core serves this path of the control API. */
   static bool serves(std::string_view path);
   /** @param respond called once, with NoQuorum if no core responded, unless the forwarder is
-   *     destroyed before. */
+   *     destroyed first. */
   void forward(const http::Request& request, Respond respond);
 
  private:
--- a/libraries/front/include/switchsaddle/front/request/request_parser.h
+++ b/libraries/front/include/switchsaddle/front/request/request_parser.h
@@ -28,15 +28,15 @@
 
 /**
  * Parses the body of a completion.
- * @param default_maximum_tokens value of max_tokens if the body has none.
+ * @param default_maximum_tokens max_tokens of a body that does not set it.
  * @throws base::Error with MalformedJson, UnknownField, MissingField or InvalidValue, and the path
  * of the first error.
  */
 CompletionBody parseCompletionBody(const std::string& body, std::uint32_t default_maximum_tokens);
 
 /**
- * Parses the body of a one-shot.
- * @throws base::Error as parseCompletionBody().
+ * Parses the body of a one-shot request.
+ * @throws base::Error with the same codes as parseCompletionBody().
  */
 OneShotBody parseOneShotBody(const std::string& body);
 
--- a/libraries/front/include/switchsaddle/front/stream/stream_flow.h
+++ b/libraries/front/include/switchsaddle/front/stream/stream_flow.h
@@ -27,7 +27,7 @@
 /** A streamed completion after parsing and authentication. */
 struct StreamRequest {
   std::string tenant;
-  /** Hash of the caller's key, which must be in force at each dispatch. */
+  /** Hash of the caller's key; the key must be in force at each dispatch. */
   std::string key_hash;
   /** Branch of the limits that the request counts against. */
   std::string branch;
@@ -42,7 +42,7 @@
 /** Why a stream was rejected before its first event. */
 struct StreamRefusal {
   base::ResultCode code = base::ResultCode::InternalError;
-  /** The request may have reached a worker. */
+  /** Whether the request may have reached a worker. */
   bool sent = false;
   std::uint32_t retry_after_ms = 1'000;
 };
@@ -70,7 +70,7 @@
   virtual void end(base::ResultCode code) = 0;
 };
 
-/** Bounded stages that streams pass; a full queue rejects at once. */
+/** Bounded stages that streams pass through; a full queue rejects a stream at once. */
 struct StreamStages {
   Stage admit{256, 256};
   Stage relay{4'096, 256};
@@ -91,14 +91,13 @@
   StreamStages& stages;
   /** Receives reports of broken streams; may be null. */
   base::IncidentSink* incidents = nullptr;
-  /** Whether the sequence of events is checked; false only in tests that show what this prevents.
-   */
+  /** Whether the sequence of events is checked; false only in tests of faults that this detects. */
   bool check_sequence = true;
 };
 
 class StreamRun;
 
-/** A stream in flight, as its caller's side sees it. */
+/** The handle by which the caller's side cancels a stream in flight. */
 class StreamHandle {
  public:
   virtual ~StreamHandle() = default;
@@ -107,11 +106,11 @@
 };
 
 /**
- * Relays streams from workers to callers: admit → place → dispatch → relay → record.
+ * Relays streams from workers to callers. Steps: admit → place → dispatch → relay → record.
  *
- * Invariants: the session is checked right before each dispatch; a worker that fails before the
- * first chunk is replaced by another within the retry budget, and afterwards the stream ends with
- * an error event; each placement is completed once at the router. Runs on the control strand.
+ * Invariants: the session is checked right before each dispatch. If a worker fails before the first
+ * chunk, another one replaces it within the retry budget; if it fails later, the stream ends with
+ * an error event. Each placement is completed once at the router. Runs on the control strand.
  */
 class StreamFlow {
  public:
@@ -121,7 +120,7 @@
   StreamFlow& operator=(const StreamFlow&) = delete;
 
   /**
-   * Starts a stream; the sink may be rejected before this returns.
+   * Starts a stream. May call refuse() of the sink before it returns.
    * @return a handle for cancelling the stream.
    */
   std::shared_ptr<StreamHandle> run(StreamRequest request, std::shared_ptr<StreamSink> sink);
--- a/libraries/front/source/attempt/active_call.h
+++ b/libraries/front/source/attempt/active_call.h
@@ -13,7 +13,7 @@
 class ActiveCall {
  public:
   void set(WorkerCallPtr call) { call_ = std::move(call); }
-  /** Cancels the call, after which its observer is not called any more. No effect without one. */
+  /** Cancels the call; its observer is not called afterwards. No effect if there is no call. */
   void cancel() {
     if (call_) {
       std::exchange(call_, nullptr)->cancel();
--- a/libraries/front/source/attempt/attempt_list.h
+++ b/libraries/front/source/attempt/attempt_list.h
@@ -27,9 +27,10 @@
 
   /** Counts the first attempt in the budget; later calls have no effect. */
   void countFirst();
-  /** Counts a dispatch, and the first attempt with it. To be called right before it is sent. */
+  /** Counts a dispatch and, if needed, the first attempt. Must be called right before it is sent.
+   */
   void beginDispatch();
-  /** Dispatches so far. */
+  /** @return the number of dispatches so far. */
   std::uint32_t dispatched() const { return dispatched_; }
 
   /** @return whether acquireRetry() would succeed now; charges nothing. */
--- a/libraries/front/source/attempt/attempt_observer.h
+++ b/libraries/front/source/attempt/attempt_observer.h
@@ -10,11 +10,12 @@
 namespace switchsaddle::front {
 
 /**
- * Passes the events of one attempt to the run that dispatched it, while the run exists. The run
- * gets the attempt's id with each event and ignores events of attempts that are no longer current.
+ * Passes the events of one attempt to the run that dispatched it, as long as the run exists. Each
+ * event carries the attempt's id, by which the run ignores events of earlier attempts.
  *
  * @tparam Head the parsed response header of the port.
- * @tparam Run has onHead(), onBytes(), onComplete() and onFailure(), each with the id first.
+ * @tparam Run has onHead(), onBytes(), onComplete() and onFailure(), whose first parameter is the
+ * id.
  * @tparam AttemptId the identifier by which the run distinguishes its attempts.
  */
 template <class Head, class Run, class AttemptId>
--- a/libraries/front/source/attempt/dispatch_guard.h
+++ b/libraries/front/source/attempt/dispatch_guard.h
@@ -9,12 +9,12 @@
 namespace switchsaddle::front {
 
 /**
- * Conditions that must hold at the moment a request is dispatched, even if they held when it was
- * admitted. Keeps no state. Runs on the control strand.
+ * Checks the conditions that must hold when a request is dispatched. They may have changed since it
+ * was admitted. Keeps no state. Runs on the control strand.
  */
 class DispatchGuard {
  public:
-  /** Both outlive the guard. */
+  /** Both arguments outlive the guard. */
   DispatchGuard(const sessions::SessionClient& session, const FleetView& fleet_view)
       : session_(session), fleet_view_(fleet_view) {}
 
@@ -22,7 +22,7 @@
   base::ResultCode checkSession() const {
     return session_.mayDispatch() ? base::ResultCode::Ok : base::ResultCode::NotServing;
   }
-  /** @return Ok while the caller's key is in force, else UnknownKey: it has been revoked. */
+  /** @return Ok while the caller's key is in force, else UnknownKey, since it was revoked. */
   base::ResultCode checkKey(const std::string& key_hash) const {
     const bool in_force = fleet_view_.configuration()->keys.contains(key_hash);
     return in_force ? base::ResultCode::Ok : base::ResultCode::UnknownKey;
--- a/libraries/front/source/attempt/request_deadline.h
+++ b/libraries/front/source/attempt/request_deadline.h
@@ -9,7 +9,7 @@
 namespace switchsaddle::front {
 
 /**
- * The time by which one request must have ended. Invariant: the callback runs at most once for each
+ * The deadline of one request. Invariant: the callback runs at most once for each
  * start(), and never after stop(). Runs on the control strand.
  */
 class RequestDeadline {
@@ -18,7 +18,7 @@
   RequestDeadline(base::Dispatcher& dispatcher, std::function<void()> on_passed)
       : dispatcher_(dispatcher), timer_(dispatcher.createTimer(std::move(on_passed))) {}
 
-  /** Sets the deadline to `limit` from now, in place of an earlier one. */
+  /** Sets the deadline to `limit` from now; replaces an earlier one. */
   void start(base::Duration limit) {
     passes_at_ = dispatcher_.now() + limit;
     timer_->enable(limit);
--- a/libraries/front/source/attempt/retry_budget.cc
+++ b/libraries/front/source/attempt/retry_budget.cc
@@ -15,11 +15,12 @@
   expire(counts.first_attempts, Window - Headroom);
   expire(counts.retries, Window + Slice);
   const double allowed = share * lowerEstimate(counts.first_attempts.total) + extra;
-  const double allowed_now =
+  const double allowed_in_short_window =
       share * static_cast<double>(countWithin(counts.first_attempts, ShortWindow)) + extra;
-  const bool within = static_cast<double>(counts.retries.total + 1) <= allowed;
-  const bool spread = static_cast<double>(countWithin(counts.retries, ShortWindow)) <= allowed_now;
-  return within && spread;
+  const bool within_window = static_cast<double>(counts.retries.total + 1) <= allowed;
+  const bool within_short_window =
+      static_cast<double>(countWithin(counts.retries, ShortWindow)) <= allowed_in_short_window;
+  return within_window && within_short_window;
 }
 
 bool RetryBudget::tryAcquire(const std::string& service, double share, double extra) {
@@ -31,8 +32,8 @@
 }
 
 double RetryBudget::lowerEstimate(std::uint64_t first_attempts) {
-  // The standard deviation of independent arrivals is the root of their number. For small counts
-  // the rounding of slices is margin enough.
+  // The standard deviation of independent arrivals is the square root of their number. For small
+  // counts the rounding of slices is a sufficient margin.
   constexpr std::uint64_t SmallCount = 40;
   const auto counted = static_cast<double>(first_attempts);
   return first_attempts <= SmallCount ? counted : counted - std::sqrt(counted);
--- a/libraries/front/source/forward/forward_flow.cc
+++ b/libraries/front/source/forward/forward_flow.cc
@@ -32,7 +32,7 @@
 }
 
 void ForwardFlow::migrateFromMaintenance(const configuration::View& view) {
-  // A copy, since a run that ends removes itself from the set.
+  // Iterates over a copy, since a run that ends removes itself from the set.
   const std::set<std::shared_ptr<ForwardRun>> runs = runs_;
   for (const std::shared_ptr<ForwardRun>& run : runs) {
     run->migrateFromMaintenance(view);
--- a/libraries/front/source/forward/forward_losses.cc
+++ b/libraries/front/source/forward/forward_losses.cc
@@ -26,9 +26,9 @@
       return "late_own_prompt";
     case ForwardLoss::LateQueue:
       return "late_queue";
-    case ForwardLoss::LateUnforeseen:
+    case ForwardLoss::LateDespiteEstimate:
       return "late_unforeseen";
-    case ForwardLoss::LatePause:
+    case ForwardLoss::LateEvent:
       return "late_pause";
   }
   return "unknown";
--- a/libraries/front/source/forward/forward_placer.cc
+++ b/libraries/front/source/forward/forward_placer.cc
@@ -10,16 +10,16 @@
 
 namespace {
 
-/** The cores' list of failing workers expires after this time without an update. */
-constexpr base::Duration AvoidedLifetime = std::chrono::seconds(3);
+/** The cores' list of ejected workers expires after this time without an update. */
+constexpr base::Duration EjectedLifetime = std::chrono::seconds(3);
 
-/** Free slots assumed of a worker that seems full, so that its weight is above zero. */
+/** Minimum of the free slots assumed for a worker, so that its weight is above zero. */
 constexpr double MinimumFreeSlots = 0.25;
 
-/** A connection that has been idle for less than this will be reused: below the idle time that the
- * port accepts for requests that are not idempotent. */
+/** A connection that has been idle for less than this is expected to be reused. Shorter than the
+ * idle time that the port accepts for requests that are not idempotent. */
 constexpr base::Duration IdleConnectionLifetime = std::chrono::milliseconds(1'800);
-/** Factor of the weight of a worker with an idle connection. */
+/** Factor by which an idle connection increases the weight of a worker. */
 constexpr double IdleConnectionFactor = 6;
 
 bool contains(const std::vector<std::string>& names, const std::string& name) {
@@ -56,11 +56,11 @@
   route.pool = pool.name;
   std::vector<std::string> not_preferred = circuit_.openWorkers();
   not_preferred.insert(not_preferred.end(), excluded.begin(), excluded.end());
-  const std::vector<std::string> avoided = ejectedWorkers(pool);
-  not_preferred.insert(not_preferred.end(), avoided.begin(), avoided.end());
+  const std::vector<std::string> ejected = ejectedWorkers(pool);
+  not_preferred.insert(not_preferred.end(), ejected.begin(), ejected.end());
   std::optional<routing::Placement> placement = router_.choose(prompt, route, not_preferred);
   if (!placement) {
-    // A worker with an open circuit, or one that fails at times, is better than none.
+    // No preferred worker is available: accept those with an open circuit and those ejected.
     placement = router_.choose(prompt, route, excluded);
   }
   if (!placement) {
@@ -74,7 +74,7 @@
 
 void ForwardPlacer::setEjected(const std::vector<std::uint64_t>& workers) {
   ejected_ = {workers.begin(), workers.end()};
-  ejected_until_ = dispatcher_.now() + AvoidedLifetime;
+  ejected_until_ = dispatcher_.now() + EjectedLifetime;
 }
 
 bool ForwardPlacer::isEjected(const wire::WorkerEntry& entry) const {
@@ -131,8 +131,8 @@
     const configuration::ForwardPool& pool, const workers::WorkerSnapshot& snapshot,
     const std::vector<std::string>& excluded) {
   const std::shared_ptr<const configuration::View> view = fleet_view_.configuration();
-  std::vector<Eligible> first_choice;
-  std::vector<Eligible> last_choice;
+  std::vector<Eligible> preferred;
+  std::vector<Eligible> fallback;
   for (const auto& [id, worker] : snapshot.workers) {
     const bool eligible = worker.entry.service == pool.name && worker.usable() &&
                           view->allowsWorker(worker.entry) && !contains(excluded, id) &&
@@ -142,13 +142,13 @@
     }
     const Usage& usage = usage_[id];
     const double peer_requests = peer_load_.of(usage.load_key, dispatcher_.now()).requests;
-    const bool last = !circuit_.mayAttempt(worker) || isEjected(worker.entry);
+    const bool last_resort = !circuit_.mayAttempt(worker) || isEjected(worker.entry);
     const bool has_idle_connection = usage.in_flight == 0 && usage.last_ended &&
                                      dispatcher_.now() - *usage.last_ended < IdleConnectionLifetime;
-    (last ? last_choice : first_choice)
+    (last_resort ? fallback : preferred)
         .push_back({&worker, usage.in_flight + peer_requests, has_idle_connection});
   }
-  return first_choice.empty() ? last_choice : first_choice;
+  return preferred.empty() ? fallback : preferred;
 }
 
 std::optional<ForwardPlacement> ForwardPlacer::chooseLeastLoaded(
@@ -170,20 +170,20 @@
 const workers::Worker& ForwardPlacer::draw(const std::vector<Eligible>& eligible) {
   const bool fleet_known = peer_load_.known(dispatcher_.now());
   const double least_load = std::ranges::min(eligible, {}, &Eligible::load).load;
-  double total = 0;
-  for (const Eligible& each : eligible) {
-    total += weightOf(each, least_load, fleet_known);
+  double total_weight = 0;
+  for (const Eligible& candidate : eligible) {
+    total_weight += weightOf(candidate, least_load, fleet_known);
   }
-  double point = random_.uniform() * total;
+  double remaining = random_.uniform() * total_weight;
   const workers::Worker* chosen = eligible.front().worker;
-  for (const Eligible& each : eligible) {
-    const double weight = weightOf(each, least_load, fleet_known);
+  for (const Eligible& candidate : eligible) {
+    const double weight = weightOf(candidate, least_load, fleet_known);
     if (weight <= 0) {
       continue;
     }
-    chosen = each.worker;
-    point -= weight;
-    if (point < 0) {
+    chosen = candidate.worker;
+    remaining -= weight;
+    if (remaining < 0) {
       break;
     }
   }
--- a/libraries/front/source/forward/forward_request.cc
+++ b/libraries/front/source/forward/forward_request.cc
@@ -26,7 +26,7 @@
   return std::ranges::equal(first, second, {}, toLower, toLower);
 }
 
-/** Whether a header is hop-by-hop; RFC 9110, section 7.6.1. */
+/** Whether a header is hop-by-hop according to RFC 9110, section 7.6.1. */
 bool isHopByHop(std::string_view name) {
   static constexpr std::array<std::string_view, 9> Names{
       "connection", "keep-alive", "proxy-connection", "te", "trailer", "transfer-encoding",
@@ -105,7 +105,7 @@
   }
 }
 
-/** @return the tenant that owns the key; null if an open route accepts the request without one. */
+/** @return the tenant that owns the key, or null if an open route accepts requests without one. */
 const configuration::ForwardTenant* findTenant(const configuration::Forwarding& forwarding,
                                                const configuration::ForwardRoute& route,
                                                std::string_view key) {
@@ -126,7 +126,7 @@
   return tenant;
 }
 
-/** Copies the caller's headers except hop-by-hop ones and those that the front sets itself. */
+/** Copies the caller's headers, except hop-by-hop headers and those that the front sets. */
 void copyForwardedHeaders(const ForwardRequest& request, const ForwardHeaders& headers,
                           bool sets_last_event_id, http::Request& message) {
   const std::vector<std::string> connection_names =
--- a/libraries/front/source/forward/forward_run.cc
+++ b/libraries/front/source/forward/forward_run.cc
@@ -17,18 +17,18 @@
 constexpr std::uint16_t StatusOk = 200;
 constexpr std::uint16_t StatusMisdirected = 421;
 constexpr std::size_t MaximumCollectedBytes = 16U << 20U;
-/** Dispatches of one request, including those that no worker ran. */
+/** Maximum dispatches of one request, including those that no worker ran. */
 constexpr std::uint32_t MaximumDispatches = 4;
-/** With less time left than this, another worker would not respond before the deadline. */
+/** With less time left than this, a retry would not get a response before the deadline. */
 constexpr base::Duration MinimumRetryTime = std::chrono::milliseconds(30);
-/** A request that must not run twice reuses only connections that were in use just before: the
- * worker may have closed one that has been idle for longer. */
+/** Maximum idle time of a reused connection. It is short for a request that must not run twice: the
+ * worker may have closed a connection that has been idle for longer. */
 constexpr base::Duration ReuseForNonIdempotent = std::chrono::milliseconds(2'000);
 constexpr base::Duration ReuseForIdempotent = std::chrono::seconds(30);
 
 using RunObserver = AttemptObserver<http::Response, ForwardRun, std::uint64_t>;
 
-/** Draws one of the route's pools by the weights of its targets. */
+/** Chooses one of the route's pools at random by the weights of its targets. */
 const configuration::ForwardPool& choosePool(const ForwardRequest& request,
                                              base::RandomSource& random) {
   const std::vector<configuration::ForwardTarget>& targets = request.route->targets;
@@ -36,14 +36,14 @@
   for (const configuration::ForwardTarget& target : targets) {
     total_weight += target.weight;
   }
-  std::uint64_t point = targets.size() > 1 ? random.below(total_weight) : 0;
+  std::uint64_t remaining = targets.size() > 1 ? random.below(total_weight) : 0;
   const configuration::ForwardTarget* chosen = &targets.front();
   for (const configuration::ForwardTarget& target : targets) {
     chosen = &target;
-    if (point < target.weight) {
+    if (remaining < target.weight) {
       break;
     }
-    point -= target.weight;
+    remaining -= target.weight;
   }
   return *request.view->forwarding.findPool(chosen->pool);
 }
@@ -91,8 +91,8 @@
 }
 
 AdmittedUnits ForwardRun::onQuota(const QuotaMeter::Decision& retry_after, double units) {
-  if (over_) {
-    // The caller has disconnected meanwhile, or the deadline has passed.
+  if (ended_) {
+    // The caller has disconnected or the deadline has passed in the meantime.
     return AdmittedUnits::Refund;
   }
   if (retry_after) {
@@ -173,7 +173,7 @@
   }
   if (isNotRun(head)) {
     if (head.status == StatusMisdirected) {
-      // Another instance has the address: the one that was meant has ended.
+      // Another instance uses the address, so the intended one has ended.
       environment_.circuit.onRefused(placement_->worker);
     }
     onNotRun(ResultCode::NotRun);
@@ -288,7 +288,7 @@
   endDispatch(reached_worker ? DispatchEnd::Refused : DispatchEnd::Unreachable);
   ++not_run_;
   const bool may_retry = hasTimeForRetry() && not_run_ < 2 * MaximumDispatches;
-  // The first dispatch that reaches a worker is no retry.
+  // The first dispatch that reaches a worker does not count as a retry.
   if (!may_retry || (counted_dispatches_ > 0 && !acquireRetry())) {
     fail(code);
     return;
@@ -331,8 +331,8 @@
   const bool in_maintenance =
       placement_ && view.workers_in_maintenance.contains(placement_->worker.entry.id);
   const bool can_continue = stream_started_ && canResumeElsewhere();
-  // Continuing elsewhere is a retry, and is done only if another worker is available.
-  if (over_ || !in_maintenance || !can_continue || !hasTimeForRetry() || !acquireRetry()) {
+  // Continuing at another worker counts as a retry, and needs an available worker.
+  if (ended_ || !in_maintenance || !can_continue || !hasTimeForRetry() || !acquireRetry()) {
     return;
   }
   std::vector<std::string> excluded = attempts_.excluded();
--- a/libraries/front/source/forward/forward_run.h
+++ b/libraries/front/source/forward/forward_run.h
@@ -21,9 +21,9 @@
  * One forwarded request from its quota decision to its end. Owned by its flow until it has ended;
  * its callbacks hold it weakly.
  *
- * Invariants: events of a dispatch are used only while it is the current one; each placement is
- * completed once; a rejection with a "not run" code is answered only if no worker may have run the
- * request. Runs on the control strand.
+ * Invariants: events of a dispatch are used only while it is the current one. Each placement is
+ * completed once. A "not run" rejection is sent only if no worker can have run the request. Runs on
+ * the control strand.
  */
 class ForwardRun : public std::enable_shared_from_this<ForwardRun> {
  public:
@@ -69,13 +69,13 @@
 
   // The response.
   bool isNotRun(const http::Response& head) const;
-  /** Whether the body is relayed event by event, in contrast to one that is collected. */
+  /** Whether the body is relayed event by event; otherwise it is collected. */
   bool isRelayed() const;
   void collect(const std::string& bytes);
   void beginStream();
   void relay(const std::vector<streams::RawEvent>& events);
   void onFirstEvent();
-  /** Measures the times of the events for the worker's health. */
+  /** Measures the times between events for the worker's health. */
   void measureEvent();
   /** Records why the first event is late, if it is. */
   void recordLateness();
@@ -95,7 +95,7 @@
   void answer(http::Response response, std::string_view outcome, base::ResultCode code);
   void abortStream(base::ResultCode code);
   void release();
-  bool isCurrent(std::uint64_t dispatch) const { return !over_ && dispatch == dispatch_; }
+  bool isCurrent(std::uint64_t dispatch) const { return !ended_ && dispatch == dispatch_; }
 
   ForwardFlow& flow_;
   ForwardEnvironment& environment_;
@@ -105,20 +105,20 @@
   AttemptList attempts_;
   RequestDeadline deadline_;
   base::TimePoint started_at_;
-  bool over_ = false;
+  bool ended_ = false;
   double acquired_quota_units_ = 0;
 
   /** Dispatches that ended without having run. */
   std::uint32_t not_run_ = 0;
   /** Dispatches that may have run. */
   std::uint32_t may_have_run_ = 0;
-  /** Dispatches that count against the limit of a request: those that were not sent do not. */
+  /** Dispatches that count against the limit of a request; excludes those that were not sent. */
   std::uint32_t counted_dispatches_ = 0;
   /** A worker's error response, which the caller gets if no other worker succeeds. */
   std::optional<http::Response> worker_error_;
 
   // The current dispatch.
-  /** Number of the current dispatch; incremented with each and with the end of the run. */
+  /** Number of the current dispatch; incremented by each dispatch and by the end of the run. */
   std::uint64_t dispatch_ = 0;
   std::optional<ForwardPlacement> placement_;
   ActiveCall call_;
--- a/libraries/front/source/forward/forward_run_answers.cc
+++ b/libraries/front/source/forward/forward_run_answers.cc
@@ -5,7 +5,7 @@
 #include "forward/forward_run.h"
 #include "request/caller_answers.h"
 
-// The ends of a forwarded request: rejected, answered, aborted, or cancelled by its caller.
+// How a forwarded request ends: rejected, answered, aborted, or cancelled by its caller.
 
 namespace switchsaddle::front {
 
@@ -13,11 +13,10 @@
 
 namespace {
 
-/** Retry-After of a request for which no worker was available. */
+/** Retry-After of requests that are rejected after their placement failed. */
 constexpr base::Duration NoWorkerRetryAfter = std::chrono::milliseconds(200);
 
-/** @return seconds with three decimal places, the format of Retry-After between fronts and callers.
- */
+/** @return seconds with three decimal places, the format of a forwarded request's Retry-After. */
 std::string secondsText(base::Duration duration) {
   const std::int64_t milliseconds = std::max<std::int64_t>(1, base::toMilliseconds(duration));
   const std::string fraction = std::to_string(1'000 + milliseconds % 1'000);
@@ -88,7 +87,7 @@
 }
 
 void ForwardRun::cancel() {
-  if (over_) {
+  if (ended_) {
     return;
   }
   endDispatch(worker_health::DispatchEnd::Abandoned);
@@ -98,7 +97,7 @@
 }
 
 void ForwardRun::abandon() {
-  over_ = true;
+  ended_ = true;
   ++dispatch_;
   resume_ = nullptr;
   deadline_.stop();
--- a/libraries/front/source/forward/forward_run_events.cc
+++ b/libraries/front/source/forward/forward_run_events.cc
@@ -3,7 +3,7 @@
 
 #include "forward/forward_run.h"
 
-// The relay of a forwarded stream: checks, measures and writes its events.
+// Relaying of forwarded streams: checks, measures and writes their events.
 
 namespace switchsaddle::front {
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Chunks that may be outstanding at the caller before reading from the worker pauses. */
+/** Chunks that the caller's connection may have pending before reading from the worker pauses. */
 constexpr std::size_t MaximumOutstanding = 16;
 
 }  // namespace
@@ -63,17 +63,17 @@
 }
 
 void ForwardRun::recordLateness() {
-  const base::Duration goal = std::chrono::milliseconds(request_.route->response_target_ms);
-  const bool late = environment_.dispatcher.now() - started_at_ > goal;
+  const base::Duration target = std::chrono::milliseconds(request_.route->response_target_ms);
+  const bool late = environment_.dispatcher.now() - started_at_ > target;
   if (!late || stream_started_ || !placement_->learned) {
     return;
   }
   const routing::Placement& expected = *placement_->learned;
-  if (expected.first_token_estimate <= goal) {
-    recordLoss(ForwardLoss::LateUnforeseen);
+  if (expected.first_token_estimate <= target) {
+    recordLoss(ForwardLoss::LateDespiteEstimate);
   } else {
-    recordLoss(expected.prefill_estimate > goal ? ForwardLoss::LateOwnPrompt
-                                                : ForwardLoss::LateQueue);
+    recordLoss(expected.prefill_estimate > target ? ForwardLoss::LateOwnPrompt
+                                                  : ForwardLoss::LateQueue);
   }
 }
 
@@ -97,7 +97,7 @@
 }
 
 void ForwardRun::onWritten(WriteOutcome outcome) {
-  if (over_) {
+  if (ended_) {
     return;
   }
   --outstanding_;
@@ -119,9 +119,9 @@
 void ForwardRun::finishStream() {
   beginStream();
   ++environment_.counters.streams_finished;
-  const base::Duration gap_goal = std::chrono::milliseconds(request_.route->event_gap_target_ms);
-  if (gap_goal > base::Duration::zero() && sample_.longest_pause > gap_goal) {
-    recordLoss(ForwardLoss::LatePause);
+  const base::Duration gap_target = std::chrono::milliseconds(request_.route->event_gap_target_ms);
+  if (gap_target > base::Duration::zero() && sample_.longest_pause > gap_target) {
+    recordLoss(ForwardLoss::LateEvent);
   }
   environment_.counters.countRequest("forwarded-stream", "ran", ResultCode::Ok);
   endDispatch(DispatchEnd::Answered);
--- a/libraries/front/source/one_shot/one_shot_flow.cc
+++ b/libraries/front/source/one_shot/one_shot_flow.cc
@@ -29,7 +29,7 @@
 
 std::set<std::shared_ptr<OneShotRun>> OneShotFlow::abandon() {
   callbacks_.emplace();
-  // Destroying a run passes its slot to a queued one, so all runs end before any is destroyed.
+  // Destroying a run gives its slot to a queued one, so all runs end before any is destroyed.
   std::set<std::shared_ptr<OneShotRun>> runs = std::exchange(runs_, {});
   for (const std::shared_ptr<OneShotRun>& run : runs) {
     run->abandon();
@@ -67,7 +67,7 @@
     const bool better = best == nullptr || in_flight < best_in_flight;
     const bool tie = !better && in_flight == best_in_flight;
     ties = better ? 1 : ties + (tie ? 1 : 0);
-    // Reservoir sampling: each of several equal workers is chosen with the same probability.
+    // Reservoir sampling: equally loaded workers are chosen with the same probability.
     if (better || (tie && environment_.random.below(ties) == 0)) {
       best = &worker;
       best_in_flight = in_flight;
--- a/libraries/front/source/one_shot/one_shot_run.cc
+++ b/libraries/front/source/one_shot/one_shot_run.cc
@@ -11,14 +11,14 @@
 
 namespace {
 
-/** Interval of polling a claim that is in flight at another front. */
+/** Interval for polling a claim that is in flight at another front. */
 constexpr base::Duration PollInterval = std::chrono::milliseconds(100);
-/** Time for recording a not-run end after the caller's deadline has passed. */
+/** Time to record that the request has not run after the caller's deadline has passed. */
 constexpr base::Duration RecordGrace = std::chrono::milliseconds(500);
-/** Longest response that is recorded in the claim. */
+/** Maximum size of a response that is recorded in the claim. */
 constexpr std::size_t MaximumAnswerBytes = 1U << 20U;
-/** Attempts at recording an end while the core can't be reached. */
-constexpr int RecordAttempts = 10;
+/** Retries of recording an end if the core can't be reached. */
+constexpr int RecordRetries = 10;
 constexpr std::uint16_t StatusOk = 200;
 
 using OneShotObserver = AttemptObserver<WorkerHead, OneShotRun, std::string>;
@@ -76,8 +76,8 @@
     const auto run = weak.lock();
     const bool awaited = run && run->state_ == State::Claiming && run->run_ == withdrawal.run;
     if (!reply.available || (reply.recorded && !awaited)) {
-      // The key must not remain claimed by an attempt that will never dispatch.
-      flow->record(withdrawal, {}, RecordAttempts);
+      // The key must not remain claimed by an attempt that will never be dispatched.
+      flow->record(withdrawal, {}, RecordRetries);
     }
     if (awaited) {
       run->onClaim(reply);
@@ -88,7 +88,7 @@
 
 void OneShotRun::onClaim(const wire::ClaimReply& reply) {
   if (!reply.available) {
-    // An earlier attempt under this key may have run, so "not run" would be unproven.
+    // An earlier attempt with this key may have run, so "not run" is not proven.
     answer(unknown(ResultCode::ClaimsUnavailable));
     return;
   }
@@ -157,7 +157,7 @@
     reject(code, 0);
     return;
   }
-  // Claiming again takes time: the budget that checkRetry() saw may be exhausted by now.
+  // The budget may have been exhausted since checkRetry(), as claiming again takes time.
   if (attempts_.dispatched() > 0 && !attempts_.acquireRetry(retryShare())) {
     reject(ResultCode::RetryBudgetSpent, OneShotAnswer{}.retry_after_ms);
     return;
@@ -203,14 +203,14 @@
   if (head.draining) {
     environment_.fleet_view.observeDraining(worker_);
   }
-  const bool answers_this = head.request_id == run_;
-  head_matches_ = answers_this && head.status == StatusOk;
-  if (answers_this && head.not_run && head.status != StatusOk) {
+  const bool matches_request = head.request_id == run_;
+  head_matches_ = matches_request && head.status == StatusOk;
+  if (matches_request && head.not_run && head.status != StatusOk) {
     endNotRun();
   } else if (!head_matches_) {
-    // A worker that rejected this request runs nothing, so its slot is released; after a response
-    // to another request it may still be running this one.
-    const admission::SlotPermitPtr used_slot = answers_this ? std::move(slot_) : nullptr;
+    // A worker that rejected this request does not run it, so the slot is released. If the response
+    // is for another request, the worker may still be running this one.
+    const admission::SlotPermitPtr used_slot = matches_request ? std::move(slot_) : nullptr;
     endUnknown();
   }
 }
@@ -284,7 +284,7 @@
         }
         run->answer(notRun(code, OneShotAnswer{}.retry_after_ms));
       },
-      RecordAttempts);
+      RecordRetries);
 }
 
 ResultCode OneShotRun::checkRetry() {
@@ -299,7 +299,7 @@
 
 void OneShotRun::reject(ResultCode code, std::uint32_t retry_after_ms) {
   state_ = State::Recording;
-  // Nothing runs, so the slot is released even while the core can't be reached.
+  // No worker runs the request, so the slot is released even if the core can't be reached.
   const admission::SlotPermitPtr unused_slot = std::move(slot_);
   flow_.record(
       finishOf(ClaimState::NotRun),
@@ -310,7 +310,7 @@
                                      : unknown(ResultCode::OutcomeUnknown));
         }
       },
-      RecordAttempts);
+      RecordRetries);
 }
 
 void OneShotRun::endRan() {
@@ -330,7 +330,7 @@
           run->answer(OneShotAnswer{Outcome::Ran, false, run->body_, ResultCode::Ok, 0});
         }
       },
-      RecordAttempts);
+      RecordRetries);
 }
 
 void OneShotRun::endUnknown() {
@@ -344,7 +344,7 @@
           run->answer(unknown(ResultCode::OutcomeUnknown));
         }
       },
-      RecordAttempts);
+      RecordRetries);
 }
 
 void OneShotRun::endAttempt() {
@@ -379,7 +379,7 @@
   if (state_ == State::Answered) {
     return;
   }
-  // The flow continues recording the end; the caller is answered now.
+  // The caller is answered now; the flow continues to record the end.
   if (ran_) {
     answer(OneShotAnswer{Outcome::Ran, false, body_, ResultCode::Ok, 0});
   } else {
--- a/libraries/front/source/one_shot/one_shot_run.h
+++ b/libraries/front/source/one_shot/one_shot_run.h
@@ -17,9 +17,9 @@
  * One one-shot request from its claim to its answer. Owned by its flow until it is answered; its
  * callbacks hold it weakly.
  *
- * Invariants: the deadline runs from start() until the answer; a claim is won before each dispatch,
- * and its end is recorded before the request is answered, unless the deadline passes. Runs on the
- * control strand.
+ * Invariants: the deadline runs from start() until the answer. A claim is won before each dispatch.
+ * The end of the claim is recorded before the request is answered, unless the deadline passes. Runs
+ * on the control strand.
  */
 class OneShotRun : public std::enable_shared_from_this<OneShotRun> {
  public:
@@ -73,17 +73,17 @@
   RequestDeadline deadline_;
   base::TimerPtr poll_timer_;
   State state_ = State::Claiming;
-  /** Id of the current attempt: the claim's run and the worker's Request-Id. */
+  /** Id of the current attempt: the run in the claim and the Request-Id sent to the worker. */
   std::string run_;
   bool seen_in_flight_elsewhere_ = false;
-  /** The deadline has passed and was extended for recording the end. */
+  /** Whether the deadline has passed and was extended to record the end. */
   bool deadline_extended_ = false;
   admission::SlotPermitPtr slot_;
   workers::Worker worker_;
   ActiveCall call_;
-  /** The response header is a success of the current attempt. */
+  /** Whether the current attempt has received a response header with a success status. */
   bool head_matches_ = false;
-  /** The complete response of the current attempt has been received. */
+  /** Whether the complete response of the current attempt was received. */
   bool ran_ = false;
   std::string body_;
 };
--- a/libraries/front/source/request/caller_answers.h
+++ b/libraries/front/source/request/caller_answers.h
@@ -12,7 +12,7 @@
 /** What an error response contains besides its code. */
 struct ErrorDetails {
   std::optional<Outcome> outcome;
-  /** No Retry-After header if zero. */
+  /** Sent in the Retry-After header, rounded up to seconds; no header if zero. */
   std::uint32_t retry_after_ms = 0;
   std::string message;
   /** The path of the invalid field in the caller's body. */
@@ -21,7 +21,7 @@
 
 /** @return the response to a request that failed with the code. */
 http::Response errorAnswer(base::ResultCode code, const ErrorDetails& details);
-/** @return the response to a one-shot. */
+/** @return the response to a one-shot request. */
 http::Response oneShotAnswer(const OneShotAnswer& answer);
 /** @return a success response with the JSON text as its body. */
 http::Response jsonAnswer(std::string body);
--- a/libraries/front/source/request/caller_authentication.cc
+++ b/libraries/front/source/request/caller_authentication.cc
@@ -30,7 +30,7 @@
   }
   const auto tenant = view.tenants.find(key->second.tenant);
   if (tenant == view.tenants.end()) {
-    throw base::Error(ResultCode::UnknownKey, "the key's tenant is not known");
+    throw base::Error(ResultCode::UnknownKey, "the key's tenant is not in the configuration");
   }
   return tenant->second;
 }
--- a/libraries/front/source/request/caller_authentication.h
+++ b/libraries/front/source/request/caller_authentication.h
@@ -23,9 +23,9 @@
 
 /**
  * Checks that the request carries an operator's key.
- * @param bootstrap_hashes hashes of the operators' keys from the settings, which are in force
- * besides those of the configuration.
- * @throws base::Error with MissingKey, UnknownKey, or NotAnOperator for the key of a tenant.
+ * @param bootstrap_hashes hashes of the operators' keys from the settings. They are in force in
+ * addition to those of the configuration.
+ * @throws base::Error with MissingKey, UnknownKey, or NotAnOperator if it is a tenant's key.
  */
 void authenticateOperator(const configuration::View& view,
                           const std::vector<std::string>& bootstrap_hashes,
--- a/libraries/front/source/request/caller_service.cc
+++ b/libraries/front/source/request/caller_service.cc
@@ -33,7 +33,8 @@
     throw base::Error(ResultCode::MissingIdempotencyKey, "");
   }
   if (key.size() > LongestIdempotencyKey) {
-    throw base::Error(ResultCode::InvalidValue, "the key is too long", "Idempotency-Key");
+    throw base::Error(ResultCode::InvalidValue, "the key is longer than 255 bytes",
+                      "Idempotency-Key");
   }
   return std::string(key);
 }
@@ -96,12 +97,12 @@
 }
 
 bool CallerService::servesForwarding() const {
-  const bool knows_fleet = dependencies_.fleet_view.configuration()->version > 0 &&
-                           !dependencies_.fleet_view.workers()->workers.empty();
+  const bool has_fleet_data = dependencies_.fleet_view.configuration()->version > 0 &&
+                              !dependencies_.fleet_view.workers()->workers.empty();
   const bool may_serve =
-      dependencies_.lapsed_session == configuration::ExpiredSessionPolicy::Serve ||
+      dependencies_.expired_session_policy == configuration::ExpiredSessionPolicy::Serve ||
       dependencies_.session.mayDispatch();
-  return knows_fleet && may_serve;
+  return has_fleet_data && may_serve;
 }
 
 bool CallerService::isForwarded(const http::Request& request) const {
@@ -114,9 +115,9 @@
   if (forwarding.hasHost(hostName(request.header("Host")))) {
     return true;
   }
-  const bool own = StatusResources::serves(path) || path == CompletionsPath ||
-                   path == OneShotsPath || ControlForwarder::serves(path);
-  return !own;
+  const bool is_own_resource = StatusResources::serves(path) || path == CompletionsPath ||
+                               path == OneShotsPath || ControlForwarder::serves(path);
+  return !is_own_resource;
 }
 
 void CallerService::forward(const http::Request& request, const http::ResponseWriterPtr& writer) {
@@ -164,7 +165,8 @@
   }
   checkAllowed(tenant, configuration::CompletionsService);
   if (body.prompt.maximum_tokens > tenant.shape.maximum_tokens) {
-    throw base::Error(ResultCode::InvalidValue, "more than the shape allows", "max_tokens");
+    throw base::Error(ResultCode::InvalidValue,
+                      "the number exceeds the limit of the tenant's shape", "max_tokens");
   }
   StreamRequest stream;
   stream.tenant = tenant.name;
--- a/libraries/front/source/request/caller_sinks.cc
+++ b/libraries/front/source/request/caller_sinks.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Longest completion that is collected for one response. */
+/** Maximum size of a completion that is collected for one response. */
 constexpr std::size_t MaximumCollectedBytes = 16U << 20U;
 constexpr std::string_view DataField = "data: ";
 
@@ -23,7 +23,7 @@
   return errorAnswer(refusal.code, details);
 }
 
-/** @return the JSON of an event's data, or nothing for "[DONE]". */
+/** @return the JSON of an event's data, or std::nullopt for "[DONE]". */
 std::optional<configuration::JsonValue> eventData(const std::string& event) {
   const std::size_t start = event.find(DataField);
   if (start == std::string::npos) {
--- a/libraries/front/source/request/caller_sinks.h
+++ b/libraries/front/source/request/caller_sinks.h
@@ -30,8 +30,8 @@
 };
 
 /**
- * Collects a complete run and responds with one JSON completion, or with an error if the run broke.
- * Runs on the control strand.
+ * Collects a complete run and responds with one JSON completion, or with an error if the stream
+ * broke. Runs on the control strand.
  */
 class CollectingSink : public StreamSink {
  public:
--- a/libraries/front/source/request/control_forwarder.cc
+++ b/libraries/front/source/request/control_forwarder.cc
@@ -41,7 +41,8 @@
                                    Respond respond) {
   const std::vector<base::NodeAddress> cores = cores_();
   if (attempts >= cores.size()) {
-    respond(http::errorResponse(base::ResultCode::NoQuorum, "no core node answered"));
+    respond(
+        http::errorResponse(base::ResultCode::NoQuorum, "no core node responded to the request"));
     return;
   }
   const std::size_t core = (preferred_ + attempts) % cores.size();
--- a/libraries/front/source/request/request_parser.cc
+++ b/libraries/front/source/request/request_parser.cc
@@ -42,7 +42,7 @@
     fail(ResultCode::MalformedJson, fault.path, fault.message);
   }
   if (value->kind != JsonKind::Object) {
-    fail(ResultCode::InvalidValue, "", "the body is not an object");
+    fail(ResultCode::InvalidValue, "", "the body must be a JSON object");
   }
   return std::move(*value);
 }
@@ -158,7 +158,7 @@
   return static_cast<std::uint32_t>(std::min<std::uint64_t>(tokens, LargestCount));
 }
 
-/** @return the canonical body with the fields that the worker always gets. */
+/** @return the canonical body with the fields "stream" and "max_tokens" set for the worker. */
 std::string streamingBody(JsonValue object, std::uint32_t maximum_tokens) {
   JsonValue streaming;
   streaming.kind = JsonKind::Boolean;
--- a/libraries/front/source/request/status_resources.cc
+++ b/libraries/front/source/request/status_resources.cc
@@ -17,7 +17,7 @@
 
 constexpr std::array<std::string_view, 6> Paths{"/",        "/healthz",    "/readyz",
                                                 "/metrics", "/v1/routing", "/v1/beliefs"};
-/** The page contains all its resources and sends requests to this front only. */
+/** The page embeds its styles and scripts, and sends requests to this front only. */
 constexpr const char* PagePolicy =
     "default-src 'none'; style-src 'unsafe-inline'; script-src 'unsafe-inline'; "
     "img-src data:; connect-src 'self'";
@@ -40,7 +40,7 @@
   writer.endObject();
 }
 
-/** Writes the settings of ADR-0021 in force, under the names that it defines. */
+/** Writes the routing settings in force, under the names that ADR-0021 defines. */
 void writeTuning(configuration::JsonWriter& writer, const configuration::Tuning& tuning) {
   writer.name("tuning").beginObject();
   writer.name("route-explore-share").number(tuning.route_explore_share);
--- a/libraries/front/source/request/status_resources.h
+++ b/libraries/front/source/request/status_resources.h
@@ -18,8 +18,8 @@
   /** Whether the path is one of these resources. */
   static bool serves(std::string_view path);
   /**
-   * @param readiness Ok if the front accepts work, else the reason why not.
-   * @throws base::Error with UnknownPath, MethodNotAllowed, or for the state with MissingKey,
+   * @param readiness Ok if the front accepts work, else the code of the reason.
+   * @throws base::Error with UnknownPath or MethodNotAllowed; for the state also with MissingKey,
    *     UnknownKey or NotAnOperator.
    */
   http::Response respond(const http::Request& request, std::string_view path,
--- a/libraries/front/source/stream/stream_flow.cc
+++ b/libraries/front/source/stream/stream_flow.cc
@@ -13,7 +13,7 @@
 }
 
 std::set<std::shared_ptr<StreamRun>> StreamFlow::abandon() {
-  // Destroying a run passes its slot and its stage to a queued one, so all runs end before any is
+  // Destroying a run gives its slot and its stage to a queued one, so all runs end before any is
   // destroyed.
   std::set<std::shared_ptr<StreamRun>> runs = std::exchange(runs_, {});
   for (const std::shared_ptr<StreamRun>& run : runs) {
--- a/libraries/front/source/stream/stream_run.cc
+++ b/libraries/front/source/stream/stream_run.cc
@@ -13,7 +13,7 @@
 constexpr const char* CompletionsService = "completions";
 constexpr std::uint16_t StatusOk = 200;
 constexpr std::uint32_t DefaultRetryAfterMs = 1'000;
-/** Time-out of a worker's response header. */
+/** Timeout for a worker's response header. */
 constexpr base::Duration ResponseTimeout = std::chrono::seconds(15);
 
 using StreamObserver = AttemptObserver<WorkerHead, StreamRun, std::string>;
@@ -23,8 +23,8 @@
     if (route.service != CompletionsService) {
       continue;
     }
-    for (const std::string& served : route.models) {
-      if (served == model) {
+    for (const std::string& served_model : route.models) {
+      if (served_model == model) {
         return &route;
       }
     }
@@ -47,7 +47,7 @@
 void StreamRun::start() {
   deadline_.start(std::chrono::milliseconds(request_.shape.stream_deadline_ms));
   const bool queued = environment_.stages.admit.submit([weak = weak_from_this()](auto ticket) {
-    if (const auto run = weak.lock(); run && !run->over_) {
+    if (const auto run = weak.lock(); run && !run->ended_) {
       run->admit(std::move(ticket));
     }
   });
@@ -69,7 +69,7 @@
   ticket_ = std::move(ticket);
   environment_.slots.acquire(request_.branch,
                              [weak = weak_from_this()](admission::SlotOutcome outcome) {
-                               if (const auto run = weak.lock(); run && !run->over_) {
+                               if (const auto run = weak.lock(); run && !run->ended_) {
                                  run->onSlot(std::move(outcome));
                                }
                              });
@@ -83,7 +83,7 @@
   slot_ = std::move(outcome.permit);
   const StageTicket admitted = std::exchange(ticket_, {});
   const bool queued = environment_.stages.relay.submit([weak = weak_from_this()](auto ticket) {
-    if (const auto run = weak.lock(); run && !run->over_) {
+    if (const auto run = weak.lock(); run && !run->ended_) {
       run->ticket_ = std::move(ticket);
       run->place();
     }
@@ -223,7 +223,7 @@
     onFirstChunk();
   }
   sendEvents(step.events);
-  if (over_) {
+  if (ended_) {
     return;
   }
   resume_ = std::move(resume);
@@ -274,7 +274,7 @@
   last_failure_ = code;
   if (!relay_.mayRetryElsewhere()) {
     sendEvents(relay_.endWithError(code).events);
-    if (!over_) {
+    if (!ended_) {
       finish(code);
     }
     return;
@@ -295,14 +295,14 @@
         run->onWritten(outcome);
       }
     });
-    if (over_) {
+    if (ended_) {
       return;
     }
   }
 }
 
 void StreamRun::onWritten(WriteOutcome outcome) {
-  if (over_) {
+  if (ended_) {
     return;
   }
   if (outcome == WriteOutcome::Disconnected) {
@@ -356,7 +356,7 @@
 }
 
 void StreamRun::cancel() {
-  if (over_) {
+  if (ended_) {
     return;
   }
   completePlacement(false);
@@ -386,7 +386,7 @@
 }
 
 void StreamRun::abandon() {
-  over_ = true;
+  ended_ = true;
   attempt_.clear();
   deadline_.stop();
   resume_ = nullptr;
@@ -394,7 +394,7 @@
 }
 
 bool StreamRun::isCurrent(const std::string& attempt) const {
-  return !over_ && attempt == attempt_;
+  return !ended_ && attempt == attempt_;
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/source/stream/stream_run.h
+++ b/libraries/front/source/stream/stream_run.h
@@ -19,8 +19,8 @@
  * One stream from its admission to its end. Owned by its flow until it has ended; its callbacks
  * hold it weakly.
  *
- * Invariants: once over_ is set, the sink gets at most the one call that ends it, and the slot and
- * the stage are released; a placement is completed at the router before the next one is chosen.
+ * Invariants: once ended_ is set, the sink gets at most the call that ends it, and the slot and the
+ * stage are released. A placement is completed at the router before the next one is chosen.
  * Runs on the control strand.
  */
 class StreamRun : public StreamHandle, public std::enable_shared_from_this<StreamRun> {
@@ -66,21 +66,21 @@
   StreamRequest request_;
   std::shared_ptr<StreamSink> sink_;
   streams::RelayMachine relay_;
-  bool over_ = false;
+  bool ended_ = false;
   AttemptList attempts_;
   DispatchGuard guard_;
   RequestDeadline deadline_;
-  /** A worker may have received the request. */
+  /** Whether a worker may have received the request. */
   bool sent_ = false;
   base::ResultCode last_failure_ = base::ResultCode::NoWorkerAvailable;
   StageTicket ticket_;
   admission::SlotPermitPtr slot_;
   std::optional<routing::Placement> placement_;
   routing::Completion completion_;
-  /** A request has been dispatched for the current placement. */
+  /** Whether the request was dispatched to the current placement. */
   bool placement_sent_ = false;
   base::TimePoint dispatched_at_;
-  /** Id of the current attempt; empty without one. */
+  /** Id of the current attempt; empty if there is none. */
   std::string attempt_;
   /** The request id of the last dispatch. */
   std::string sent_request_id_;
