--- a/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
+++ b/libraries/front/include/switchsaddle/front/one_shot/one_shot_flow.h
@@ -116,8 +116,8 @@
                                       const OneShotRequest& request,
                                       const std::vector<std::string>& excluded) const;
   std::string newRunName();
-  /** Records the end of a run. Retries up to `attempts_left` times if the core can't be reached. */
-  void record(const wire::ClaimFinish& finish, claims::ClaimCallback callback, int attempts_left);
+  /** Records the end of a run. Retries up to `retries_left` times if the core can't be reached. */
+  void record(const wire::ClaimFinish& finish, claims::ClaimCallback callback, int retries_left);
 
   OneShotEnvironment environment_;
   std::set<std::shared_ptr<OneShotRun>> runs_;
--- a/libraries/front/source/forward/forward_run_answers.cc
+++ b/libraries/front/source/forward/forward_run_answers.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** Retry-After of requests that are rejected after their placement failed. */
+/** Retry-After of requests that no worker accepted. */
 constexpr base::Duration NoWorkerRetryAfter = std::chrono::milliseconds(200);
 
 /** @return seconds with three decimal places, the format of a forwarded request's Retry-After. */
--- a/libraries/front/source/one_shot/one_shot_flow.cc
+++ b/libraries/front/source/one_shot/one_shot_flow.cc
@@ -85,17 +85,17 @@
 }
 
 void OneShotFlow::record(const wire::ClaimFinish& finish, claims::ClaimCallback callback,
-                         int attempts_left) {
+                         int retries_left) {
   auto retry =
-      callbacks_->guard([this, finish, attempts_left] { record(finish, {}, attempts_left - 1); });
+      callbacks_->guard([this, finish, retries_left] { record(finish, {}, retries_left - 1); });
   environment_.claims.finish(
       finish, callbacks_->guard([retry = std::move(retry), callback = std::move(callback),
-                                 attempts_left](const wire::ClaimReply& reply) mutable {
+                                 retries_left](const wire::ClaimReply& reply) mutable {
         if (callback) {
           callback(reply);
         }
         // The callback may have ended the flow, in which case the guarded retry does nothing.
-        if (!reply.available && attempts_left > 0) {
+        if (!reply.available && retries_left > 0) {
           retry();
         }
       }));
--- a/libraries/front/test/attempt/attempt_list_test.cc
+++ b/libraries/front/test/attempt/attempt_list_test.cc
@@ -30,12 +30,12 @@
   list.beginDispatch();
   EXPECT_EQ(list.dispatched(), 2U);
   EXPECT_EQ(counters.dispatches, 2U);
-  // One first attempt allows one retry only at a share of 1.
+  // At a share of 1, one first attempt allows exactly one retry.
   EXPECT_TRUE(list.acquireRetry(1.0));
   EXPECT_FALSE(list.mayRetry(1.0));
 }
 
-TEST_F(AttemptListTest, ARetryIsChargedOnlyIfTheBudgetAllowsIt) {
+TEST_F(AttemptListTest, ChargesARetryOnlyIfTheBudgetAllowsIt) {
   countOthers(9);
   AttemptList list = attempts();
   list.beginDispatch();
--- a/libraries/front/test/attempt/request_deadline_test.cc
+++ b/libraries/front/test/attempt/request_deadline_test.cc
@@ -28,14 +28,14 @@
   EXPECT_EQ(deadline.remaining(), base::Duration::zero());
 }
 
-TEST_F(RequestDeadlineTest, DoesNotPassOnceStopped) {
+TEST_F(RequestDeadlineTest, StoppedDeadlineDoesNotRunItsCallback) {
   deadline.start(milliseconds(100));
   deadline.stop();
   world.runFor(milliseconds(500));
   EXPECT_EQ(passed, 0);
 }
 
-TEST_F(RequestDeadlineTest, ALaterStartReplacesTheDeadline) {
+TEST_F(RequestDeadlineTest, SecondStartReplacesTheDeadline) {
   deadline.start(milliseconds(100));
   world.runFor(milliseconds(50));
   deadline.start(milliseconds(100));
--- a/libraries/front/test/attempt/retry_budget_test.cc
+++ b/libraries/front/test/attempt/retry_budget_test.cc
@@ -16,7 +16,7 @@
   EXPECT_FALSE(budget.tryAcquire("s", 0.2));
 }
 
-TEST(RetryBudgetTest, UsesItsShareOfTheFleetsExtraOncePerWindow) {
+TEST(RetryBudgetTest, AllowsTheExtraRetriesOncePerWindow) {
   simulation::World world{1};
   simulation::Process process{world};
   RetryBudget budget(process);
--- a/libraries/front/test/forward/forward_fakes.h
+++ b/libraries/front/test/forward/forward_fakes.h
@@ -14,7 +14,7 @@
 
 namespace switchsaddle::front {
 
-/** Dispatches as sent, with their observers for the test to call. */
+/** Records dispatches with their observers, which the test calls. */
 class FakeForwardPort : public ForwardPort {
  public:
   class Call : public WorkerCall {
@@ -70,7 +70,7 @@
   void writeChunk(std::string chunk, std::function<void(bool)> written) override {
     body += chunk;
     if (slow) {
-      waiting.push_back(std::move(written));
+      pending_writes.push_back(std::move(written));
     } else {
       written(true);
     }
@@ -87,7 +87,7 @@
   bool ended = false;
   bool aborted = false;
   bool slow = false;
-  std::deque<std::function<void(bool)>> waiting;
+  std::deque<std::function<void(bool)>> pending_writes;
   std::function<void()> disconnected;
 };
 
--- a/libraries/front/test/forward/forward_fixture.h
+++ b/libraries/front/test/forward/forward_fixture.h
@@ -9,7 +9,7 @@
 
 namespace switchsaddle::front {
 
-/** A flow of forwarded requests with its dependencies, in a simulated world. */
+/** A ForwardFlow with fake dependencies in a simulated world. */
 class ForwardFixture : public testing::Test {
  protected:
   explicit ForwardFixture(RetryAllowance retry_allowance) : allowance(retry_allowance) {}
--- a/libraries/front/test/forward/forward_flow_test.cc
+++ b/libraries/front/test/forward/forward_flow_test.cc
@@ -63,7 +63,7 @@
   FakeForwardPort::Sent& last() { return port.sent.back(); }
 };
 
-TEST_F(ForwardFlowTest, ForwardsTheMessageUnchangedExceptForItsOwnHeaders) {
+TEST_F(ForwardFlowTest, ForwardsTheMessageUnchangedExceptForTheHeadersItSets) {
   const auto writer = run("once", {{"Deadline-Ms", "1500"}});
   const http::Request& message = last().dispatch.message;
   EXPECT_EQ(message.method, "POST");
@@ -104,7 +104,7 @@
   EXPECT_EQ(writer->response->header("Seal"), "");
 }
 
-TEST_F(ForwardFlowTest, RequestThatDidNotRunIsRetriedElsewhere) {
+TEST_F(ForwardFlowTest, RequestThatDidNotRunIsRetriedAtAnotherWorker) {
   const auto writer = run("once");
   last().refuse();
   ASSERT_EQ(port.sent.size(), 2U);
@@ -117,7 +117,7 @@
   EXPECT_FALSE(writer->response->header("Retry-After").empty());
 }
 
-TEST_F(ForwardFlowTest, IdempotentRequestIsRetriedWithinItsAttempts) {
+TEST_F(ForwardFlowTest, IdempotentRequestIsRetriedUpToTheAttemptsOfItsRoute) {
   const auto writer = run("again");
   last().lose();
   ASSERT_EQ(port.sent.size(), 2U);
@@ -126,7 +126,7 @@
   EXPECT_EQ(writer->response->status, 502);
 }
 
-TEST_F(ForwardFlowTest, WorkersErrorIsForwardedIfNoOtherSucceeds) {
+TEST_F(ForwardFlowTest, ErrorResponseIsForwardedIfNoOtherWorkerSucceeds) {
   const auto writer = run("again");
   last().answer(500, "broken");
   ASSERT_EQ(port.sent.size(), 2U);
@@ -136,25 +136,25 @@
   EXPECT_EQ(writer->response->header("Seal"), "sealed");
 }
 
-TEST_F(ForwardFlowTest, NoRetryBeyondTheBudget) {
-  ForwardFlow poor{ForwardEnvironment{process,
-                                      world.random(),
-                                      port,
-                                      placer,
-                                      fleet_view,
-                                      retries,
-                                      circuit,
-                                      quotas,
-                                      health,
-                                      counters,
-                                      {},
-                                      {0, 0}}};
+TEST_F(ForwardFlowTest, RequestIsNotRetriedBeyondTheRetryBudget) {
+  ForwardFlow flow_without_retries{ForwardEnvironment{process,
+                                                      world.random(),
+                                                      port,
+                                                      placer,
+                                                      fleet_view,
+                                                      retries,
+                                                      circuit,
+                                                      quotas,
+                                                      health,
+                                                      counters,
+                                                      {},
+                                                      {0, 0}}};
   http::Request message;
   message.method = "POST";
   message.target = "/again/";
   message.headers = {{"Host", "a.example"}, {"Caller-Key", "secret"}};
   auto writer = std::make_shared<ForwardWriter>();
-  poor.run(parseForwardRequest(fleet_view.configuration(), message, {}), writer);
+  flow_without_retries.run(parseForwardRequest(fleet_view.configuration(), message, {}), writer);
   last().lose();
   EXPECT_EQ(port.sent.size(), 1U);
   EXPECT_EQ(writer->response->status, 502);
@@ -175,11 +175,11 @@
 }
 
 TEST_F(ForwardFlowTest, BrokenStreamIsAborted) {
-  for (const bool in_an_event : {false, true}) {
+  for (const bool within_event : {false, true}) {
     const auto writer = run("stream");
     last().head(200);
-    last().bytes(in_an_event ? "id: 1\ndata: a\n\nid: 2\nda" : "id: 1\ndata: a\n\n");
-    if (in_an_event) {
+    last().bytes(within_event ? "id: 1\ndata: a\n\nid: 2\nda" : "id: 1\ndata: a\n\n");
+    if (within_event) {
       last().observer->onComplete();
     } else {
       last().lose();
@@ -205,16 +205,16 @@
   EXPECT_TRUE(writer->ended);
 }
 
-TEST_F(ForwardFlowTest, ResumableStreamLeavesAWorkerInMaintenanceAfterItsLastCompleteEvent) {
+TEST_F(ForwardFlowTest, ResumableStreamMovesFromAWorkerInMaintenanceAfterItsLastCompleteEvent) {
   const auto writer = run("resumed");
-  const std::string left = last().header("Expect-Instance");
+  const std::string previous_worker = last().header("Expect-Instance");
   last().head(200, {{"Run", "first"}});
   last().bytes("id: 1\ndata: a\n\nid: 2\nda");
-  fleet_view.view.workers_in_maintenance = {left};
+  fleet_view.view.workers_in_maintenance = {previous_worker};
   flow.migrateFromMaintenance(fleet_view.view);
   ASSERT_EQ(port.sent.size(), 2U);
   EXPECT_TRUE(port.sent.front().call->cancelled);
-  EXPECT_NE(last().header("Expect-Instance"), left);
+  EXPECT_NE(last().header("Expect-Instance"), previous_worker);
   EXPECT_EQ(last().header("Last-Event-ID"), "1");
   last().head(200);
   last().bytes("id: 2\ndata: b\n\n");
@@ -223,7 +223,7 @@
   EXPECT_TRUE(writer->ended);
 }
 
-TEST_F(ForwardFlowTest, NonResumableRequestEndsAtAWorkerInMaintenance) {
+TEST_F(ForwardFlowTest, NonResumableRequestCompletesAtAWorkerInMaintenance) {
   const auto once = run("once");
   fleet_view.view.workers_in_maintenance = {last().header("Expect-Instance")};
   flow.migrateFromMaintenance(fleet_view.view);
@@ -241,7 +241,7 @@
   }
 }
 
-TEST_F(ForwardFlowTest, FailingWorkerIsTheLastChoice) {
+TEST_F(ForwardFlowTest, EjectedWorkerIsUsedOnlyIfThereIsNoOther) {
   const auto key_of = [this](const std::string& id) {
     return worker_health::workerKey(fleet_view.workers()->workers.at(id).entry);
   };
@@ -256,7 +256,7 @@
   EXPECT_EQ(port.sent.size(), before + 1);
 }
 
-TEST_F(ForwardFlowTest, ListOfFailingWorkersExpires) {
+TEST_F(ForwardFlowTest, ListOfEjectedWorkersExpires) {
   placer.setEjected({worker_health::workerKey(fleet_view.workers()->workers.at("w1").entry),
                      worker_health::workerKey(fleet_view.workers()->workers.at("w2").entry)});
   world.runFor(std::chrono::seconds(4));
@@ -268,7 +268,7 @@
   EXPECT_EQ(used.size(), 3U);
 }
 
-TEST_F(ForwardFlowTest, FailuresOfAWorkerAreReported) {
+TEST_F(ForwardFlowTest, HealthReportContainsTheFailuresOfAWorker) {
   run("once");
   last().lose();
   world.runFor(std::chrono::seconds(1));
@@ -277,7 +277,7 @@
   EXPECT_GT(report.workers.front().recent_failed, 0.5);
 }
 
-TEST_F(ForwardFlowTest, RelayedEventIsNotRelayedAgain) {
+TEST_F(ForwardFlowTest, RepeatedEventAfterAResumeAbortsTheStream) {
   const auto writer = run("resumed");
   last().head(200);
   last().bytes("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
@@ -289,10 +289,10 @@
 }
 
 TEST_F(ForwardFlowTest, DeadlineEndsTheRequestWithAResponse) {
-  const auto sent = run("once");
+  const auto unanswered = run("once");
   world.runFor(std::chrono::milliseconds(2'001));
-  ASSERT_TRUE(sent->response.has_value());
-  EXPECT_EQ(sent->response->status, 504);
+  ASSERT_TRUE(unanswered->response.has_value());
+  EXPECT_EQ(unanswered->response->status, 504);
   EXPECT_TRUE(last().call->cancelled);
   const auto streaming = run("stream", {{"Deadline-Ms", "500"}});
   last().head(200);
@@ -302,7 +302,7 @@
   EXPECT_EQ(flow.active(), 0U);
 }
 
-TEST_F(ForwardFlowTest, DisconnectedCallerCancelsItsCall) {
+TEST_F(ForwardFlowTest, DisconnectedCallerCancelsTheCallToTheWorker) {
   const auto writer = run("stream");
   last().head(200);
   writer->disconnected();
@@ -321,23 +321,23 @@
                              [&resumed] { ++resumed; });
   }
   EXPECT_LT(resumed, 17);
-  writer->waiting.front()(true);
+  writer->pending_writes.front()(true);
   world.runFor(std::chrono::milliseconds(1));
   EXPECT_EQ(flow.active(), 1U);
 }
 
-TEST_F(ForwardFlowTest, TenantBeyondItsQuotaGetsARetryAfter) {
+TEST_F(ForwardFlowTest, TenantBeyondItsQuotaIsRejectedWithRetryAfter) {
   fleet_view.view.forwarding.tenants["t"].rate_per_s = 1;
-  int refused = 0;
+  int rejected = 0;
   for (int request = 0; request < 20; ++request) {
     const auto writer = run("once");
     if (writer->response) {
       EXPECT_EQ(writer->response->status, 429);
       EXPECT_THAT(std::string(writer->response->header("Retry-After")), HasSubstr("."));
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GE(refused, 12);
+  EXPECT_GE(rejected, 12);
 }
 
 TEST_F(ForwardFlowTest, EvacuatedAndDrainingWorkersAreNotUsed) {
@@ -351,7 +351,7 @@
   EXPECT_EQ(run("once")->response->status, 503);
 }
 
-TEST_F(ForwardFlowTest, WorkerInSlowStartGetsNoMoreThanItsLimit) {
+TEST_F(ForwardFlowTest, WorkerInSlowStartGetsNoMoreRequestsThanItsLimit) {
   configuration::ForwardPool& pool = fleet_view.view.forwarding.pools["shop"];
   pool.slow_start_ms = 3'000;
   pool.slow_start_per_s = 2;
--- a/libraries/front/test/forward/forward_placer_test.cc
+++ b/libraries/front/test/forward/forward_placer_test.cc
@@ -34,8 +34,8 @@
     const std::uint32_t key = workers::loadKey(fleet_view_.snapshot.workers.at(worker).entry);
     placer_.setPeerLoads({true, {{key, requests, 0}}, {}});
   }
-  /** Places requests, each of which ends before the next, and counts them by worker. */
-  std::map<std::string, int> placeInTurn() {
+  /** Places requests one after the other and counts them by worker; each ends before the next. */
+  std::map<std::string, int> placeSequentially() {
     std::map<std::string, int> counts;
     for (int request = 0; request < Requests; ++request) {
       const std::optional<ForwardPlacement> placement = placer_.choose(pool_, {}, {});
@@ -55,7 +55,7 @@
                         circuit_, fleet_view_,     {"127.0.0.1", 1}};
 };
 
-TEST_F(ForwardPlacerTest, WithoutPeerLoadsChoosesTheWorkerWithItsFewestRequests) {
+TEST_F(ForwardPlacerTest, ChoosesTheWorkerWithTheFewestOwnRequestsWithoutPeerLoads) {
   std::map<std::string, int> counts;
   for (int request = 0; request < 9; ++request) {
     ++counts[placer_.choose(pool_, {}, {})->worker.entry.id];
@@ -63,21 +63,21 @@
   EXPECT_THAT(counts, testing::Each(testing::Pair(testing::_, 3)));
 }
 
-TEST_F(ForwardPlacerTest, WorkerFilledByPeersGetsFewRequests) {
+TEST_F(ForwardPlacerTest, WorkerThatPeersHaveFilledGetsFewRequests) {
   reportPeers("a", 6);
-  std::map<std::string, int> counts = placeInTurn();
+  std::map<std::string, int> counts = placeSequentially();
   EXPECT_LT(counts["a"], Requests / 20);
   EXPECT_GT(counts["b"], Requests / 3);
   EXPECT_GT(counts["c"], Requests / 3);
 }
 
-TEST_F(ForwardPlacerTest, FrontsWithEqualLoadsDoNotAllChooseTheLeastLoaded) {
+TEST_F(ForwardPlacerTest, SpreadsRequestsBeyondTheLeastLoadedWorker) {
   reportPeers("a", 1);
-  const std::map<std::string, int> counts = placeInTurn();
+  const std::map<std::string, int> counts = placeSequentially();
   EXPECT_THAT(counts, testing::Each(testing::Pair(testing::_, testing::Gt(Requests / 6))));
 }
 
-TEST_F(ForwardPlacerTest, FullWorkersAreUsedIfThereIsNoOther) {
+TEST_F(ForwardPlacerTest, FullWorkerIsUsedIfThereIsNoOther) {
   reportPeers("a", 40);
   EXPECT_EQ(placer_.choose(pool_, {}, {"b", "c"})->worker.entry.id, "a");
 }
--- a/libraries/front/test/forward/forward_seeds_test.cc
+++ b/libraries/front/test/forward/forward_seeds_test.cc
@@ -22,14 +22,13 @@
 constexpr double RetryExtra = 10;
 
 std::string eventText(std::uint64_t id) {
-  return "id: " + std::to_string(id) + "\ndata: piece " + std::to_string(id) + "\n\n";
+  return "id: " + std::to_string(id) + "\ndata: event " + std::to_string(id) + "\n\n";
 }
 
-/** Workers with random faults: they reject, run, fail, truncate and lose requests, and count runs.
- */
-class ChaosForwardPort : public ForwardPort {
+/** Workers that run requests, or at random reject, fail, truncate or lose them. Counts the runs. */
+class FaultyForwardPort : public ForwardPort {
  public:
-  ChaosForwardPort(simulation::World& world, simulation::Process& process)
+  FaultyForwardPort(simulation::World& world, simulation::Process& process)
       : world_(world), process_(process) {}
 
   WorkerCallPtr forward(ForwardDispatch dispatch,
@@ -41,7 +40,7 @@
     return call;
   }
 
-  /** Runs begun, by request id. */
+  /** Runs that have begun, by request id. */
   std::map<std::string, int> runs;
   std::map<std::string, int> arrivals;
 
@@ -85,7 +84,7 @@
     if (chance < 28) {
       call->observer->onFailure(WorkerFailure::Lost, false);
     } else if (chance < 32) {
-      // No response: the deadline has to end the request.
+      // The worker does not respond: the deadline ends the request.
     } else if (chance < 36) {
       answer(call, 500, "failed");
     } else if (call->dispatch.message.target.find("stream") != std::string::npos) {
@@ -120,7 +119,7 @@
       }
       call->observer->onBytes(text, [] {});
       if (chance < 8) {
-        // Ends as though it were complete.
+        // The connection is lost after a complete event.
         after(call, [call] { call->observer->onFailure(WorkerFailure::Lost, false); });
         return;
       }
@@ -132,8 +131,8 @@
   simulation::Process& process_;
 };
 
-/** One request of the run, and what is allowed of it. */
-struct Asked {
+/** One request that was sent, with its kind and the response. */
+struct SentRequest {
   std::string id;
   ForwardKind kind = ForwardKind::AtMostOnce;
   std::shared_ptr<ForwardWriter> writer;
@@ -141,10 +140,10 @@
 
 class ForwardSeedsTest : public testing::Test {
  protected:
-  /** Plays one seed and judges by what callers and workers saw. */
-  class Play {
+  /** Runs one seed and checks what callers and workers received. */
+  class SeedRun {
    public:
-    explicit Play(std::uint64_t seed) : world_(seed) {
+    explicit SeedRun(std::uint64_t seed) : world_(seed) {
       addRoute("once", ForwardKind::AtMostOnce, 1);
       addRoute("again", ForwardKind::Idempotent, 2);
       addRoute("stream", ForwardKind::EventStream, 1);
@@ -159,18 +158,19 @@
     void run() {
       const std::array<const char*, 4> routes{"once", "again", "stream", "resumed-stream"};
       for (int request = 0; request < Requests; ++request) {
-        ask(routes.at(world_.random().below(routes.size())), "r-" + std::to_string(request));
+        sendRequest(routes.at(world_.random().below(routes.size())),
+                    "r-" + std::to_string(request));
         world_.runFor(milliseconds(world_.random().below(60)));
       }
       world_.runFor(milliseconds(2'100));
     }
     void checkHistory() const {
-      double repeats = 0;
-      for (const Asked& asked : requested_) {
-        checkOne(asked);
-        repeats += std::max(0, countOf(port_.arrivals, asked.id) - 1);
+      double retries = 0;
+      for (const SentRequest& request : requests_) {
+        checkRequest(request);
+        retries += std::max(0, countOf(port_.arrivals, request.id) - 1);
       }
-      EXPECT_LE(repeats, RetryShare * Requests + RetryExtra);
+      EXPECT_LE(retries, RetryShare * Requests + RetryExtra);
       EXPECT_EQ(flow_.active(), 0U);
     }
 
@@ -185,36 +185,36 @@
       route.attempts = attempts;
       route.time_limit_ms = 2'000;
     }
-    void ask(const std::string& route, const std::string& id) {
+    void sendRequest(const std::string& route, const std::string& id) {
       http::Request message{"POST", "/" + route + "/", {{"Host", "h"}, {"Request-Id", id}}, "b"};
       const ForwardKind kind = fleet_view_.view.forwarding.routes.at(route).kind;
-      requested_.push_back({id, kind, std::make_shared<ForwardWriter>()});
+      requests_.push_back({id, kind, std::make_shared<ForwardWriter>()});
       flow_.run(parseForwardRequest(fleet_view_.configuration(), std::move(message), {}),
-                requested_.back().writer);
+                requests_.back().writer);
     }
     static int countOf(const std::map<std::string, int>& counts, const std::string& id) {
       const auto found = counts.find(id);
       return found == counts.end() ? 0 : found->second;
     }
-    void checkOne(const Asked& asked) const {
-      const int runs = countOf(port_.runs, asked.id);
-      const bool repeatable = configuration::isIdempotent(asked.kind);
-      EXPECT_LE(runs, repeatable ? 2 : 1) << asked.id;
-      const ForwardWriter& writer = *asked.writer;
-      EXPECT_TRUE(writer.response || writer.ended || writer.aborted) << asked.id;
+    void checkRequest(const SentRequest& request) const {
+      const int runs = countOf(port_.runs, request.id);
+      const bool idempotent = configuration::isIdempotent(request.kind);
+      EXPECT_LE(runs, idempotent ? 2 : 1) << request.id;
+      const ForwardWriter& writer = *request.writer;
+      EXPECT_TRUE(writer.response || writer.ended || writer.aborted) << request.id;
       if (writer.response) {
-        judgeAnswer(*writer.response, runs, repeatable);
+        checkResponse(*writer.response, runs, idempotent);
       } else {
         checkStream(writer);
       }
     }
-    static void judgeAnswer(const http::Response& response, int runs, bool repeatable) {
+    static void checkResponse(const http::Response& response, int runs, bool idempotent) {
       if (response.status == 503 || response.status == 429) {
-        EXPECT_TRUE(runs == 0 || repeatable);
+        EXPECT_TRUE(runs == 0 || idempotent);
         EXPECT_FALSE(response.header("Retry-After").empty());
       }
-      const bool sealed = !response.header("Seal").empty();
-      EXPECT_EQ(sealed, response.status == 200 || response.status == 500);
+      const bool from_worker = !response.header("Seal").empty();
+      EXPECT_EQ(from_worker, response.status == 200 || response.status == 500);
       if (response.status == 200) {
         EXPECT_EQ(response.body, "whole");
         EXPECT_GE(runs, 1);
@@ -235,7 +235,7 @@
 
     simulation::World world_;
     simulation::Process process_{world_};
-    ChaosForwardPort port_{world_, process_};
+    FaultyForwardPort port_{world_, process_};
     FakeRouter router_;
     FakeFleetView fleet_view_;
     RetryBudget retries_{process_};
@@ -257,15 +257,15 @@
                                          counters_,
                                          {},
                                          {RetryShare, RetryExtra}}};
-    std::vector<Asked> requested_;
+    std::vector<SentRequest> requests_;
   };
 };
 
 TEST_F(ForwardSeedsTest, InvariantsHoldUnderWorkerFaults) {
   for (std::uint64_t seed = 1; seed <= 1'000; ++seed) {
-    Play play(seed);
-    play.run();
-    play.checkHistory();
+    SeedRun seed_run(seed);
+    seed_run.run();
+    seed_run.checkHistory();
     ASSERT_FALSE(HasFailure()) << "seed " << seed;
   }
 }
--- a/libraries/front/test/one_shot/faulty_workers.h
+++ b/libraries/front/test/one_shot/faulty_workers.h
@@ -9,11 +9,11 @@
 
 namespace switchsaddle::front {
 
-/** Number of runs at all workers, by one-shot key. */
+/** Number of runs at all workers, by the idempotency key of the one-shot request. */
 using RunCounts = std::map<std::string, int>;
 
-/** Workers that randomly run, refuse, lose, mix up, delay and duplicate; counts the runs by key.
- */
+/** Workers that at random refuse connections, or run requests and lose, mix up, delay or duplicate
+ * the responses. Counts the runs by key. */
 class FaultyWorkers : public WorkerPort {
  public:
   FaultyWorkers(simulation::World& world, simulation::Process& worker, simulation::Process& front,
--- a/libraries/front/test/one_shot/one_shot_fixture.h
+++ b/libraries/front/test/one_shot/one_shot_fixture.h
@@ -15,7 +15,7 @@
 /** The idempotency key of the tests' requests. */
 inline const std::string Key = "k1";
 
-/** A flow of one-shots with faked dependencies and two workers. */
+/** A flow of one-shot requests with fake dependencies and two workers. */
 class OneShotFlowTest : public testing::Test {
  protected:
   OneShotFlowTest() {
@@ -39,7 +39,7 @@
     });
     return result;
   }
-  /** Counts many first attempts, so that the budget allows retries. */
+  /** Counts 100 first attempts, so that the budget allows retries. */
   void fillBudget() {
     for (int count = 0; count < 100; ++count) {
       retries.countFirstAttempt("orders");
--- a/libraries/front/test/one_shot/one_shot_flow_test.cc
+++ b/libraries/front/test/one_shot/one_shot_flow_test.cc
@@ -11,7 +11,7 @@
 using base::ResultCode;
 using wire::ClaimState;
 
-TEST_F(OneShotFlowTest, RunsOnceAndReplays) {
+TEST_F(OneShotFlowTest, RunsOnceAndReplaysTheAnswerToAResentRequest) {
   const auto first = run();
   ASSERT_EQ(workers.sent.size(), 1U);
   EXPECT_TRUE(workers.sent[0].request.fresh_connection);
@@ -25,10 +25,10 @@
   EXPECT_EQ((*first)->outcome, Outcome::Ran);
   EXPECT_EQ((*first)->answer, "{\"n\":1}");
   EXPECT_FALSE((*first)->replayed);
-  const auto again = run();
-  ASSERT_TRUE(again->has_value());
-  EXPECT_TRUE((*again)->replayed);
-  EXPECT_EQ((*again)->answer, "{\"n\":1}");
+  const auto resent = run();
+  ASSERT_TRUE(resent->has_value());
+  EXPECT_TRUE((*resent)->replayed);
+  EXPECT_EQ((*resent)->answer, "{\"n\":1}");
   EXPECT_EQ(workers.sent.size(), 1U);
   EXPECT_EQ(*slots.in_use, 0);
   EXPECT_EQ(flow->active(), 0U);
@@ -47,7 +47,7 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-/** Ends of a sent request without its complete matching response. */
+/** Ends a request that was sent, without a complete response that matches it. */
 using Ending = std::function<void(const FakeWorkers::Sent&)>;
 class AmbiguousEnd : public OneShotFlowTest, public testing::WithParamInterface<int> {};
 
@@ -59,10 +59,10 @@
       sent.observer->onFailure(WorkerFailure::Lost, false);
     },
     [](const auto& sent) {
-      WorkerHead crossed;
-      crossed.status = 200;
-      crossed.request_id = "another";
-      sent.observer->onHead(crossed);
+      WorkerHead mismatched;
+      mismatched.status = 200;
+      mismatched.request_id = "another";
+      sent.observer->onHead(mismatched);
     },
     [](const auto& sent) { sent.head(503); },
     [](const auto& sent) { sent.refuse(true, "another"); },
@@ -70,7 +70,7 @@
     [](const auto& sent) { sent.bytes(std::string((1U << 20U) + 1, 'x')); },
 };
 
-TEST_P(AmbiguousEnd, IsUnknownForGood) {
+TEST_P(AmbiguousEnd, IsPermanentlyUnknown) {
   fillBudget();
   const auto result = run();
   Endings[GetParam()](workers.sent[0]);
@@ -78,12 +78,12 @@
   EXPECT_EQ((*result)->outcome, Outcome::Unknown);
   EXPECT_EQ((*result)->code, ResultCode::OutcomeUnknown);
   EXPECT_EQ(claims.state(Key), ClaimState::Unknown);
-  // The matching response arrives late.
+  // The matching response arrives after the end.
   workers.sent[0].head();
   workers.sent[0].bytes("{}");
   workers.sent[0].observer->onComplete();
-  const auto again = run();
-  EXPECT_EQ((*again)->outcome, Outcome::Unknown);
+  const auto resent = run();
+  EXPECT_EQ((*resent)->outcome, Outcome::Unknown);
   EXPECT_EQ(workers.sent.size(), 1U);
   EXPECT_TRUE(workers.sent[0].call->cancelled);
 }
@@ -91,7 +91,7 @@
 INSTANTIATE_TEST_SUITE_P(Endings, AmbiguousEnd,
                          testing::Range(0, static_cast<int>(Endings.size())));
 
-TEST_F(OneShotFlowTest, NoResponseByTheDeadlineIsUnknownForGood) {
+TEST_F(OneShotFlowTest, RequestWithoutAResponseByTheDeadlineIsPermanentlyUnknown) {
   const auto result = run();
   passDeadline();
   ASSERT_TRUE(result->has_value());
@@ -170,7 +170,7 @@
   claims.withheld = true;
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   claims.answerNext();
-  // Claiming again takes so long that the first attempts that allowed the retry leave the window.
+  // While the key is claimed again, the first attempts that allowed the retry leave the window.
   world.runFor(std::chrono::seconds(3));
   claims.release();
   EXPECT_EQ(workers.sent.size(), 1U);
@@ -191,7 +191,7 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, DestroyedFlowStartsNoQueuedWork) {
+TEST_F(OneShotFlowTest, DestroyedFlowStartsNoQueuedRequests) {
   run();
   slots.unresponsive = true;
   slots.passes_on = true;
@@ -209,7 +209,7 @@
   EXPECT_EQ(*slots.in_use, 0);
 }
 
-TEST_F(OneShotFlowTest, WithoutBudgetNoRetryFollowsARefusedConnection) {
+TEST_F(OneShotFlowTest, RefusedConnectionIsNotRetriedWithoutRetryBudget) {
   const auto result = run();
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   EXPECT_EQ(workers.sent.size(), 1U);
@@ -235,13 +235,13 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, WithoutClaimsNothingIsSentAndTheOutcomeIsUnknown) {
+TEST_F(OneShotFlowTest, SendsNothingAndAnswersUnknownIfClaimsAreUnavailable) {
   claims.begins_available = false;
   const auto result = run();
   EXPECT_TRUE(workers.sent.empty());
   EXPECT_EQ((*result)->code, ResultCode::ClaimsUnavailable);
   EXPECT_EQ((*result)->outcome, Outcome::Unknown);
-  // The begin was recorded nevertheless; it has been withdrawn.
+  // The core recorded the claim all the same; it has been withdrawn.
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
--- a/libraries/front/test/one_shot/one_shot_resend_test.cc
+++ b/libraries/front/test/one_shot/one_shot_resend_test.cc
@@ -11,35 +11,35 @@
 using base::ResultCode;
 using wire::ClaimState;
 
-TEST_F(OneShotFlowTest, RetryOfAKilledFrontsKeyIsUnknown) {
-  const auto lost = run();
+TEST_F(OneShotFlowTest, RequestResentAfterACrashOfTheFrontIsUnknown) {
+  const auto original = run();
   flow = std::make_unique<OneShotFlow>(OneShotEnvironment{process, world.random(), claims, slots,
                                                           session, workers, fleet_view, retries,
                                                           circuit, counters});
-  const auto again = run();
-  EXPECT_FALSE(again->has_value());
+  const auto resent = run();
+  EXPECT_FALSE(resent->has_value());
   passDeadline();
-  ASSERT_TRUE(again->has_value());
-  EXPECT_EQ((*again)->outcome, Outcome::Unknown);
+  ASSERT_TRUE(resent->has_value());
+  EXPECT_EQ((*resent)->outcome, Outcome::Unknown);
   EXPECT_EQ(workers.sent.size(), 1U);
-  EXPECT_FALSE(lost->has_value());
+  EXPECT_FALSE(original->has_value());
 }
 
-TEST_F(OneShotFlowTest, RetryWaitsForTheRecordOfTheRunElsewhere) {
+TEST_F(OneShotFlowTest, ResentRequestWaitsForTheAnswerOfTheRunInFlight) {
   run();
-  const auto again = run();
+  const auto resent = run();
   world.runFor(std::chrono::seconds(1));
-  EXPECT_FALSE(again->has_value());
+  EXPECT_FALSE(resent->has_value());
   workers.sent[0].head();
   workers.sent[0].bytes("1");
   workers.sent[0].observer->onComplete();
   world.runFor(std::chrono::seconds(1));
-  ASSERT_TRUE(again->has_value());
-  EXPECT_TRUE((*again)->replayed);
+  ASSERT_TRUE(resent->has_value());
+  EXPECT_TRUE((*resent)->replayed);
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, AnotherRequestUnderTheKeyIsRejected) {
+TEST_F(OneShotFlowTest, RejectsAnotherRequestWithTheSameKey) {
   run(7);
   const auto other = run(8);
   ASSERT_TRUE(other->has_value());
@@ -60,7 +60,7 @@
   EXPECT_TRUE(workers.sent.empty());
 }
 
-TEST_F(OneShotFlowTest, WithoutASlotEndsNotRunAtTheDeadline) {
+TEST_F(OneShotFlowTest, RequestWithoutASlotIsNotRunAtTheDeadline) {
   slots.unresponsive = true;
   const auto result = run();
   passDeadline();
@@ -69,7 +69,7 @@
   EXPECT_EQ(claims.state(Key), ClaimState::NotRun);
 }
 
-TEST_F(OneShotFlowTest, SpreadsOverTheLeastLoadedWorkersAndReportsDraining) {
+TEST_F(OneShotFlowTest, ChoosesTheLeastLoadedWorkerAndReportsADrainingOne) {
   run();
   claims.records.clear();
   run();
@@ -83,7 +83,7 @@
   EXPECT_EQ(fleet_view.draining.size(), 1U);
 }
 
-TEST_F(OneShotFlowTest, ReleasesTheSlotWhileAnEndIsBeingRecorded) {
+TEST_F(OneShotFlowTest, ReleasesTheSlotBeforeTheEndIsRecorded) {
   run();
   workers.sent[0].head();
   workers.sent[0].bytes("1");
@@ -100,46 +100,46 @@
   EXPECT_EQ(claims.pending_replies.size(), 1U);
 }
 
-/** One slot, which is granted to the next queued request as soon as it is released. */
-class HandedOverSlot : public admission::SlotBroker {
+/** Has one slot, which the next queued request gets as soon as it is released. */
+class SingleSlotBroker : public admission::SlotBroker {
  public:
   void acquire(const std::string& /*branch*/,
                std::function<void(admission::SlotOutcome)> callback) override {
-    waiting_.push_back(std::move(callback));
-    if (!taken_) {
+    queued_.push_back(std::move(callback));
+    if (!in_use_) {
       answerNext();
     }
   }
 
  private:
-  class Hold : public admission::SlotPermit {
+  class Permit : public admission::SlotPermit {
    public:
-    explicit Hold(HandedOverSlot& slot) : slot_(slot) {}
-    ~Hold() override {
-      slot_.taken_ = false;
+    explicit Permit(SingleSlotBroker& slot) : slot_(slot) {}
+    ~Permit() override {
+      slot_.in_use_ = false;
       slot_.answerNext();
     }
 
    private:
-    HandedOverSlot& slot_;
+    SingleSlotBroker& slot_;
   };
 
   void answerNext() {
-    if (waiting_.empty()) {
+    if (queued_.empty()) {
       return;
     }
-    const auto next = std::move(waiting_.front());
-    waiting_.pop_front();
-    taken_ = true;
-    next({base::ResultCode::Ok, std::make_unique<Hold>(*this), 0});
+    const auto next = std::move(queued_.front());
+    queued_.pop_front();
+    in_use_ = true;
+    next({base::ResultCode::Ok, std::make_unique<Permit>(*this), 0});
   }
 
-  std::deque<std::function<void(admission::SlotOutcome)>> waiting_;
-  bool taken_ = false;
+  std::deque<std::function<void(admission::SlotOutcome)>> queued_;
+  bool in_use_ = false;
 };
 
 TEST_F(OneShotFlowTest, DispatchesNothingDuringDestruction) {
-  HandedOverSlot slot;
+  SingleSlotBroker slot;
   flow = std::make_unique<OneShotFlow>(OneShotEnvironment{process, world.random(), claims, slot,
                                                           session, workers, fleet_view, retries,
                                                           circuit, counters});
--- a/libraries/front/test/one_shot/one_shot_seeds_test.cc
+++ b/libraries/front/test/one_shot/one_shot_seeds_test.cc
@@ -36,7 +36,7 @@
   OneShotFlow flow;
 };
 
-/** The outcomes that callers got for one key. */
+/** The outcomes that callers received for one key. */
 struct KeyHistory {
   int answers = 0;
   int ran = 0;
@@ -71,31 +71,33 @@
         request.idempotency_key = key;
         request.deadline = std::chrono::seconds(3);
         front.flow.run(request, [&history, &workers, key](const OneShotAnswer& answer) {
-          KeyHistory& seen = history[key];
-          ++seen.answers;
-          seen.ran += answer.outcome == Outcome::Ran ? 1 : 0;
-          seen.not_run += answer.outcome == Outcome::NotRun ? 1 : 0;
-          seen.runs_when_answered_not_run +=
+          KeyHistory& counts = history[key];
+          ++counts.answers;
+          counts.ran += answer.outcome == Outcome::Ran ? 1 : 0;
+          counts.not_run += answer.outcome == Outcome::NotRun ? 1 : 0;
+          counts.runs_when_answered_not_run +=
               answer.outcome == Outcome::NotRun ? workers.runs[key] : 0;
         });
       });
     }
-    disturb(world, claims, fronts);
+    injectFaults(world, claims, fronts);
     world.runFor(std::chrono::seconds(60));
-    for (auto& [key, seen] : history) {
+    for (auto& [key, counts] : history) {
       EXPECT_LE(workers.runs[key], 1) << key << " ran twice";
-      EXPECT_EQ(seen.answers, RequestsOfKey) << key;
-      EXPECT_EQ(seen.runs_when_answered_not_run, 0) << key << " told not-run after it ran";
-      EXPECT_TRUE(seen.ran == 0 || workers.runs[key] == 1) << key << " told ran";
-      answered_ran += seen.ran;
-      answered_not_run += seen.not_run;
+      EXPECT_EQ(counts.answers, RequestsOfKey) << key;
+      EXPECT_EQ(counts.runs_when_answered_not_run, 0)
+          << key << " was answered not-run after it ran";
+      EXPECT_TRUE(counts.ran == 0 || workers.runs[key] == 1)
+          << key << " was answered ran without a run";
+      answered_ran += counts.ran;
+      answered_not_run += counts.not_run;
       keys_run += workers.runs[key];
     }
   }
 
-  /** Injects random faults: sessions lapse and reopen, the core's replies fail. */
-  void disturb(simulation::World& world, FakeClaims& claims,
-               std::vector<std::unique_ptr<SeedFront>>& fronts) {
+  /** Injects random faults: sessions expire and are renewed, the core's replies fail. */
+  void injectFaults(simulation::World& world, FakeClaims& claims,
+                    std::vector<std::unique_ptr<SeedFront>>& fronts) {
     for (int second = 0; second < 25; ++second) {
       world.schedule(std::chrono::seconds(second), [&] {
         claims.begins_available = !world.random().chance(0.15);
@@ -113,12 +115,12 @@
   int keys_run = 0;
 };
 
-TEST_F(OneShotSeeds, NoKeyRunsTwiceAndNotRunIsCorrect) {
+TEST_F(OneShotSeeds, NoKeyRunsTwiceAndNoKeyThatRanIsAnsweredNotRun) {
   for (std::uint64_t seed = 1; seed <= Seeds && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     runSeed(seed);
   }
-  // The scenario has to bring about what it checks.
+  // The scenario must produce the outcomes that it checks.
   EXPECT_GT(answered_ran, Seeds);
   EXPECT_GT(answered_not_run, Seeds);
   EXPECT_GT(keys_run, Seeds);
--- a/libraries/front/test/request/caller_connection_test.cc
+++ b/libraries/front/test/request/caller_connection_test.cc
@@ -12,7 +12,7 @@
 
 class CallerConnectionTest : public testing::Test {
  protected:
-  /** Lets the control strand run what has been posted to it. */
+  /** Runs the callbacks that have been posted to the control strand. */
   void runPosted() { world.runFor(std::chrono::milliseconds(1)); }
 
   simulation::World world{1};
@@ -26,7 +26,7 @@
   std::optional<WriteOutcome> outcome;
   connection.writeChunk("chunk", [&outcome](WriteOutcome value) { outcome = value; });
   EXPECT_EQ(writer->body, "chunk");
-  writer->waiting.front()(true);
+  writer->pending_writes.front()(true);
   EXPECT_FALSE(outcome);
   runPosted();
   EXPECT_EQ(outcome, WriteOutcome::Written);
@@ -36,7 +36,7 @@
   writer->slow = true;
   std::optional<WriteOutcome> outcome;
   connection.writeChunk("chunk", [&outcome](WriteOutcome value) { outcome = value; });
-  writer->waiting.front()(false);
+  writer->pending_writes.front()(false);
   runPosted();
   EXPECT_EQ(outcome, WriteOutcome::Disconnected);
 }
--- a/libraries/front/test/request/caller_forwarding_test.cc
+++ b/libraries/front/test/request/caller_forwarding_test.cc
@@ -9,7 +9,7 @@
 
 using configuration::ExpiredSessionPolicy;
 
-/** A front's HTTP side with forwarding. */
+/** The HTTP service of a front that forwards requests. */
 class CallerForwardingTest : public ForwardFixture {
  protected:
   CallerForwardingTest() : ForwardFixture(RetryAllowance{}) {
@@ -26,7 +26,7 @@
     fleet_view.addWorker("w1", "shop");
     create(ExpiredSessionPolicy::Serve);
   }
-  void create(ExpiredSessionPolicy lapsed) {
+  void create(ExpiredSessionPolicy expired_session_policy) {
     service =
         std::make_unique<CallerService>(CallerDependencies{process,
                                                            session,
@@ -43,7 +43,7 @@
                                                            nullptr,
                                                            &flow,
                                                            {},
-                                                           lapsed});
+                                                           expired_session_policy});
   }
   std::uint16_t statusOf(const std::string& target, const std::string& host = "a.example") {
     auto writer = std::make_shared<ForwardWriter>();
@@ -80,7 +80,7 @@
   EXPECT_EQ(port.sent.size(), 1U);
 }
 
-TEST_F(CallerForwardingTest, WithoutAConfigurationOrWorkersTheFrontIsNotReady) {
+TEST_F(CallerForwardingTest, FrontWithoutAConfigurationOrWorkersIsNotReady) {
   fleet_view.view = {};
   EXPECT_FALSE(service->ready());
   EXPECT_EQ(statusOf("/metrics/x"), 503);
@@ -90,7 +90,7 @@
   EXPECT_FALSE(service->ready());
 }
 
-TEST_F(CallerForwardingTest, ExpiredSessionServesOnlyIfConfigured) {
+TEST_F(CallerForwardingTest, ForwardsWithAnExpiredSessionOnlyIfConfigured) {
   session.now = sessions::SessionState::Expired;
   EXPECT_TRUE(service->ready());
   EXPECT_EQ(statusOf("/metrics/x"), 200);
@@ -99,7 +99,7 @@
   EXPECT_EQ(statusOf("/metrics/x"), 503);
 }
 
-TEST_F(CallerForwardingTest, StoppingFrontIsNotReadyAndServesUntilItsNoticeHasPassed) {
+TEST_F(CallerForwardingTest, StoppingFrontIsNotReadyAndForwardsUntilForwardingIsStopped) {
   service->stop();
   EXPECT_FALSE(service->ready());
   EXPECT_EQ(statusOf("/readyz", "other"), 503);
--- a/libraries/front/test/request/caller_service_test.cc
+++ b/libraries/front/test/request/caller_service_test.cc
@@ -15,7 +15,7 @@
 
 using base::ResultCode;
 
-/** What one HTTP caller saw. */
+/** Records the response to one HTTP caller. */
 class FakeWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override {
@@ -32,7 +32,7 @@
   void onClientDisconnected(std::function<void()> callback) override {
     disconnected = std::move(callback);
   }
-  /** The error's code; 0 where there is none. */
+  /** @return the code of the error in the response, or 0 if there is none. */
   std::int64_t code() const {
     std::vector<configuration::Fault> faults;
     const auto body = configuration::parseJson(response->body, {}, "", faults);
@@ -120,7 +120,7 @@
                                            &incidents}};
 };
 
-TEST_F(CallerServiceTest, RelaysARunAsEventStream) {
+TEST_F(CallerServiceTest, RelaysAStreamAsEventStream) {
   const auto writer = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
   ASSERT_EQ(workers.sent.size(), 1U);
   EXPECT_NE(workers.sent[0].request.body.find("\"stream\":true"), std::string::npos);
@@ -133,7 +133,7 @@
   EXPECT_TRUE(writer->ended);
 }
 
-TEST_F(CallerServiceTest, WorkerGetsTheShapesLimitIfTheCallerSetsNone) {
+TEST_F(CallerServiceTest, WorkerGetsTheTokenLimitOfTheShapeIfTheCallerSetsNone) {
   fleet_view.view.tenants["editors"].shape.maximum_tokens = 321;
   send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
   send("POST", "/v1/chat/completions", chat + "\"stream\":true,\"max_tokens\":12}");
@@ -142,7 +142,7 @@
   EXPECT_NE(workers.sent[1].request.body.find("\"max_tokens\":12"), std::string::npos);
 }
 
-TEST_F(CallerServiceTest, CollectsCompleteRunsOnly) {
+TEST_F(CallerServiceTest, CollectsACompleteStreamAndReportsABrokenOneAsAnError) {
   const auto complete = send("POST", "/v1/chat/completions", chat + "\"stream\":false}");
   workers.sent[0].head();
   workers.sent[0].bytes(
@@ -159,14 +159,14 @@
   EXPECT_EQ(broken->code(), 5001);
 }
 
-TEST_F(CallerServiceTest, RespondsToAOneShotAndItsRetry) {
+TEST_F(CallerServiceTest, ResentOneShotGetsTheRecordedAnswer) {
   const auto first = send("POST", "/v1/one-shots", order);
   workers.sent[0].head();
   workers.sent[0].bytes("{\"done\":1}");
   workers.sent[0].observer->onComplete();
   EXPECT_EQ(first->response->body, R"({"outcome":"ran","replayed":false,"answer":{"done":1}})");
-  const auto again = send("POST", "/v1/one-shots", R"({"payload": {"n":1}, "service": "orders"})");
-  EXPECT_EQ(again->response->body, R"({"outcome":"ran","replayed":true,"answer":{"done":1}})");
+  const auto resent = send("POST", "/v1/one-shots", R"({"payload": {"n":1}, "service": "orders"})");
+  EXPECT_EQ(resent->response->body, R"({"outcome":"ran","replayed":true,"answer":{"done":1}})");
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
@@ -189,7 +189,7 @@
   EXPECT_EQ(page->response->header("Content-Type"), "text/html; charset=utf-8");
   EXPECT_NE(page->response->body.find("fetch(\"/v1/routing\""), std::string::npos);
   EXPECT_TRUE(page->response->body.ends_with("</html>\n"));
-  // Nothing is fetched from elsewhere.
+  // The page fetches nothing from other hosts.
   EXPECT_EQ(page->response->body.find("http"), std::string::npos);
   EXPECT_EQ(send("POST", "/")->code(), 1007);
 }
@@ -228,14 +228,14 @@
   EXPECT_EQ(send("POST", "/v1/one-shots", order)->code(), 2002);
 }
 
-TEST_F(CallerServiceTest, RejectsWorkWhileExpiredOrStopping) {
+TEST_F(CallerServiceTest, RejectsWorkWhileTheSessionIsExpiredOrTheFrontStops) {
   EXPECT_EQ(send("GET", "/readyz")->response->status, 200);
   session.now = sessions::SessionState::Expired;
-  const auto lapsed = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
-  EXPECT_EQ(lapsed->code(), 3006);
-  EXPECT_FALSE(lapsed->response->header("Retry-After").empty());
-  EXPECT_NE(lapsed->response->body.find("\"outcome\":\"not-run\""), std::string::npos);
-  // A one-shot may be a resend of one that ran, so nothing is promised.
+  const auto expired = send("POST", "/v1/chat/completions", chat + "\"stream\":true}");
+  EXPECT_EQ(expired->code(), 3006);
+  EXPECT_FALSE(expired->response->header("Retry-After").empty());
+  EXPECT_NE(expired->response->body.find("\"outcome\":\"not-run\""), std::string::npos);
+  // The caller may be resending a one-shot request that ran, so the outcome is unknown.
   const auto one_shot = send("POST", "/v1/one-shots", order);
   EXPECT_NE(one_shot->response->body.find("\"outcome\":\"unknown\""), std::string::npos);
   session.now = sessions::SessionState::Serving;
@@ -258,7 +258,7 @@
   EXPECT_EQ(writers.front()->response->status, 200);
 }
 
-TEST_F(CallerServiceTest, ForwardsOperatorsToACoreThatResponds) {
+TEST_F(CallerServiceTest, ForwardsOperatorsRequestsToACoreThatResponds) {
   simulation::Process core(world);
   const auto core_transport = network.attach({"127.0.0.3", 1}, core);
   transport::PeerCalls core_calls(core, *core_transport);
--- a/libraries/front/test/stream/slow_caller_test.cc
+++ b/libraries/front/test/stream/slow_caller_test.cc
@@ -19,14 +19,14 @@
 
 constexpr std::size_t ChunkBytes = 32U << 10U;
 constexpr std::uint64_t Chunks = 2'000;
-/** Far above the buffers of the kernel and the relay, far below the complete stream. */
-constexpr std::uint64_t MostUnread = 32U << 20U;
+/** Far larger than the buffers of the kernel and the relay, far smaller than the stream. */
+constexpr std::uint64_t MaximumUnreadBytes = 32U << 20U;
 constexpr int SmallReceiveBuffer = 64 << 10;
 
 /** A worker that writes chunks as fast as they are accepted, one at a time. */
-class EagerWorker : public std::enable_shared_from_this<EagerWorker> {
+class UnlimitedWorker : public std::enable_shared_from_this<UnlimitedWorker> {
  public:
-  EagerWorker(http::ResponseWriterPtr writer, std::uint64_t& written)
+  UnlimitedWorker(http::ResponseWriterPtr writer, std::uint64_t& written)
       : writer_(std::move(writer)), written_(written) {}
   void start(const std::string& request_id) {
     http::Response head;
@@ -48,9 +48,9 @@
     std::string event = "id: " + number + "\ndata: {\"run\":\"r1\",\"index\":" + number +
                         ",\"text\":\"" + std::string(ChunkBytes, 'x') + "\"}\n\n";
     const std::size_t size = event.size();
-    writer_->writeChunk(std::move(event), [self = shared_from_this(), size](bool taken) {
+    writer_->writeChunk(std::move(event), [self = shared_from_this(), size](bool accepted) {
       self->written_ += size;
-      if (taken) {
+      if (accepted) {
         self->writeNext();
       }
     });
@@ -68,7 +68,7 @@
     worker_server = http::startServer(
         context, {"127.0.0.1", 0}, {},
         [this](const http::Request& request, const http::ResponseWriterPtr& writer) {
-          std::make_shared<EagerWorker>(writer, written)
+          std::make_shared<UnlimitedWorker>(writer, written)
               ->start(std::string(request.header("Request-Id")));
         });
     configuration::Tenant tenant;
@@ -99,8 +99,8 @@
                                            "Authorization: Bearer secret\r\nContent-Length: " +
                                            std::to_string(body.size()) + "\r\n\r\n" + body));
   }
-  /** Runs until nothing more happens for a while; a machine that is slow only ends it early. */
-  void runUntilStill() {
+  /** Runs until the worker writes nothing for 200 ms; may return early on a slow machine. */
+  void runUntilWritesPause() {
     std::uint64_t before = 0;
     do {
       before = written;
@@ -108,7 +108,7 @@
       context.run_for(std::chrono::milliseconds(200));
     } while (written != before && written < Chunks * ChunkBytes);
   }
-  /** Reads until the final chunk, serving meanwhile. */
+  /** Reads until the final chunk while the worker and the front run. */
   std::string readAll() {
     std::string text;
     std::array<char, 64U << 10U> buffer{};
@@ -117,7 +117,8 @@
       caller.async_read_some(boost::asio::buffer(buffer),
                              [&](const boost::system::error_code& error, std::size_t size) {
                                text.append(buffer.data(), size);
-                               most_unread = std::max(most_unread, written - taken(text.size()));
+                               maximum_unread =
+                                   std::max(maximum_unread, written - readOfWritten(text.size()));
                                open = !error && !text.ends_with("0\r\n\r\n");
                                if (open) {
                                  read();
@@ -130,7 +131,7 @@
     }
     return text;
   }
-  std::uint64_t taken(std::uint64_t read) const { return std::min(read, written); }
+  std::uint64_t readOfWritten(std::uint64_t read) const { return std::min(read, written); }
 
   boost::asio::io_context context{1};
   transport::AsioDispatcher dispatcher{context};
@@ -168,25 +169,25 @@
                                            [] { return std::string(); },
                                            [] { return std::string("{}"); }}};
   std::uint64_t written = 0;
-  std::uint64_t most_unread = 0;
+  std::uint64_t maximum_unread = 0;
   std::unique_ptr<http::Server> worker_server;
   std::unique_ptr<http::Server> front_server;
   tcp::socket caller{context};
 };
 
-TEST_F(SlowCallerTest, SlowCallerPausesItsWorkerAndLosesNothing) {
+TEST_F(SlowCallerTest, SlowCallerPausesItsWorkerAndReceivesEveryEvent) {
   connect();
-  runUntilStill();
-  // The caller has read nothing: what the worker could write is in bounded buffers.
-  EXPECT_LT(written, MostUnread);
+  runUntilWritesPause();
+  // The caller has read nothing, so all that the worker has written is in bounded buffers.
+  EXPECT_LT(written, MaximumUnreadBytes);
   const std::string text = readAll();
-  EXPECT_LT(most_unread, MostUnread);
+  EXPECT_LT(maximum_unread, MaximumUnreadBytes);
   EXPECT_GT(written, Chunks * ChunkBytes);
   EXPECT_NE(text.find("data: [DONE]"), std::string::npos);
   std::size_t at = 0;
   for (std::uint64_t index = 0; index < Chunks; ++index) {
     at = text.find("id: " + std::to_string(index) + "\n", at);
-    ASSERT_NE(at, std::string::npos) << "piece " << index << " is missing";
+    ASSERT_NE(at, std::string::npos) << "event " << index << " is missing";
   }
 }
 
--- a/libraries/front/test/stream/stream_flow_test.cc
+++ b/libraries/front/test/stream/stream_flow_test.cc
@@ -38,7 +38,7 @@
     EXPECT_FALSE(refusal || ended);
     events.push_back(std::move(event));
     if (slow) {
-      waiting.push_back(std::move(written));
+      pending_writes.push_back(std::move(written));
     } else {
       written(WriteOutcome::Written);
     }
@@ -53,7 +53,7 @@
   std::vector<std::string> events;
   std::string run;
   bool slow = false;
-  std::deque<WriteCallback> waiting;
+  std::deque<WriteCallback> pending_writes;
 };
 
 class StreamFlowTest : public testing::Test {
@@ -110,7 +110,7 @@
 
 TEST_F(StreamFlowTest, KeyRevokedBeforeTheDispatchIsRejected) {
   slots.unresponsive = true;
-  const auto waiting = run();
+  const auto queued = run();
   slots.unresponsive = false;
   const auto failing = run();
   ASSERT_EQ(workers.sent.size(), 1U);
@@ -118,7 +118,7 @@
   slots.grantWaiting();
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   EXPECT_EQ(workers.sent.size(), 1U);
-  for (const auto& sink : {waiting, failing}) {
+  for (const auto& sink : {queued, failing}) {
     ASSERT_TRUE(sink->refusal);
     EXPECT_EQ(sink->refusal->code, ResultCode::UnknownKey);
     EXPECT_FALSE(sink->refusal->sent);
@@ -138,7 +138,7 @@
   EXPECT_EQ(router.completions[0].output_tokens, 2U);
 }
 
-TEST_F(StreamFlowTest, CrashBeforeTheFirstChunkIsRetriedElsewhere) {
+TEST_F(StreamFlowTest, CrashBeforeTheFirstChunkIsRetriedAtAnotherWorker) {
   const auto sink = run();
   workers.sent[0].head();
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
@@ -153,7 +153,7 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, KeyRemovedWhileTheRequestIsQueuedIsNotServed) {
+TEST_F(StreamFlowTest, RejectsAQueuedRequestWhoseKeyWasRemoved) {
   slots.unresponsive = true;
   fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto sink = run("hash");
@@ -166,7 +166,7 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, KeyRemovedBeforeARetryIsNotServed) {
+TEST_F(StreamFlowTest, RejectsARetryWhoseKeyWasRemoved) {
   fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto sink = run("hash");
   ASSERT_EQ(workers.sent.size(), 1U);
@@ -193,7 +193,7 @@
   EXPECT_TRUE(incidents.all[0].dumps_ring);
 }
 
-TEST_F(StreamFlowTest, EndsAreCountedByOutcomeAndCode) {
+TEST_F(StreamFlowTest, CountsStreamsByOutcomeAndCode) {
   run();
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0) + done(1));
@@ -238,7 +238,7 @@
                          testing::Values(chunk(2), chunk(0), chunk(1, "r2"), std::string(), done(2),
                                          std::string("data: [DONE]\n\n")));
 
-TEST_F(StreamFlowTest, WithoutBudgetAFailureIsRejectedWithUnknownOutcome) {
+TEST_F(StreamFlowTest, FailureWithoutRetryBudgetIsRejectedWithUnknownOutcome) {
   world.runFor(std::chrono::seconds(11));
   const auto sink = run();
   workers.sent[0].head(503);
@@ -258,8 +258,8 @@
   EXPECT_EQ(workers.sent[2].request.address, workers.sent[1].request.address);
 }
 
-TEST_F(StreamFlowTest, ExpiredSessionDispatchesNothingButKeepsOpenStreams) {
-  const auto open = run();
+TEST_F(StreamFlowTest, ExpiredSessionDispatchesNothingButKeepsStreamsInFlight) {
+  const auto in_flight = run();
   session.now = sessions::SessionState::Expired;
   const auto sink = run();
   ASSERT_TRUE(sink->refusal);
@@ -267,11 +267,11 @@
   EXPECT_FALSE(sink->refusal->sent);
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0) + done(1));
-  EXPECT_EQ(open->ended, ResultCode::Ok);
+  EXPECT_EQ(in_flight->ended, ResultCode::Ok);
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(StreamFlowTest, RetriesCheckTheSessionToo) {
+TEST_F(StreamFlowTest, RetryIsRejectedIfTheSessionHasExpired) {
   const auto sink = run();
   session.now = sessions::SessionState::Expired;
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
@@ -280,7 +280,7 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, RejectionsOfAdmissionAreReported) {
+TEST_F(StreamFlowTest, RejectsWithTheCodeOfAdmission) {
   slots.code = ResultCode::OverBranchLimit;
   EXPECT_EQ(run()->refusal->code, ResultCode::OverBranchLimit);
   slots.code = ResultCode::Ok;
@@ -294,10 +294,10 @@
 
 TEST_F(StreamFlowTest, FullAdmissionQueueRejectsAtOnce) {
   slots.unresponsive = true;
-  std::vector<std::shared_ptr<FakeSink>> waiting;
+  std::vector<std::shared_ptr<FakeSink>> queued;
   for (int count = 0; count < 512; ++count) {
-    waiting.push_back(run());
-    EXPECT_FALSE(waiting.back()->refusal);
+    queued.push_back(run());
+    EXPECT_FALSE(queued.back()->refusal);
   }
   EXPECT_EQ(run()->refusal->code, ResultCode::QueueFull);
 }
@@ -313,8 +313,8 @@
     workers.sent[0].observer->onBytes(chunk(index), [&resumed] { resumed = true; });
     ++index;
   }
-  EXPECT_EQ(sink->waiting.size(), streams::RelayMachine::DefaultMaximumOutstanding);
-  sink->waiting.front()(WriteOutcome::Written);
+  EXPECT_EQ(sink->pending_writes.size(), streams::RelayMachine::DefaultMaximumOutstanding);
+  sink->pending_writes.front()(WriteOutcome::Written);
   EXPECT_TRUE(resumed);
 }
 
