--- a/libraries/front/include/switchsaddle/front/stream/stream_flow.h
+++ b/libraries/front/include/switchsaddle/front/stream/stream_flow.h
@@ -40,7 +40,7 @@
 };
 
 /** Why a stream was rejected before its first event. */
-struct StreamRefusal {
+struct StreamRejection {
   base::ResultCode code = base::ResultCode::InternalError;
   /** Whether the request may have reached a worker. */
   bool sent = false;
@@ -48,14 +48,14 @@
 };
 
 /**
- * The caller's side of one stream. Exactly one of refuse() and end() is called, as the last call,
+ * The caller's side of one stream. Exactly one of reject() and end() is called, as the last call,
  * unless the stream is cancelled. Runs on the control strand.
  */
 class StreamSink {
  public:
   virtual ~StreamSink() = default;
   /** Rejects the request; nothing has been sent to the caller. */
-  virtual void refuse(const StreamRefusal& refusal) = 0;
+  virtual void reject(const StreamRejection& rejection) = 0;
   /** Called before the first event.
    * @param run the worker's id of the run.
    * @param cached_tokens tokens of the prompt that were in the worker's prefix cache. */
@@ -120,7 +120,7 @@
   StreamFlow& operator=(const StreamFlow&) = delete;
 
   /**
-   * Starts a stream. May call refuse() of the sink before it returns.
+   * Starts a stream. May call reject() of the sink before it returns.
    * @return a handle for cancelling the stream.
    */
   std::shared_ptr<StreamHandle> run(StreamRequest request, std::shared_ptr<StreamSink> sink);
--- a/libraries/front/source/forward/forward_run.cc
+++ b/libraries/front/source/forward/forward_run.cc
@@ -96,7 +96,7 @@
     return AdmittedUnits::Refund;
   }
   if (retry_after) {
-    refuse(ResultCode::QuotaSpent, *retry_after);
+    reject(ResultCode::QuotaSpent, *retry_after);
     return AdmittedUnits::Keep;
   }
   acquired_quota_units_ = units;
--- a/libraries/front/source/forward/forward_run.h
+++ b/libraries/front/source/forward/forward_run.h
@@ -91,7 +91,7 @@
   /** Ends the request with the most precise result that its dispatches allow. */
   void fail(base::ResultCode code);
   void answerUnknown(base::ResultCode code);
-  void refuse(base::ResultCode code, base::Duration retry_after);
+  void reject(base::ResultCode code, base::Duration retry_after);
   void answer(http::Response response, std::string_view outcome, base::ResultCode code);
   void abortStream(base::ResultCode code);
   void release();
--- a/libraries/front/source/forward/forward_run_answers.cc
+++ b/libraries/front/source/forward/forward_run_answers.cc
@@ -46,7 +46,7 @@
   } else if (may_have_run_ > 0) {
     answerUnknown(code);
   } else {
-    refuse(code == ResultCode::TimeLimitPassed ? ResultCode::NoWorkerAvailable : code,
+    reject(code == ResultCode::TimeLimitPassed ? ResultCode::NoWorkerAvailable : code,
            NoWorkerRetryAfter);
   }
 }
@@ -58,7 +58,7 @@
   answer(errorAnswer(answered, {Outcome::Unknown, 0, {}, {}}), "unknown", answered);
 }
 
-void ForwardRun::refuse(ResultCode code, base::Duration retry_after) {
+void ForwardRun::reject(ResultCode code, base::Duration retry_after) {
   ++environment_.counters.refusals[code];
   recordLoss(lossOf(code));
   if (request_.tenant != nullptr && acquired_quota_units_ > 0) {
--- a/libraries/front/source/one_shot/one_shot_run.h
+++ b/libraries/front/source/one_shot/one_shot_run.h
@@ -81,7 +81,7 @@
   admission::SlotPermitPtr slot_;
   workers::Worker worker_;
   ActiveCall call_;
-  /** Whether the current attempt has received a response header with a success status. */
+  /** Whether the worker sent a success header with the id of the current attempt. */
   bool head_matches_ = false;
   /** Whether the complete response of the current attempt was received. */
   bool ran_ = false;
--- a/libraries/front/source/request/caller_sinks.cc
+++ b/libraries/front/source/request/caller_sinks.cc
@@ -16,11 +16,11 @@
 constexpr std::size_t MaximumCollectedBytes = 16U << 20U;
 constexpr std::string_view DataField = "data: ";
 
-http::Response refusalAnswer(const StreamRefusal& refusal) {
+http::Response rejectionAnswer(const StreamRejection& rejection) {
   ErrorDetails details;
-  details.outcome = refusal.sent ? Outcome::Unknown : Outcome::NotRun;
-  details.retry_after_ms = refusal.retry_after_ms;
-  return errorAnswer(refusal.code, details);
+  details.outcome = rejection.sent ? Outcome::Unknown : Outcome::NotRun;
+  details.retry_after_ms = rejection.retry_after_ms;
+  return errorAnswer(rejection.code, details);
 }
 
 /** @return the JSON of an event's data, or std::nullopt for "[DONE]". */
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-void EventStreamSink::refuse(const StreamRefusal& refusal) {
-  caller_.respond(refusalAnswer(refusal));
+void EventStreamSink::reject(const StreamRejection& rejection) {
+  caller_.respond(rejectionAnswer(rejection));
 }
 
 void EventStreamSink::setRun(const std::string& run, std::uint32_t cached_tokens) {
@@ -60,8 +60,8 @@
   caller_.endStream();
 }
 
-void CollectingSink::refuse(const StreamRefusal& refusal) {
-  writer_->respond(refusalAnswer(refusal));
+void CollectingSink::reject(const StreamRejection& rejection) {
+  writer_->respond(rejectionAnswer(rejection));
 }
 
 void CollectingSink::setRun(const std::string& run, std::uint32_t /*cached_tokens*/) {
@@ -78,13 +78,13 @@
     written(WriteOutcome::Written);
     return;
   }
-  writer_->respond(refusalAnswer({base::ResultCode::StreamBroken, true, 0}));
+  writer_->respond(rejectionAnswer({base::ResultCode::StreamBroken, true, 0}));
   written(WriteOutcome::Disconnected);
 }
 
 void CollectingSink::end(base::ResultCode code) {
   if (code != base::ResultCode::Ok) {
-    writer_->respond(refusalAnswer({code, true, 0}));
+    writer_->respond(rejectionAnswer({code, true, 0}));
     return;
   }
   configuration::JsonWriter writer;
--- a/libraries/front/source/request/caller_sinks.h
+++ b/libraries/front/source/request/caller_sinks.h
@@ -18,7 +18,7 @@
  public:
   EventStreamSink(base::Dispatcher& dispatcher, http::ResponseWriterPtr writer)
       : caller_(dispatcher, std::move(writer)) {}
-  void refuse(const StreamRefusal& refusal) override;
+  void reject(const StreamRejection& rejection) override;
   void setRun(const std::string& run, std::uint32_t cached_tokens) override;
   void sendEvent(std::string event, WriteCallback written) override;
   void end(base::ResultCode code) override;
@@ -37,7 +37,7 @@
  public:
   CollectingSink(std::string model, http::ResponseWriterPtr writer)
       : model_(std::move(model)), writer_(std::move(writer)) {}
-  void refuse(const StreamRefusal& refusal) override;
+  void reject(const StreamRejection& rejection) override;
   void setRun(const std::string& run, std::uint32_t cached_tokens) override;
   void sendEvent(std::string event, WriteCallback written) override;
   void end(base::ResultCode code) override;
--- a/libraries/front/source/stream/stream_run.cc
+++ b/libraries/front/source/stream/stream_run.cc
@@ -52,14 +52,14 @@
     }
   });
   if (!queued) {
-    refuse(ResultCode::QueueFull, DefaultRetryAfterMs);
+    reject(ResultCode::QueueFull, DefaultRetryAfterMs);
   }
 }
 
 void StreamRun::onDeadline() {
   const auto self = shared_from_this();
   if (relay_.mayRetryElsewhere()) {
-    refuse(ResultCode::StreamBroken, DefaultRetryAfterMs);
+    reject(ResultCode::StreamBroken, DefaultRetryAfterMs);
   } else {
     onAttemptFailed(ResultCode::StreamBroken);
   }
@@ -77,7 +77,7 @@
 
 void StreamRun::onSlot(admission::SlotOutcome outcome) {
   if (!outcome.permit) {
-    refuse(outcome.code, outcome.retry_after_ms);
+    reject(outcome.code, outcome.retry_after_ms);
     return;
   }
   slot_ = std::move(outcome.permit);
@@ -89,7 +89,7 @@
     }
   });
   if (!queued) {
-    refuse(ResultCode::QueueFull, DefaultRetryAfterMs);
+    reject(ResultCode::QueueFull, DefaultRetryAfterMs);
   }
 }
 
@@ -111,7 +111,7 @@
   const std::shared_ptr<const configuration::View> view = environment_.fleet_view.configuration();
   const configuration::Route* route = findRoute(*view, request_.prompt.model);
   if (route == nullptr) {
-    refuse(ResultCode::UnknownModel, 0);
+    reject(ResultCode::UnknownModel, 0);
     return std::nullopt;
   }
   std::vector<std::string> excluded = environment_.circuit.openWorkers();
@@ -119,14 +119,14 @@
   std::optional<routing::Placement> placement =
       environment_.router.choose(request_.prompt, *route, excluded);
   if (!placement) {
-    refuse(last_failure_, DefaultRetryAfterMs);
+    reject(last_failure_, DefaultRetryAfterMs);
   }
   return placement;
 }
 
 bool StreamRun::mayDispatch(const routing::Placement& placement) {
   if (const ResultCode code = guard_.checkKey(request_.key_hash); code != ResultCode::Ok) {
-    refuse(code, 0);
+    reject(code, 0);
     return false;
   }
   PlacementVerdict verdict = evaluateAttempt(placement);
@@ -134,7 +134,7 @@
     verdict.code = guard_.checkSession();
   }
   if (verdict.code != ResultCode::Ok) {
-    refuse(verdict.code, verdict.retry_after_ms);
+    reject(verdict.code, verdict.retry_after_ms);
     return false;
   }
   return true;
@@ -346,13 +346,13 @@
   environment_.incidents->report(incident);
 }
 
-void StreamRun::refuse(ResultCode code, std::uint32_t retry_after_ms) {
+void StreamRun::reject(ResultCode code, std::uint32_t retry_after_ms) {
   ++environment_.counters.refusals[code];
   environment_.counters.countRequest("stream", sent_ ? "unknown" : "not-run", code);
   completePlacement(placement_sent_);
   const auto self = shared_from_this();
   release();
-  sink_->refuse(StreamRefusal{code, sent_, retry_after_ms});
+  sink_->reject(StreamRejection{code, sent_, retry_after_ms});
 }
 
 void StreamRun::cancel() {
--- a/libraries/front/source/stream/stream_run.h
+++ b/libraries/front/source/stream/stream_run.h
@@ -56,7 +56,7 @@
   void onDeadline();
   void finish(base::ResultCode code);
   void reportBroken(base::ResultCode code);
-  void refuse(base::ResultCode code, std::uint32_t retry_after_ms);
+  void reject(base::ResultCode code, std::uint32_t retry_after_ms);
   void completePlacement(bool failed);
   void release();
   bool isCurrent(const std::string& attempt) const;
--- a/libraries/front/test/forward/forward_fakes.h
+++ b/libraries/front/test/forward/forward_fakes.h
@@ -40,7 +40,7 @@
       bytes(body);
       observer->onComplete();
     }
-    void refuse() const { observer->onHead({503, {{"Not-Run", "1"}}, {}}); }
+    void reject() const { observer->onHead({503, {{"Not-Run", "1"}}, {}}); }
     void lose() const { observer->onFailure(WorkerFailure::Lost, false); }
     std::string header(const std::string& name) const {
       return std::string(dispatch.message.header(name));
--- a/libraries/front/test/forward/forward_flow_test.cc
+++ b/libraries/front/test/forward/forward_flow_test.cc
@@ -106,12 +106,12 @@
 
 TEST_F(ForwardFlowTest, RequestThatDidNotRunIsRetriedAtAnotherWorker) {
   const auto writer = run("once");
-  last().refuse();
+  last().reject();
   ASSERT_EQ(port.sent.size(), 2U);
   EXPECT_NE(port.sent[0].header("Expect-Instance"), port.sent[1].header("Expect-Instance"));
   last().observer->onFailure(WorkerFailure::NotSent, true);
   ASSERT_EQ(port.sent.size(), 3U);
-  last().refuse();
+  last().reject();
   ASSERT_TRUE(writer->response.has_value());
   EXPECT_EQ(writer->response->status, 503);
   EXPECT_FALSE(writer->response->header("Retry-After").empty());
--- a/libraries/front/test/stream/stream_flow_test.cc
+++ b/libraries/front/test/stream/stream_flow_test.cc
@@ -26,16 +26,16 @@
 /** Records what one caller received. */
 class FakeSink : public StreamSink {
  public:
-  void refuse(const StreamRefusal& value) override {
-    EXPECT_FALSE(refusal || ended);
-    refusal = value;
+  void reject(const StreamRejection& value) override {
+    EXPECT_FALSE(rejection || ended);
+    rejection = value;
   }
   void setRun(const std::string& value, std::uint32_t) override {
     EXPECT_TRUE(run.empty() && events.empty());
     run = value;
   }
   void sendEvent(std::string event, WriteCallback written) override {
-    EXPECT_FALSE(refusal || ended);
+    EXPECT_FALSE(rejection || ended);
     events.push_back(std::move(event));
     if (slow) {
       pending_writes.push_back(std::move(written));
@@ -44,11 +44,11 @@
     }
   }
   void end(ResultCode code) override {
-    EXPECT_FALSE(refusal || ended);
+    EXPECT_FALSE(rejection || ended);
     ended = code;
   }
 
-  std::optional<StreamRefusal> refusal;
+  std::optional<StreamRejection> rejection;
   std::optional<ResultCode> ended;
   std::vector<std::string> events;
   std::string run;
@@ -119,9 +119,9 @@
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   EXPECT_EQ(workers.sent.size(), 1U);
   for (const auto& sink : {queued, failing}) {
-    ASSERT_TRUE(sink->refusal);
-    EXPECT_EQ(sink->refusal->code, ResultCode::UnknownKey);
-    EXPECT_FALSE(sink->refusal->sent);
+    ASSERT_TRUE(sink->rejection);
+    EXPECT_EQ(sink->rejection->code, ResultCode::UnknownKey);
+    EXPECT_FALSE(sink->rejection->sent);
   }
 }
 
@@ -160,9 +160,9 @@
   fleet_view.view.keys.clear();
   slots.serveWaiting();
   EXPECT_TRUE(workers.sent.empty());
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::UnknownKey);
-  EXPECT_FALSE(sink->refusal->sent);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::UnknownKey);
+  EXPECT_FALSE(sink->rejection->sent);
   expectReleased();
 }
 
@@ -173,8 +173,8 @@
   fleet_view.view.keys.clear();
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
   EXPECT_EQ(workers.sent.size(), 1U);
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::UnknownKey);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::UnknownKey);
   expectReleased();
 }
 
@@ -242,9 +242,9 @@
   world.runFor(std::chrono::seconds(11));
   const auto sink = run();
   workers.sent[0].head(503);
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::RetryBudgetSpent);
-  EXPECT_TRUE(sink->refusal->sent);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::RetryBudgetSpent);
+  EXPECT_TRUE(sink->rejection->sent);
   EXPECT_EQ(workers.sent.size(), 1U);
   expectReleased();
 }
@@ -262,9 +262,9 @@
   const auto in_flight = run();
   session.now = sessions::SessionState::Expired;
   const auto sink = run();
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::NotServing);
-  EXPECT_FALSE(sink->refusal->sent);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::NotServing);
+  EXPECT_FALSE(sink->rejection->sent);
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0) + done(1));
   EXPECT_EQ(in_flight->ended, ResultCode::Ok);
@@ -275,19 +275,19 @@
   const auto sink = run();
   session.now = sessions::SessionState::Expired;
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
-  EXPECT_EQ(sink->refusal->code, ResultCode::NotServing);
+  EXPECT_EQ(sink->rejection->code, ResultCode::NotServing);
   EXPECT_EQ(workers.sent.size(), 1U);
   expectReleased();
 }
 
 TEST_F(StreamFlowTest, RejectsWithTheCodeOfAdmission) {
   slots.code = ResultCode::OverBranchLimit;
-  EXPECT_EQ(run()->refusal->code, ResultCode::OverBranchLimit);
+  EXPECT_EQ(run()->rejection->code, ResultCode::OverBranchLimit);
   slots.code = ResultCode::Ok;
   router.estimate = std::chrono::seconds(3);
   const auto late = run();
-  EXPECT_EQ(late->refusal->code, ResultCode::FirstTokenTooLate);
-  EXPECT_EQ(late->refusal->retry_after_ms, 1'000U);
+  EXPECT_EQ(late->rejection->code, ResultCode::FirstTokenTooLate);
+  EXPECT_EQ(late->rejection->retry_after_ms, 1'000U);
   EXPECT_TRUE(workers.sent.empty());
   expectReleased();
 }
@@ -297,9 +297,9 @@
   std::vector<std::shared_ptr<FakeSink>> queued;
   for (int count = 0; count < 512; ++count) {
     queued.push_back(run());
-    EXPECT_FALSE(queued.back()->refusal);
+    EXPECT_FALSE(queued.back()->rejection);
   }
-  EXPECT_EQ(run()->refusal->code, ResultCode::QueueFull);
+  EXPECT_EQ(run()->rejection->code, ResultCode::QueueFull);
 }
 
 TEST_F(StreamFlowTest, SlowCallerPausesItsWorker) {
@@ -334,7 +334,7 @@
   workers.sent[1].head();
   workers.sent[1].bytes(chunk(0));
   world.runFor(std::chrono::seconds(301));
-  EXPECT_TRUE(before->refusal);
+  EXPECT_TRUE(before->rejection);
   EXPECT_EQ(after->ended, ResultCode::StreamBroken);
   expectReleased();
 }
