--- a/libraries/front/source/forward/forward_run_answers.cc
+++ b/libraries/front/source/forward/forward_run_answers.cc
@@ -5,7 +5,7 @@
 #include "forward/forward_run.h"
 #include "request/caller_answers.h"
 
-// The ends of a forwarded request: rejected, answered, aborted, or cancelled by its caller.
+// How a forwarded request ends: rejected, answered, aborted, or cancelled by its caller.
 
 namespace switchsaddle::front {
 
@@ -13,11 +13,10 @@
 
 namespace {
 
-/** Retry-After of a request for which no worker was available. */
+/** Retry-After of requests that no worker accepted. */
 constexpr base::Duration NoWorkerRetryAfter = std::chrono::milliseconds(200);
 
-/** @return seconds with three decimal places, the format of Retry-After between fronts and callers.
- */
+/** @return seconds with three decimal places, the format of a forwarded request's Retry-After. */
 std::string secondsText(base::Duration duration) {
   const std::int64_t milliseconds = std::max<std::int64_t>(1, base::toMilliseconds(duration));
   const std::string fraction = std::to_string(1'000 + milliseconds % 1'000);
@@ -47,7 +46,7 @@
   } else if (may_have_run_ > 0) {
     answerUnknown(code);
   } else {
-    refuse(code == ResultCode::TimeLimitPassed ? ResultCode::NoWorkerAvailable : code,
+    reject(code == ResultCode::TimeLimitPassed ? ResultCode::NoWorkerAvailable : code,
            NoWorkerRetryAfter);
   }
 }
@@ -59,7 +58,7 @@
   answer(errorAnswer(answered, {Outcome::Unknown, 0, {}, {}}), "unknown", answered);
 }
 
-void ForwardRun::refuse(ResultCode code, base::Duration retry_after) {
+void ForwardRun::reject(ResultCode code, base::Duration retry_after) {
   ++environment_.counters.refusals[code];
   recordLoss(lossOf(code));
   if (request_.tenant != nullptr && acquired_quota_units_ > 0) {
@@ -88,7 +87,7 @@
 }
 
 void ForwardRun::cancel() {
-  if (over_) {
+  if (ended_) {
     return;
   }
   endDispatch(worker_health::DispatchEnd::Abandoned);
@@ -98,7 +97,7 @@
 }
 
 void ForwardRun::abandon() {
-  over_ = true;
+  ended_ = true;
   ++dispatch_;
   resume_ = nullptr;
   deadline_.stop();
--- a/libraries/front/source/stream/stream_run.cc
+++ b/libraries/front/source/stream/stream_run.cc
@@ -13,7 +13,7 @@
 constexpr const char* CompletionsService = "completions";
 constexpr std::uint16_t StatusOk = 200;
 constexpr std::uint32_t DefaultRetryAfterMs = 1'000;
-/** Time-out of a worker's response header. */
+/** Timeout for a worker's response header. */
 constexpr base::Duration ResponseTimeout = std::chrono::seconds(15);
 
 using StreamObserver = AttemptObserver<WorkerHead, StreamRun, std::string>;
@@ -23,8 +23,8 @@
     if (route.service != CompletionsService) {
       continue;
     }
-    for (const std::string& served : route.models) {
-      if (served == model) {
+    for (const std::string& served_model : route.models) {
+      if (served_model == model) {
         return &route;
       }
     }
@@ -47,19 +47,19 @@
 void StreamRun::start() {
   deadline_.start(std::chrono::milliseconds(request_.shape.stream_deadline_ms));
   const bool queued = environment_.stages.admit.submit([weak = weak_from_this()](auto ticket) {
-    if (const auto run = weak.lock(); run && !run->over_) {
+    if (const auto run = weak.lock(); run && !run->ended_) {
       run->admit(std::move(ticket));
     }
   });
   if (!queued) {
-    refuse(ResultCode::QueueFull, DefaultRetryAfterMs);
+    reject(ResultCode::QueueFull, DefaultRetryAfterMs);
   }
 }
 
 void StreamRun::onDeadline() {
   const auto self = shared_from_this();
   if (relay_.mayRetryElsewhere()) {
-    refuse(ResultCode::StreamBroken, DefaultRetryAfterMs);
+    reject(ResultCode::StreamBroken, DefaultRetryAfterMs);
   } else {
     onAttemptFailed(ResultCode::StreamBroken);
   }
@@ -69,7 +69,7 @@
   ticket_ = std::move(ticket);
   environment_.slots.acquire(request_.branch,
                              [weak = weak_from_this()](admission::SlotOutcome outcome) {
-                               if (const auto run = weak.lock(); run && !run->over_) {
+                               if (const auto run = weak.lock(); run && !run->ended_) {
                                  run->onSlot(std::move(outcome));
                                }
                              });
@@ -77,19 +77,19 @@
 
 void StreamRun::onSlot(admission::SlotOutcome outcome) {
   if (!outcome.permit) {
-    refuse(outcome.code, outcome.retry_after_ms);
+    reject(outcome.code, outcome.retry_after_ms);
     return;
   }
   slot_ = std::move(outcome.permit);
   const StageTicket admitted = std::exchange(ticket_, {});
   const bool queued = environment_.stages.relay.submit([weak = weak_from_this()](auto ticket) {
-    if (const auto run = weak.lock(); run && !run->over_) {
+    if (const auto run = weak.lock(); run && !run->ended_) {
       run->ticket_ = std::move(ticket);
       run->place();
     }
   });
   if (!queued) {
-    refuse(ResultCode::QueueFull, DefaultRetryAfterMs);
+    reject(ResultCode::QueueFull, DefaultRetryAfterMs);
   }
 }
 
@@ -111,7 +111,7 @@
   const std::shared_ptr<const configuration::View> view = environment_.fleet_view.configuration();
   const configuration::Route* route = findRoute(*view, request_.prompt.model);
   if (route == nullptr) {
-    refuse(ResultCode::UnknownModel, 0);
+    reject(ResultCode::UnknownModel, 0);
     return std::nullopt;
   }
   std::vector<std::string> excluded = environment_.circuit.openWorkers();
@@ -119,14 +119,14 @@
   std::optional<routing::Placement> placement =
       environment_.router.choose(request_.prompt, *route, excluded);
   if (!placement) {
-    refuse(last_failure_, DefaultRetryAfterMs);
+    reject(last_failure_, DefaultRetryAfterMs);
   }
   return placement;
 }
 
 bool StreamRun::mayDispatch(const routing::Placement& placement) {
   if (const ResultCode code = guard_.checkKey(request_.key_hash); code != ResultCode::Ok) {
-    refuse(code, 0);
+    reject(code, 0);
     return false;
   }
   PlacementVerdict verdict = evaluateAttempt(placement);
@@ -134,7 +134,7 @@
     verdict.code = guard_.checkSession();
   }
   if (verdict.code != ResultCode::Ok) {
-    refuse(verdict.code, verdict.retry_after_ms);
+    reject(verdict.code, verdict.retry_after_ms);
     return false;
   }
   return true;
@@ -223,7 +223,7 @@
     onFirstChunk();
   }
   sendEvents(step.events);
-  if (over_) {
+  if (ended_) {
     return;
   }
   resume_ = std::move(resume);
@@ -274,7 +274,7 @@
   last_failure_ = code;
   if (!relay_.mayRetryElsewhere()) {
     sendEvents(relay_.endWithError(code).events);
-    if (!over_) {
+    if (!ended_) {
       finish(code);
     }
     return;
@@ -295,14 +295,14 @@
         run->onWritten(outcome);
       }
     });
-    if (over_) {
+    if (ended_) {
       return;
     }
   }
 }
 
 void StreamRun::onWritten(WriteOutcome outcome) {
-  if (over_) {
+  if (ended_) {
     return;
   }
   if (outcome == WriteOutcome::Disconnected) {
@@ -346,17 +346,17 @@
   environment_.incidents->report(incident);
 }
 
-void StreamRun::refuse(ResultCode code, std::uint32_t retry_after_ms) {
+void StreamRun::reject(ResultCode code, std::uint32_t retry_after_ms) {
   ++environment_.counters.refusals[code];
   environment_.counters.countRequest("stream", sent_ ? "unknown" : "not-run", code);
   completePlacement(placement_sent_);
   const auto self = shared_from_this();
   release();
-  sink_->refuse(StreamRefusal{code, sent_, retry_after_ms});
+  sink_->reject(StreamRejection{code, sent_, retry_after_ms});
 }
 
 void StreamRun::cancel() {
-  if (over_) {
+  if (ended_) {
     return;
   }
   completePlacement(false);
@@ -386,7 +386,7 @@
 }
 
 void StreamRun::abandon() {
-  over_ = true;
+  ended_ = true;
   attempt_.clear();
   deadline_.stop();
   resume_ = nullptr;
@@ -394,7 +394,7 @@
 }
 
 bool StreamRun::isCurrent(const std::string& attempt) const {
-  return !over_ && attempt == attempt_;
+  return !ended_ && attempt == attempt_;
 }
 
 }  // namespace switchsaddle::front
--- a/libraries/front/test/stream/stream_flow_test.cc
+++ b/libraries/front/test/stream/stream_flow_test.cc
@@ -26,34 +26,34 @@
 /** Records what one caller received. */
 class FakeSink : public StreamSink {
  public:
-  void refuse(const StreamRefusal& value) override {
-    EXPECT_FALSE(refusal || ended);
-    refusal = value;
+  void reject(const StreamRejection& value) override {
+    EXPECT_FALSE(rejection || ended);
+    rejection = value;
   }
   void setRun(const std::string& value, std::uint32_t) override {
     EXPECT_TRUE(run.empty() && events.empty());
     run = value;
   }
   void sendEvent(std::string event, WriteCallback written) override {
-    EXPECT_FALSE(refusal || ended);
+    EXPECT_FALSE(rejection || ended);
     events.push_back(std::move(event));
     if (slow) {
-      waiting.push_back(std::move(written));
+      pending_writes.push_back(std::move(written));
     } else {
       written(WriteOutcome::Written);
     }
   }
   void end(ResultCode code) override {
-    EXPECT_FALSE(refusal || ended);
+    EXPECT_FALSE(rejection || ended);
     ended = code;
   }
 
-  std::optional<StreamRefusal> refusal;
+  std::optional<StreamRejection> rejection;
   std::optional<ResultCode> ended;
   std::vector<std::string> events;
   std::string run;
   bool slow = false;
-  std::deque<WriteCallback> waiting;
+  std::deque<WriteCallback> pending_writes;
 };
 
 class StreamFlowTest : public testing::Test {
@@ -110,7 +110,7 @@
 
 TEST_F(StreamFlowTest, KeyRevokedBeforeTheDispatchIsRejected) {
   slots.unresponsive = true;
-  const auto waiting = run();
+  const auto queued = run();
   slots.unresponsive = false;
   const auto failing = run();
   ASSERT_EQ(workers.sent.size(), 1U);
@@ -118,10 +118,10 @@
   slots.grantWaiting();
   workers.sent[0].observer->onFailure(WorkerFailure::NotSent, true);
   EXPECT_EQ(workers.sent.size(), 1U);
-  for (const auto& sink : {waiting, failing}) {
-    ASSERT_TRUE(sink->refusal);
-    EXPECT_EQ(sink->refusal->code, ResultCode::UnknownKey);
-    EXPECT_FALSE(sink->refusal->sent);
+  for (const auto& sink : {queued, failing}) {
+    ASSERT_TRUE(sink->rejection);
+    EXPECT_EQ(sink->rejection->code, ResultCode::UnknownKey);
+    EXPECT_FALSE(sink->rejection->sent);
   }
 }
 
@@ -138,7 +138,7 @@
   EXPECT_EQ(router.completions[0].output_tokens, 2U);
 }
 
-TEST_F(StreamFlowTest, CrashBeforeTheFirstChunkIsRetriedElsewhere) {
+TEST_F(StreamFlowTest, CrashBeforeTheFirstChunkIsRetriedAtAnotherWorker) {
   const auto sink = run();
   workers.sent[0].head();
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
@@ -153,28 +153,28 @@
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, KeyRemovedWhileTheRequestIsQueuedIsNotServed) {
+TEST_F(StreamFlowTest, RejectsAQueuedRequestWhoseKeyWasRemoved) {
   slots.unresponsive = true;
   fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto sink = run("hash");
   fleet_view.view.keys.clear();
   slots.serveWaiting();
   EXPECT_TRUE(workers.sent.empty());
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::UnknownKey);
-  EXPECT_FALSE(sink->refusal->sent);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::UnknownKey);
+  EXPECT_FALSE(sink->rejection->sent);
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, KeyRemovedBeforeARetryIsNotServed) {
+TEST_F(StreamFlowTest, RejectsARetryWhoseKeyWasRemoved) {
   fleet_view.view.keys["hash"] = configuration::Key{"k", "hash", "editors"};
   const auto sink = run("hash");
   ASSERT_EQ(workers.sent.size(), 1U);
   fleet_view.view.keys.clear();
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
   EXPECT_EQ(workers.sent.size(), 1U);
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::UnknownKey);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::UnknownKey);
   expectReleased();
 }
 
@@ -193,7 +193,7 @@
   EXPECT_TRUE(incidents.all[0].dumps_ring);
 }
 
-TEST_F(StreamFlowTest, EndsAreCountedByOutcomeAndCode) {
+TEST_F(StreamFlowTest, CountsStreamsByOutcomeAndCode) {
   run();
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0) + done(1));
@@ -238,13 +238,13 @@
                          testing::Values(chunk(2), chunk(0), chunk(1, "r2"), std::string(), done(2),
                                          std::string("data: [DONE]\n\n")));
 
-TEST_F(StreamFlowTest, WithoutBudgetAFailureIsRejectedWithUnknownOutcome) {
+TEST_F(StreamFlowTest, FailureWithoutRetryBudgetIsRejectedWithUnknownOutcome) {
   world.runFor(std::chrono::seconds(11));
   const auto sink = run();
   workers.sent[0].head(503);
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::RetryBudgetSpent);
-  EXPECT_TRUE(sink->refusal->sent);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::RetryBudgetSpent);
+  EXPECT_TRUE(sink->rejection->sent);
   EXPECT_EQ(workers.sent.size(), 1U);
   expectReleased();
 }
@@ -258,48 +258,48 @@
   EXPECT_EQ(workers.sent[2].request.address, workers.sent[1].request.address);
 }
 
-TEST_F(StreamFlowTest, ExpiredSessionDispatchesNothingButKeepsOpenStreams) {
-  const auto open = run();
+TEST_F(StreamFlowTest, ExpiredSessionDispatchesNothingButKeepsStreamsInFlight) {
+  const auto in_flight = run();
   session.now = sessions::SessionState::Expired;
   const auto sink = run();
-  ASSERT_TRUE(sink->refusal);
-  EXPECT_EQ(sink->refusal->code, ResultCode::NotServing);
-  EXPECT_FALSE(sink->refusal->sent);
+  ASSERT_TRUE(sink->rejection);
+  EXPECT_EQ(sink->rejection->code, ResultCode::NotServing);
+  EXPECT_FALSE(sink->rejection->sent);
   workers.sent[0].head();
   workers.sent[0].bytes(chunk(0) + done(1));
-  EXPECT_EQ(open->ended, ResultCode::Ok);
+  EXPECT_EQ(in_flight->ended, ResultCode::Ok);
   EXPECT_EQ(workers.sent.size(), 1U);
 }
 
-TEST_F(StreamFlowTest, RetriesCheckTheSessionToo) {
+TEST_F(StreamFlowTest, RetryIsRejectedIfTheSessionHasExpired) {
   const auto sink = run();
   session.now = sessions::SessionState::Expired;
   workers.sent[0].observer->onFailure(WorkerFailure::Lost, false);
-  EXPECT_EQ(sink->refusal->code, ResultCode::NotServing);
+  EXPECT_EQ(sink->rejection->code, ResultCode::NotServing);
   EXPECT_EQ(workers.sent.size(), 1U);
   expectReleased();
 }
 
-TEST_F(StreamFlowTest, RejectionsOfAdmissionAreReported) {
+TEST_F(StreamFlowTest, RejectsWithTheCodeOfAdmission) {
   slots.code = ResultCode::OverBranchLimit;
-  EXPECT_EQ(run()->refusal->code, ResultCode::OverBranchLimit);
+  EXPECT_EQ(run()->rejection->code, ResultCode::OverBranchLimit);
   slots.code = ResultCode::Ok;
   router.estimate = std::chrono::seconds(3);
   const auto late = run();
-  EXPECT_EQ(late->refusal->code, ResultCode::FirstTokenTooLate);
-  EXPECT_EQ(late->refusal->retry_after_ms, 1'000U);
+  EXPECT_EQ(late->rejection->code, ResultCode::FirstTokenTooLate);
+  EXPECT_EQ(late->rejection->retry_after_ms, 1'000U);
   EXPECT_TRUE(workers.sent.empty());
   expectReleased();
 }
 
 TEST_F(StreamFlowTest, FullAdmissionQueueRejectsAtOnce) {
   slots.unresponsive = true;
-  std::vector<std::shared_ptr<FakeSink>> waiting;
+  std::vector<std::shared_ptr<FakeSink>> queued;
   for (int count = 0; count < 512; ++count) {
-    waiting.push_back(run());
-    EXPECT_FALSE(waiting.back()->refusal);
+    queued.push_back(run());
+    EXPECT_FALSE(queued.back()->rejection);
   }
-  EXPECT_EQ(run()->refusal->code, ResultCode::QueueFull);
+  EXPECT_EQ(run()->rejection->code, ResultCode::QueueFull);
 }
 
 TEST_F(StreamFlowTest, SlowCallerPausesItsWorker) {
@@ -313,8 +313,8 @@
     workers.sent[0].observer->onBytes(chunk(index), [&resumed] { resumed = true; });
     ++index;
   }
-  EXPECT_EQ(sink->waiting.size(), streams::RelayMachine::DefaultMaximumOutstanding);
-  sink->waiting.front()(WriteOutcome::Written);
+  EXPECT_EQ(sink->pending_writes.size(), streams::RelayMachine::DefaultMaximumOutstanding);
+  sink->pending_writes.front()(WriteOutcome::Written);
   EXPECT_TRUE(resumed);
 }
 
@@ -334,7 +334,7 @@
   workers.sent[1].head();
   workers.sent[1].bytes(chunk(0));
   world.runFor(std::chrono::seconds(301));
-  EXPECT_TRUE(before->refusal);
+  EXPECT_TRUE(before->rejection);
   EXPECT_EQ(after->ended, ResultCode::StreamBroken);
   expectReleased();
 }
