--- a/libraries/configuration/include/switchsaddle/configuration/check_report.h
+++ b/libraries/configuration/include/switchsaddle/configuration/check_report.h
@@ -8,7 +8,10 @@
 
 /** Kind of the file to check. */
 enum class CheckKind : std::uint8_t {
-  /** A file with a key that is an entry's path is a configuration, any other a settings file. */
+  /**
+   * Detects the kind by content: a file with no keys, or with a key that contains a slash, is a
+   * configuration; any other file is a settings file.
+   */
   Detect,
   Configuration,
   Settings,
@@ -18,7 +21,8 @@
 struct CheckOptions {
   std::string file = {};
   CheckKind kind = CheckKind::Detect;
-  /** Role whose settings are checked, "front" or "core"; empty checks the form only. */
+  /** Role whose settings are checked, "front" or "core"; empty checks only the syntax and the
+   * types. */
   std::string role = {};
   bool json = false;
 };
--- a/libraries/configuration/include/switchsaddle/configuration/document.h
+++ b/libraries/configuration/include/switchsaddle/configuration/document.h
@@ -27,7 +27,7 @@
   wire::ConfigurationDelta deltaSince(std::uint64_t since) const;
   /**
    * Applies a delta whose from_version is at most this version and whose to_version is above it.
-   * @return false, with the document unchanged, if the delta does not fit or the resulting digest
+   * @return false, with the document unchanged, if the delta does not apply or the resulting digest
    *     differs from the delta's.
    */
   bool apply(const wire::ConfigurationDelta& delta);
@@ -52,7 +52,7 @@
 
 /**
  * Base version of a change that applies to any version. Used by idempotent orders, such as the
- * evacuation of a zone or the revocation of a key, so that a repeated order is the same change.
+ * evacuation of a zone or the revocation of a key: a repeated order is the same change.
  */
 inline constexpr std::uint64_t AnyBaseVersion = std::numeric_limits<std::uint64_t>::max();
 
--- a/libraries/configuration/include/switchsaddle/configuration/forwarding.h
+++ b/libraries/configuration/include/switchsaddle/configuration/forwarding.h
@@ -62,7 +62,7 @@
   std::uint32_t attempts = 1;
   /** 0 is the most urgent. */
   std::uint32_t priority = 5;
-  /** Requests need no key. */
+  /** Requests are accepted without a key. */
   bool open = false;
 };
 
@@ -99,7 +99,7 @@
   double rate_per_s = 0;
   /** Burst in units beyond the rate; zero for none. */
   double burst = 0;
-  /** Units of a request that does not state its tokens. */
+  /** Number of tokens counted for a request that does not state its tokens. */
   std::uint32_t default_tokens = 1;
 };
 
@@ -112,7 +112,7 @@
   double overshoot = 0;
   double slack = 0;
 
-  /** @return the tenant's maximum units in any window; nothing if it has no quota. */
+  /** @return the tenant's maximum units in any window; std::nullopt if it has no quota. */
   std::optional<double> limitOf(const ForwardTenant& tenant) const;
   bool operator==(const QuotaBounds&) const = default;
 };
--- a/libraries/configuration/include/switchsaddle/configuration/json_value.h
+++ b/libraries/configuration/include/switchsaddle/configuration/json_value.h
@@ -50,7 +50,7 @@
  * @param path location of the text, to which the paths of faults are relative.
  * @param faults receives a fault if the text is too large, too deep or not JSON, and one for each
  *     duplicate key.
- * @return the value; nothing if there was a fault.
+ * @return the value, or std::nullopt if there was a fault.
  */
 std::optional<JsonValue> parseJson(std::string_view text, const JsonLimits& limits,
                                    const std::string& path, std::vector<Fault>& faults);
--- a/libraries/configuration/include/switchsaddle/configuration/maintenance.h
+++ b/libraries/configuration/include/switchsaddle/configuration/maintenance.h
@@ -10,8 +10,9 @@
 /**
  * @file
  * Maintenance of workers: entries `maintenance/WORKER` of the configuration. They are created and
- * removed by a compare-and-swap of the configuration register; hence one of two concurrent orders
- * wins, a repeated order gets the same result, and orders survive restarts. See docs/OPERATIONS.md.
+ * removed by a compare-and-swap of the configuration register. Therefore only one of two concurrent
+ * orders for a worker is accepted, a repeated order gets the same result, and orders survive
+ * restarts. See docs/OPERATIONS.md.
  */
 
 namespace switchsaddle::configuration {
@@ -19,7 +20,7 @@
 /** Prefix of the paths of maintenance entries. */
 inline constexpr const char* MaintenancePrefix = "maintenance/";
 
-/** A worker of the fleet as known to the deciding core. */
+/** A worker of the fleet, from the view of the core that decides. */
 struct FleetWorker {
   std::string worker;
   std::string pool;
@@ -34,7 +35,7 @@
   std::string change_id;
   /** Candidates in order of preference; the first that the pool's capacity allows is chosen. */
   std::vector<std::string> wanted;
-  /** The operator named the worker, so that `wanted` contains it alone. */
+  /** The operator named the worker; `wanted` contains only this worker. */
   bool is_chosen = false;
   std::vector<FleetWorker> fleet;
 };
@@ -42,16 +43,19 @@
 /**
  * Decides on an order. Pure, since the register may evaluate it several times.
  * @return Ok with the next value, or the recorded result of a repeated order; AlreadyInMaintenance;
- *     CapacityTooLow if the pool cannot spare the worker; UnknownWorker; NothingToMaintain if there
- *     is no candidate. Rejections are not recorded.
+ *     CapacityTooLow if too few workers of the pool would remain; UnknownWorker; NothingToMaintain
+ *     if there is no candidate. Rejections are not recorded.
  */
-ChangeDecision decideMaintenance(const RegisterValue& present, const MaintenanceOrder& order);
+ChangeDecision decideMaintenance(const RegisterValue& current, const MaintenanceOrder& order);
 
 /** Decides on the end of a worker's maintenance; Ok if the worker is not in maintenance. Pure. */
-ChangeDecision decideMaintenanceEnd(const RegisterValue& present, const std::string& change_id,
+ChangeDecision decideMaintenanceEnd(const RegisterValue& current, const std::string& change_id,
                                     const std::string& worker);
 
-/** @return the worker that the change put into maintenance; nothing if it is not in the history. */
+/**
+ * @return the worker that the change put into maintenance, or std::nullopt if the change is not in
+ *     the history.
+ */
 std::optional<std::string> workerPutIntoMaintenance(const RegisterValue& value,
                                                     const std::string& change_id);
 
--- a/libraries/configuration/include/switchsaddle/configuration/register_value.h
+++ b/libraries/configuration/include/switchsaddle/configuration/register_value.h
@@ -76,7 +76,7 @@
   std::vector<Fault> faults;
   /** `next` must be written to the register; also set to record a conflict. */
   bool writes = false;
-  /** The decision is the recorded result of an earlier change with the same change_id. */
+  /** This is the recorded result of an earlier change with the same change_id. */
   bool repeated = false;
   RegisterValue next;
 };
@@ -87,12 +87,12 @@
  *     change_id is recorded with another fingerprint; ConfigurationConflict if the base version is
  *     outdated; ConfigurationInvalid with the faults; else Ok with the next value.
  */
-ChangeDecision decideChange(const RegisterValue& present, const Change& change);
+ChangeDecision decideChange(const RegisterValue& current, const Change& change);
 
 /**
- * @param next `present` with the change applied; must be valid.
+ * @param next `current` with the change applied; must be valid.
  * @return the decision that commits `next`.
  */
-ChangeDecision commitChange(const RegisterValue& present, const Change& change, Document next);
+ChangeDecision commitChange(const RegisterValue& current, const Change& change, Document next);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/settings.h
+++ b/libraries/configuration/include/switchsaddle/configuration/settings.h
@@ -23,17 +23,20 @@
   base::Duration platform_poll = std::chrono::milliseconds(500);
   /** Time for which a front keeps serving while a majority of core addresses refuse connections. */
   base::Duration core_refused_grace = std::chrono::seconds(60);
-  /** Deadline of a graceful shutdown, after which open requests are aborted. */
+  /** Time limit of a graceful shutdown; requests that are still in flight are then aborted. */
   base::Duration stop_deadline = std::chrono::seconds(25);
   /** Time for which a front in graceful shutdown accepts new forwarded requests. */
   base::Duration stop_notice{};
-  /** Time-out after which an unresponsive core member may be replaced by an announced empty one. */
+  /**
+   * Time for which a core member must be unresponsive before an announced core without stored data
+   * may replace it.
+   */
   base::Duration core_replacement_timeout = std::chrono::seconds(10);
 
   bool operator==(const TimeSettings&) const = default;
 };
 
-/** Behaviour of a front whose session has lapsed. */
+/** Behaviour of a front whose session has expired. */
 enum class ExpiredSessionPolicy : std::uint8_t {
   /** Rejects new requests, since a newer configuration may be in force. */
   Refuse,
@@ -43,13 +46,13 @@
 
 /** Settings of forwarding, which must be equal on all fronts of a deployment. */
 struct ForwardingSettings {
-  /** Dispatch work with long and with short prompts to different workers; docs/ROUTING.md. */
+  /** Dispatch requests with long and with short prompts to different workers; docs/ROUTING.md. */
   bool work_lanes = false;
   /** Place requests by the load reports of all fronts; docs/design/placement.md. */
   bool fleet_loads = false;
-  /** Retry budget as a share of a pool's requests within ten seconds. */
+  /** Retry budget: share of a pool's requests within ten seconds that may be retried. */
   double retry_share = 0.1;
-  /** Retries within ten seconds allowed beyond the share. */
+  /** Number of retries within ten seconds that are allowed beyond the share. */
   double retry_extra = 0;
   QuotaBounds quotas;
 
@@ -82,8 +85,8 @@
   bool first_start = false;
   /**
    * Core only: number of cores, and of zones, whose simultaneous loss the core must tolerate. The
-   * acceptor set grows to 2n + 1 members and spreads over zones as far as there are cores. If both
-   * are zero the initial set is kept.
+   * acceptor set grows to 2n + 1 members and spreads over zones as far as cores are available. If
+   * both are zero, the initial set is kept.
    */
   std::uint32_t tolerated_core_losses = 0;
   std::uint32_t tolerated_zone_losses = 0;
@@ -92,8 +95,7 @@
    * acquired, so that a fleet without any stored state serves earlier.
    */
   bool list_before_lease = false;
-  /** Interfaces used towards callers, workers, operators and the platform; empty for the default.
-   */
+  /** Name of the interfaces to callers, workers, operators and the platform; empty: default. */
   std::string dialect;
   ExpiredSessionPolicy lapsed_session = ExpiredSessionPolicy::Refuse;
   ForwardingSettings forwarding;
--- a/libraries/configuration/include/switchsaddle/configuration/source_document.h
+++ b/libraries/configuration/include/switchsaddle/configuration/source_document.h
@@ -35,7 +35,7 @@
  * Computes the next document from the current one and an operator's request. Pure, since the
  * register may evaluate it several times.
  */
-using SourceTranslator = std::function<SourceTranslation(const std::string& present_text)>;
+using SourceTranslator = std::function<SourceTranslation(const std::string& current_text)>;
 
 /** An operator's update of the source document: a complete document or a change. */
 struct SourceUpdate {
@@ -53,13 +53,13 @@
  *     revision; ConfigurationInvalid if there are faults or the revision does not increase.
  *     Rejections are not recorded.
  */
-ChangeDecision decideSourceUpdate(const RegisterValue& present, const SourceUpdate& update);
+ChangeDecision decideSourceUpdate(const RegisterValue& current, const SourceUpdate& update);
 
 /**
  * Decides on the requested evacuation state of a zone. Pure and idempotent: Ok without a change if
- * the zone is in this state already.
+ * the zone already has this state.
  */
-ChangeDecision decideEvacuation(const RegisterValue& present, const std::string& zone,
+ChangeDecision decideEvacuation(const RegisterValue& current, const std::string& zone,
                                 bool evacuated);
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/include/switchsaddle/configuration/state_report.h
+++ b/libraries/configuration/include/switchsaddle/configuration/state_report.h
@@ -35,11 +35,11 @@
 /**
  * Parses the output of renderStateReport().
  * @param faults receives all faults found.
- * @return the report; nothing if there was a fault.
+ * @return the report, or std::nullopt if there was a fault.
  */
 std::optional<StateReport> parseStateReport(const std::string& text, std::vector<Fault>& faults);
 
-/** Kind of a difference: the item is present on one node only, or has different values. */
+/** Kind of a difference: only one node has the item, or its values or versions differ. */
 enum class StateDifferenceKind : std::uint8_t { OnlyFirst, OnlySecond, Different };
 
 /** Difference between the states of two nodes in one item. */
@@ -47,9 +47,9 @@
   StateDifferenceKind kind = StateDifferenceKind::Different;
   std::string subject;
   std::string key;
-  /** Unset if the first node lacks the item. */
+  /** std::nullopt if the first node does not have the item. */
   std::optional<StateEntry> first;
-  /** Unset if the second node lacks the item. */
+  /** std::nullopt if the second node does not have the item. */
   std::optional<StateEntry> second;
 };
 
@@ -60,7 +60,7 @@
 std::string renderDifferencesJson(const StateReport& first, const StateReport& second,
                                   const std::vector<StateDifference>& differences);
 
-/** @return the differences as text for people. */
+/** @return the differences as human-readable text. */
 std::string renderDifferences(const StateReport& first, const StateReport& second,
                               const std::vector<StateDifference>& differences);
 
--- a/libraries/configuration/source/change.cc
+++ b/libraries/configuration/source/change.cc
@@ -32,7 +32,7 @@
     return;
   }
   if (value->kind != JsonKind::Object) {
-    reader.fault(member, ResultCode::InvalidValue, "must be an object of entries by path");
+    reader.fault(member, ResultCode::InvalidValue, "must be an object that maps paths to entries");
     return;
   }
   set = entriesOf(*value);
@@ -92,24 +92,25 @@
   }
 }
 
-/** Reports a document beside `set` or `remove`, and a change with none of the three. */
+/** Reports a `document` combined with `set` or `remove`, and a change with none of the three. */
 void checkMembers(ObjectReader& reader) {
   const bool has_edits = reader.has("set") || reader.has("remove");
   if (reader.has("document") && has_edits) {
-    reader.fault("document", ResultCode::InvalidValue, "excludes set and remove");
+    reader.fault("document", ResultCode::InvalidValue, "must not be combined with set or remove");
   }
   if (!reader.has("document") && !has_edits) {
-    reader.fault("set", ResultCode::MissingField, "one of set, remove and document is needed");
+    reader.fault("set", ResultCode::MissingField, "one of set, remove and document is required");
   }
 }
 
 /** Reports a path that is too long or was added to `paths` before. */
 void checkPath(const std::string& path, std::set<std::string>& paths, std::vector<Fault>& faults) {
   if (path.size() > MaximumPathLength) {
-    faults.push_back({path.substr(0, MaximumPathLength), ResultCode::UnknownPath, "is too long"});
+    faults.push_back({path.substr(0, MaximumPathLength), ResultCode::UnknownPath,
+                      "must have at most 1024 bytes"});
   }
   if (!paths.insert(path).second) {
-    faults.push_back({path, ResultCode::InvalidValue, "stands in the change twice"});
+    faults.push_back({path, ResultCode::InvalidValue, "occurs more than once in the change"});
   }
 }
 
@@ -177,7 +178,8 @@
   for (const std::string& path : change.remove) {
     checkPath(path, paths, faults);
     if (!isLive(document, path)) {
-      faults.push_back({path, ResultCode::UnknownPath, "there is no such entry to remove"});
+      faults.push_back(
+          {path, ResultCode::UnknownPath, "there is no entry with this path to remove"});
     }
   }
   return faults;
@@ -193,7 +195,8 @@
     return document;
   }
   if (value->kind != JsonKind::Object) {
-    faults.push_back({"", ResultCode::InvalidValue, "must be an object of entries by path"});
+    faults.push_back(
+        {"", ResultCode::InvalidValue, "must be an object that maps paths to entries"});
     return document;
   }
   for (EntryChange& entry : entriesOf(*value)) {
--- a/libraries/configuration/source/change_decision.cc
+++ b/libraries/configuration/source/change_decision.cc
@@ -20,26 +20,26 @@
   keepNewest(value.recorded, MaximumRecordedChanges);
 }
 
-/** @return the history line of a change: the entries that it actually set and removed. */
+/** @return the history entry of a change, with the paths that it set and removed. */
 HistoryEntry describeChange(const Document& next, const Change& change) {
-  HistoryEntry line;
-  line.version = next.version;
-  line.change_id = change.change_id;
+  HistoryEntry history_entry;
+  history_entry.version = next.version;
+  history_entry.change_id = change.change_id;
   for (const auto& [path, entry] : next.entries) {
     if (entry.version == next.version) {
-      (entry.removed ? line.removed : line.set).push_back(path);
+      (entry.removed ? history_entry.removed : history_entry.set).push_back(path);
     }
   }
-  return line;
+  return history_entry;
 }
 
-ChangeDecision repeatRecorded(const RegisterValue& present, const Change& change,
+ChangeDecision repeatRecorded(const RegisterValue& current, const Change& change,
                               const RecordedChange& recorded) {
   ChangeDecision decision;
-  decision.next = present;
+  decision.next = current;
   if (recorded.fingerprint != change.fingerprint()) {
     decision.code = ResultCode::ChangeIdReused;
-    decision.version = present.document.version;
+    decision.version = current.document.version;
     return decision;
   }
   decision.code = recorded.code;
@@ -48,33 +48,33 @@
   return decision;
 }
 
-ChangeDecision rejectInvalid(const RegisterValue& present, std::vector<Fault> faults) {
+ChangeDecision rejectInvalid(const RegisterValue& current, std::vector<Fault> faults) {
   ChangeDecision decision;
   decision.code = ResultCode::ConfigurationInvalid;
-  decision.version = present.document.version;
+  decision.version = current.document.version;
   decision.faults = std::move(faults);
-  decision.next = present;
+  decision.next = current;
   return decision;
 }
 
 /** Rejects a change with an outdated base version and records the rejection. */
-ChangeDecision rejectConflict(const RegisterValue& present, const Change& change) {
+ChangeDecision rejectConflict(const RegisterValue& current, const Change& change) {
   ChangeDecision decision;
   decision.code = ResultCode::ConfigurationConflict;
-  decision.version = present.document.version;
+  decision.version = current.document.version;
   decision.writes = true;
-  decision.next = present;
+  decision.next = current;
   record(decision.next, change, decision.code, decision.version);
   return decision;
 }
 
 }  // namespace
 
-ChangeDecision commitChange(const RegisterValue& present, const Change& change, Document next) {
+ChangeDecision commitChange(const RegisterValue& current, const Change& change, Document next) {
   ChangeDecision decision;
   decision.version = next.version;
   decision.writes = true;
-  decision.next = present;
+  decision.next = current;
   decision.next.document = std::move(next);
   decision.next.history.push_back(describeChange(decision.next.document, change));
   keepNewest(decision.next.history, MaximumHistoryEntries);
@@ -82,23 +82,23 @@
   return decision;
 }
 
-ChangeDecision decideChange(const RegisterValue& present, const Change& change) {
-  if (const RecordedChange* recorded = present.findRecorded(change.change_id)) {
-    return repeatRecorded(present, change, *recorded);
+ChangeDecision decideChange(const RegisterValue& current, const Change& change) {
+  if (const RecordedChange* recorded = current.findRecorded(change.change_id)) {
+    return repeatRecorded(current, change, *recorded);
   }
   const bool applies_to_any_base = change.base_version == AnyBaseVersion;
-  std::vector<Fault> faults = checkChange(present.document, change);
+  std::vector<Fault> faults = checkChange(current.document, change);
   const bool has_id = !change.change_id.empty();
-  if (has_id && !applies_to_any_base && change.base_version != present.document.version) {
-    return rejectConflict(present, change);
+  if (has_id && !applies_to_any_base && change.base_version != current.document.version) {
+    return rejectConflict(current, change);
   }
-  Document next = applyChange(present.document, change);
+  Document next = applyChange(current.document, change);
   const std::vector<Fault> content_faults = checkDocument(next);
   faults.insert(faults.end(), content_faults.begin(), content_faults.end());
   if (!faults.empty()) {
-    return rejectInvalid(present, std::move(faults));
+    return rejectInvalid(current, std::move(faults));
   }
-  return commitChange(present, change, std::move(next));
+  return commitChange(current, change, std::move(next));
 }
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/change_json.cc
+++ b/libraries/configuration/source/change_json.cc
@@ -69,12 +69,12 @@
 std::string renderHistory(const std::vector<HistoryEntry>& history) {
   JsonWriter writer;
   writer.beginObject().name("changes").beginArray();
-  for (const HistoryEntry& line : history) {
+  for (const HistoryEntry& entry : history) {
     writer.beginObject();
-    writer.name("version").unsignedInteger(line.version);
-    writer.name("change_id").string(line.change_id);
-    writeTexts(writer, "set", line.set);
-    writeTexts(writer, "removed", line.removed);
+    writer.name("version").unsignedInteger(entry.version);
+    writer.name("change_id").string(entry.change_id);
+    writeTexts(writer, "set", entry.set);
+    writeTexts(writer, "removed", entry.removed);
     writer.endObject();
   }
   writer.endArray().endObject();
--- a/libraries/configuration/source/check_report.cc
+++ b/libraries/configuration/source/check_report.cc
@@ -50,7 +50,7 @@
     return faults;
   }
   for (const Fault& fault : checkSettings(settings, role)) {
-    // A value that failed to parse is also missing, which is not reported again.
+    // A value that failed to parse also counts as missing; it is reported only once.
     const bool is_reported = std::ranges::find(faults, fault.path, &Fault::path) != faults.end();
     if (!is_reported) {
       faults.push_back(fault);
@@ -110,7 +110,8 @@
   std::ostringstream text;
   text << file.rdbuf();
   if (!file) {
-    const Fault fault{"", base::ResultCode::UnknownPath, "the file cannot be read"};
+    const Fault fault{"", base::ResultCode::UnknownPath,
+                      "the file does not exist or cannot be read"};
     return report(options, options.kind, {fault}, out);
   }
   return checkText(text.str(), options, out);
--- a/libraries/configuration/source/checks/forwarding.cc
+++ b/libraries/configuration/source/checks/forwarding.cc
@@ -63,7 +63,7 @@
     return targets;
   }
   if (list->kind != JsonKind::Array) {
-    reader.fault("targets", ResultCode::InvalidValue, "must be a list");
+    reader.fault("targets", ResultCode::InvalidValue, "must be a list of objects");
     return targets;
   }
   std::uint64_t total_weight = 0;
@@ -73,7 +73,7 @@
     total_weight += targets.back().weight;
   }
   if (total_weight == 0) {
-    reader.fault("targets", ResultCode::InvalidValue, "the weights sum to 0");
+    reader.fault("targets", ResultCode::InvalidValue, "the weights must not sum to 0");
   }
   return targets;
 }
@@ -86,13 +86,14 @@
     const auto [owner, is_first] =
         route_of_prefix.emplace(std::pair(route.host, route.path_prefix), name);
     if (!is_first) {
-      faults.push_back({path, ResultCode::InvalidValue,
-                        "has the host and path prefix of forwarding/routes/" + owner->second});
+      faults.push_back(
+          {path, ResultCode::InvalidValue,
+           "must not have the host and path prefix of forwarding/routes/" + owner->second});
     }
     for (const ForwardTarget& target : route.targets) {
       if (!forwarding.pools.contains(target.pool)) {
         faults.push_back({path + ".targets", ResultCode::InvalidValue,
-                          "names the pool '" + target.pool + "', which is not known"});
+                          "refers to the pool '" + target.pool + "', which is not known"});
       }
     }
   }
@@ -157,7 +158,8 @@
   tenant.key_hashes = reader.texts("keys");
   for (const std::string& hash : tenant.key_hashes) {
     if (!isSha256(hash)) {
-      reader.fault("keys", ResultCode::InvalidValue, "must hold SHA-256 in hexadecimal");
+      reader.fault("keys", ResultCode::InvalidValue,
+                   "must contain only SHA-256 hashes of 64 lower-case hexadecimal digits");
     }
   }
   tenant.has_priority = reader.has("priority");
--- a/libraries/configuration/source/checks/keys.cc
+++ b/libraries/configuration/source/checks/keys.cc
@@ -17,13 +17,13 @@
   for (const auto& [id, key] : parsed.keys) {
     const std::string path = "keys/" + id;
     if (!key.tenant.empty() && !parsed.tenants.contains(key.tenant)) {
-      faults.push_back(
-          {path + ".tenant", base::ResultCode::InvalidValue, "there is no tenants/" + key.tenant});
+      faults.push_back({path + ".tenant", base::ResultCode::InvalidValue,
+                        "there is no entry tenants/" + key.tenant});
     }
     const auto [owner, is_first] = owner_of_hash.emplace(key.sha256, id);
     if (!is_first && !key.sha256.empty()) {
       faults.push_back({path + ".sha256", base::ResultCode::InvalidValue,
-                        "is the secret of keys/" + owner->second});
+                        "must differ from the hash of keys/" + owner->second});
     }
   }
 }
--- a/libraries/configuration/source/checks/routes.cc
+++ b/libraries/configuration/source/checks/routes.cc
@@ -16,10 +16,11 @@
     const std::string& model = route.models[index];
     const std::string member = "models[" + std::to_string(index) + "]";
     if (!isModelName(model)) {
-      reader.fault(member, ResultCode::InvalidValue, "is not the name of a model");
+      reader.fault(member, ResultCode::InvalidValue,
+                   "must be a model name of 1 to 128 letters, digits, '.', '_', ':', '/' and '-'");
     }
     if (std::ranges::find(earlier_models, model) != earlier_models.end()) {
-      reader.fault(member, ResultCode::InvalidValue, "stands in the list twice");
+      reader.fault(member, ResultCode::InvalidValue, "occurs more than once in the list");
     }
     earlier_models.push_back(model);
   }
@@ -28,10 +29,11 @@
   }
 }
 
-/** Reports a model or service that the route `owner` serves already. */
+/** Reports a model or service that the route `owner` already serves. */
 void addDuplicateFault(const std::string& path, const std::string& subject,
                        const std::string& owner, Faults& faults) {
-  faults.push_back({path, ResultCode::InvalidValue, subject + " is served by routes/" + owner});
+  faults.push_back(
+      {path, ResultCode::InvalidValue, subject + " is already served by routes/" + owner});
 }
 
 }  // namespace
--- a/libraries/configuration/source/checks/shape_fields.h
+++ b/libraries/configuration/source/checks/shape_fields.h
@@ -20,7 +20,6 @@
 };
 
 /** All numeric fields of a session shape. */
-
 inline constexpr std::array ShapeFields{
     ShapeField{"first_token_ms",
                {1, 600'000},
--- a/libraries/configuration/source/checks/shapes.cc
+++ b/libraries/configuration/source/checks/shapes.cc
@@ -25,10 +25,10 @@
   reader.required("default");
   parameter.default_value = reader.integer("default", AnyParameter, parameter.minimum);
   if (parameter.minimum > parameter.maximum) {
-    reader.fault("minimum", ResultCode::InvalidValue, "is above the maximum");
+    reader.fault("minimum", ResultCode::InvalidValue, "must be at most the maximum");
   } else if (parameter.default_value < parameter.minimum ||
              parameter.default_value > parameter.maximum) {
-    reader.fault("default", ResultCode::InvalidValue, "lies outside minimum and maximum");
+    reader.fault("default", ResultCode::InvalidValue, "must lie between minimum and maximum");
   }
   reader.finish();
   return parameter;
@@ -43,7 +43,8 @@
     const std::string& name = parameters->names[index];
     const std::string path = reader.pathOf("parameters." + name);
     if (!isName(name)) {
-      faults.push_back({path, ResultCode::InvalidValue, "is not a name"});
+      faults.push_back({path, ResultCode::InvalidValue,
+                        "must have a name of 1 to 64 characters of a-z, 0-9, '.', '_' and '-'"});
     }
     shape.parameters[name] = parseParameter(parameters->elements[index], path, faults);
   }
@@ -54,7 +55,7 @@
                          const std::string& name, ObjectReader& reader) {
   if (parameter.minimum < field.range.minimum || parameter.maximum > field.range.maximum) {
     reader.fault(field.name, ResultCode::InvalidValue,
-                 "the parameter " + name + " may leave the range from " +
+                 "the parameter " + name + " must stay in the range from " +
                      std::to_string(field.range.minimum) + " to " +
                      std::to_string(field.range.maximum));
   }
@@ -92,10 +93,10 @@
   std::vector<std::string> sorted = shape.services;
   std::ranges::sort(sorted);
   if (std::ranges::adjacent_find(sorted) != sorted.end()) {
-    reader.fault("services", ResultCode::InvalidValue, "names a service twice");
+    reader.fault("services", ResultCode::InvalidValue, "must name each service only once");
   }
   if (services != nullptr && services->kind == JsonKind::Array && services->elements.empty()) {
-    reader.fault("services", ResultCode::InvalidValue, "names no service");
+    reader.fault("services", ResultCode::InvalidValue, "must name at least one service");
   }
 }
 
@@ -106,7 +107,8 @@
           return (shape.*field.member).parameter == name;
         });
     if (!is_used) {
-      reader.fault("parameters." + name, ResultCode::InvalidValue, "fills in no field");
+      reader.fault("parameters." + name, ResultCode::InvalidValue,
+                   "is not used by any field of this shape");
     }
   }
 }
@@ -133,7 +135,8 @@
           parsed.routes, [&](const auto& route) { return route.second.service == service; });
       if (!is_served) {
         faults.push_back({"shapes/" + name + ".services[" + std::to_string(index) + "]",
-                          ResultCode::InvalidValue, "no route serves '" + service + "'"});
+                          ResultCode::InvalidValue,
+                          "no route serves the service '" + service + "'"});
       }
     }
   }
--- a/libraries/configuration/source/checks/share.cc
+++ b/libraries/configuration/source/checks/share.cc
@@ -27,10 +27,12 @@
     ++depth;
   }
   if (!is_valid) {
-    faults.push_back({entry.path, ResultCode::UnknownPath, "the path must be made of names"});
+    faults.push_back(
+        {entry.path, ResultCode::UnknownPath,
+         "must be a path of names, each of 1 to 64 characters of a-z, 0-9, '.', '_' and '-'"});
   } else if (depth > MaximumDepth) {
     faults.push_back({entry.path, ResultCode::InvalidValue,
-                      "is deeper than " + std::to_string(MaximumDepth) + " branches"});
+                      "must have at most " + std::to_string(MaximumDepth) + " levels"});
   }
   return is_valid;
 }
@@ -66,14 +68,14 @@
     }
     total_weights[parent] += entry.weight;
     if (!parsed.share.contains(parent)) {
-      faults.push_back(
-          {"share/" + path, ResultCode::InvalidValue, "there is no parent share/" + parent});
+      faults.push_back({"share/" + path, ResultCode::InvalidValue,
+                        "there is no entry of its parent share/" + parent});
     }
   }
   for (const auto& [parent, total_weight] : total_weights) {
     if (total_weight == 0) {
       faults.push_back({"share/" + parent, ResultCode::InvalidValue,
-                        "the parts of its children add up to zero"});
+                        "the parts of its children must not all be zero"});
     }
   }
 }
--- a/libraries/configuration/source/checks/tenants.cc
+++ b/libraries/configuration/source/checks/tenants.cc
@@ -61,10 +61,12 @@
     return;
   }
   if (!parsed.share.contains(branch)) {
-    faults.push_back({path, ResultCode::InvalidValue, "there is no branch share/" + branch});
+    faults.push_back({path, ResultCode::InvalidValue, "there is no entry share/" + branch});
   } else if (hasChildren(parsed, branch)) {
     // Sessions counted against both a branch and its children could exceed the branch's slots.
-    faults.push_back({path, ResultCode::InvalidValue, "share/" + branch + " is not a leaf"});
+    faults.push_back(
+        {path, ResultCode::InvalidValue,
+         "share/" + branch + " has children; a tenant needs a branch without children"});
   }
 }
 
@@ -80,7 +82,7 @@
   for (const char* member : {"stream_branch", "one_shot_branch"}) {
     const JsonValue* value = entry.value.find(member);
     if (value != nullptr && value->kind == JsonKind::String && value->text.empty()) {
-      reader.fault(member, ResultCode::InvalidValue, "names no branch");
+      reader.fault(member, ResultCode::InvalidValue, "must name a branch of the share tree");
     }
   }
   reader.finish();
@@ -94,7 +96,7 @@
       checkParameters(path, tenant, shape->second, faults);
     } else if (!tenant.shape.empty()) {
       faults.push_back(
-          {path + ".shape", ResultCode::InvalidValue, "there is no shapes/" + tenant.shape});
+          {path + ".shape", ResultCode::InvalidValue, "there is no entry shapes/" + tenant.shape});
     }
     checkBranch(path + ".stream_branch", tenant.stream_branch, parsed, faults);
     checkBranch(path + ".one_shot_branch", tenant.one_shot_branch, parsed, faults);
--- a/libraries/configuration/source/json_parser.cc
+++ b/libraries/configuration/source/json_parser.cc
@@ -123,7 +123,7 @@
 
   /** Open objects and arrays, outermost first. */
   std::vector<JsonValue> stack_;
-  /** Text of the current string or number as far as it has been received. */
+  /** Text of the current string or number that has been received so far. */
   std::string partial_;
 };
 
@@ -139,7 +139,7 @@
     const std::string& name = value.names[order[index]];
     if (name == value.names[order[index - 1]]) {
       faults.push_back({memberPath(path, name), base::ResultCode::InvalidValue,
-                        "the key stands twice in one object"});
+                        "the key occurs more than once in the object"});
     }
   }
   for (std::size_t index = 0; index < value.elements.size(); ++index) {
@@ -156,7 +156,7 @@
                                    const std::string& path, std::vector<Fault>& faults) {
   if (text.size() > limits.maximum_bytes) {
     faults.push_back({path, base::ResultCode::BodyTooLarge,
-                      "is larger than " + std::to_string(limits.maximum_bytes) + " bytes"});
+                      "must have at most " + std::to_string(limits.maximum_bytes) + " bytes"});
     return std::nullopt;
   }
   json::parse_options options;
--- a/libraries/configuration/source/maintenance.cc
+++ b/libraries/configuration/source/maintenance.cc
@@ -15,11 +15,11 @@
   return MaintenancePrefix + worker;
 }
 
-ChangeDecision reject(const RegisterValue& present, ResultCode code, std::string path,
+ChangeDecision reject(const RegisterValue& current, ResultCode code, std::string path,
                       std::string message) {
   ChangeDecision decision;
   decision.code = code;
-  decision.version = present.document.version;
+  decision.version = current.document.version;
   decision.faults.push_back({std::move(path), code, std::move(message)});
   return decision;
 }
@@ -31,7 +31,7 @@
   return decision;
 }
 
-/** Numbers of a pool's workers if a candidate enters maintenance. */
+/** Numbers of a pool's workers, to decide whether a candidate may enter maintenance. */
 struct PoolCapacity {
   std::size_t total = 0;
   std::size_t in_maintenance = 0;
@@ -59,7 +59,7 @@
   return capacity;
 }
 
-/** @return why the pool cannot spare the candidate; empty if it can. */
+/** @return why the candidate must stay in service; empty if it may enter maintenance. */
 std::string reasonToKeep(const FleetWorker& candidate, const PoolCapacity& capacity,
                          const Tuning& tuning) {
   const auto total = static_cast<double>(capacity.total);
@@ -69,65 +69,70 @@
       1, static_cast<std::size_t>(std::ceil(total * tuning.maintenance_capacity_share)));
   if (capacity.in_maintenance >= maximum_in_maintenance) {
     return std::to_string(capacity.in_maintenance) + " workers of pool " + candidate.pool +
-           " are out already; tuning/maintenance-pool-share";
+           " are already in maintenance, the maximum of tuning/maintenance-pool-share";
   }
   if (capacity.in_maintenance_in_zone >= tuning.maintenance_zone_workers) {
     return std::to_string(capacity.in_maintenance_in_zone) +
-           " workers of the pool are out in zone " + candidate.zone +
-           "; tuning/maintenance-zone-workers";
+           " workers of the pool are already in maintenance in zone " + candidate.zone +
+           ", the maximum of tuning/maintenance-zone-workers";
   }
   if (capacity.remaining < minimum_remaining) {
     return "only " + std::to_string(capacity.remaining) + " of " + std::to_string(capacity.total) +
-           " workers would be left in pool " + candidate.pool +
-           "; tuning/maintenance-capacity-share";
+           " workers would remain in pool " + candidate.pool +
+           ", fewer than the minimum of tuning/maintenance-capacity-share";
   }
   return {};
 }
 
-ChangeDecision commitEntry(const RegisterValue& present, Change change) {
+ChangeDecision commitEntry(const RegisterValue& current, Change change) {
   change.base_version = AnyBaseVersion;
-  Document next = applyChange(present.document, change);
+  Document next = applyChange(current.document, change);
   std::vector<Fault> faults = checkDocument(next);
   if (!faults.empty()) {
     ChangeDecision decision;
     decision.code = ResultCode::ConfigurationInvalid;
-    decision.version = present.document.version;
+    decision.version = current.document.version;
     decision.faults = std::move(faults);
     return decision;
   }
-  return commitChange(present, change, std::move(next));
+  return commitChange(current, change, std::move(next));
 }
 
-/** @return the history line of the recorded change; nullptr if it did not start a maintenance. */
-const HistoryEntry* maintenanceLine(const RegisterValue& value, const std::string& change_id) {
+/** @return the history entry of the recorded change; nullptr if it did not start a maintenance. */
+const HistoryEntry* maintenanceEntry(const RegisterValue& value, const std::string& change_id) {
   const RecordedChange* recorded = value.findRecorded(change_id);
   if (recorded == nullptr || recorded->code != ResultCode::Ok) {
     return nullptr;
   }
-  const auto line = std::ranges::find(value.history, recorded->version, &HistoryEntry::version);
-  const bool is_maintenance = line != value.history.end() && line->set.size() == 1 &&
-                              line->set.front().starts_with(MaintenancePrefix);
-  return is_maintenance ? &*line : nullptr;
+  const auto history_entry =
+      std::ranges::find(value.history, recorded->version, &HistoryEntry::version);
+  const bool is_maintenance = history_entry != value.history.end() &&
+                              history_entry->set.size() == 1 &&
+                              history_entry->set.front().starts_with(MaintenancePrefix);
+  return is_maintenance ? &*history_entry : nullptr;
 }
 
 /** Decides on an order whose change_id is recorded. */
-ChangeDecision repeatOrder(const RegisterValue& present, const MaintenanceOrder& order) {
-  const std::optional<std::string> worker = workerPutIntoMaintenance(present, order.change_id);
-  const bool same = worker && (!order.is_chosen || order.wanted.front() == *worker);
-  if (!same) {
-    return reject(present, ResultCode::ChangeIdReused, "change_id", "is that of another change");
-  }
-  return acknowledge(present.findRecorded(order.change_id)->version);
+ChangeDecision repeatOrder(const RegisterValue& current, const MaintenanceOrder& order) {
+  const std::optional<std::string> worker = workerPutIntoMaintenance(current, order.change_id);
+  const bool is_same = worker && (!order.is_chosen || order.wanted.front() == *worker);
+  if (!is_same) {
+    return reject(current, ResultCode::ChangeIdReused, "change_id",
+                  "was already used for another change");
+  }
+  return acknowledge(current.findRecorded(order.change_id)->version);
 }
 
 /** Decides on the end of a maintenance whose change_id is recorded. */
-ChangeDecision repeatEnd(const RegisterValue& present, const RecordedChange& recorded,
+ChangeDecision repeatEnd(const RegisterValue& current, const RecordedChange& recorded,
                          const std::string& worker) {
-  const auto line = std::ranges::find(present.history, recorded.version, &HistoryEntry::version);
-  const bool same =
-      line != present.history.end() && line->removed == std::vector<std::string>{pathOf(worker)};
-  if (!same) {
-    return reject(present, ResultCode::ChangeIdReused, "change_id", "is that of another change");
+  const auto history_entry =
+      std::ranges::find(current.history, recorded.version, &HistoryEntry::version);
+  const bool is_same = history_entry != current.history.end() &&
+                       history_entry->removed == std::vector<std::string>{pathOf(worker)};
+  if (!is_same) {
+    return reject(current, ResultCode::ChangeIdReused, "change_id",
+                  "was already used for another change");
   }
   return acknowledge(recorded.version);
 }
@@ -141,7 +146,7 @@
 CandidateCheck checkCandidate(const std::string& worker, const MaintenanceOrder& order,
                               const std::set<std::string>& in_maintenance, const Tuning& tuning) {
   if (in_maintenance.contains(worker)) {
-    return {ResultCode::AlreadyInMaintenance, "is out already"};
+    return {ResultCode::AlreadyInMaintenance, "is already in maintenance"};
   }
   const auto candidate = std::ranges::find(order.fleet, worker, &FleetWorker::worker);
   if (candidate == order.fleet.end()) {
@@ -155,12 +160,12 @@
   return {};
 }
 
-ChangeDecision startMaintenance(const RegisterValue& present, const std::string& change_id,
+ChangeDecision startMaintenance(const RegisterValue& current, const std::string& change_id,
                                 const std::string& worker) {
   Change change;
   change.change_id = change_id;
   change.set.push_back({pathOf(worker), "{}"});
-  return commitEntry(present, std::move(change));
+  return commitEntry(current, std::move(change));
 }
 
 }  // namespace
@@ -179,51 +184,52 @@
 
 std::optional<std::string> workerPutIntoMaintenance(const RegisterValue& value,
                                                     const std::string& change_id) {
-  const HistoryEntry* line = maintenanceLine(value, change_id);
-  if (line == nullptr) {
+  const HistoryEntry* history_entry = maintenanceEntry(value, change_id);
+  if (history_entry == nullptr) {
     return std::nullopt;
   }
-  return line->set.front().substr(std::string_view(MaintenancePrefix).size());
+  return history_entry->set.front().substr(std::string_view(MaintenancePrefix).size());
 }
 
-ChangeDecision decideMaintenance(const RegisterValue& present, const MaintenanceOrder& order) {
-  if (present.findRecorded(order.change_id) != nullptr) {
-    return repeatOrder(present, order);
+ChangeDecision decideMaintenance(const RegisterValue& current, const MaintenanceOrder& order) {
+  if (current.findRecorded(order.change_id) != nullptr) {
+    return repeatOrder(current, order);
   }
-  const std::set<std::string> in_maintenance = workersInMaintenance(present.document);
-  const Tuning tuning = buildView(present.document).tuning;
+  const std::set<std::string> in_maintenance = workersInMaintenance(current.document);
+  const Tuning tuning = buildView(current.document).tuning;
   std::optional<ChangeDecision> first_rejection;
   for (const std::string& worker : order.wanted) {
     const CandidateCheck check = checkCandidate(worker, order, in_maintenance, tuning);
     if (check.code == ResultCode::Ok) {
-      return startMaintenance(present, order.change_id, worker);
+      return startMaintenance(current, order.change_id, worker);
     }
     if (check.code == ResultCode::CapacityTooLow) {
       if (!first_rejection) {
-        first_rejection = reject(present, check.code, worker, check.reason);
+        first_rejection = reject(current, check.code, worker, check.reason);
       }
     } else if (order.is_chosen) {
-      return reject(present, check.code, worker, check.reason);
+      return reject(current, check.code, worker, check.reason);
     }
   }
   if (first_rejection) {
     return *std::move(first_rejection);
   }
-  return reject(present, ResultCode::NothingToMaintain, "", "no worker is sick");
+  return reject(current, ResultCode::NothingToMaintain, "",
+                "there is no unhealthy worker that is not yet in maintenance");
 }
 
-ChangeDecision decideMaintenanceEnd(const RegisterValue& present, const std::string& change_id,
+ChangeDecision decideMaintenanceEnd(const RegisterValue& current, const std::string& change_id,
                                     const std::string& worker) {
-  if (const RecordedChange* recorded = present.findRecorded(change_id)) {
-    return repeatEnd(present, *recorded, worker);
+  if (const RecordedChange* recorded = current.findRecorded(change_id)) {
+    return repeatEnd(current, *recorded, worker);
   }
-  if (!workersInMaintenance(present.document).contains(worker)) {
-    return acknowledge(present.document.version);
+  if (!workersInMaintenance(current.document).contains(worker)) {
+    return acknowledge(current.document.version);
   }
   Change change;
   change.change_id = change_id;
   change.remove.push_back(pathOf(worker));
-  return commitEntry(present, std::move(change));
+  return commitEntry(current, std::move(change));
 }
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/object_reader.cc
+++ b/libraries/configuration/source/object_reader.cc
@@ -188,7 +188,7 @@
 void ObjectReader::finish() {
   for (const std::string& name : value_.names) {
     if (std::ranges::find(read_members_, name) == read_members_.end()) {
-      fault(name, ResultCode::UnknownField, "is not known here");
+      fault(name, ResultCode::UnknownField, "is not a known field of this object");
     }
   }
 }
--- a/libraries/configuration/source/parsed_configuration.cc
+++ b/libraries/configuration/source/parsed_configuration.cc
@@ -50,7 +50,10 @@
                 Faults& faults) {
   const EntryKind* kind = findKind(entry.path);
   if (kind == nullptr) {
-    faults.push_back({entry.path, ResultCode::UnknownPath, "no kind of entry has this path"});
+    faults.push_back({entry.path, ResultCode::UnknownPath,
+                      "must begin with evacuations/, forwarding/pools/, forwarding/routes/, "
+                      "forwarding/tenants/, keys/, maintenance/, operators/, routes/, shapes/, "
+                      "share/, tenants/ or tuning/"});
     return;
   }
   EntryText text{entry.path, entry.path.substr(kind->prefix.size()), {}};
@@ -80,7 +83,7 @@
   }
   if (live_entries > MaximumEntries) {
     faults.push_back({"", ResultCode::BodyTooLarge,
-                      "holds more than " + std::to_string(MaximumEntries) + " entries"});
+                      "must contain at most " + std::to_string(MaximumEntries) + " entries"});
   }
   checkShapes(parsed, faults);
   checkTenants(parsed, faults);
--- a/libraries/configuration/source/register_value.cc
+++ b/libraries/configuration/source/register_value.cc
@@ -42,7 +42,8 @@
   const std::string_view all(bytes);
   if (all.size() < ChecksumSize ||
       checksumOf(all.substr(ChecksumSize)) != all.substr(0, ChecksumSize)) {
-    throw base::Error(ResultCode::RecordCorrupt, "the configuration does not match its checksum");
+    throw base::Error(ResultCode::RecordCorrupt,
+                      "the stored configuration does not match its checksum");
   }
 }
 
@@ -66,8 +67,9 @@
     throw base::Error(ResultCode::RecordCorrupt, exception.what());
   }
   if (head.format != RegisterFormat && head.format != FormatWithoutSource) {
-    throw base::Error(ResultCode::RecordCorrupt,
-                      "the configuration has the unknown format " + std::to_string(head.format));
+    throw base::Error(
+        ResultCode::RecordCorrupt,
+        "the stored configuration has the unknown format " + std::to_string(head.format));
   }
   return head;
 }
@@ -80,8 +82,8 @@
 }
 
 template <class Archive>
-void serialize(Archive& archive, HistoryEntry& line) {
-  archive(line.version, line.change_id, line.set, line.removed);
+void serialize(Archive& archive, HistoryEntry& entry) {
+  archive(entry.version, entry.change_id, entry.set, entry.removed);
 }
 
 template <class Archive>
--- a/libraries/configuration/source/settings_check.cc
+++ b/libraries/configuration/source/settings_check.cc
@@ -32,14 +32,14 @@
     const auto end = addresses.begin() + static_cast<std::ptrdiff_t>(index);
     if (!addresses[index].empty() && std::find(addresses.begin(), end, addresses[index]) != end) {
       faults.push_back({path + "[" + std::to_string(index) + "]", ResultCode::InvalidValue,
-                        "stands in the list twice"});
+                        "occurs more than once in the list"});
     }
   }
 }
 
 void checkTimes(const TimeSettings& times, Faults& faults) {
   if (times.session_front_limit >= times.session_core_limit) {
-    // The front must stop serving before the core considers its session lapsed.
+    // The front must stop serving before the core considers its session expired.
     faults.push_back({"times.session_front_limit_ms", ResultCode::InvalidValue,
                       "must be below session_core_limit_ms"});
   }
@@ -69,7 +69,7 @@
   requireText("seeds", settings.seeds.empty(), faults);
   requireText("data_folder", is_core && settings.data_folder.empty(), faults);
   if (!settings.peer_address.empty() && settings.peer_address == settings.http_address) {
-    faults.push_back({"http_address", ResultCode::InvalidValue, "is the peer address too"});
+    faults.push_back({"http_address", ResultCode::InvalidValue, "must differ from peer_address"});
   }
   checkZoneName("zone", settings.zone, faults);
   checkZoneName("region", settings.region, faults);
--- a/libraries/configuration/source/settings_parser.cc
+++ b/libraries/configuration/source/settings_parser.cc
@@ -81,9 +81,9 @@
     reader.optional(member);
     return;
   }
-  const std::size_t before = faults.size();
+  const std::size_t faults_before = faults.size();
   const std::string text = reader.text(member);
-  if (faults.size() == before) {
+  if (faults.size() == faults_before) {
     parseAddress(text, member, address, faults);
   }
 }
@@ -102,7 +102,7 @@
 
 /**
  * @param grace_s time between the termination signal and the process being killed.
- * @return the deadline of open requests, which leaves time to close the session.
+ * @return the time limit of the graceful shutdown; the rest of the time is for closing the session.
  */
 base::Duration stopDeadlineWithin(double grace_s) {
   constexpr double SessionCloseS = 1.5;
@@ -150,7 +150,7 @@
 ExpiredSessionPolicy readExpiredSessionPolicy(ObjectReader& reader) {
   const std::string text = reader.text("lapsed_session", "refuse");
   if (text != "refuse" && text != "serve") {
-    reader.fault("lapsed_session", ResultCode::InvalidValue, "must be refuse or serve");
+    reader.fault("lapsed_session", ResultCode::InvalidValue, "must be \"refuse\" or \"serve\"");
   }
   return text == "serve" ? ExpiredSessionPolicy::Serve : ExpiredSessionPolicy::Refuse;
 }
@@ -171,7 +171,7 @@
   }
 }
 
-/** Applies the settings that determine others. */
+/** Derives the addresses of peers from fleet_peer_port and first_start. */
 void resolveCoreAddresses(Settings& settings) {
   if (settings.fleet_peer_port != 0) {
     setPort(settings.seeds, settings.fleet_peer_port);
--- a/libraries/configuration/source/sha256.cc
+++ b/libraries/configuration/source/sha256.cc
@@ -12,7 +12,7 @@
   std::array<unsigned char, EVP_MAX_MD_SIZE> hash{};
   unsigned int size = 0;
   if (EVP_Digest(text.data(), text.size(), hash.data(), &size, EVP_sha256(), nullptr) != 1) {
-    throw base::Error(base::ResultCode::InternalError, "SHA-256 is not available");
+    throw base::Error(base::ResultCode::InternalError, "OpenSSL failed to compute a SHA-256 hash");
   }
   std::string out;
   for (unsigned int index = 0; index < size; ++index) {
--- a/libraries/configuration/source/source_document.cc
+++ b/libraries/configuration/source/source_document.cc
@@ -13,17 +13,17 @@
 
 using base::ResultCode;
 
-ChangeDecision reject(const RegisterValue& present, ResultCode code, std::vector<Fault> faults) {
+ChangeDecision reject(const RegisterValue& current, ResultCode code, std::vector<Fault> faults) {
   ChangeDecision decision;
   decision.code = code;
-  decision.version = present.document.version;
+  decision.version = current.document.version;
   decision.faults = std::move(faults);
   return decision;
 }
 
-ChangeDecision alreadyInForce(const RegisterValue& present) {
+ChangeDecision alreadyInForce(const RegisterValue& current) {
   ChangeDecision decision;
-  decision.version = present.document.version;
+  decision.version = current.document.version;
   decision.repeated = true;
   return decision;
 }
@@ -68,65 +68,67 @@
   return change;
 }
 
-/** Reports paths that the translation contains twice. */
+/** Reports each path that the translation contains more than once. */
 void checkPaths(const SourceTranslation& translation, std::vector<Fault>& faults) {
   std::map<std::string, std::size_t> counts;
   for (const EntryChange& entry : translation.entries) {
     if (++counts[entry.path] == 2) {
-      faults.push_back({entry.path, ResultCode::InvalidValue, "stands in the document twice"});
+      faults.push_back(
+          {entry.path, ResultCode::InvalidValue, "occurs more than once in the document"});
     }
   }
 }
 
-/** Decides on a translation that is free of faults and has the right base. */
-ChangeDecision commitTranslation(const RegisterValue& present, const SourceUpdate& update,
+/** Decides on a translation that is free of faults and is based on the current revision. */
+ChangeDecision commitTranslation(const RegisterValue& current, const SourceUpdate& update,
                                  SourceTranslation translation) {
   std::vector<Fault> faults;
   checkPaths(translation, faults);
-  if (translation.revision <= present.source.revision) {
-    faults.push_back({"", ResultCode::InvalidValue, "the revision is not above the present one"});
+  if (translation.revision <= current.source.revision) {
+    faults.push_back(
+        {"", ResultCode::InvalidValue, "the revision must be greater than the current revision"});
   }
-  const Change change = changeOfEntries(present.document, update, translation);
-  Document next = applyChange(present.document, change);
+  const Change change = changeOfEntries(current.document, update, translation);
+  Document next = applyChange(current.document, change);
   const std::vector<Fault> content_faults = checkDocument(next);
   faults.insert(faults.end(), content_faults.begin(), content_faults.end());
   if (!faults.empty()) {
-    return reject(present, ResultCode::ConfigurationInvalid, std::move(faults));
+    return reject(current, ResultCode::ConfigurationInvalid, std::move(faults));
   }
-  ChangeDecision decision = commitChange(present, change, std::move(next));
+  ChangeDecision decision = commitChange(current, change, std::move(next));
   decision.next.source = {translation.revision, std::move(translation.text)};
   return decision;
 }
 
 }  // namespace
 
-ChangeDecision decideSourceUpdate(const RegisterValue& present, const SourceUpdate& update) {
-  if (const RecordedChange* recorded = present.findRecorded(update.change_id)) {
+ChangeDecision decideSourceUpdate(const RegisterValue& current, const SourceUpdate& update) {
+  if (const RecordedChange* recorded = current.findRecorded(update.change_id)) {
     return repeatRecorded(*recorded);
   }
-  SourceTranslation translation = update.translate(present.source.text);
-  if (isInForce(translation, present.source)) {
-    return alreadyInForce(present);
+  SourceTranslation translation = update.translate(current.source.text);
+  if (isInForce(translation, current.source)) {
+    return alreadyInForce(current);
   }
-  if (update.base_revision != present.source.revision) {
-    return reject(present, ResultCode::ConfigurationConflict, {});
+  if (update.base_revision != current.source.revision) {
+    return reject(current, ResultCode::ConfigurationConflict, {});
   }
   if (!translation.faults.empty()) {
-    return reject(present, ResultCode::ConfigurationInvalid, std::move(translation.faults));
+    return reject(current, ResultCode::ConfigurationInvalid, std::move(translation.faults));
   }
-  return commitTranslation(present, update, std::move(translation));
+  return commitTranslation(current, update, std::move(translation));
 }
 
-ChangeDecision decideEvacuation(const RegisterValue& present, const std::string& zone,
+ChangeDecision decideEvacuation(const RegisterValue& current, const std::string& zone,
                                 bool evacuated) {
-  const auto entry = present.document.entries.find("evacuations/" + zone);
-  const bool is_evacuated = entry != present.document.entries.end() && !entry->second.removed;
+  const auto entry = current.document.entries.find("evacuations/" + zone);
+  const bool is_evacuated = entry != current.document.entries.end() && !entry->second.removed;
   if (is_evacuated == evacuated) {
-    return alreadyInForce(present);
+    return alreadyInForce(current);
   }
   const std::string change_id = (evacuated ? "evacuate/" : "restore/") + zone + "/" +
-                                std::to_string(present.document.version + 1);
-  return decideChange(present, evacuationChange(change_id, zone, !evacuated));
+                                std::to_string(current.document.version + 1);
+  return decideChange(current, evacuationChange(change_id, zone, !evacuated));
 }
 
 }  // namespace switchsaddle::configuration
--- a/libraries/configuration/source/state_report.cc
+++ b/libraries/configuration/source/state_report.cc
@@ -119,7 +119,7 @@
 }
 
 std::optional<StateReport> parseStateReport(const std::string& text, std::vector<Fault>& faults) {
-  const std::size_t before = faults.size();
+  const std::size_t faults_before = faults.size();
   const std::optional<JsonValue> value = parseJson(text, ReportLimits, "", faults);
   if (!value) {
     return std::nullopt;
@@ -133,7 +133,7 @@
   if (entries != nullptr) {
     parseStateEntries(*entries, reader, report, faults);
   }
-  return faults.size() == before ? std::optional(std::move(report)) : std::nullopt;
+  return faults.size() == faults_before ? std::optional(std::move(report)) : std::nullopt;
 }
 
 std::vector<StateDifference> compareStates(const StateReport& first, const StateReport& second) {
--- a/libraries/node_options/include/switchsaddle/node_options/node_options.h
+++ b/libraries/node_options/include/switchsaddle/node_options/node_options.h
@@ -6,7 +6,7 @@
 
 /**
  * @file
- * Conversion of the settings into options that fronts and cores have in common. All nodes of a
+ * Converts the settings into the options that fronts and cores share. All nodes of a
  * fleet must use the same values.
  */
 
