--- a/libraries/configuration/test/change_json_test.cc
+++ b/libraries/configuration/test/change_json_test.cc
@@ -18,7 +18,7 @@
   return value.value_or(JsonValue{});
 }
 
-TEST(ChangeJsonTest, Configuration) {
+TEST(ChangeJsonTest, RendersTheConfiguration) {
   const JsonValue body = parsed(renderConfiguration(sampleDocument()));
   EXPECT_EQ(body.integerOf("version"), 1);
   EXPECT_EQ(body.textOf("digest"), digestText(sampleDocument().digest()));
@@ -26,7 +26,7 @@
   EXPECT_EQ(digestText(0xabc), "0000000000000abc");
 }
 
-TEST(ChangeJsonTest, HistoryAndInForce) {
+TEST(ChangeJsonTest, RendersTheHistoryAndTheVersionInForce) {
   EXPECT_EQ(renderHistory({{3, "a\"b", {"x"}, {"y", "z"}}}),
             R"({"changes":[{"version":3,"change_id":"a\"b","set":["x"],"removed":["y","z"]}]})");
   const JsonValue body =
@@ -37,7 +37,7 @@
   EXPECT_FALSE(fronts[2].find("in_force")->boolean);
 }
 
-TEST(ChangeJsonTest, ChangeResults) {
+TEST(ChangeJsonTest, RendersChangeResults) {
   EXPECT_EQ(renderChangeResult({ResultCode::CommittedNotYetInForce, 4, {}, true, false}),
             R"({"version":4,"acknowledged":false,"repeated":true,"dry_run":false,)"
             R"("code":6003,"name":"CommittedNotYetInForce"})");
@@ -51,9 +51,9 @@
 TEST(ChangeJsonTest, ARepeatedKeyRequestIsTheSameChange) {
   const KeyRequest request{"change-1", "", "jobs", ""};
   const KeyIssue first = issueKey(request, "operator");
-  const KeyIssue again = issueKey(request, "operator");
-  EXPECT_EQ(first.secret, again.secret);
-  EXPECT_EQ(first.change.fingerprint(), again.change.fingerprint());
+  const KeyIssue repeated = issueKey(request, "operator");
+  EXPECT_EQ(first.secret, repeated.secret);
+  EXPECT_EQ(first.change.fingerprint(), repeated.change.fingerprint());
   EXPECT_NE(first.secret, issueKey(request, "another").secret);
   EXPECT_NE(first.secret, issueKey({"change-2", first.id, "jobs", ""}, "operator").secret);
   const RegisterValue value{sampleDocument(), {}, {}};
@@ -66,14 +66,14 @@
   EXPECT_FALSE(buildView(revoked.next.document).keys.contains(sha256Hex(first.secret)));
 }
 
-TEST(ChangeJsonTest, AHashInTheRequestIsUsedAndNoSecretReturned) {
+TEST(ChangeJsonTest, AKeyRequestWithAHashReturnsNoSecret) {
   const KeyIssue issue = issueKey({"change-1", "mine", "jobs", sampleHash('d')}, "operator");
   EXPECT_EQ(issue.secret, "");
   EXPECT_EQ(parsed(renderKeyResult(issue, {ResultCode::Ok, 2, {}, false, false})).find("secret"),
             nullptr);
 }
 
-TEST(ChangeJsonTest, RequestFaults) {
+TEST(ChangeJsonTest, ReportsFaultsOfRequests) {
   std::vector<Fault> faults;
   parseEvacuationRequest("{}", faults);
   parseEvacuationRequest(R"({"change_id": ""})", faults);
@@ -81,7 +81,7 @@
   EXPECT_EQ(faults.size(), 6);
 }
 
-TEST(ChangeJsonTest, EvacuationAndRestore) {
+TEST(ChangeJsonTest, EvacuatesAndRestoresAZone) {
   const RegisterValue value{sampleDocument(), {}, {}};
   const ChangeDecision evacuated = decideChange(value, evacuationChange("a", "south", false));
   ASSERT_EQ(evacuated.code, ResultCode::Ok);
--- a/libraries/configuration/test/checks_test.cc
+++ b/libraries/configuration/test/checks_test.cc
@@ -32,7 +32,7 @@
   return sampleHash('c');
 }
 
-// NOLINTNEXTLINE(readability-function-size): a table, one row a case.
+// NOLINTNEXTLINE(readability-function-size): a table with one row per case.
 std::vector<FaultCase> faultCases() {
   const std::string shape = R"({"services": ["completions"], )";
   const std::string tenant = R"({"shape": "chat", "stream_branch": "root/jobs", )";
@@ -223,7 +223,7 @@
   EXPECT_THAT(faultNames(checkDocument(document)), testing::ElementsAre("share/root InvalidValue"));
 }
 
-TEST(ChecksTest, TreeDepthIsLimited) {
+TEST(ChecksTest, RejectsAShareTreeBeyondTheMaximumDepth) {
   Document document = sampleDocument();
   std::string path = "share/root";
   for (int depth = 2; depth <= 8; ++depth) {
--- a/libraries/configuration/test/document_test.cc
+++ b/libraries/configuration/test/document_test.cc
@@ -23,7 +23,7 @@
   return change;
 }
 
-TEST(DocumentTest, DeltasUpdateAnyOlderDocumentToTheNewest) {
+TEST(DocumentTest, ADeltaUpdatesAnyOlderDocumentToTheNewest) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     base::RandomSource random(seed);
     std::vector<Document> versions{Document{}};
@@ -110,7 +110,7 @@
   EXPECT_NE(first.fingerprint(), second.fingerprint());
 }
 
-TEST(DocumentTest, FaultsOfAChangeBody) {
+TEST(DocumentTest, ReportsFaultsOfAChangeBody) {
   const auto fault_names = [](const std::string& body) {
     std::vector<Fault> faults;
     parseChange(body, faults);
--- a/libraries/configuration/test/forwarding_test.cc
+++ b/libraries/configuration/test/forwarding_test.cc
@@ -72,7 +72,7 @@
   EXPECT_DOUBLE_EQ(*bounds.limitOf(tenant), 1'000 * 1.1 + 1'000);
 }
 
-/** A faulty entry and a part of the message that its fault must have. */
+/** A faulty entry and a text that the message of its fault must contain. */
 struct FaultyEntry {
   const char* path;
   const char* json;
--- a/libraries/configuration/test/json_value_test.cc
+++ b/libraries/configuration/test/json_value_test.cc
@@ -23,7 +23,7 @@
   return value ? value->canonical() : "fault";
 }
 
-TEST(JsonValueTest, CanonicalText) {
+TEST(JsonValueTest, RendersCanonicalText) {
   EXPECT_EQ(canonicalOf(R"( {"b": [1.0, 2.50, -0, 1e2], "a": null, "c": "\u00e9\n\u0001"} )"),
             "{\"a\":null,\"b\":[1,2.5,0,100],\"c\":\"\xc3\xa9\\n\\u0001\"}");
   EXPECT_EQ(canonicalOf("9223372036854775807"), "9223372036854775807");
@@ -37,7 +37,7 @@
   }
 }
 
-TEST(JsonValueTest, DepthIsLimited) {
+TEST(JsonValueTest, RejectsNestingBeyondTheMaximumDepth) {
   const std::string nested = std::string(16, '[') + std::string(16, ']');
   EXPECT_EQ(canonicalOf(nested), nested);
   EXPECT_EQ(canonicalOf("[" + nested + "]"), "fault");
@@ -98,7 +98,7 @@
   return text;
 }
 
-TEST(MutationTest, MutatedTextsCauseOnlyFaults) {
+TEST(MutationTest, MutatedTextsDoNotCrashTheParsers) {
   const std::string change =
       R"({"change_id": "a", "base_version": 1, "set": )" + sampleText() + "}";
   std::size_t faulty = 0;
--- a/libraries/configuration/test/maintenance_test.cc
+++ b/libraries/configuration/test/maintenance_test.cc
@@ -32,7 +32,7 @@
   }
   ChangeDecision apply(ChangeDecision decision) {
     if (decision.writes) {
-      // As after a restart of all cores.
+      // Encodes and decodes the value, as after a restart of all cores.
       value = decodeRegisterValue(encodeRegisterValue(decision.next));
     }
     return decision;
@@ -71,23 +71,23 @@
 
 TEST_F(MaintenanceTest, ARepeatedOrderGetsTheSameResult) {
   const ChangeDecision first = next({"w3"}, "a");
-  const ChangeDecision again = next({"w7"}, "a");
-  EXPECT_EQ(again.code, ResultCode::Ok);
-  EXPECT_TRUE(again.repeated);
-  EXPECT_EQ(again.version, first.version);
+  const ChangeDecision repeated = next({"w7"}, "a");
+  EXPECT_EQ(repeated.code, ResultCode::Ok);
+  EXPECT_TRUE(repeated.repeated);
+  EXPECT_EQ(repeated.version, first.version);
   EXPECT_EQ(inMaintenance().size(), 1U);
-  // Also after the end of the maintenance.
+  // The result remains the same after the end of the maintenance.
   finish("w3", "b");
   EXPECT_EQ(next({"w7"}, "a").version, first.version);
   EXPECT_TRUE(inMaintenance().empty());
 }
 
-TEST_F(MaintenanceTest, OneOfTwoOrdersForTheSameWorkerWins) {
+TEST_F(MaintenanceTest, OnlyOneOfTwoOrdersForAWorkerIsAccepted) {
   EXPECT_EQ(start("w3", "a").code, ResultCode::Ok);
   EXPECT_EQ(start("w3", "b").code, ResultCode::AlreadyInMaintenance);
 }
 
-TEST_F(MaintenanceTest, TwoOrdersForTheNextWorkerGetDifferentOnes) {
+TEST_F(MaintenanceTest, TwoOrdersForTheNextWorkerSelectDifferentWorkers) {
   tune("maintenance-pool-share", "0.3");
   next({"w3", "w4"}, "a");
   EXPECT_EQ(next({"w3", "w4"}, "b").code, ResultCode::Ok);
@@ -120,7 +120,7 @@
   EXPECT_EQ(start("w0", "b").code, ResultCode::Ok);
 }
 
-TEST_F(MaintenanceTest, TheLastWorkerOfAPoolIsKept) {
+TEST_F(MaintenanceTest, TheLastWorkerOfAPoolIsNotPutIntoMaintenance) {
   fleet = {{"only", "pool", "north", true}};
   EXPECT_EQ(start("only", "a").code, ResultCode::CapacityTooLow);
 }
--- a/libraries/configuration/test/register_value_test.cc
+++ b/libraries/configuration/test/register_value_test.cc
@@ -26,7 +26,7 @@
   return change;
 }
 
-TEST(RegisterVersionTest, IsDecodedWithoutTheRest) {
+TEST(RegisterVersionTest, IsDecodedWithoutTheEntries) {
   const RegisterValue value = decideChange(sampleValue(), evacuate("a", 1, "south")).next;
   std::string bytes = encodeRegisterValue(value);
   EXPECT_EQ(decodeRegisterVersion(bytes), decodeRegisterValue(bytes).document.version);
@@ -47,13 +47,13 @@
   EXPECT_THAT(decision.next.history[0].set, testing::ElementsAre("evacuations/south"));
 }
 
-TEST(DecideChangeTest, OneOfTwoChangesOnOneBaseIsCommitted) {
+TEST(DecideChangeTest, OnlyOneOfTwoChangesWithTheSameBaseIsCommitted) {
   const RegisterValue value = decideChange(sampleValue(), evacuate("a", 1, "south")).next;
-  const ChangeDecision lost = decideChange(value, evacuate("b", 1, "west"));
-  EXPECT_EQ(lost.code, ResultCode::ConfigurationConflict);
-  EXPECT_EQ(lost.version, 2);
-  EXPECT_TRUE(lost.writes);
-  EXPECT_EQ(lost.next.document.digest(), value.document.digest());
+  const ChangeDecision conflict = decideChange(value, evacuate("b", 1, "west"));
+  EXPECT_EQ(conflict.code, ResultCode::ConfigurationConflict);
+  EXPECT_EQ(conflict.version, 2);
+  EXPECT_TRUE(conflict.writes);
+  EXPECT_EQ(conflict.next.document.digest(), value.document.digest());
 }
 
 TEST(DecideChangeTest, ARepeatedChangeGetsItsRecordedResultAfterManyChanges) {
@@ -67,16 +67,16 @@
     value = decision.next;
   }
   value = decodeRegisterValue(encodeRegisterValue(value));
-  const ChangeDecision won = decideChange(value, evacuate("won", 1, "south"));
-  EXPECT_EQ(won.code, ResultCode::Ok);
-  EXPECT_EQ(won.version, 2);
-  EXPECT_TRUE(won.repeated);
-  EXPECT_FALSE(won.writes);
-  const ChangeDecision lost = decideChange(value, evacuate("lost", 1, "west"));
-  EXPECT_EQ(lost.code, ResultCode::ConfigurationConflict);
-  EXPECT_EQ(lost.version, 2);
-  EXPECT_TRUE(lost.repeated);
-  EXPECT_FALSE(lost.writes);
+  const ChangeDecision committed = decideChange(value, evacuate("won", 1, "south"));
+  EXPECT_EQ(committed.code, ResultCode::Ok);
+  EXPECT_EQ(committed.version, 2);
+  EXPECT_TRUE(committed.repeated);
+  EXPECT_FALSE(committed.writes);
+  const ChangeDecision conflict = decideChange(value, evacuate("lost", 1, "west"));
+  EXPECT_EQ(conflict.code, ResultCode::ConfigurationConflict);
+  EXPECT_EQ(conflict.version, 2);
+  EXPECT_TRUE(conflict.repeated);
+  EXPECT_FALSE(conflict.writes);
 }
 
 TEST(DecideChangeTest, AChangeIdCannotBeReusedForAnotherChange) {
@@ -98,7 +98,7 @@
   EXPECT_EQ(decideChange(decision.next, evacuate("b", 1, "south")).code, ResultCode::Ok);
 }
 
-TEST(DecideChangeTest, FaultsOfTheChangeItself) {
+TEST(DecideChangeTest, RejectsAnEmptyIdAndADuplicatePath) {
   EXPECT_EQ(decideChange(sampleValue(), evacuate("", 1, "south")).code,
             ResultCode::ConfigurationInvalid);
   Change twice = evacuate("a", 1, "north");
@@ -106,7 +106,7 @@
   EXPECT_EQ(decideChange(sampleValue(), twice).code, ResultCode::ConfigurationInvalid);
 }
 
-TEST(DecideChangeTest, OrdersOnAnyBaseNeverConflict) {
+TEST(DecideChangeTest, ChangesOfAnyBaseVersionNeverConflict) {
   RegisterValue value = decideChange(sampleValue(), evacuate("a", 1, "south")).next;
   const Change order = evacuate("order", AnyBaseVersion, "west");
   const ChangeDecision decision = decideChange(value, order);
--- a/libraries/configuration/test/source_document_test.cc
+++ b/libraries/configuration/test/source_document_test.cc
@@ -27,8 +27,8 @@
   return update;
 }
 
-RegisterValue after(const RegisterValue& present, const SourceUpdate& update) {
-  const ChangeDecision decision = decideSourceUpdate(present, update);
+RegisterValue after(const RegisterValue& current, const SourceUpdate& update) {
+  const ChangeDecision decision = decideSourceUpdate(current, update);
   EXPECT_EQ(decision.code, ResultCode::Ok);
   EXPECT_TRUE(decision.writes);
   return decision.next;
@@ -46,12 +46,12 @@
   EXPECT_EQ(second.document.entries.at("forwarding/pools/always").version, 1U);
 }
 
-TEST(SourceDocumentTest, OneOfTwoUpdatesOnOneRevisionWins) {
+TEST(SourceDocumentTest, OnlyOneOfTwoUpdatesWithTheSameBaseIsCommitted) {
   const RegisterValue first = after({}, updateTo(0, 5, "a"));
   const RegisterValue second = after(first, updateTo(5, 7, "b"));
-  const ChangeDecision loser = decideSourceUpdate(second, updateTo(5, 7, "c"));
-  EXPECT_EQ(loser.code, ResultCode::ConfigurationConflict);
-  EXPECT_FALSE(loser.writes);
+  const ChangeDecision rejected = decideSourceUpdate(second, updateTo(5, 7, "c"));
+  EXPECT_EQ(rejected.code, ResultCode::ConfigurationConflict);
+  EXPECT_FALSE(rejected.writes);
 }
 
 TEST(SourceDocumentTest, ARepeatedUpdateIsAcknowledgedAfterLaterChanges) {
@@ -59,12 +59,12 @@
   const RegisterValue first = after({}, early);
   const RegisterValue second = after(first, updateTo(5, 7, "b"));
   for (const RegisterValue& value : {first, second}) {
-    const ChangeDecision again = decideSourceUpdate(value, early);
-    EXPECT_EQ(again.code, ResultCode::Ok);
-    EXPECT_TRUE(again.repeated);
-    EXPECT_FALSE(again.writes);
+    const ChangeDecision repeated = decideSourceUpdate(value, early);
+    EXPECT_EQ(repeated.code, ResultCode::Ok);
+    EXPECT_TRUE(repeated.repeated);
+    EXPECT_FALSE(repeated.writes);
   }
-  // The document in force, sent with another change_id.
+  // The same document as the one in force, with another change_id.
   const ChangeDecision same = decideSourceUpdate(second, updateTo(7, 7, "b", "other"));
   EXPECT_EQ(same.code, ResultCode::Ok);
   EXPECT_FALSE(same.writes);
--- a/libraries/configuration/test/view_test.cc
+++ b/libraries/configuration/test/view_test.cc
@@ -39,7 +39,7 @@
   EXPECT_TRUE(buildView(Document{}).tenants.empty());
 }
 
-TEST(Sha256Test, KnownAnswers) {
+TEST(Sha256Test, MatchesKnownHashes) {
   EXPECT_EQ(sha256Hex("abc"), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
   EXPECT_EQ(sha256Hex(""), "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855");
 }
