--- a/libraries/configuration/source/checks/forwarding.cc
+++ b/libraries/configuration/source/checks/forwarding.cc
@@ -93,7 +93,7 @@
     for (const ForwardTarget& target : route.targets) {
       if (!forwarding.pools.contains(target.pool)) {
         faults.push_back({path + ".targets", ResultCode::InvalidValue,
-                          "refers to the pool '" + target.pool + "', which is not known"});
+                          "refers to the pool '" + target.pool + "', which does not exist"});
       }
     }
   }
--- a/libraries/configuration/test/forwarding_test.cc
+++ b/libraries/configuration/test/forwarding_test.cc
@@ -95,7 +95,7 @@
         FaultyEntry{"forwarding/routes/x",
                     R"({"host":"h","path_prefix":"/x/","kind":"repeatable",
                         "targets":[{"pool":"none"}]})",
-                    "not known"},
+                    "does not exist"},
         FaultyEntry{"forwarding/routes/x",
                     R"({"host":"a.example","path_prefix":"/chat/","kind":"repeatable",
                         "targets":[{"pool":"llm"}]})",
