--- a/libraries/worker_health/include/switchsaddle/worker_health/decayed_counts.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/decayed_counts.h
@@ -5,7 +5,8 @@
 
 namespace switchsaddle::worker_health {
 
-/** Half-lives of the counts that ejection uses, and of those that ranking uses. */
+/** Half-life of the recent counts, which ejection uses, and of the long counts, which ranking uses.
+ */
 inline constexpr base::Duration RecentHalfLife = std::chrono::milliseconds(2'500);
 inline constexpr base::Duration LongHalfLife = std::chrono::seconds(120);
 
@@ -31,10 +32,10 @@
   base::TimePoint decayed_at_{};
 };
 
-/** Share of a count that remains after `elapsed`. */
+/** @return the share of a count that remains after `elapsed`, 0 to 1. */
 double decayFactor(base::Duration elapsed, base::Duration half_life);
 
-/** Length in seconds of a period that ends now, decayed by LongHalfLife. */
+/** @return the length in seconds of a period that ends now, decayed by LongHalfLife. */
 double decayedSeconds(base::Duration elapsed);
 
 /** Adds `factor` times `counts` to `sum`. */
--- a/libraries/worker_health/include/switchsaddle/worker_health/dispatch_sample.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/dispatch_sample.h
@@ -30,7 +30,7 @@
   base::Duration longest_pause{};
   /** From the first event to the last. */
   base::Duration transfer{};
-  /** The front applied backpressure, since the caller read slowly. */
+  /** The front applied backpressure because the caller read slowly. */
   bool held_back = false;
 };
 
--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_ledger.h
@@ -20,26 +20,27 @@
   auto operator<=>(const FrontKey&) const = default;
 };
 
-/** What all reliable fronts observed of a worker or pool, decayed to now. */
+/** Sum of the observations of all reliable fronts for one worker or pool, decayed to now. */
 struct Evidence {
   double recent_dispatched = 0;
   double recent_failed = 0;
   wire::HealthCounts counts;
   /** Fronts with recent failures. */
   std::size_t failing_fronts = 0;
-  /** Fronts that reported it at all. */
+  /** Fronts that reported the worker or pool. */
   std::size_t reporting_fronts = 0;
   std::uint32_t in_flight = 0;
-  /** Seconds over which the long counts were taken, decayed as they are. */
+  /** Seconds over which the long counts were taken, decayed like the counts. */
   double observed_s = 0;
 };
 
-/** Recent failures from which on a front counts as failing with a worker. */
+/** Minimum number of recent failures of a worker for which a front counts as failing. */
 inline constexpr double MinimumRecentFailures = 0.25;
 
 /**
  * The fronts' last health reports at a core, and their sums. A front at which most requests fail
- * while those of the other fronts succeed is unreliable: its own link fails, and it is not counted.
+ * while those of the other fronts succeed is unreliable: the fault is in its own link, and its
+ * reports are not counted.
  * Bounded: each front has at most MaximumWorkers rows, of which the oldest are evicted. Runs on the
  * control strand.
  */
@@ -55,8 +56,9 @@
    * @param zone the front's zone.
    */
   void update(const FrontKey& front, const std::string& zone, const wire::HealthReport& report);
-  /** Removes fronts whose last report is too old. */
-  void forgetUnresponsive();
+  /** Removes fronts whose last report is too old, and workers without recent failures from
+   * failingSince(). */
+  void removeExpired();
   /** @return the number of fronts with a report. */
   std::size_t fronts() const { return fronts_.size(); }
 
@@ -65,7 +67,7 @@
   Evidence ofPool(std::uint64_t pool) const;
   /** @return the evidence of every reported worker, computed in one pass over all rows. */
   std::map<std::uint64_t, Evidence> ofAllWorkers() const;
-  /** @return every worker with recent failures, with the time when they began. */
+  /** @return the time of the first recent failure of each worker that has any. */
   const std::map<std::uint64_t, base::TimePoint>& failingSince() const { return failing_since_; }
 
  private:
@@ -81,10 +83,10 @@
     std::map<std::uint64_t, Row> workers;
   };
 
-  /** Whether the front's failures are not those of its own link. */
+  /** @return whether the front's failures are not caused by its own link. */
   bool isReliable(const Front& front) const;
   static bool failsMostly(const wire::PoolHealth& pool);
-  /** Whether the requests of the other fronts to the pool succeed. */
+  /** @return whether the requests of the other fronts to the pool succeed. */
   bool peersSucceed(const Front& front, std::uint64_t pool) const;
   static void addRow(Evidence& evidence, const Front& front, const Row& row, base::TimePoint now);
   static void evictRows(Front& front, base::TimePoint now);
--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
@@ -16,7 +16,7 @@
 struct Dispatch {
   std::uint64_t worker = 0;
   std::uint64_t pool = 0;
-  /** Requests of the same kind of work are compared with each other. */
+  /** Kind of work; only requests of the same kind are compared with each other. */
   std::uint64_t kind = 0;
   /** Expected prefill time of the prompt. */
   base::Duration prefill{};
@@ -71,11 +71,12 @@
   void count(const Dispatch& dispatch, const wire::HealthCounts& counts);
   /** Counts dispatches that exceeded HeadTimeout as failed. */
   void countTimedOut();
-  void forgetIdle();
-  /** @return the worker's failed, stalled and slow requests beyond the rate of its pool; zero or
-   * less if it does no worse. */
+  void removeIdle();
+  /** @return the worker's failed, stalled and slow requests in excess of its pool's rate; zero or
+   * negative if its rate is not above that of the pool. */
   double excess(const Record& record, base::TimePoint now) const;
-  /** @return the workers that do worst, at most MaximumOutliers, worst first. */
+  /** @return the workers with the most excess and recent failures, at most MaximumOutliers, worst
+   * first. */
   std::vector<std::uint64_t> outliers(base::TimePoint now) const;
   void reportPools(base::TimePoint now, wire::HealthReport& report) const;
   void reportWatched(base::TimePoint now, wire::HealthReport& report) const;
@@ -86,7 +87,7 @@
   base::Dispatcher& dispatcher_;
   base::TimePoint started_at_;
   PeerComparison comparison_;
-  /** By number, hence in the order of dispatch. */
+  /** By number, which is the order of dispatch. */
   std::map<std::uint64_t, Pending> pending_;
   std::uint64_t next_number_ = 1;
   std::map<std::uint64_t, Record> workers_;
--- a/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
@@ -12,18 +12,18 @@
 
 namespace switchsaddle::worker_health {
 
-/** The health of a worker, as far as it is known. */
+/** Health of a worker as assessed from the fronts' reports. */
 enum class HealthState : std::uint8_t {
   /** Too few samples. */
   Unknown,
   Healthy,
   /** Worse than its peers, but not significantly. */
   Suspect,
-  /** Worse than its peers by more than chance and load explain. */
+  /** Significantly worse than its peers, by more than load explains. */
   Unhealthy
 };
 
-/** What an unhealthy worker does. */
+/** The kind of degradation that makes a worker unhealthy. */
 enum class Symptom : std::uint8_t { None, Stalls, SlowTransfers, Failures };
 
 /** @return the name shown in documents of the control interface. */
@@ -38,10 +38,11 @@
   HealthState state = HealthState::Unknown;
   /** The symptom that decided the state. */
   Symptom symptom = Symptom::None;
-  /** Lower bound of the share of its requests that it degrades beyond what is explained, 0 to 1. */
+  /** Lower confidence bound of the share of its requests that are degraded, minus the explained
+   * share and weighted by symptom. */
   double severity = 0;
   Evidence evidence;
-  /** Shares that load and the rest of the pool explain. */
+  /** Shares of degraded requests that load and the rest of the pool explain. */
   double explained_stalls = 0;
   double explained_slow = 0;
   double explained_failures = 0;
@@ -52,7 +53,7 @@
 /** A change of the worker that is ranked first. */
 struct TopChange {
   base::TimePoint at;
-  /** Empty if no worker is unhealthy any more. */
+  /** The worker now ranked first; empty if no worker is unhealthy any more. */
   std::string worker;
   std::string before;
 };
@@ -60,8 +61,8 @@
 /**
  * Ranks the workers of each pool by stalls between events, slow transfers and failures, the most
  * unhealthy first. A worker is compared with its pool without the unhealthy workers; stalls that
- * the prefill of long prompts explains are subtracted. Decides by confidence bounds, so that few
- * samples make no worker unhealthy or healthy. Runs on the control strand.
+ * the prefill of long prompts explains are subtracted. Uses confidence bounds, so that a few
+ * samples cannot classify a worker as unhealthy or healthy. Runs on the control strand.
  */
 class HealthRanking {
  public:
@@ -84,7 +85,7 @@
   const std::vector<std::uint64_t>& questioned() const { return watched_; }
 
  private:
-  struct Known {
+  struct StateSince {
     HealthState state = HealthState::Unknown;
     base::TimePoint since;
   };
@@ -105,7 +106,7 @@
   std::vector<WorkerRank> ranks_;
   std::vector<std::uint64_t> watched_;
   /** By worker id. */
-  std::map<std::string, Known> known_;
+  std::map<std::string, StateSince> states_;
   std::deque<TopChange> history_;
   /** The unhealthy worker ranked first; empty if there is none. */
   std::string top_;
--- a/libraries/worker_health/include/switchsaddle/worker_health/outlier_detector.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/outlier_detector.h
@@ -12,12 +12,12 @@
 
 /**
  * Outlier detection at a core: ejects workers that fail a much larger share of their requests than
- * the rest of their pool, whatever their own health check says. Decided separately for each zone of
- * fronts, since a worker may fail some callers only.
+ * the rest of their pool, regardless of their own health checks. Decides separately for each zone
+ * of fronts, because a worker may fail the requests of one zone only.
  *
  * Invariants: at most a fixed share of a pool is ejected; the reports of one front alone are not
- * sufficient, unless it is the only one; a worker returns after its ejection time and is ejected
- * again, for twice as long, only for new failures. Runs on the control strand.
+ * sufficient, unless it is the only one; a worker is reinstated after its ejection time and is
+ * ejected again, for twice as long, only for new failures. Runs on the control strand.
  */
 class OutlierDetector {
  public:
@@ -31,7 +31,7 @@
   wire::HealthAdvice advice(const std::string& zone);
 
  private:
-  /** A worker as the fronts of one zone see it. */
+  /** A worker, and the zone of the fronts for which its ejection is decided. */
   struct ZonedWorker {
     std::uint64_t worker = 0;
     std::string zone;
@@ -41,24 +41,24 @@
   struct State {
     std::string pool;
     bool ejected = false;
-    /** When the worker was ejected or returned. */
+    /** When the worker was ejected or reinstated. */
     base::TimePoint since;
     base::Duration ejection_time{};
-    /** Counts when the worker returned, which are not counted again. */
-    double former_dispatched = 0;
-    double former_failed = 0;
+    /** Counts at the time of reinstatement, which are subtracted from later evidence. */
+    double dispatched_at_reinstatement = 0;
+    double failed_at_reinstatement = 0;
   };
   /** A worker with sufficient evidence to be ejected. */
   struct Candidate {
     std::uint64_t worker = 0;
     Evidence evidence;
-    /** Lower bound of its share of failures. */
+    /** Lower confidence bound of its share of failures. */
     double minimum_failure_share = 0;
   };
 
-  /** Updates the ejections of a zone, at most once in an interval. */
+  /** Updates the ejections of a zone, at most once per RefreshInterval. */
   void refresh(const std::string& zone);
-  /** Ends ejections whose time is over. */
+  /** Ends expired ejections. */
   void endEjections(const std::string& zone);
   /** @return candidates by pool, the worst first. */
   std::map<std::string, std::vector<Candidate>> candidates(const std::string& zone) const;
@@ -69,7 +69,7 @@
   /** @return the share of failures of the pool's workers other than the given ones. */
   double failureShareWithout(const std::string& pool,
                              const std::vector<std::uint64_t>& workers) const;
-  /** @return the evidence since the worker last returned. */
+  /** @return the evidence since the worker was last reinstated. */
   Evidence newEvidence(const ZonedWorker& key) const;
   void eject(const ZonedWorker& key, const std::string& pool);
   std::vector<std::uint64_t> ejectedIn(const std::string& pool, const std::string& zone) const;
--- a/libraries/worker_health/include/switchsaddle/worker_health/peer_comparison.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/peer_comparison.h
@@ -12,19 +12,19 @@
 inline constexpr base::Duration MinimumStall = std::chrono::milliseconds(100);
 
 /** The result of comparing a stream with those of other workers. */
-struct PeerVerdict {
-  /** Whether the stream was long enough and enough others of its kind are known. */
+struct PeerComparisonResult {
+  /** Whether the stream was long enough and enough others of its kind were recorded. */
   bool comparable = false;
   bool stalled = false;
   bool slow = false;
 };
 
 /**
- * Compares a stream with the others of the same kind of work that this front relayed. Their medians
- * are explained by load, length and this front's own link, which affect all workers alike. A stream
- * stalled if its longest pause is far above the median of longest pauses; it was slow if its time
- * per event is far above the median. Medians come from decaying histograms of bounded size. Runs on
- * the control strand.
+ * Compares a stream with the others of the same kind of work that this front relayed. Load,
+ * length and this front's own link affect all workers alike, so the medians already include their
+ * effect. A stream stalled if its longest pause is far above the median of longest pauses; it was
+ * slow if its time per event is far above the median. Medians come from decaying histograms of
+ * bounded size. Runs on the control strand.
  */
 class PeerComparison {
  public:
@@ -34,7 +34,7 @@
   PeerComparison& operator=(const PeerComparison&) = delete;
 
   /** Compares the sample, then adds it to those of its kind. */
-  PeerVerdict compare(std::uint64_t kind, const DispatchSample& sample);
+  PeerComparisonResult compare(std::uint64_t kind, const DispatchSample& sample);
 
  private:
   struct Kind;
--- a/libraries/worker_health/include/switchsaddle/worker_health/share_bounds.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/share_bounds.h
@@ -8,13 +8,13 @@
   double high = 1;
 };
 
-/** Standard deviations of a one-sided confidence of 95 %. */
+/** Number of standard deviations for a one-sided confidence of 95 %. */
 inline constexpr double OneSided95 = 1.645;
 
 /**
- * Wilson's score interval of `bad` out of `counted`, which need not be integers.
+ * Wilson score interval of `bad` out of `counted`, which need not be integers.
  *
- * @return 0 to 1 if nothing was counted.
+ * @return the interval; [0, 1] if `counted` is zero.
  */
 ShareBounds shareBounds(double bad, double counted, double deviations = OneSided95);
 
--- a/libraries/worker_health/source/evidence_ledger.cc
+++ b/libraries/worker_health/source/evidence_ledger.cc
@@ -9,13 +9,13 @@
 namespace {
 
 constexpr base::Duration RowLifetime = std::chrono::seconds(120);
-/** How long a front's number of requests in flight is used. */
+/** Maximum age at which a front's number of requests in flight is counted. */
 constexpr base::Duration InFlightLifetime = std::chrono::seconds(3);
 constexpr base::Duration FrontLifetime = std::chrono::seconds(20);
 /** Recent dispatches needed to assess a front, and needed of its peers. */
 constexpr double MinimumToAssessFront = 6;
-/** A front is unreliable if at least this share of its dispatches fails, unless its peers' share of
- * failures reaches the second bound. */
+/** A front is unreliable if at least UnreliableFailureShare of its dispatches fail while less than
+ * PeerFailureShare of its peers' dispatches fail. */
 constexpr double UnreliableFailureShare = 0.5;
 constexpr double PeerFailureShare = 0.25;
 
@@ -57,7 +57,7 @@
   }
 }
 
-void EvidenceLedger::forgetUnresponsive() {
+void EvidenceLedger::removeExpired() {
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(fronts_,
                 [now](const auto& item) { return now - item.second.last_seen > FrontLifetime; });
--- a/libraries/worker_health/source/evidence_recorder.cc
+++ b/libraries/worker_health/source/evidence_recorder.cc
@@ -9,19 +9,19 @@
 
 /** A worker that was not used for this long is removed. */
 constexpr base::Duration IdleLifetime = std::chrono::minutes(10);
-/** A worker is an outlier from this number of bad requests beyond the rate of its pool on, or from
- * this number of recent failures on. */
+/** A worker is an outlier if its bad requests in excess of its pool's rate reach MinimumExcess, or
+ * its recent failures reach MinimumRecentFailed. */
 constexpr double MinimumExcess = 0.8;
 constexpr double MinimumRecentFailed = 0.5;
-/** Recent failures rank before what was worse over minutes. */
+/** Weight of recent failures, above that of an excess accumulated over minutes. */
 constexpr double RecentFailureWeight = 4;
 
-/** Whether the outcome is evidence about the worker. */
+/** @return whether the outcome is evidence about the worker. */
 bool isConclusive(DispatchEnd end) {
   return end != DispatchEnd::Abandoned && end != DispatchEnd::Unreachable;
 }
 
-/** Bad requests of a worker beyond the rate of the other workers of its pool. */
+/** @return the bad requests of a worker in excess of the rate of the other workers of its pool. */
 double excessOf(double bad, double counted, double pool_bad, double pool_counted) {
   const double peers_counted = pool_counted - counted;
   const double peer_share = peers_counted > 0 ? std::max(0.0, pool_bad - bad) / peers_counted : 0;
@@ -65,11 +65,11 @@
     counts.dispatched = 1;
     counts.failed = sample.end == DispatchEnd::Failed ? 1 : 0;
   }
-  const PeerVerdict verdict = comparison_.compare(ended.dispatch.kind, sample);
-  if (verdict.comparable) {
+  const PeerComparisonResult result = comparison_.compare(ended.dispatch.kind, sample);
+  if (result.comparable) {
     counts.timed = 1;
-    counts.stalled = verdict.stalled ? 1 : 0;
-    counts.slow = verdict.slow ? 1 : 0;
+    counts.stalled = result.stalled ? 1 : 0;
+    counts.slow = result.slow ? 1 : 0;
     counts.stream_s = static_cast<float>(std::chrono::duration<double>(sample.transfer).count());
   }
   count(ended.dispatch, counts);
@@ -85,7 +85,7 @@
   const base::TimePoint now = dispatcher_.now();
   for (auto& [number, pending] : pending_) {
     if (now - pending.dispatched_at < HeadTimeout) {
-      // All that follow were dispatched later.
+      // The remaining requests were dispatched later.
       break;
     }
     if (!pending.answered && !pending.counted_as_failed) {
@@ -98,7 +98,7 @@
   }
 }
 
-void EvidenceRecorder::forgetIdle() {
+void EvidenceRecorder::removeIdle() {
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(workers_, [now](const auto& item) {
     return item.second.in_flight == 0 && now - item.second.last_used > IdleLifetime;
@@ -125,14 +125,14 @@
   std::vector<std::pair<double, std::uint64_t>> found;
   for (const auto& [worker, record] : workers_) {
     const double recent = record.counts.recentFailed(now);
-    const double worse = excess(record, now);
-    if (recent >= MinimumRecentFailed || worse >= MinimumExcess) {
-      found.emplace_back(worse + RecentFailureWeight * recent, worker);
+    const double worker_excess = excess(record, now);
+    if (recent >= MinimumRecentFailed || worker_excess >= MinimumExcess) {
+      found.emplace_back(worker_excess + RecentFailureWeight * recent, worker);
     }
   }
   std::ranges::sort(found, std::greater<>());
   std::vector<std::uint64_t> chosen;
-  for (const auto& [worse, worker] : found) {
+  for (const auto& [score, worker] : found) {
     if (chosen.size() == MaximumOutliers) {
       break;
     }
@@ -150,7 +150,7 @@
   reported_at_ = now;
   report.observed_s = static_cast<float>(decayedSeconds(now - started_at_));
   countTimedOut();
-  forgetIdle();
+  removeIdle();
   reportPools(now, report);
   for (const std::uint64_t worker : outliers(now)) {
     reportWorker(worker, now, report);
--- a/libraries/worker_health/source/health_ranking.cc
+++ b/libraries/worker_health/source/health_ranking.cc
@@ -59,7 +59,7 @@
 }
 
 bool HealthRanking::refresh() {
-  ledger_.forgetUnresponsive();
+  ledger_.removeExpired();
   ranks_.clear();
   for (auto& [pool, ranks] : collectEvidence()) {
     rankPool(pool, ranks);
@@ -131,20 +131,20 @@
 void HealthRanking::updateStates() {
   const base::TimePoint now = dispatcher_.now();
   watched_.clear();
-  std::map<std::string, Known> known;
+  std::map<std::string, StateSince> states;
   for (WorkerRank& rank : ranks_) {
-    const auto before = known_.find(rank.worker);
-    const bool is_same = before != known_.end() && before->second.state == rank.state;
-    const Known current{rank.state, is_same ? before->second.since : now};
+    const auto before = states_.find(rank.worker);
+    const bool is_same = before != states_.end() && before->second.state == rank.state;
+    const StateSince current{rank.state, is_same ? before->second.since : now};
     rank.since = now - current.since;
-    known.emplace(rank.worker, current);
+    states.emplace(rank.worker, current);
     const bool may_be_unhealthy =
         rank.state == HealthState::Unhealthy || rank.state == HealthState::Suspect;
     if (may_be_unhealthy && watched_.size() < MaximumWatched) {
       watched_.push_back(workerKey(snapshot_->workers.at(rank.worker).entry));
     }
   }
-  known_ = std::move(known);
+  states_ = std::move(states);
 }
 
 bool HealthRanking::updateHistory() {
--- a/libraries/worker_health/source/outlier_detector.cc
+++ b/libraries/worker_health/source/outlier_detector.cc
@@ -13,20 +13,21 @@
 constexpr base::Duration RefreshInterval = std::chrono::milliseconds(100);
 /** Share of a pool that may be ejected. */
 constexpr double MaximumEjectedShare = 0.34;
-/** Tolerated share of failures, and the tolerated multiple of that of the rest of the pool. */
+/** Tolerated share of failures, and tolerated multiple of the rest of the pool's share. */
 constexpr double ToleratedFailureShare = 0.12;
 constexpr double ToleratedRatio = 3;
-/** Failures needed to eject a worker, and those that suffice before all fronts have reported. */
+/** Failures needed to eject a worker after all fronts have reported, and before that. */
 constexpr double MinimumFailures = 1.5;
 constexpr double SufficientFailures = 4;
-/** Dispatches from which on the evidence of one zone's fronts is used alone. */
+/** With fewer dispatches from a zone's fronts, the evidence of all zones is used. */
 constexpr double MinimumZoneDispatches = 3;
 /** Time in which all fronts report on a worker that is watched. */
 constexpr base::Duration ReportingTime = std::chrono::milliseconds(600);
 constexpr base::Duration BaseEjectionTime = std::chrono::seconds(3);
 constexpr base::Duration MaximumEjectionTime = std::chrono::seconds(24);
-/** A worker that was not ejected for this long starts again with BaseEjectionTime. */
-constexpr base::Duration EjectionMemory = std::chrono::seconds(60);
+/** Time since a worker's reinstatement after which its next ejection lasts BaseEjectionTime again.
+ */
+constexpr base::Duration EjectionHistoryLifetime = std::chrono::seconds(60);
 constexpr std::size_t MaximumWatched = 16;
 
 }  // namespace
@@ -55,7 +56,7 @@
     return;
   }
   refreshed_at_[zone] = now;
-  ledger_.forgetUnresponsive();
+  ledger_.removeExpired();
   endEjections(zone);
   if (ledger_.failingSince().empty()) {
     return;
@@ -97,15 +98,16 @@
 
 void OutlierDetector::ejectWorst(const std::string& pool, const std::string& zone,
                                  const std::vector<Candidate>& worst_first) {
-  // The baseline is the rest of the pool, without the worst, which may be ejected.
-  std::vector<std::uint64_t> left_out = ejectedIn(pool, zone);
+  // The baseline is the pool without its ejected workers and without the worst candidates, which
+  // this call may eject.
+  std::vector<std::uint64_t> excluded = ejectedIn(pool, zone);
   const std::size_t maximum = maximumEjected(pool);
-  std::size_t remaining = maximum - std::min(maximum, left_out.size());
+  std::size_t remaining = maximum - std::min(maximum, excluded.size());
   for (std::size_t index = 0; index < std::min(remaining, worst_first.size()); ++index) {
-    left_out.push_back(worst_first[index].worker);
+    excluded.push_back(worst_first[index].worker);
   }
   const double tolerated =
-      std::max(ToleratedFailureShare, ToleratedRatio * failureShareWithout(pool, left_out));
+      std::max(ToleratedFailureShare, ToleratedRatio * failureShareWithout(pool, excluded));
   for (const Candidate& candidate : worst_first) {
     if (remaining == 0 || candidate.minimum_failure_share <= tolerated) {
       return;
@@ -135,12 +137,12 @@
       const Evidence evidence = ledger_.ofWorker(key.worker, zone);
       state.ejected = false;
       state.since = now;
-      state.former_dispatched = evidence.recent_dispatched;
-      state.former_failed = evidence.recent_failed;
+      state.dispatched_at_reinstatement = evidence.recent_dispatched;
+      state.failed_at_reinstatement = evidence.recent_failed;
     }
   }
   std::erase_if(states_, [now](const auto& item) {
-    return !item.second.ejected && now - item.second.since > EjectionMemory;
+    return !item.second.ejected && now - item.second.since > EjectionHistoryLifetime;
   });
 }
 
@@ -152,8 +154,8 @@
   const auto state = states_.find(key);
   if (state != states_.end()) {
     const double remaining = decayFactor(dispatcher_.now() - state->second.since, RecentHalfLife);
-    evidence.recent_dispatched -= state->second.former_dispatched * remaining;
-    evidence.recent_failed -= state->second.former_failed * remaining;
+    evidence.recent_dispatched -= state->second.dispatched_at_reinstatement * remaining;
+    evidence.recent_failed -= state->second.failed_at_reinstatement * remaining;
   }
   return evidence;
 }
--- a/libraries/worker_health/source/peer_comparison.cc
+++ b/libraries/worker_health/source/peer_comparison.cc
@@ -11,13 +11,13 @@
 
 /** Streams with fewer events are not compared. */
 constexpr std::uint32_t MinimumEvents = 4;
-/** Streams of a kind needed before one is compared. */
+/** Streams of a kind that must be recorded before the next one is compared. */
 constexpr double MinimumPeers = 12;
-/** Kinds of work with histograms; streams of further kinds are not compared. */
+/** Maximum number of kinds of work with histograms; streams of further kinds are not compared. */
 constexpr std::size_t MaximumKinds = 256;
 /** When a histogram has this many samples, their weights are halved. */
 constexpr double MaximumPeers = 512;
-/** Multiples of the median above which a stream stalled or was slow. */
+/** Multiples of the median above which a stream counts as stalled or slow. */
 constexpr double StallFactor = 3;
 constexpr double SlowFactor = 1.7;
 /** The histograms' range, in seconds, and their resolution. */
@@ -84,7 +84,7 @@
   return found->second.get();
 }
 
-PeerVerdict PeerComparison::compare(std::uint64_t kind, const DispatchSample& sample) {
+PeerComparisonResult PeerComparison::compare(std::uint64_t kind, const DispatchSample& sample) {
   const bool is_complete = sample.end == DispatchEnd::Answered && !sample.held_back;
   if (!is_complete || sample.events < MinimumEvents) {
     return {};
@@ -95,16 +95,16 @@
   }
   const double pause_s = secondsOf(sample.longest_pause);
   const double event_s = secondsOf(sample.transfer) / (sample.events - 1);
-  PeerVerdict verdict;
-  verdict.comparable = peers->longest_pauses.total() >= MinimumPeers;
-  if (verdict.comparable) {
-    verdict.stalled =
+  PeerComparisonResult result;
+  result.comparable = peers->longest_pauses.total() >= MinimumPeers;
+  if (result.comparable) {
+    result.stalled =
         pause_s > std::max(secondsOf(MinimumStall), StallFactor * peers->longest_pauses.median());
-    verdict.slow = event_s > SlowFactor * peers->event_times.median();
+    result.slow = event_s > SlowFactor * peers->event_times.median();
   }
   peers->longest_pauses.add(pause_s);
   peers->event_times.add(event_s);
-  return verdict;
+  return result;
 }
 
 }  // namespace switchsaddle::worker_health
--- a/libraries/worker_health/source/worker_assessment.cc
+++ b/libraries/worker_health/source/worker_assessment.cc
@@ -16,9 +16,10 @@
 constexpr double ToleratedFailures = 0.05;
 /** Tolerated multiple of the pool's baseline. */
 constexpr double ToleratedRatio = 2;
-/** A failed request weighs more than one that was late. */
+/** Weight of a failed request relative to a delayed one. */
 constexpr double FailureWeight = 1.5;
-/** A worker is healthy if the upper bound exceeds the tolerated share by no more than this. */
+/** A worker is healthy if the upper confidence bound is less than this above the tolerated share.
+ */
 constexpr double HealthyMargin = 0.06;
 constexpr double MinimumDispatches = 12;
 
@@ -26,9 +27,10 @@
   return counted > 0 ? std::clamp(bad / counted, 0.0, 1.0) : 0;
 }
 
-/** Share of the streams that overlapped the prefill of a long prompt, at one worker or, on average,
- * at each of several. */
-double shareBesideLongPrompts(const wire::HealthCounts& counts, double observed_s, double workers) {
+/** @return the share of the streams that overlapped the prefill of a long prompt on the same
+ * worker, averaged over `workers`. */
+double shareOverlappingLongPrompts(const wire::HealthCounts& counts, double observed_s,
+                                   double workers) {
   if (counts.timed <= 0 || observed_s <= 0) {
     return 0;
   }
@@ -63,21 +65,21 @@
 }
 
 void setExplainedShares(WorkerRank& rank, const PoolBaseline& baseline) {
-  const double beside_long =
-      shareBesideLongPrompts(rank.evidence.counts, rank.evidence.observed_s, 1);
+  const double overlap_share =
+      shareOverlappingLongPrompts(rank.evidence.counts, rank.evidence.observed_s, 1);
   rank.explained_stalls =
-      std::min(1.0, std::max(ToleratedStalls, ToleratedRatio * baseline.stalls) + beside_long);
+      std::min(1.0, std::max(ToleratedStalls, ToleratedRatio * baseline.stalls) + overlap_share);
   rank.explained_slow =
-      std::min(1.0, std::max(ToleratedSlow, ToleratedRatio * baseline.slow) + beside_long);
+      std::min(1.0, std::max(ToleratedSlow, ToleratedRatio * baseline.slow) + overlap_share);
   rank.explained_failures = std::max(ToleratedFailures, ToleratedRatio * baseline.failures);
 }
 
 }  // namespace
 
 PoolBaseline baselineOf(const wire::HealthCounts& counts, double observed_s, double workers) {
-  const double beside_long = shareBesideLongPrompts(counts, observed_s, workers);
-  return {std::max(0.0, shareOf(counts.stalled, counts.timed) - beside_long),
-          std::max(0.0, shareOf(counts.slow, counts.timed) - beside_long),
+  const double overlap_share = shareOverlappingLongPrompts(counts, observed_s, workers);
+  return {std::max(0.0, shareOf(counts.stalled, counts.timed) - overlap_share),
+          std::max(0.0, shareOf(counts.slow, counts.timed) - overlap_share),
           shareOf(counts.failed, counts.dispatched)};
 }
 
--- a/libraries/worker_health/source/worker_assessment.h
+++ b/libraries/worker_health/source/worker_assessment.h
@@ -12,10 +12,11 @@
 };
 
 /**
- * Computes the shares beyond what the prefill of long prompts explains.
+ * Computes the shares of degraded requests; stalls and slow transfers that the prefill of long
+ * prompts explains are subtracted.
  *
  * @param observed_s seconds over which the counts were taken.
- * @param workers number of workers that the counts are of.
+ * @param workers number of workers whose counts are summed.
  */
 PoolBaseline baselineOf(const wire::HealthCounts& counts, double observed_s, double workers);
 
--- a/libraries/worker_health/test/evidence_recorder_test.cc
+++ b/libraries/worker_health/test/evidence_recorder_test.cc
@@ -50,7 +50,7 @@
   EvidenceRecorder recorder{process};
 };
 
-TEST_F(EvidenceRecorderTest, ReportsLittleOfAHealthyPool) {
+TEST_F(EvidenceRecorderTest, ReportsOnlyRotatedWorkersOfAHealthyPool) {
   for (std::uint64_t worker = 1; worker <= 50; ++worker) {
     run(worker, DispatchEnd::Answered);
   }
@@ -72,7 +72,7 @@
   EXPECT_EQ(reported.size(), 5U);
 }
 
-TEST_F(EvidenceRecorderTest, ReportsAFailingWorkerImmediately) {
+TEST_F(EvidenceRecorderTest, ReportsAFailingWorkerInTheNextReport) {
   for (std::uint64_t worker = 1; worker <= 50; ++worker) {
     run(worker, worker == 30 ? DispatchEnd::Failed : DispatchEnd::Answered);
   }
@@ -103,8 +103,8 @@
   EXPECT_EQ(of(received, 1)->counts.failed, 0);
 }
 
-TEST_F(EvidenceRecorderTest, CountsAWorkerWithoutAResponseAsFailing) {
-  const std::uint64_t unanswered = dispatch(1);
+TEST_F(EvidenceRecorderTest, CountsARequestWithoutAResponseHeadAsFailed) {
+  const std::uint64_t timed_out = dispatch(1);
   const std::uint64_t answering = dispatch(2);
   recorder.onHead(answering);
   world.runFor(EvidenceRecorder::HeadTimeout);
@@ -112,16 +112,16 @@
   ASSERT_NE(of(received, 1), nullptr);
   EXPECT_GT(of(received, 1)->recent_failed, 0.8);
   EXPECT_EQ(of(received, 1)->in_flight, 1U);
-  // Its end is not counted again.
+  // A request that was counted as failed is not counted again when it ends.
   DispatchSample sample;
   sample.end = DispatchEnd::Failed;
-  recorder.onEnd(unanswered, sample);
+  recorder.onEnd(timed_out, sample);
   recorder.onEnd(answering, {});
   const wire::HealthReport later = report();
   EXPECT_NEAR(of(later, 1)->counts.failed, 1, 0.1);
 }
 
-TEST_F(EvidenceRecorderTest, CountsAStreamThatPausesUnlikeItsPeersAsStalled) {
+TEST_F(EvidenceRecorderTest, CountsAStreamThatPausesLongerThanItsPeersAsStalled) {
   for (int step = 0; step < 5; ++step) {
     for (std::uint64_t worker = 1; worker <= 10; ++worker) {
       stream(worker, worker == 4 ? milliseconds(900) : milliseconds(60));
--- a/libraries/worker_health/test/health_ranking_test.cc
+++ b/libraries/worker_health/test/health_ranking_test.cc
@@ -49,7 +49,7 @@
   EXPECT_EQ(unhealthyCount(fleet), 0U);
 }
 
-TEST(HealthRankingTest, DecidesNothingFromFewSamples) {
+TEST(HealthRankingTest, StatesStayUnknownWithFewSamples) {
   FleetPlan plan = planWith(2, {.stalls = 0.9});
   plan.time = std::chrono::seconds(3);
   plan.requests_per_s = 20;
@@ -62,7 +62,7 @@
 
 TEST(HealthRankingTest, LongPromptsOfOneTenantMakeNoWorkerUnhealthy) {
   FleetPlan plan;
-  plan.decoy_worker = 4;
+  plan.long_prompt_worker = 4;
   SimulatedFleet fleet(plan, 5);
   fleet.run();
   EXPECT_NE(fleet.rankOf(4).state, HealthState::Unhealthy);
@@ -84,8 +84,8 @@
   EXPECT_GT(fleet.rankOf(2).since.count(), 0);
 }
 
-/** Counts over many seeds for one classifier of workers. */
-struct Tally {
+/** Results over many seeds of one classifier of unhealthy workers. */
+struct ClassifierResults {
   int injected = 0;
   int found = 0;
   int reported = 0;
@@ -115,13 +115,13 @@
   return values[values.size() / 2];
 }
 
-/** Fleets with one to three unhealthy workers of one severity, a decoy tenant and, in half of them,
- * an unhealthy front. */
+/** Fleets with one to three unhealthy workers of one severity, a tenant that sends long prompts to
+ * one healthy worker and, in half of them, an unhealthy front. */
 class InjectedFleets {
  public:
   explicit InjectedFleets(double severity) : severity_(severity) {}
 
-  void play(std::uint64_t seed) {
+  void runSeed(std::uint64_t seed) {
     base::RandomSource random(seed * 7 + 1);
     FleetPlan plan;
     const std::size_t count = 1 + random.below(3);
@@ -129,8 +129,8 @@
       plan.unhealthy[random.below(plan.workers)] = draw(random);
     }
     do {
-      plan.decoy_worker = random.below(plan.workers);
-    } while (plan.unhealthy.contains(*plan.decoy_worker));
+      plan.long_prompt_worker = random.below(plan.workers);
+    } while (plan.unhealthy.contains(*plan.long_prompt_worker));
     if (random.chance(0.5)) {
       plan.unhealthy_front = random.below(plan.fronts);
     }
@@ -139,9 +139,9 @@
     countOutcomes(fleet, plan);
   }
 
-  Tally ranking;
-  Tally mean_speed;
-  Tally tail_alone;
+  ClassifierResults ranking;
+  ClassifierResults mean_speed;
+  ClassifierResults tail_alone;
   int kept_as_healthy = 0;
 
  private:
@@ -161,19 +161,19 @@
     return symptom;
   }
 
-  static void count(Tally& tally, bool injected, bool reported) {
-    tally.injected += injected ? 1 : 0;
-    tally.reported += reported ? 1 : 0;
-    tally.found += injected && reported ? 1 : 0;
-    tally.reported_correctly += injected && reported ? 1 : 0;
+  static void count(ClassifierResults& results, bool injected, bool reported) {
+    results.injected += injected ? 1 : 0;
+    results.reported += reported ? 1 : 0;
+    results.found += injected && reported ? 1 : 0;
+    results.reported_correctly += injected && reported ? 1 : 0;
   }
 
   void countOutcomes(const SimulatedFleet& fleet, const FleetPlan& plan) {
     std::vector<double> speeds;
     std::vector<double> tails;
     for (std::size_t worker = 0; worker < plan.workers; ++worker) {
-      speeds.push_back(meanOf(fleet.measuresOf(worker).events_per_s));
-      tails.push_back(percentile99(fleet.measuresOf(worker).longest_pauses_s));
+      speeds.push_back(meanOf(fleet.measurementsOf(worker).events_per_s));
+      tails.push_back(percentile99(fleet.measurementsOf(worker).longest_pauses_s));
     }
     for (std::size_t worker = 0; worker < plan.workers; ++worker) {
       const bool injected = plan.unhealthy.contains(worker);
@@ -190,24 +190,24 @@
 
 class InjectedSymptomTest : public testing::TestWithParam<double> {};
 
-std::string figures(const Tally& tally) {
-  return "precision " + std::to_string(tally.precision()) + ", recall " +
-         std::to_string(tally.recall());
+std::string formatRates(const ClassifierResults& results) {
+  return "precision " + std::to_string(results.precision()) + ", recall " +
+         std::to_string(results.recall());
 }
 
 TEST_P(InjectedSymptomTest, IsFoundWithoutFalsePositives) {
   constexpr std::uint64_t Seeds = 334;
   InjectedFleets fleets(GetParam());
   for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-    fleets.play(seed);
+    fleets.runSeed(seed);
   }
-  RecordProperty("ranking", figures(fleets.ranking));
-  RecordProperty("mean_speed", figures(fleets.mean_speed));
-  RecordProperty("tail_alone", figures(fleets.tail_alone));
+  RecordProperty("ranking", formatRates(fleets.ranking));
+  RecordProperty("mean_speed", formatRates(fleets.mean_speed));
+  RecordProperty("tail_alone", formatRates(fleets.tail_alone));
   RecordProperty("kept_as_healthy", fleets.kept_as_healthy);
-  std::cout << "severity " << GetParam() << ": ranking " << figures(fleets.ranking)
-            << "; mean speed " << figures(fleets.mean_speed) << "; 99th percentile "
-            << figures(fleets.tail_alone) << "; unhealthy ranked as healthy "
+  std::cout << "severity " << GetParam() << ": ranking " << formatRates(fleets.ranking)
+            << "; mean speed " << formatRates(fleets.mean_speed) << "; 99th percentile "
+            << formatRates(fleets.tail_alone) << "; unhealthy ranked as healthy "
             << fleets.kept_as_healthy << " of " << fleets.ranking.injected << "\n";
   EXPECT_GE(fleets.ranking.precision(), 0.98);
   EXPECT_GT(fleets.ranking.recall(), fleets.mean_speed.recall() + 0.3);
--- a/libraries/worker_health/test/outlier_detector_test.cc
+++ b/libraries/worker_health/test/outlier_detector_test.cc
@@ -28,7 +28,7 @@
       keys.push_back(workerKey(worker.entry));
       snapshot->workers[worker.entry.id] = worker;
     }
-    suspicion.setWorkers(snapshot);
+    detector.setWorkers(snapshot);
   }
 
   static FrontKey front(std::size_t index) {
@@ -36,7 +36,8 @@
   }
   static std::string zoneOf(std::size_t index) { return index % 2 == 0 ? "north" : "south"; }
 
-  /** One front reports `dispatched` requests to each worker, of which so many failed by worker. */
+  /** One front reports `dispatched` requests to each worker; `failed` holds the failures by worker.
+   */
   void report(std::size_t index, const std::map<std::size_t, float>& failed, float dispatched = 4) {
     wire::HealthReport health_report;
     wire::PoolHealth pool;
@@ -59,7 +60,7 @@
     }
   }
   std::vector<std::uint64_t> ejected(const std::string& zone = "north") {
-    return suspicion.advice(zone).ejected;
+    return detector.advice(zone).ejected;
   }
   /** All fronts send the same report repeatedly. */
   void runReporting(milliseconds time, const std::map<std::size_t, float>& failed) {
@@ -74,7 +75,7 @@
   simulation::World world{1};
   simulation::Process process{world};
   EvidenceLedger ledger{process};
-  OutlierDetector suspicion{process, ledger};
+  OutlierDetector detector{process, ledger};
   std::vector<std::uint64_t> keys;
 };
 
@@ -89,7 +90,7 @@
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(OutlierDetectorTest, TheReportsOfOneFrontAreNotSufficient) {
+TEST_F(OutlierDetectorTest, FailuresAtOneOfSeveralFrontsDoNotEjectAWorker) {
   report(0, {{3, 4}});
   for (std::size_t index = 1; index < Fronts; ++index) {
     report(index, {{3, 0}});
@@ -98,20 +99,20 @@
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(OutlierDetectorTest, TheReportsOfTheOnlyFrontAreSufficient) {
+TEST_F(OutlierDetectorTest, FailuresAtTheOnlyFrontEjectAWorker) {
   report(0, {{3, 4}}, 6);
   world.runFor(milliseconds(700));
   EXPECT_EQ(ejected(), std::vector{keys[3]});
 }
 
 TEST_F(OutlierDetectorTest, IgnoresFrontsAtWhichEveryWorkerFails) {
-  std::map<std::size_t, float> everything;
+  std::map<std::size_t, float> all_workers;
   for (std::size_t worker = 0; worker < Workers; ++worker) {
-    everything[worker] = 3;
+    all_workers[worker] = 3;
   }
   for (int step = 0; step < 6; ++step) {
-    report(0, everything);
-    report(1, everything);
+    report(0, all_workers);
+    report(1, all_workers);
     for (std::size_t index = 2; index < Fronts; ++index) {
       report(index, {{1, 0}});
     }
@@ -121,7 +122,7 @@
   }
 }
 
-TEST_F(OutlierDetectorTest, EjectsAWorkerThatFailsTheCallersOfOneZoneInThatZoneOnly) {
+TEST_F(OutlierDetectorTest, EjectsAWorkerThatFailsInOneZoneInThatZoneOnly) {
   for (int step = 0; step < 4; ++step) {
     for (std::size_t index = 0; index < Fronts; ++index) {
       report(index, {{3, zoneOf(index) == "north" ? 2.0F : 0.0F}});
@@ -157,17 +158,17 @@
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(OutlierDetectorTest, AnEjectionEndsAndNeedsNewFailures) {
+TEST_F(OutlierDetectorTest, AnEjectionEndsAndIsNotRepeatedWithoutNewFailures) {
   runReporting(milliseconds(1'000), {{3, 2}});
   ASSERT_FALSE(ejected().empty());
-  // No requests are sent to it, and the evidence decays.
+  // No requests are sent to the ejected worker, so the evidence decays.
   world.runFor(milliseconds(3'500));
   EXPECT_TRUE(ejected().empty());
   world.runFor(milliseconds(500));
   EXPECT_TRUE(ejected().empty());
 }
 
-TEST_F(OutlierDetectorTest, EachEjectionLastsLonger) {
+TEST_F(OutlierDetectorTest, ASecondEjectionLastsLongerThanTheFirst) {
   runReporting(milliseconds(1'000), {{3, 2}});
   ASSERT_FALSE(ejected().empty());
   world.runFor(milliseconds(3'500));
@@ -182,7 +183,7 @@
 
 TEST_F(OutlierDetectorTest, WatchesAWorkerThatFailsAtOneFront) {
   report(2, {{7, 1}});
-  EXPECT_EQ(suspicion.advice("south").watched, std::vector{keys[7]});
+  EXPECT_EQ(detector.advice("south").watched, std::vector{keys[7]});
 }
 
 }  // namespace
--- a/libraries/worker_health/test/simulated_fleet.cc
+++ b/libraries/worker_health/test/simulated_fleet.cc
@@ -14,9 +14,9 @@
 constexpr double LongPromptShare = 0.02;
 constexpr base::Duration LongPrefill = std::chrono::milliseconds(400);
 constexpr base::Duration ShortPrefill = std::chrono::milliseconds(10);
-/** Share of all streams that the decoy tenant sends. */
-constexpr double DecoyShare = 0.06;
-/** Share of its streams that the unhealthy front stalls. */
+/** Share of all streams sent by the tenant with long prompts. */
+constexpr double LongPromptTenantShare = 0.06;
+/** Share of its streams that the unhealthy front itself stalls. */
 constexpr double UnhealthyFrontShare = 0.4;
 constexpr auto ReportInterval = std::chrono::milliseconds(500);
 
@@ -38,7 +38,7 @@
       ledger_(process_),
       ranking_(process_, ledger_),
       prefills_(plan_.workers),
-      measures_(plan_.workers) {
+      measurements_(plan_.workers) {
   for (std::size_t front = 0; front < plan_.fronts; ++front) {
     fronts_.push_back(std::make_unique<EvidenceRecorder>(process_));
   }
@@ -67,8 +67,8 @@
   return !symptom.intermittent || (now_s / 10) % 2 == 0;
 }
 
-base::Duration SimulatedFleet::longestPrefillBeside(std::size_t worker,
-                                                    base::Duration stream_time) const {
+base::Duration SimulatedFleet::longestConcurrentPrefill(std::size_t worker,
+                                                        base::Duration stream_time) const {
   // Approximates the prefills during the stream by those just before it.
   const base::TimePoint now = process_.now();
   base::Duration longest{};
@@ -81,17 +81,18 @@
 }
 
 void SimulatedFleet::start() {
-  const bool is_decoy = plan_.decoy_worker && random_.chance(DecoyShare);
-  const std::size_t worker = is_decoy ? *plan_.decoy_worker : random_.below(plan_.workers);
+  const bool is_from_tenant = plan_.long_prompt_worker && random_.chance(LongPromptTenantShare);
+  const std::size_t worker =
+      is_from_tenant ? *plan_.long_prompt_worker : random_.below(plan_.workers);
   const std::size_t front = random_.below(plan_.fronts);
-  const bool long_prompt = is_decoy || random_.chance(LongPromptShare);
+  const bool long_prompt = is_from_tenant || random_.chance(LongPromptShare);
   const base::Duration prefill = long_prompt ? LongPrefill : ShortPrefill;
   const DispatchSample sample = drawSample(worker, front);
   if (long_prompt) {
     prefills_[worker].push_back({process_.now(), prefill});
   }
-  measures_[worker].events_per_s.push_back(sample.events / secondsOf(sample.transfer));
-  measures_[worker].longest_pauses_s.push_back(secondsOf(sample.longest_pause));
+  measurements_[worker].events_per_s.push_back(sample.events / secondsOf(sample.transfer));
+  measurements_[worker].longest_pauses_s.push_back(secondsOf(sample.longest_pause));
   Stream stream;
   stream.front = front;
   stream.number = fronts_[front]->onDispatch({keys_[worker], poolKey(Pool), 1, prefill});
@@ -119,7 +120,7 @@
     sample.longest_pause = std::max(sample.longest_pause, length);
     sample.transfer += length;
   };
-  pause(longestPrefillBeside(worker, sample.transfer));
+  pause(longestConcurrentPrefill(worker, sample.transfer));
   if (random_.chance(symptom.stalls)) {
     pause(fromSeconds(0.6 + random_.uniform() * 2));
   }
--- a/libraries/worker_health/test/simulated_fleet.h
+++ b/libraries/worker_health/test/simulated_fleet.h
@@ -19,7 +19,7 @@
   double failures = 0;
   /** Factor of the time per event. */
   double slowness = 1;
-  /** Present only in every other ten seconds. */
+  /** Present only in every other period of ten seconds. */
   bool intermittent = false;
 
   bool any() const { return stalls > 0 || failures > 0 || slowness > 1; }
@@ -34,20 +34,21 @@
   /** By index of the worker. */
   std::map<std::size_t, InjectedSymptom> unhealthy;
   /** A healthy worker that receives all long prompts of one tenant. */
-  std::optional<std::size_t> decoy_worker;
+  std::optional<std::size_t> long_prompt_worker;
   /** This front itself stalls a share of its streams. */
   std::optional<std::size_t> unhealthy_front;
 };
 
-/** Plain measurements of a worker, for the baselines. */
-struct PlainMeasurements {
+/** Unaggregated measurements of a worker, used by the classifiers that the ranking is compared
+ * with. */
+struct WorkerMeasurements {
   std::vector<double> events_per_s;
   std::vector<double> longest_pauses_s;
 };
 
 /**
- * Fronts that send streams to workers of a simple model, and a core that ranks the workers. Events
- * of a stream have a constant interval but for noise, prefill on the same worker and injected
+ * Fronts that send streams to workers of a simple model, and a core that ranks the workers. The
+ * interval between events of a stream varies only by noise, prefill on the same worker and injected
  * symptoms.
  */
 class SimulatedFleet {
@@ -56,7 +57,9 @@
   void run();
   const HealthRanking& ranking() const { return ranking_; }
   const WorkerRank& rankOf(std::size_t worker) const;
-  const PlainMeasurements& measuresOf(std::size_t worker) const { return measures_[worker]; }
+  const WorkerMeasurements& measurementsOf(std::size_t worker) const {
+    return measurements_[worker];
+  }
   static std::string nameOf(std::size_t worker);
 
  private:
@@ -82,7 +85,7 @@
   void finishUntil(base::TimePoint time);
   void reportToCores();
   bool isActive(const InjectedSymptom& symptom) const;
-  base::Duration longestPrefillBeside(std::size_t worker, base::Duration stream_time) const;
+  base::Duration longestConcurrentPrefill(std::size_t worker, base::Duration stream_time) const;
 
   FleetPlan plan_;
   base::RandomSource random_;
@@ -93,7 +96,7 @@
   HealthRanking ranking_;
   std::vector<std::uint64_t> keys_;
   std::vector<std::vector<Prefill>> prefills_;
-  std::vector<PlainMeasurements> measures_;
+  std::vector<WorkerMeasurements> measurements_;
   std::priority_queue<Stream, std::vector<Stream>, std::greater<>> in_flight_;
 };
 
