--- a/libraries/workers/include/switchsaddle/workers/platform_source.h
+++ b/libraries/workers/include/switchsaddle/workers/platform_source.h
@@ -12,17 +12,17 @@
 
 /** Result of reading the platform's worker list once. */
 struct PlatformReading {
-  /** Ok, or why the list could not be fetched or parsed; the other fields but `fault` are unset. */
+  /** Ok, or why the list could not be fetched or parsed; then only `fault` is set besides. */
   base::ResultCode code = base::ResultCode::PeerTimeout;
-  /** Generation of the list; rises with each change, zero if the platform states none. */
+  /** Generation of the list; increases with each change; zero if the platform sends none. */
   std::uint64_t generation = 0;
   std::vector<wire::WorkerEntry> workers;
-  /** Description of the error. */
+  /** Description of the error; empty if there is none. */
   std::string fault;
 };
 
-/** Source of the platform's worker list: an HTTP client or a simulation. Runs on the control
- * strand. */
+/** Source of the platform's worker list: an HTTP client or a simulated platform. Runs on the
+ * control strand. */
 class PlatformSource {
  public:
   virtual ~PlatformSource() = default;
--- a/libraries/workers/include/switchsaddle/workers/platform_watcher.h
+++ b/libraries/workers/include/switchsaddle/workers/platform_watcher.h
@@ -21,7 +21,7 @@
 /** Intervals and limits of the platform watcher. */
 struct PlatformWatcherOptions {
   base::Duration poll_interval = std::chrono::milliseconds(500);
-  /** Time-out of one reading; the next poll then starts another. */
+  /** Time limit of one reading; the next poll after it starts another. */
   base::Duration reading_timeout = std::chrono::milliseconds(2'500);
   /** Time without a readable list after which the unreadable listener is called. */
   base::Duration unreadable_bound = std::chrono::milliseconds(1'000);
@@ -32,13 +32,14 @@
   /** Maximum number of consecutive readings that flap damping requires. */
   std::uint32_t maximum_readings = 64;
   /**
-   * Initial backoff before a listed worker that fronts observed to be unreachable starts a new
-   * instance; doubles each time.
+   * Initial backoff before a new instance is started for a listed worker that fronts observed to be
+   * unreachable; doubles with each reinstatement.
    */
   base::Duration reinstate_after = std::chrono::seconds(10);
   /** Maximum number of doublings of reinstate_after. */
   std::uint32_t maximum_doublings = 5;
-  /** Consecutive readings of an older list generation that are ignored as stale. */
+  /** Consecutive readings of an older list generation that are ignored as stale; the next one is
+   * accepted, since the platform may have restarted. */
   std::uint32_t lagging_readings = 20;
 };
 
@@ -46,11 +47,12 @@
  * Polls the platform's worker list and publishes worker views ordered by (term, sequence) while
  * this node holds the platform-watcher lease.
  *
- * A list that is unreadable, suddenly empty or older than the last one is ignored and journalled;
- * the last published view stays in force. InstanceTracker assigns the instances of the workers.
+ * A list is ignored and journalled if it is unreadable, older than the last one, or empty although
+ * the last one was not; the last published view stays in force. InstanceTracker assigns the
+ * instances of the workers.
  *
- * Invariant: a new instance is above every instance published before, since it is composed of the
- * term and sequence of the view that introduces it. Runs on the control strand.
+ * Invariant: a new instance is greater than every instance published before, because it is composed
+ * of the term and sequence of the view that introduces it. Runs on the control strand.
  */
 class PlatformWatcher {
  public:
@@ -68,11 +70,15 @@
   PlatformWatcher(const PlatformWatcher&) = delete;
   PlatformWatcher& operator=(const PlatformWatcher&) = delete;
 
-  /** Starts polling, at once and then at each interval. @param term of the acquired lease. */
+  /**
+   * Starts polling, immediately and then at each interval.
+   * @param term term of the acquired lease.
+   */
   void start(std::uint64_t term);
-  /** Stops polling after loss of the lease; nothing is published afterwards. */
+  /** Stops polling after the lease is lost; no view is published afterwards. */
   void stop();
-  /** The listener is called each time the list has been unreadable for unreadable_bound. */
+  /** The listener is called each time the list has been unreadable for
+   * PlatformWatcherOptions::unreadable_bound. */
   void setUnreadableListener(std::function<void()> listener) {
     unreadable_listener_ = std::move(listener);
   }
@@ -82,7 +88,7 @@
  private:
   void poll();
   void onReading(const PlatformReading& reading);
-  /** Journals why a reading is ignored; @return whether it is accepted. */
+  /** Journals the reason if the reading is ignored; @return whether it is accepted. */
   bool accept(const PlatformReading& reading);
   void onUnreadable();
   void publishChanges(const PlatformReading& reading);
--- a/libraries/workers/include/switchsaddle/workers/worker_directory.h
+++ b/libraries/workers/include/switchsaddle/workers/worker_directory.h
@@ -11,7 +11,7 @@
 
 namespace switchsaddle::workers {
 
-/** State of one worker at this node: the platform's entry merged with the fronts' observations. */
+/** This node's state of one worker: the platform's entry merged with the fronts' observations. */
 struct Worker {
   wire::WorkerEntry entry;
   /** Listed as draining or observed to be. Not reset within one instance. */
@@ -36,14 +36,14 @@
 
 /**
  * @return the key of a worker instance in load reports: a hash of id and instance, equal at every
- *     node. If two keys collide, each worker is counted with the load of both.
+ *     node. Two workers whose keys collide are each counted with the load of both.
  */
 std::uint32_t loadKey(const wire::WorkerEntry& entry);
 
 using WorkerSnapshotPtr = std::shared_ptr<const WorkerSnapshot>;
 
 /**
- * The workers known to this node. Merges the worker view of the platform watcher with the fronts'
+ * This node's view of the workers. Merges the worker view of the platform watcher with the fronts'
  * observations.
  *
  * Invariants: views are applied in order of (term, sequence); observations are never reset within
@@ -71,13 +71,15 @@
   void addListener(ChangeListener listener) { listeners_.push_back(std::move(listener)); }
 
  private:
-  /** Observes what an applied view implies: workers listed as draining or no longer listed. */
+  /** Records the observations that the applied view implies, of workers that it lists as draining
+   * or no longer lists. */
   void observeChanges(const wire::WorkerView& before);
   /** @return whether the observation added information. */
   bool mergeObservation(const wire::WorkerObservation& observation);
   /** @return the instance of each listed worker, by id. */
   std::map<std::string, std::uint64_t> listedInstances() const;
-  /** Drops observations of earlier instances and limits those of unlisted workers. */
+  /** Removes observations of earlier instances and limits the number of those of unlisted workers.
+   */
   void pruneObservations();
   /** Builds the next snapshot and notifies the listeners. */
   void rebuildSnapshot();
--- a/libraries/workers/source/instance_tracker.cc
+++ b/libraries/workers/source/instance_tracker.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Limits the shift of requiredReadings(), whatever the options are. */
+/** Limits the shift in requiredReadings(), independently of the options. */
 constexpr std::uint32_t MaximumFlapDoublings = 16;
 
 }  // namespace
@@ -39,7 +39,7 @@
       published.push_back(std::move(*admitted));
     }
   }
-  forgetUnlisted();
+  removeUnlisted();
   return published;
 }
 
@@ -52,7 +52,7 @@
   }
 }
 
-void InstanceTracker::forgetUnlisted() {
+void InstanceTracker::removeUnlisted() {
   const base::TimePoint now = dispatcher_.now();
   std::erase_if(tracks_, [&](const auto& item) {
     const Track& track = item.second;
--- a/libraries/workers/source/instance_tracker.h
+++ b/libraries/workers/source/instance_tracker.h
@@ -65,14 +65,14 @@
   };
 
   void markUnlisted(const std::map<std::string, const wire::WorkerEntry*>& listed);
-  void forgetUnlisted();
-  /** @return the entry to publish; nothing while the worker is suppressed. */
+  void removeUnlisted();
+  /** @return the entry to publish, or std::nullopt while the worker is suppressed. */
   std::optional<wire::WorkerEntry> admit(const wire::WorkerEntry& entry,
                                          std::uint64_t new_instance);
   wire::WorkerEntry startInstance(Track& track, const wire::WorkerEntry& entry,
                                   std::uint64_t new_instance);
   static wire::WorkerEntry continueInstance(Track& track, const wire::WorkerEntry& entry);
-  /** Counts a reading; @return whether enough of them have confirmed the worker's new state. */
+  /** Counts a reading; @return whether enough readings have confirmed the worker's new state. */
   bool confirm(Track& track, const wire::WorkerEntry& entry);
   /** @return the consecutive readings required by flap damping. */
   std::uint32_t requiredReadings(const Track& track, bool withdraws_draining) const;
--- a/libraries/workers/source/platform_list.cc
+++ b/libraries/workers/source/platform_list.cc
@@ -14,7 +14,7 @@
 using base::Error;
 using base::ResultCode;
 
-/** @throws Error with MissingField. */
+/** @throws Error with MissingField if there is no such member. */
 const json::value& requiredMember(const json::object& object, const char* name,
                                   const std::string& path) {
   const json::value* found = object.if_contains(name);
@@ -36,7 +36,7 @@
   return object.contains(name) ? requiredText(object, name, path) : std::string();
 }
 
-/** @return the value; zero if it is missing. */
+/** @return the value, or zero if it is missing. */
 std::uint64_t optionalNumber(const json::object& object, const char* name,
                              const std::string& path) {
   const json::value* value = object.if_contains(name);
@@ -46,7 +46,7 @@
   boost::system::error_code failure;
   const auto result = value->to_number<std::uint64_t>(failure);
   if (failure) {
-    throw Error(ResultCode::InvalidValue, "must be a whole number", path + "." + name);
+    throw Error(ResultCode::InvalidValue, "must be a non-negative integer", path + "." + name);
   }
   return result;
 }
@@ -58,11 +58,11 @@
     return names;
   }
   if (!value->is_array()) {
-    throw Error(ResultCode::InvalidValue, "must be a list", path + ".models");
+    throw Error(ResultCode::InvalidValue, "must be an array", path + ".models");
   }
   for (const json::value& name : value->get_array()) {
     if (!name.is_string()) {
-      throw Error(ResultCode::InvalidValue, "must hold strings", path + ".models");
+      throw Error(ResultCode::InvalidValue, "must contain only strings", path + ".models");
     }
     names.emplace_back(name.get_string());
   }
@@ -125,7 +125,7 @@
   reading.generation = optionalNumber(object, "generation", "$");
   const json::value& list = requiredMember(object, "workers", "$");
   if (!list.is_array()) {
-    throw Error(ResultCode::InvalidValue, "must be a list", "$.workers");
+    throw Error(ResultCode::InvalidValue, "must be an array", "$.workers");
   }
   std::set<std::string> ids;
   std::size_t index = 0;
@@ -133,7 +133,7 @@
     const std::string path = "$.workers[" + std::to_string(index++) + "]";
     wire::WorkerEntry entry = parseWorker(item, path);
     if (!ids.insert(entry.id).second) {
-      throw Error(ResultCode::InvalidValue, "is listed twice", path + ".id");
+      throw Error(ResultCode::InvalidValue, "duplicate worker id", path + ".id");
     }
     reading.workers.push_back(std::move(entry));
   }
--- a/libraries/workers/source/platform_watcher.cc
+++ b/libraries/workers/source/platform_watcher.cc
@@ -61,8 +61,8 @@
   reading_since_ = now;
   const std::uint64_t number = ++reading_number_;
   source_.read(callbacks_.guard([this, number, term = term_](const PlatformReading& reading) {
-    const bool outdated = term_ != term || reading_number_ != number;
-    if (!outdated) {
+    const bool superseded = term_ != term || reading_number_ != number;
+    if (!superseded) {
       reading_since_.reset();
       onReading(reading);
     }
@@ -81,18 +81,18 @@
 
 bool PlatformWatcher::accept(const PlatformReading& reading) {
   if (reading.code != base::ResultCode::Ok) {
-    journalOnce("list unreadable, the last stays in force: " + reading.fault);
+    journalOnce("list unreadable, the last list stays in force: " + reading.fault);
     onUnreadable();
     return false;
   }
   unreadable_since_.reset();
   if (reading.workers.empty() && !published_.empty()) {
-    journalOnce("list suddenly empty, the last stays in force");
+    journalOnce("list suddenly empty, the last list stays in force");
     return false;
   }
   if (reading.generation < list_generation_ && stale_readings_ < options_.lagging_readings) {
     ++stale_readings_;
-    journalOnce("list older than the last, which stays in force");
+    journalOnce("list older than the last list, which stays in force");
     return false;
   }
   return true;
--- a/libraries/workers/source/worker_directory.cc
+++ b/libraries/workers/source/worker_directory.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Maximum number of observations stored of workers that the view does not list. */
+/** Maximum number of stored observations of workers that the view does not list. */
 constexpr std::size_t MaximumUnlistedObservations = 1'024;
 
 bool isNewer(const wire::WorkerView& view, const wire::WorkerView& current) {
--- a/libraries/workers/test/platform_list_test.cc
+++ b/libraries/workers/test/platform_list_test.cc
@@ -7,7 +7,7 @@
 
 using base::ResultCode;
 
-TEST(PlatformListTest, ReadsEveryField) {
+TEST(PlatformListTest, ParsesAllFields) {
   const PlatformReading reading = parsePlatformList(
       R"({"generation": 7, "unknown": 1, "workers": [
       {"id": "a", "address": "10.0.0.1:80", "zone": "z1", "models": ["m", "n"], "service": "pool",
--- a/libraries/workers/test/platform_watcher_test.cc
+++ b/libraries/workers/test/platform_watcher_test.cc
@@ -100,7 +100,7 @@
   EXPECT_EQ(published_, 1);
 }
 
-TEST_F(PlatformWatcherTest, AReadingThatEndsAfterTheLeaseIsIgnored) {
+TEST_F(PlatformWatcherTest, IgnoresAReadingThatEndsAfterTheLeaseIsLost) {
   std::function<void(PlatformReading)> pending;
   class SlowPlatform : public PlatformSource {
    public:
@@ -132,7 +132,7 @@
   EXPECT_TRUE(usable("a"));
 }
 
-TEST_F(PlatformWatcherTest, AnotherGenerationStartsANewInstance) {
+TEST_F(PlatformWatcherTest, AChangedGenerationStartsANewInstance) {
   list({entry("a", wire::WorkerState::Ready, 5)});
   watcher_.start(1);
   const std::uint64_t first = instanceOf("a");
@@ -170,7 +170,7 @@
   for (const journal::Event& event : journal_.events()) {
     events += event.key == "platform" && event.value.find("stays in force") != std::string::npos;
   }
-  EXPECT_EQ(events, 2) << "each fault is journalled once, not at each reading";
+  EXPECT_EQ(events, 2) << "each error is journalled once, not at each reading";
 }
 
 TEST_F(PlatformWatcherTest, DrainingIsWithdrawnAfterConsecutiveReadingsAndAsANewInstance) {
@@ -188,7 +188,7 @@
   EXPECT_GT(instanceOf("a"), first);
 }
 
-TEST_F(PlatformWatcherTest, AFlappingWorkerIsSuppressedEverLonger) {
+TEST_F(PlatformWatcherTest, AFlappingWorkerIsSuppressedForMoreReadingsEachTime) {
   watcher_.start(1);
   int usable_readings = 0;
   for (int round = 0; round < 40; ++round) {
@@ -226,7 +226,7 @@
   EXPECT_FALSE(usable("a"));
 }
 
-TEST_F(PlatformWatcherTest, AnOlderListIsIgnoredAsStale) {
+TEST_F(PlatformWatcherTest, AnOlderListIsIgnoredUntilItPersists) {
   platform_.reading.generation = 10;
   watcher_.start(1);
   platform_.reading.generation = 9;
@@ -234,7 +234,8 @@
   poll(3);
   EXPECT_TRUE(usable("b"));
   poll(30);
-  EXPECT_FALSE(usable("b")) << "the list of a restarted platform is accepted eventually";
+  EXPECT_FALSE(usable("b"))
+      << "the list of a restarted platform is accepted after lagging_readings readings";
 }
 
 TEST_F(PlatformWatcherTest, NotifiesWhenTheListHasBeenUnreadableForTheBound) {
@@ -260,7 +261,7 @@
   EXPECT_EQ(platform_.reads, 2);
 }
 
-TEST_F(PlatformWatcherTest, PublishesThatAWorkerHasWarmedUp) {
+TEST_F(PlatformWatcherTest, PublishesTheEndOfTheWarmUpOfAWorker) {
   wire::WorkerEntry warming_up = entry("a");
   warming_up.warming_up = true;
   list({warming_up});
--- a/libraries/workers/test/worker_directory_test.cc
+++ b/libraries/workers/test/worker_directory_test.cc
@@ -64,7 +64,7 @@
   EXPECT_TRUE(directory.observations().empty());
 }
 
-TEST(WorkerDirectoryTest, AnObservationMayArriveBeforeItsView) {
+TEST(WorkerDirectoryTest, AnObservationReceivedBeforeItsViewIsApplied) {
   WorkerDirectory directory;
   EXPECT_TRUE(directory.applyObservation({"a", 4, false, true}));
   directory.applyView(view(1, 1, {entry("a", 4)}));
--- a/libraries/workers/test/worker_view_change_test.cc
+++ b/libraries/workers/test/worker_view_change_test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(result->workers, after.workers);
 }
 
-TEST(WorkerViewChangeTest, DoesNotApplyToAnotherBase) {
+TEST(WorkerViewChangeTest, IsNotAppliedToAnotherBase) {
   const wire::WorkerViewChange change = changeBetween(viewOf(2, {"a"}), viewOf(3, {"a", "b"}));
   EXPECT_FALSE(applyChange(viewOf(1, {"a"}), change));
   wire::WorkerView other_term = viewOf(2, {"a"});
