--- a/libraries/dissemination/include/switchsaddle/dissemination/configuration_replica.h
+++ b/libraries/dissemination/include/switchsaddle/dissemination/configuration_replica.h
@@ -19,10 +19,10 @@
   Applied,
   /** The replica has the version of the delta or a newer one. */
   NotNewer,
-  /** The delta starts above the replica's version, or the digest differs: fetch the missing rest.
-   */
+  /** The delta starts above the replica's version, or the digest differs: the delta from the
+   * replica's version must be fetched. */
   Mismatch,
-  /** The resulting configuration is invalid at this node; the previous one stays in force. */
+  /** This node rejects the resulting configuration as invalid; the previous one stays in force. */
   Rejected,
 };
 
@@ -42,7 +42,7 @@
   std::uint64_t version() const { return document_.version; }
   /** @return the digest of the document in force. */
   std::uint64_t digest() const { return digest_; }
-  /** @return the view in force, without entries at version 0; never null. */
+  /** @return the view in force; it has no entries at version 0 and is never null. */
   const ViewPtr& view() const { return view_; }
   /** Listeners are notified in the order in which they were added. */
   void addListener(Listener listener) { listeners_.push_back(std::move(listener)); }
--- a/libraries/dissemination/include/switchsaddle/dissemination/gossip_agent.h
+++ b/libraries/dissemination/include/switchsaddle/dissemination/gossip_agent.h
@@ -14,22 +14,22 @@
 
 namespace switchsaddle::dissemination {
 
-/** Intervals and limits of the gossip. */
+/** Intervals and limits of the gossip protocol. */
 struct GossipOptions {
   base::Duration interval = std::chrono::milliseconds(1'000);
   base::Duration call_timeout = std::chrono::milliseconds(500);
   /** Number of random peers to which urgent updates are pushed. */
   std::size_t fanout = 3;
-  /** Maximum of scores in one reply; half of them the most recent, the others random. */
+  /** Maximum number of scores in one reply: half are the most recent, the others random. */
   std::size_t score_batch = 16;
 };
 
 /**
  * Epidemic dissemination of the configuration, the worker view, observations of workers, and route
  * scores. Anti-entropy: at each interval the agent sends a digest of its state to one random peer
- * and applies the delta in the reply; a peer that lacks something pulls in turn. Rumours: urgent
- * updates (observations, worker views) are pushed to `fanout` random peers by each node when it
- * first receives them, and never again. Handles ConfigurationDelta, ConfigurationFetch, WorkerView,
+ * and applies the delta in the reply; a peer with older state then pulls from the agent. Push:
+ * each node pushes an urgent update (observation or worker view) to `fanout` random peers once,
+ * when it first receives the update. Handles ConfigurationDelta, ConfigurationFetch, WorkerView,
  * WorkerViewChange, GossipDigest and GossipDelta. Runs on the control strand.
  */
 class GossipAgent {
@@ -43,23 +43,23 @@
   GossipAgent(const GossipAgent&) = delete;
   GossipAgent& operator=(const GossipAgent&) = delete;
 
-  /** Starts the periodic anti-entropy after a random part of the interval. */
+  /** Starts the periodic anti-entropy after a random fraction of the interval. */
   void start();
   /** Stops the periodic anti-entropy; requests of peers are still served. */
   void stop();
-  /** Sets the peers to choose from; the local address is ignored. */
+  /** Sets the peers from which random peers are chosen; the local address is ignored. */
   void setPeers(std::vector<base::NodeAddress> peers);
-  /** The source of the scores sent to peers; none: no scores are sent. */
+  /** Sets the source of the scores sent to peers; no scores are sent without one. */
   void setScoreSource(ScoreSource source) { score_source_ = std::move(source); }
-  /** Receives the scores of peers. */
+  /** Sets the function that receives the scores of peers. */
   void setScoreSink(ScoreSink sink) { score_sink_ = std::move(sink); }
 
-  /** Applies an observation made at this node, and pushes it where it is new. */
+  /** Applies an observation made at this node, and pushes it if it is new. */
   void observe(const wire::WorkerObservation& observation);
   /** Applies a view created at this node, and pushes the change to `targets` and random peers. */
   void publishView(const wire::WorkerView& view,
                    const std::vector<base::NodeAddress>& targets = {});
-  /** Pulls what this node lacks from a peer. At most one pull from each peer is in flight. */
+  /** Fetches state that is newer at the peer. At most one pull from each peer is in flight. */
   void pullFrom(const base::NodeAddress& peer);
 
  private:
@@ -68,18 +68,18 @@
   void registerViewHandlers();
   void onInterval();
   wire::GossipDigest digest() const;
-  /** @return what this node has and the peer lacks by its digest. */
+  /** @return the state that the peer lacks according to its digest. */
   wire::GossipDelta deltaFor(const wire::GossipDigest& peer);
   /** @return at most `score_batch` scores, some of them random. */
   std::vector<wire::RouteScore> chooseScores();
-  /** @return whether this node lacks something that the peer has. */
-  bool isAhead(const wire::GossipDigest& peer) const;
+  /** @return whether the peer has state that this node lacks. */
+  bool isPeerAhead(const wire::GossipDigest& peer) const;
   void onDigest(const base::NodeAddress& from, const wire::GossipDigest& peer,
                 const transport::ReplyFunction& reply);
   void onDelta(const base::NodeAddress& from, const wire::GossipDelta& delta);
   void onConfiguration(const base::NodeAddress& from, const wire::ConfigurationDelta& delta);
   void fetchConfiguration(const base::NodeAddress& from);
-  /** Applies a view; where it is new, the change is pushed to `targets` and random peers. */
+  /** Applies a view; if it is new, pushes the change to `targets` and random peers. */
   void applyView(const wire::WorkerView& view, const std::vector<base::NodeAddress>& targets = {});
   void applyViewChange(const base::NodeAddress& from, const wire::WorkerViewChange& change);
   void applyObservations(const std::vector<wire::WorkerObservation>& observations);
--- a/libraries/dissemination/include/switchsaddle/dissemination/state_report.h
+++ b/libraries/dissemination/include/switchsaddle/dissemination/state_report.h
@@ -7,8 +7,8 @@
 namespace switchsaddle::dissemination {
 
 /**
- * Builds the report of GET /v1/beliefs: the latest journal entry of each subject and key of a node,
- * with its age.
+ * Builds the report of GET /v1/beliefs: the latest journal entry of a node for each subject
+ * and key, with its age in milliseconds.
  */
 configuration::StateReport reportState(const base::NodeAddress& node,
                                        const journal::StateView& entries, base::TimePoint now);
--- a/libraries/dissemination/source/configuration_replica.cc
+++ b/libraries/dissemination/source/configuration_replica.cc
@@ -38,9 +38,9 @@
 
 void ConfigurationReplica::journalEntries(const wire::ConfigurationDelta& delta) {
   for (const wire::ConfigurationEntry& entry : delta.entries) {
-    const auto present = document_.entries.find(entry.path);
+    const auto current = document_.entries.find(entry.path);
     const bool in_force =
-        present != document_.entries.end() && present->second.version == entry.version;
+        current != document_.entries.end() && current->second.version == entry.version;
     if (in_force) {
       journal_.append(journal::Subject::Configuration, entry.path,
                       entry.removed ? std::string() : entry.json, entry.version);
--- a/libraries/dissemination/source/gossip_agent.cc
+++ b/libraries/dissemination/source/gossip_agent.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** @return whether the first pair of term and sequence is the older one. */
+/** @return whether (term, sequence) is older than (other_term, other_sequence). */
 bool viewIsOlder(std::uint64_t term, std::uint64_t sequence, std::uint64_t other_term,
                  std::uint64_t other_sequence) {
   return term != other_term ? term < other_term : sequence < other_sequence;
@@ -144,7 +144,7 @@
   return scores;
 }
 
-bool GossipAgent::isAhead(const wire::GossipDigest& peer) const {
+bool GossipAgent::isPeerAhead(const wire::GossipDigest& peer) const {
   const wire::WorkerView& view = workers_.view();
   return peer.configuration_version > replica_.version() ||
          viewIsOlder(view.term, view.sequence, peer.worker_term, peer.worker_sequence) ||
@@ -154,7 +154,7 @@
 void GossipAgent::onDigest(const base::NodeAddress& from, const wire::GossipDigest& peer,
                            const transport::ReplyFunction& reply) {
   reply(deltaFor(peer));
-  if (isAhead(peer)) {
+  if (isPeerAhead(peer)) {
     pullFrom(from);
   }
 }
@@ -227,11 +227,11 @@
 
 void GossipAgent::applyViewChange(const base::NodeAddress& from,
                                   const wire::WorkerViewChange& change) {
-  const wire::WorkerView& present = workers_.view();
-  if (!viewIsOlder(present.term, present.sequence, change.term, change.sequence)) {
+  const wire::WorkerView& current = workers_.view();
+  if (!viewIsOlder(current.term, current.sequence, change.term, change.sequence)) {
     return;
   }
-  if (const auto next = workers::applyChange(present, change)) {
+  if (const auto next = workers::applyChange(current, change)) {
     applyView(*next);
   } else {
     pullFrom(from);
--- a/libraries/dissemination/test/configuration_replica_test.cc
+++ b/libraries/dissemination/test/configuration_replica_test.cc
@@ -37,7 +37,7 @@
   EXPECT_EQ(replica_.view()->version, 3U);
 }
 
-TEST_F(ConfigurationReplicaTest, AnAlteredDeltaIsNotApplied) {
+TEST_F(ConfigurationReplicaTest, RejectsADeltaWithAnotherDigest) {
   wire::ConfigurationDelta delta = first_.deltaSince(0);
   delta.entries.front().json = R"({"models":["other"],"pool":"p","service":"completions"})";
   EXPECT_EQ(replica_.apply(delta), ApplyOutcome::Mismatch);
--- a/libraries/dissemination/test/gossip_agent_test.cc
+++ b/libraries/dissemination/test/gossip_agent_test.cc
@@ -79,7 +79,7 @@
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
-TEST_F(GossipAgentTest, AConfigurationAtOneNodeReachesAll) {
+TEST_F(GossipAgentTest, AConfigurationAppliedAtOneNodeReachesAllNodes) {
   addNodes(14);
   const configuration::Document document = documentWithRoutes(3);
   ASSERT_EQ(nodes_[0]->replica.apply(document.deltaSince(0)), ApplyOutcome::Applied);
@@ -87,7 +87,7 @@
                        seconds(10)));
 }
 
-TEST_F(GossipAgentTest, ReachesAllOverALossyNetwork) {
+TEST_F(GossipAgentTest, UpdatesReachAllNodesOverALossyNetwork) {
   network_.conditions.loss = 0.2;
   network_.conditions.duplication = 0.1;
   addNodes(14);
@@ -103,7 +103,7 @@
       seconds(30)));
 }
 
-TEST_F(GossipAgentTest, AnObservationSpreadsWellWithinAnInterval) {
+TEST_F(GossipAgentTest, AnObservationReachesMostNodesWithinFiftyMilliseconds) {
   addNodes(14);
   nodes_[3]->agent.observe({"a", 1, true, false});
   world_.runFor(milliseconds(50));
@@ -114,7 +114,7 @@
   EXPECT_GE(reached, 10);
 }
 
-TEST_F(GossipAgentTest, APushEndsAfterBoundedMessages) {
+TEST_F(GossipAgentTest, EachNodePushesAnObservationOnce) {
   addNodes(10);
   for (const auto& node : nodes_) {
     node->agent.stop();
@@ -125,7 +125,7 @@
   EXPECT_LE(network_.envelopesSent(), 10U * GossipOptions{}.fanout);
 }
 
-TEST_F(GossipAgentTest, AGapBeforeAPushedDeltaIsFetchedFromItsSender) {
+TEST_F(GossipAgentTest, FetchesTheVersionsMissingBeforeAPushedDeltaFromItsSender) {
   addNodes(2);
   for (const auto& node : nodes_) {
     node->agent.stop();
@@ -164,19 +164,19 @@
     return scores;
   });
   std::set<std::string> received;
-  bool freshest_in_each = true;
+  bool most_recent_in_each = true;
   nodes_[1]->agent.setScoreSink([&](const std::vector<wire::RouteScore>& scores) {
     EXPECT_LE(scores.size(), GossipOptions{}.score_batch);
-    bool has_freshest = false;
+    bool has_most_recent = false;
     for (const wire::RouteScore& score : scores) {
       received.insert(score.arm);
-      has_freshest = has_freshest || score.arm == "arm-250";
+      has_most_recent = has_most_recent || score.arm == "arm-250";
     }
-    freshest_in_each = freshest_in_each && has_freshest;
+    most_recent_in_each = most_recent_in_each && has_most_recent;
   });
   world_.runFor(seconds(600));
-  EXPECT_TRUE(freshest_in_each);
-  // The others are random: after 600 replies with 8 of them each, hardly one is missing.
+  EXPECT_TRUE(most_recent_in_each);
+  // The other 8 scores of each reply are random: after 600 replies, at most a few arms are missing.
   EXPECT_GE(received.size(), Arms - 5);
 }
 
@@ -202,7 +202,7 @@
   EXPECT_LE(network_.bytesSent() - before, 10'000U);
 }
 
-TEST_F(GossipAgentTest, AGapBeforeAViewChangeIsFetchedFromItsSender) {
+TEST_F(GossipAgentTest, PullsTheViewFromTheSenderOfAChangeWithAnotherBase) {
   addNodes(2);
   for (const auto& node : nodes_) {
     node->agent.stop();
@@ -218,13 +218,13 @@
   EXPECT_EQ(nodes_[1]->workers.view().workers.size(), 2U);
 }
 
-TEST_F(GossipAgentTest, NodesInSyncExchangeDigestsOnly) {
+TEST_F(GossipAgentTest, NodesWithEqualStateExchangeOnlyDigests) {
   addNodes(4);
   nodes_[0]->agent.observe({"a", 1, true, false});
   world_.runFor(seconds(5));
   const std::uint64_t before = network_.envelopesSent();
   world_.runFor(seconds(10));
-  // One request and one reply for each node and second.
+  // One request and one reply per node and second.
   EXPECT_LE(network_.envelopesSent() - before, 4U * 2U * 11U);
 }
 
