--- a/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/evidence_recorder.h
@@ -34,7 +34,8 @@
   static constexpr std::size_t MaximumWatched = 16;
   static constexpr std::size_t RotatedWorkers = 1;
   static constexpr base::Duration ReportInterval = std::chrono::milliseconds(450);
-  /** A dispatch without a response head for this long counts as failed, whatever its outcome. */
+  /** A dispatch without a response head for this long counts as failed, regardless of its outcome.
+   */
   static constexpr base::Duration HeadTimeout = std::chrono::milliseconds(2'500);
 
   explicit EvidenceRecorder(base::Dispatcher& dispatcher)
--- a/libraries/worker_health/source/worker_assessment.cc
+++ b/libraries/worker_health/source/worker_assessment.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Tolerated shares of degraded requests, whatever the pool's baseline. */
+/** Tolerated shares of degraded requests, regardless of the pool's baseline. */
 constexpr double ToleratedStalls = 0.08;
 constexpr double ToleratedSlow = 0.12;
 constexpr double ToleratedFailures = 0.05;
