--- a/libraries/storage/include/switchsaddle/storage/file_record_store.h
+++ b/libraries/storage/include/switchsaddle/storage/file_record_store.h
@@ -17,18 +17,18 @@
 
 namespace switchsaddle::storage {
 
-/** Bounds of a FileRecordStore. */
+/** Limits and time-outs of a FileRecordStore. */
 struct FileRecordStoreOptions {
-  /** A commit that is not durable after this time is answered StorageSlow. */
+  /** A commit that is not durable after this time completes with StorageSlow. */
   base::Duration commit_timeout = std::chrono::seconds(2);
-  /** Commit files are merged into one run at this many, or at this many bytes. */
+  /** Number of commit files, or their total size, from which they are merged into one run. */
   std::size_t commits_for_run = 64;
   std::size_t bytes_for_run = 4U << 20U;
-  /** Runs are merged into the bucket files at this many, or at this many bytes. */
+  /** Number of runs, or their total size, from which they are merged into the bucket files. */
   std::size_t runs_for_merge = 256;
   std::size_t bytes_for_merge = 16U << 20U;
-  /** Number of buckets into which the state is divided by key; positive, and fixed when a folder is
-   * created. More buckets make the steps of a merge shorter, and with them the longest wait of a
+  /** Number of buckets into which the state is divided by key. Positive, and fixed when a folder is
+   * created. More buckets make each step of a merge shorter, which reduces the longest wait of a
    * commit. */
   std::size_t bucket_count = 64;
 };
@@ -38,7 +38,7 @@
 class ScrubJob;
 
 /**
- * The RecordStore over a FileSystem. It queues commits on the strand and runs the disk work on the
+ * A RecordStore on a FileSystem. It queues commits on the strand and runs the disk work on the
  * executor in bounded steps, one at a time: opening, then commits, then scrubbing, then compaction.
  * Values are not kept in memory. The file system and the executor must outlive the store. No
  * callback runs after its destruction, which may happen within a callback. Runs on the dispatcher's
@@ -50,22 +50,23 @@
                   base::RandomSource& random, FileRecordStoreOptions options = {});
   ~FileRecordStore() override;
 
-  /** Fails the queued commits with StorageFailed, then reads the folder again. Answers
-   * StorageFailed or StorageFull where the disk fails; open() may then be called again. */
+  /** Fails the queued commits with StorageFailed, then reads the folder again. Completes with
+   * StorageFailed or StorageFull if the disk fails; open() may then be called again. */
   void open(OpenCallback callback) override;
-  /** Answers Ok once durable. StorageFull: nothing was written. StorageSlow: the outcome is unknown
-   * until the store has been opened again. StorageFailed: not open, or a sync has failed. */
+  /** Completes with Ok once the records are durable. StorageFull: nothing was written. StorageSlow:
+   * the outcome is unknown until the store has been opened again. StorageFailed: the store is not
+   * open, or a sync has failed. */
   void commit(std::vector<Record> records, CommitCallback callback) override;
   void rewrite(std::vector<Record> state) override;
-  /** Answers RecordCorrupt where any byte is damaged. The keys are complete unless a file's table
-   * of keys is itself damaged or the file is missing. */
+  /** Completes with RecordCorrupt if any byte is damaged. The keys are complete unless a file's
+   * table of keys is itself damaged or the file is missing. */
   void scrub(
       std::function<void(base::ResultCode, const std::vector<std::string>&)> callback) override;
 
  private:
   using ScrubCallback = std::function<void(base::ResultCode, const std::vector<std::string>&)>;
 
-  /** Starts the most urgent step where none is in progress. */
+  /** Starts the most urgent step unless one is in progress. */
   void startNext();
   /** Runs `work` on the executor, and then `completion` here. */
   void run(std::function<void()> work, std::function<void()> completion);
@@ -80,7 +81,7 @@
   void startCompactionStep();
   void armCommitTimer();
   void onCommitTimeout();
-  void answerLater(CommitCallback callback, base::ResultCode code);
+  void postResult(CommitCallback callback, base::ResultCode code);
 
   base::Dispatcher& dispatcher_;
   StorageExecutor& executor_;
@@ -94,8 +95,8 @@
   /** Whether a step is in progress on the executor. */
   bool busy_ = false;
   bool open_ = false;
-  /** Whether the step in progress has taken longer than the time-out of a commit. */
-  bool slow_ = false;
+  /** Whether a commit timed out during the step in progress. */
+  bool step_overdue_ = false;
   bool compaction_due_ = false;
   /** Set when compaction found a corrupt file, until the store is opened or rewritten. */
   bool compaction_blocked_ = false;
--- a/libraries/storage/include/switchsaddle/storage/file_system.h
+++ b/libraries/storage/include/switchsaddle/storage/file_system.h
@@ -15,7 +15,7 @@
  public:
   virtual ~FileSystem() = default;
   virtual void createFolder(const std::string& path) = 0;
-  /** @return the names in a folder, sorted; none where the folder is missing. */
+  /** @return the names in a folder, sorted; empty if the folder is missing. */
   virtual std::vector<std::string> list(const std::string& folder) = 0;
   virtual std::string read(const std::string& path) = 0;
   /** Creates or replaces a file; not durable. */
--- a/libraries/storage/include/switchsaddle/storage/posix_file_system.h
+++ b/libraries/storage/include/switchsaddle/storage/posix_file_system.h
@@ -8,14 +8,14 @@
 namespace switchsaddle::storage {
 
 /**
- * A FileSystem in one data folder of the machine. The folder is created where it is missing and is
+ * A FileSystem in one data folder of the machine. The folder is created if it is missing and is
  * locked for the lifetime of the object, so that two processes never share it. Called only on the
  * storage executor, except for construction.
  */
 class PosixFileSystem : public FileSystem {
  public:
-  /** @throws base::Error with StorageFailed where the folder cannot be created or is locked
-   * already. */
+  /** @throws base::Error with StorageFailed if the folder cannot be created or is already
+   * locked. */
   explicit PosixFileSystem(std::string root);
   ~PosixFileSystem() override;
   PosixFileSystem(const PosixFileSystem&) = delete;
@@ -34,7 +34,7 @@
   std::string absolute(const std::string& path) const;
 
   std::string root_;
-  /** The open data folder, which carries the lock. */
+  /** Descriptor of the data folder; the lock is on it. */
   int root_descriptor_ = -1;
 };
 
--- a/libraries/storage/include/switchsaddle/storage/record_store.h
+++ b/libraries/storage/include/switchsaddle/storage/record_store.h
@@ -19,14 +19,13 @@
 
 /** The result of opening a store. */
 struct OpenedStore {
-  /** Random, drawn when the data folder was created; a new one where the folder was empty,
+  /** Random, drawn when the data folder was created; a new one if the folder was empty,
    * incomplete or unreadable. */
   std::uint64_t instance = 0;
-  /** Whether the instance is new, so that this node has no state to vote on. Stays true when the
-   * store is reopened until the first commit, since the answer to an earlier open may have been
-   * lost. */
+  /** Whether the instance is new, so that this node has no state to vote on. Remains true on each
+   * open until the first commit, since the result of an earlier open may have been lost. */
   bool is_new = false;
-  /** Why a previous instance was abandoned; empty where none was. */
+  /** Why a previous instance was abandoned; empty if there was none. */
   std::string loss;
   std::map<std::string, std::string> records;
 };
@@ -39,7 +38,7 @@
  * (under a temporary name, synced, renamed, folder synced). Commits submitted while one is in
  * progress are written together in the next file. Older files are compacted in the background. Disk
  * work never runs on the dispatcher's strand; callbacks do. After a failed sync every later commit
- * is answered StorageFailed until open() has been called again.
+ * completes with StorageFailed until open() has been called again.
  */
 class RecordStore {
  public:
@@ -48,7 +47,7 @@
   virtual void commit(std::vector<Record> records, CommitCallback callback) = 0;
   /**
    * Writes the complete state again in the background and removes every older file, including
-   * damaged ones. Abandoned where the store fails or is opened before it is done. A store without
+   * damaged ones. Abandoned if the store fails or is opened again before it ends. A store without
    * files does nothing.
    * @param state all records as they are after the commits submitted before this call.
    */
--- a/libraries/storage/include/switchsaddle/storage/storage_executor.h
+++ b/libraries/storage/include/switchsaddle/storage/storage_executor.h
@@ -4,7 +4,7 @@
 
 namespace switchsaddle::storage {
 
-/** Runs blocking disk work sequentially: on a thread of its own, or in the simulation. */
+/** Runs blocking disk work sequentially: on its own thread, or in the simulation. */
 class StorageExecutor {
  public:
   virtual ~StorageExecutor() = default;
--- a/libraries/storage/include/switchsaddle/storage/thread_storage_executor.h
+++ b/libraries/storage/include/switchsaddle/storage/thread_storage_executor.h
@@ -11,7 +11,7 @@
 namespace switchsaddle::storage {
 
 /**
- * Runs disk work in order on one thread of its own and posts completions to the dispatcher, which
+ * Runs disk work in order on its own thread and posts completions to the dispatcher, which
  * must outlive it. Destruction waits for the work in progress and drops the work in the queue with
  * its completions.
  */
--- a/libraries/storage/source/commit_queue.h
+++ b/libraries/storage/source/commit_queue.h
@@ -9,7 +9,7 @@
 
 namespace switchsaddle::storage {
 
-/** A commit, or a rewrite of the complete state, that has not ended. */
+/** A commit or a rewrite of the complete state that has not completed. */
 struct PendingCommit {
   std::vector<Record> records;
   CommitCallback callback;
@@ -19,8 +19,8 @@
 };
 
 /**
- * The commits of a store in the order of their submission, which is that of their deadlines: those
- * in flight, which are being written together, and those in the queue behind them. Callbacks are
+ * The commits of a store in the order of their submission, which is also the order of their
+ * deadlines. Commits in flight are being written together; the others are queued. Callbacks are
  * returned instead of called, since they may destroy the store. Runs on the store's strand.
  */
 class CommitQueue {
@@ -31,7 +31,7 @@
   /** Whether nothing is queued; commits may still be in flight. */
   bool queueEmpty() const { return queue_.empty(); }
   bool nextIsRewrite() const { return !queue_.empty() && queue_.front().is_rewrite; }
-  /** @return the earliest deadline of all commits; nothing where there are none. */
+  /** @return the earliest deadline of all commits, or std::nullopt if there are none. */
   std::optional<base::TimePoint> nextDeadline() const;
 
   /** Moves the commits up to the next rewrite into flight. @return their records in order. */
--- a/libraries/storage/source/file_record_store.cc
+++ b/libraries/storage/source/file_record_store.cc
@@ -14,8 +14,7 @@
 
 namespace {
 
-/** Runs disk work. @return Ok, or the code of its error; StorageFailed for errors without a code.
- */
+/** Runs disk work. @return Ok, or the code of its error; StorageFailed if the error has no code. */
 base::ResultCode resultOf(const std::function<void()>& work) {
   try {
     work();
@@ -46,7 +45,7 @@
   open_ = false;
   opens_.push_back(std::move(callback));
   for (CommitCallback& rejected : commits_->extractQueued()) {
-    answerLater(std::move(rejected), base::ResultCode::StorageFailed);
+    postResult(std::move(rejected), base::ResultCode::StorageFailed);
   }
   startNext();
 }
@@ -54,18 +53,18 @@
 void FileRecordStore::commit(std::vector<Record> records, CommitCallback callback) {
   CommitCallback guarded = callbacks_.guard(std::move(callback));
   if (!open_) {
-    answerLater(std::move(guarded), base::ResultCode::StorageFailed);
+    postResult(std::move(guarded), base::ResultCode::StorageFailed);
     return;
   }
-  if (slow_) {
-    answerLater(std::move(guarded), base::ResultCode::StorageSlow);
+  if (step_overdue_) {
+    postResult(std::move(guarded), base::ResultCode::StorageSlow);
     return;
   }
   enqueue(std::move(records), std::move(guarded), false);
 }
 
 void FileRecordStore::rewrite(std::vector<Record> state) {
-  if (open_ && !slow_) {
+  if (open_ && !step_overdue_) {
     enqueue(
         std::move(state), [](base::ResultCode) {}, true);
   }
@@ -108,8 +107,8 @@
       callbacks_.guard([this, completion = std::move(completion),
                         start_next = callbacks_.guard([this] { startNext(); })]() mutable {
         busy_ = false;
-        slow_ = false;
-        // Calls callbacks of the store's users, which may destroy the store.
+        step_overdue_ = false;
+        // Runs callbacks of the caller, which may destroy the store.
         completion();
         start_next();
       }));
@@ -196,7 +195,7 @@
 }
 
 void FileRecordStore::onCommitTimeout() {
-  slow_ = true;
+  step_overdue_ = true;
   CommitQueue::Callbacks callbacks = commits_->extractInFlight();
   CommitQueue::Callbacks queued = commits_->extractQueued();
   std::move(queued.begin(), queued.end(), std::back_inserter(callbacks));
@@ -205,7 +204,7 @@
   }
 }
 
-void FileRecordStore::answerLater(CommitCallback callback, base::ResultCode code) {
+void FileRecordStore::postResult(CommitCallback callback, base::ResultCode code) {
   dispatcher_.post([callback = std::move(callback), code] { callback(code); });
 }
 
--- a/libraries/storage/source/newest_records.h
+++ b/libraries/storage/source/newest_records.h
@@ -8,13 +8,13 @@
 
 namespace switchsaddle::storage {
 
-/** Merges records in the order of their commits into the newest one of each key. */
+/** Keeps the newest record of each key. Records are added in the order of their commits. */
 class NewestRecords {
  public:
   void add(std::vector<Record> records);
-  /** @return the records in the order of their keys, and leaves none. */
+  /** Removes all records. @return them in the order of their keys. */
   std::vector<Record> extract();
-  /** The same without the removed ones, for a file that replaces all earlier ones of its keys. */
+  /** As extract(), without removals, for a file that replaces all earlier files of its keys. */
   std::vector<Record> extractPresent();
 
  private:
--- a/libraries/storage/source/posix_file_system.cc
+++ b/libraries/storage/source/posix_file_system.cc
@@ -51,7 +51,8 @@
       fail("sync", path_, errno);
     }
   }
-  /** Closes the file, since network and quota file systems report some errors only then. */
+  /** Closes the file and checks the result: network and quota file systems report some errors
+   * only on close. */
   void close() {
     const int result = ::close(std::exchange(value_, -1));
     if (result != 0 && errno != EINTR) {
--- a/libraries/storage/source/record_directory.cc
+++ b/libraries/storage/source/record_directory.cc
@@ -30,11 +30,12 @@
   merge_.reset();
   const bool has_identity = contains(file_system_.list(RootFolder), IdentityName);
   if (!has_identity) {
-    return create(candidate_instance, hasCommits() ? "records without an identity" : "");
+    return create(candidate_instance,
+                  hasCommits() ? "record files exist, but the identity file is missing" : "");
   }
   const std::optional<Identity> identity = decodeIdentity(file_system_.read(IdentityName));
   if (!identity || identity->bucket_count == 0) {
-    return create(candidate_instance, "the identity is torn");
+    return create(candidate_instance, "the identity file is corrupt");
   }
   OpenedStore opened;
   opened.instance = identity->instance;
@@ -77,8 +78,8 @@
   file_system_.createFolder(RecordsFolder);
   file_system_.syncFolder(RootFolder);
   failed_ = false;
-  // The first commit is empty and precedes the identity, so that an identity without any record
-  // file always shows a loss.
+  // The first commit is empty and is written before the identity. An identity without a record
+  // file thus always means that files were lost.
   append({});
   publish(RootFolder, IdentityName, encodeIdentity(Identity{instance, options_.bucket_count}));
   OpenedStore opened;
@@ -89,7 +90,7 @@
 }
 
 bool RecordDirectory::hasCommits() {
-  // The first commit alone, or its temporary file, is what an unfinished create() leaves.
+  // An interrupted create() leaves only the first commit or its temporary file.
   const std::string first_commit = segmentName(Segment{FirstCommit, FirstCommit, 0, false});
   const std::vector<std::string> names = file_system_.list(RecordsFolder);
   return std::any_of(names.begin(), names.end(),
@@ -101,7 +102,8 @@
   file_system_.createFolder(LostFolder);
   file_system_.createFolder(target);
   file_system_.syncFolder(LostFolder);
-  // The identity is moved first, so that a partly moved folder is never taken for a complete one.
+  // The identity is moved first, so that a partly moved folder is never mistaken for a complete
+  // one.
   if (contains(file_system_.list(RootFolder), IdentityName)) {
     file_system_.rename(IdentityName, joinPath(target, IdentityName));
     file_system_.syncFolder(target);
@@ -118,7 +120,8 @@
 
 void RecordDirectory::append(std::vector<Record> records) {
   if (failed_) {
-    throw base::Error(base::ResultCode::StorageFailed, "the store must be opened again");
+    throw base::Error(base::ResultCode::StorageFailed,
+                      "the store is not open, or a sync has failed since it was opened");
   }
   NewestRecords newest;
   newest.add(std::move(records));
@@ -134,8 +137,8 @@
                               const std::string& bytes) {
   const std::string path = joinPath(folder, name);
   const std::string temporary = path + TemporarySuffix;
-  // A failed write leaves only the temporary file; a failure of a later step may leave the result
-  // unknown.
+  // A failed write leaves only the temporary file. After a failure of a later step the content of
+  // the disk is unknown.
   try {
     file_system_.write(temporary, bytes);
   } catch (const base::Error&) {
@@ -187,7 +190,7 @@
   try {
     file_system_.remove(path);
   } catch (const base::Error&) {
-    // open() removes files that others cover.
+    // The next open() removes it.
   }
 }
 
--- a/libraries/storage/source/record_directory.h
+++ b/libraries/storage/source/record_directory.h
@@ -28,8 +28,8 @@
  * bucket's complete state up to a commit (`bucket-B-LAST.snap`). Files are written under a
  * temporary name, synced, renamed and their folder synced before those they replace are removed.
  * Invariant: the buckets, runs and commits on disk cover all commits without a gap at all times.
- * Opening checks this; only the loss of the newest file leaves no gap. A folder that fails the
- * check is moved into `lost/` and a new instance begins.
+ * Opening checks this; it cannot detect the loss of the newest file, which leaves no gap. A folder
+ * that fails the check is moved into `lost/` and a new instance begins.
  */
 class RecordDirectory {
  public:
@@ -44,18 +44,18 @@
   /** Makes the records durable as the next commit. @throws base::Error as open(). */
   void append(std::vector<Record> records);
   /** Has the next steps of compaction write these records, the complete state after the newest
-   * commit, and replace every file. Does nothing where the store must be opened again. */
+   * commit, and replace every file. Does nothing if the store must be opened again. */
   void beginRewrite(std::vector<Record> state);
-  /** Does one bounded step of compaction. @return whether another is due. @throws base::Error as
+  /** Runs one bounded step of compaction. @return whether another is due. @throws base::Error as
    * open(), or with RecordCorrupt. */
   bool compact();
   /** @return the names of the files that make up the state. */
   std::vector<std::string> liveFiles() const;
-  /** Verifies one file; one that was replaced in the meantime counts as intact. */
+  /** Verifies one file. A file that has been replaced since it was listed counts as intact. */
   ScrubbedFile scrub(const std::string& name);
 
  private:
-  /** Runs, or a state given in their place, being merged into the buckets over several steps. */
+  /** A merge of runs, or of a given complete state, into the buckets over several steps. */
   struct Merge {
     std::uint64_t last_commit = 0;
     /** The records are the complete state, so that no file is read. */
@@ -68,34 +68,34 @@
   struct FolderScan {
     /** Files that are not part of the state. */
     std::vector<std::string> obsolete;
-    /** Why the folder is incomplete; empty where it is not. */
+    /** Why the folder is incomplete; empty if it is complete. */
     std::string loss;
   };
 
-  /** Makes durable what was read last. An earlier process may have died between a rename and the
-   * sync of its folder, or that sync may have failed, after which another sync alone can succeed
-   * without effect. Each folder therefore gets a change, so that its sync covers all its names; a
-   * full disk gets the sync alone. */
+  /** Makes the state that was just read durable. An earlier process may have crashed between a
+   * rename and the sync of its folder, or that sync may have failed; a repeated sync can then
+   * succeed without effect. Each folder is therefore changed first, so that its sync covers all its
+   * names. On a full disk the folder is only synced. */
   void makeDurable(const Identity& identity);
   void republish(const std::string& folder, const std::string& name, const std::string& bytes);
   OpenedStore create(std::uint64_t instance, const std::string& loss);
-  /** Whether `records/` has more than an unfinished create() leaves. */
+  /** Whether `records/` contains more than an interrupted create() leaves. */
   bool hasCommits();
   void moveToLost(std::uint64_t instance);
 
-  // Loading, in record_directory_load.cc. Those with a string return why the folder is incomplete,
-  // or an empty string.
+  // Loading, in record_directory_load.cc. The functions that return a string return why the folder
+  // is incomplete, or an empty string.
   FolderScan scanFolder();
   void scanName(const std::string& name, FolderScan& scan);
-  /** Drops the segments that buckets or longer segments cover, and checks for gaps. */
+  /** Drops segments covered by buckets or longer segments, and checks for gaps. */
   void dropCovered(FolderScan& scan);
   std::string loadRecords(std::map<std::string, std::string>& records);
   std::string loadBuckets(std::map<std::string, std::string>& records);
   std::string loadSegments(std::map<std::string, std::string>& records);
 
-  /** Writes a file so that it is complete under its name, or absent, after any failure. */
+  /** Writes a file atomically: after any failure it is complete under its name, or absent. */
   void publish(const std::string& folder, const std::string& name, const std::string& bytes);
-  /** Removes a file that nothing depends on; after a failure open() removes it. */
+  /** Removes a file that is no longer needed. If that fails, the next open() removes it. */
   void removeObsolete(const std::string& path);
   RecordFile readIntact(const std::string& name);
   std::size_t bucketOf(const std::string& key) const;
@@ -114,10 +114,10 @@
   const FileRecordStoreOptions options_;
   /** Sorted by range and without overlap. */
   std::vector<Segment> segments_;
-  /** Last commit in each bucket's file; 0 where it has none. */
+  /** Last commit in each bucket's file; 0 if there is no file. */
   std::vector<std::uint64_t> bucket_commits_;
   std::uint64_t next_commit_ = 1;
-  /** Set after a failed sync: the content of the disk is unknown until open(). */
+  /** Set until the first open() and after a failed sync: the content of the disk is unknown. */
   bool failed_ = true;
   std::optional<Merge> merge_;
 };
--- a/libraries/storage/source/record_directory_compaction.cc
+++ b/libraries/storage/source/record_directory_compaction.cc
@@ -1,4 +1,4 @@
-// The compaction of RecordDirectory, which merges older files in bounded steps.
+// RecordDirectory: compaction, which merges older files in bounded steps.
 
 #include <algorithm>
 #include <utility>
--- a/libraries/storage/source/record_directory_load.cc
+++ b/libraries/storage/source/record_directory_load.cc
@@ -1,4 +1,4 @@
-// The loading of RecordDirectory, which reads a folder and decides whether it is complete.
+// RecordDirectory: reads a folder and checks whether it is complete.
 
 #include <algorithm>
 #include <utility>
@@ -32,7 +32,7 @@
   if (!loss.empty()) {
     return loss;
   }
-  // Only now, since the files of an incomplete folder are kept as they were found.
+  // Obsolete files are removed last, since an incomplete folder is kept as it was found.
   for (const std::string& name : scan.obsolete) {
     removeObsolete(recordPath(name));
   }
@@ -70,12 +70,12 @@
   } else if (!is_bucket && name.ends_with(CommitSuffix) && first) {
     segments_.push_back(Segment{*first, *first, 0, false});
   } else {
-    scan.loss = "unknown record file " + name;
+    scan.loss = "unexpected file in the records folder: " + name;
   }
 }
 
 void RecordDirectory::dropCovered(FolderScan& scan) {
-  // Of two segments with the same first commit the longer comes first, and a run precedes a commit.
+  // For equal first commits, the longer segment comes first, and a run precedes a commit.
   std::sort(segments_.begin(), segments_.end(), [](const Segment& left, const Segment& right) {
     if (left.first_commit != right.first_commit) {
       return left.first_commit < right.first_commit;
@@ -119,7 +119,7 @@
     }
     for (Record& record : decoded.file.records) {
       if (bucketOf(record.key) != bucket) {
-        return "record file of another bucket " + name;
+        return "key of another bucket in record file " + name;
       }
       applyRecord(records, std::move(record));
     }
@@ -138,7 +138,8 @@
     if (!decoded.intact || !range_matches) {
       return "corrupt record file " + name;
     }
-    // Buckets that are newer than others receive some records again, and all later ones after them.
+    // A bucket file that is newer than the others already contains some of these records. Applying
+    // them again is harmless, since all later records follow.
     for (Record& record : decoded.file.records) {
       applyRecord(records, std::move(record));
     }
--- a/libraries/storage/source/record_file.h
+++ b/libraries/storage/source/record_file.h
@@ -11,8 +11,8 @@
 /**
  * The content of one file of the store: the result of the commits `first` to `last`, with at most
  * one record for each key. On disk a header and a table of keys come first under one checksum; the
- * values follow, each with its checksum in the table, so that the key of a damaged value is still
- * known.
+ * values follow. The table contains the checksum of each value, so that the keys of damaged values
+ * can be reported.
  */
 struct RecordFile {
   std::uint64_t first = 0;
@@ -23,9 +23,9 @@
 /** The result of decoding a file. */
 struct DecodedFile {
   RecordFile file;
-  /** Whether every byte is as written. */
+  /** Whether the file is complete and all checksums match. */
   bool intact = false;
-  /** Keys of the damaged values; also empty where the table itself is damaged. */
+  /** Keys of the damaged values; empty if the table itself is damaged. */
   std::vector<std::string> damaged_keys;
 };
 
--- a/libraries/storage/source/record_file_names.h
+++ b/libraries/storage/source/record_file_names.h
@@ -10,7 +10,7 @@
 
 namespace switchsaddle::storage {
 
-/** Number of the first commit, which create() writes without records. */
+/** Number of the first commit, which is written without records when a folder is created. */
 inline constexpr std::uint64_t FirstCommit = 1;
 
 inline const std::string RecordsFolder = "records";
@@ -28,7 +28,7 @@
   bool is_run;
 };
 
-/** @return the path of a name in a folder; the root folder is empty. */
+/** @return the path of a name in a folder; an empty folder means the root. */
 std::string joinPath(const std::string& folder, const std::string& name);
 /** @return the path of a file with records. */
 std::string recordPath(const std::string& name);
--- a/libraries/storage/source/scrub_job.h
+++ b/libraries/storage/source/scrub_job.h
@@ -14,18 +14,17 @@
 
   explicit ScrubJob(Callback callback) : callback_(std::move(callback)) {}
 
-  /** Lists the files in the first step, and verifies one in each later step. Runs on the executor.
-   */
+  /** The first step lists the files, each later step verifies one. Runs on the executor. */
   void step(RecordDirectory& directory);
-  /** Whether all files have been verified; only between two steps. */
+  /** Whether all files have been verified. Called only between two steps. */
   bool done() const { return files_.empty(); }
-  /** Calls the callback with RecordCorrupt where any file is damaged. */
+  /** Calls the callback with RecordCorrupt if any file is damaged. */
   void report() const;
 
  private:
   Callback callback_;
   bool listed_ = false;
-  /** Files that have yet to be verified. */
+  /** Files that have not been verified yet. */
   std::vector<std::string> files_;
   bool damaged_ = false;
   std::vector<std::string> damaged_keys_;
--- a/libraries/storage/test/file_record_store_fault_test.cc
+++ b/libraries/storage/test/file_record_store_fault_test.cc
@@ -1,10 +1,10 @@
-// Disk faults: each operation fails once, and at each operation the process is killed or loses
-// power.
+// Disk faults: each operation fails once; at each operation the process is killed or the machine
+// loses power.
 
 #include <gtest/gtest.h>
 
 #include "possible_records.h"
-#include "store_bench.h"
+#include "store_harness.h"
 
 namespace switchsaddle::storage {
 namespace {
@@ -18,38 +18,39 @@
 /** Opens a store and submits commits one after the other, whatever their results. */
 class Scenario {
  public:
-  explicit Scenario(std::uint64_t seed) : bench(smallOptions(), seed) {}
+  explicit Scenario(std::uint64_t seed) : harness(smallOptions(), seed) {}
 
-  /** @return false where the disk was interrupted. */
+  /** @return false if the disk was interrupted. */
   bool run() {
-    opened_code = bench.openCode();
-    if (bench.disk.interrupted()) {
+    opened_code = harness.openCode();
+    if (harness.disk.interrupted()) {
       return false;
     }
-    for (int index = 0; index < Commits && !bench.disk.interrupted(); ++index) {
+    for (int index = 0; index < Commits && !harness.disk.interrupted(); ++index) {
       commit(index % Pairs, index % 5 == 4 ? "" : "tag" + std::to_string(index));
     }
-    return !bench.disk.interrupted();
+    return !harness.disk.interrupted();
   }
   ResultCode commit(int pair, const std::string& tag) {
     last_number = possible.submitted(pair, tag);
-    const ResultCode code = bench.commit(PossibleRecords::makeCommit(pair, tag));
+    const ResultCode code = harness.commit(PossibleRecords::makeCommit(pair, tag));
     if (code == ResultCode::Ok) {
       possible.acknowledged(pair, last_number);
     }
     return code;
   }
   OpenedStore reopen() {
-    bench.restart();
-    OpenedStore opened = bench.open();
+    harness.restart();
+    OpenedStore opened = harness.open();
     possible.expect(opened.records);
     EXPECT_EQ(opened.loss, "");
     return opened;
   }
-  /** Expects that what was read is durable without any further commit, and that commits succeed. */
+  /** Expects that the records read are durable without a further commit, and that commits succeed.
+   */
   void expectConsistent() {
     const OpenedStore first = reopen();
-    bench.disk.powerLoss();
+    harness.disk.powerLoss();
     const OpenedStore second = reopen();
     EXPECT_EQ(second.instance, first.instance);
     EXPECT_EQ(second.records, first.records);
@@ -57,7 +58,7 @@
     EXPECT_EQ(reopen().instance, first.instance);
   }
 
-  SimulatedBench bench;
+  SimulatedStoreHarness harness;
   PossibleRecords possible;
   ResultCode opened_code = ResultCode::InternalError;
   std::uint64_t last_number = 0;
@@ -66,33 +67,33 @@
 std::uint64_t operationsWithoutFault() {
   Scenario scenario(1);
   EXPECT_TRUE(scenario.run());
-  return scenario.bench.disk.operations();
+  return scenario.harness.disk.operations();
 }
 
-TEST(FileRecordStoreFaults, SurvivesPowerLossAtEachOperation) {
+TEST(FileRecordStoreFaults, PowerLossAtEachOperationKeepsAcknowledgedCommits) {
   const std::uint64_t operations = operationsWithoutFault();
   ASSERT_GT(operations, 200U);
   for (std::uint64_t at = 1; at <= operations; ++at) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       SCOPED_TRACE("operation " + std::to_string(at) + " seed " + std::to_string(seed));
       Scenario scenario(seed);
-      scenario.bench.disk.interruptAt(at);
+      scenario.harness.disk.interruptAt(at);
       scenario.run();
-      scenario.bench.disk.powerLoss();
+      scenario.harness.disk.powerLoss();
       scenario.expectConsistent();
       ASSERT_FALSE(testing::Test::HasFailure());
     }
   }
 }
 
-TEST(FileRecordStoreFaults, SurvivesAKillAtEachOperation) {
+TEST(FileRecordStoreFaults, KillAtEachOperationKeepsAcknowledgedCommits) {
   const std::uint64_t operations = operationsWithoutFault();
   for (std::uint64_t at = 1; at <= operations; ++at) {
     SCOPED_TRACE("operation " + std::to_string(at));
     Scenario scenario(at);
-    scenario.bench.disk.interruptAt(at);
+    scenario.harness.disk.interruptAt(at);
     scenario.run();
-    scenario.bench.disk.resume();
+    scenario.harness.disk.resume();
     scenario.expectConsistent();
     ASSERT_FALSE(testing::Test::HasFailure());
   }
@@ -103,14 +104,14 @@
 TEST_P(FailingOperation, LosesNoAcknowledgedCommit) {
   Scenario without_fault(1);
   ASSERT_TRUE(without_fault.run());
-  const std::uint64_t count = without_fault.bench.disk.operations(GetParam());
+  const std::uint64_t count = without_fault.harness.disk.operations(GetParam());
   ASSERT_GT(count, 0U);
   for (std::uint64_t nth = 1; nth <= count; ++nth) {
     SCOPED_TRACE("operation " + std::to_string(nth) + " of the kind");
     Scenario scenario(nth);
-    scenario.bench.disk.failOnce(GetParam(), nth);
+    scenario.harness.disk.failOnce(GetParam(), nth);
     scenario.run();
-    scenario.bench.disk.powerLoss();
+    scenario.harness.disk.powerLoss();
     scenario.expectConsistent();
     ASSERT_FALSE(testing::Test::HasFailure());
   }
@@ -119,10 +120,10 @@
 TEST_P(FailingOperation, ReopenedStoreReadsOnlyDurableRecords) {
   Scenario without_fault(1);
   ASSERT_TRUE(without_fault.run());
-  for (std::uint64_t nth = 1; nth <= without_fault.bench.disk.operations(GetParam()); ++nth) {
+  for (std::uint64_t nth = 1; nth <= without_fault.harness.disk.operations(GetParam()); ++nth) {
     SCOPED_TRACE("operation " + std::to_string(nth) + " of the kind");
     Scenario scenario(nth);
-    scenario.bench.disk.failOnce(GetParam(), nth);
+    scenario.harness.disk.failOnce(GetParam(), nth);
     scenario.run();
     scenario.expectConsistent();
     ASSERT_FALSE(testing::Test::HasFailure());
@@ -138,12 +139,12 @@
 
 TEST_P(FailingCommit, FailsAllCommitsUntilReopened) {
   Scenario scenario(1);
-  scenario.bench.open();
-  scenario.bench.disk.failOnce(GetParam(), 1);
+  scenario.harness.open();
+  scenario.harness.disk.failOnce(GetParam(), 1);
   EXPECT_EQ(scenario.commit(0, "failed"), ResultCode::StorageFailed);
   EXPECT_EQ(scenario.commit(1, "rejected"), ResultCode::StorageFailed);
   EXPECT_EQ(scenario.commit(2, "rejected"), ResultCode::StorageFailed);
-  scenario.possible.expect(scenario.bench.open().records);
+  scenario.possible.expect(scenario.harness.open().records);
   EXPECT_EQ(scenario.commit(1, "accepted"), ResultCode::Ok);
 }
 
@@ -153,9 +154,9 @@
 
 TEST(FileRecordStoreFaults, FullDiskRejectsCommitsAndRecovers) {
   Scenario scenario(1);
-  scenario.bench.open();
+  scenario.harness.open();
   EXPECT_EQ(scenario.commit(0, "before"), ResultCode::Ok);
-  scenario.bench.disk.setFull(true);
+  scenario.harness.disk.setFull(true);
   EXPECT_EQ(scenario.commit(0, "rejected"), ResultCode::StorageFull);
   scenario.possible.notWritten(0, scenario.last_number);
   EXPECT_EQ(scenario.commit(1, "rejected"), ResultCode::StorageFull);
@@ -163,67 +164,67 @@
   scenario.reopen();
   EXPECT_EQ(scenario.commit(0, "again"), ResultCode::StorageFull);
   scenario.possible.notWritten(0, scenario.last_number);
-  scenario.bench.disk.setFull(false);
+  scenario.harness.disk.setFull(false);
   EXPECT_EQ(scenario.commit(1, "after"), ResultCode::Ok);
   scenario.expectConsistent();
 }
 
-TEST(FileRecordStoreFaults, FullDiskCannotCreateAnInstance) {
-  SimulatedBench bench(smallOptions());
-  bench.disk.setFull(true);
-  EXPECT_EQ(bench.openCode(), ResultCode::StorageFull);
-  bench.disk.setFull(false);
-  EXPECT_EQ(bench.open().loss, "");
+TEST(FileRecordStoreFaults, OpeningANewFolderOnAFullDiskFailsWithStorageFull) {
+  SimulatedStoreHarness harness(smallOptions());
+  harness.disk.setFull(true);
+  EXPECT_EQ(harness.openCode(), ResultCode::StorageFull);
+  harness.disk.setFull(false);
+  EXPECT_EQ(harness.open().loss, "");
 }
 
 TEST(FileRecordStoreFaults, CompactionIsRetriedAfterAFullDisk) {
   Scenario scenario(1);
-  scenario.bench.open();
+  scenario.harness.open();
   // The third write is that of the run, since the second commit is the third file.
-  scenario.bench.disk.failOnce(DiskOperation::Write, 3, ResultCode::StorageFull);
+  scenario.harness.disk.failOnce(DiskOperation::Write, 3, ResultCode::StorageFull);
   for (int index = 0; index < 4; ++index) {
     EXPECT_EQ(scenario.commit(index, "tag"), ResultCode::Ok);
   }
-  scenario.bench.world.runFor(std::chrono::seconds(1));
-  const std::vector<std::string> names = scenario.bench.disk.list("records");
+  scenario.harness.world.runFor(std::chrono::seconds(1));
+  const std::vector<std::string> names = scenario.harness.disk.list("records");
   const auto is_run = [](const std::string& name) { return name.ends_with(".run"); };
   EXPECT_EQ(std::count_if(names.begin(), names.end(), is_run), 1);
   scenario.expectConsistent();
 }
 
-TEST(FileRecordStoreFaults, StalledDiskAnswersWithinTheTimeout) {
+TEST(FileRecordStoreFaults, CommitOnAStalledDiskFailsAtTheTimeout) {
   Scenario scenario(1);
-  SimulatedBench& bench = scenario.bench;
-  bench.open();
-  bench.world.runFor(std::chrono::seconds(1));
-  bench.executor().stallNext(std::chrono::seconds(20));
-  const base::TimePoint begin = bench.world.now();
+  SimulatedStoreHarness& harness = scenario.harness;
+  harness.open();
+  harness.world.runFor(std::chrono::seconds(1));
+  harness.executor().stallNext(std::chrono::seconds(20));
+  const base::TimePoint begin = harness.world.now();
   EXPECT_EQ(scenario.commit(0, "stalled"), ResultCode::StorageSlow);
-  EXPECT_EQ(bench.world.now() - begin, FileRecordStoreOptions{}.commit_timeout);
-  // During the stall further commits are answered at once.
+  EXPECT_EQ(harness.world.now() - begin, FileRecordStoreOptions{}.commit_timeout);
+  // During the stall further commits are rejected at once.
   EXPECT_EQ(scenario.commit(1, "rejected"), ResultCode::StorageSlow);
-  EXPECT_EQ(bench.world.now() - begin, FileRecordStoreOptions{}.commit_timeout);
+  EXPECT_EQ(harness.world.now() - begin, FileRecordStoreOptions{}.commit_timeout);
   scenario.possible.notWritten(1, scenario.last_number);
-  bench.world.runFor(std::chrono::seconds(21));
+  harness.world.runFor(std::chrono::seconds(21));
   EXPECT_EQ(scenario.commit(2, "after"), ResultCode::Ok);
   scenario.expectConsistent();
 }
 
 TEST(FileRecordStoreFaults, CommitsQueuedDuringAStallAreDropped) {
   Scenario scenario(1);
-  SimulatedBench& bench = scenario.bench;
-  bench.open();
-  bench.world.runFor(std::chrono::seconds(1));
-  bench.executor().stallNext(std::chrono::seconds(20));
+  SimulatedStoreHarness& harness = scenario.harness;
+  harness.open();
+  harness.world.runFor(std::chrono::seconds(1));
+  harness.executor().stallNext(std::chrono::seconds(20));
   scenario.possible.submitted(0, "stalled");
   const std::uint64_t second = scenario.possible.submitted(1, "stalled");
   const std::uint64_t third = scenario.possible.submitted(2, "stalled");
   std::vector<ResultCode> codes;
   for (int pair = 0; pair < 3; ++pair) {
-    bench.store().commit(PossibleRecords::makeCommit(pair, "stalled"),
-                         [&codes](ResultCode code) { codes.push_back(code); });
+    harness.store().commit(PossibleRecords::makeCommit(pair, "stalled"),
+                           [&codes](ResultCode code) { codes.push_back(code); });
   }
-  bench.world.runFor(std::chrono::seconds(30));
+  harness.world.runFor(std::chrono::seconds(30));
   EXPECT_EQ(codes, std::vector<ResultCode>(3, ResultCode::StorageSlow));
   scenario.possible.notWritten(1, second);
   scenario.possible.notWritten(2, third);
--- a/libraries/storage/test/file_record_store_property_test.cc
+++ b/libraries/storage/test/file_record_store_property_test.cc
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "possible_records.h"
-#include "store_bench.h"
+#include "store_harness.h"
 
 namespace switchsaddle::storage {
 namespace {
@@ -19,7 +19,7 @@
 /** Random operations on one store under one seed, checked against its acknowledged commits. */
 class RandomRun {
  public:
-  explicit RandomRun(std::uint64_t seed) : random_(seed), bench_(smallOptions(), seed) {}
+  explicit RandomRun(std::uint64_t seed) : random_(seed), harness_(smallOptions(), seed) {}
 
   void run() {
     reopen();
@@ -38,16 +38,16 @@
     const std::uint64_t nth = 1 + random_.below(60);
     switch (random_.below(5)) {
       case 0:
-        bench_.disk.interruptAt(nth);
+        harness_.disk.interruptAt(nth);
         break;
       case 1:
-        bench_.disk.failOnce(static_cast<DiskOperation>(random_.below(Kinds)), nth);
+        harness_.disk.failOnce(static_cast<DiskOperation>(random_.below(Kinds)), nth);
         break;
       case 2:
-        bench_.executor().stallNext(std::chrono::seconds(20));
+        harness_.executor().stallNext(std::chrono::seconds(20));
         break;
       case 3:
-        bench_.disk.failOnce(DiskOperation::Write, nth, ResultCode::StorageFull);
+        harness_.disk.failOnce(DiskOperation::Write, nth, ResultCode::StorageFull);
         break;
       default:
         break;
@@ -55,10 +55,10 @@
   }
   void commitSome() {
     const std::uint64_t commits = random_.below(MaximumCommits);
-    for (std::uint64_t index = 0; index < commits && !bench_.disk.interrupted(); ++index) {
+    for (std::uint64_t index = 0; index < commits && !harness_.disk.interrupted(); ++index) {
       commitOne();
-      while (random_.chance(0.6) && !bench_.disk.interrupted()) {
-        bench_.world.step();
+      while (random_.chance(0.6) && !harness_.disk.interrupted()) {
+        harness_.world.step();
       }
     }
   }
@@ -66,7 +66,7 @@
     const int pair = static_cast<int>(random_.below(Pairs));
     const std::string tag = random_.chance(0.2) ? "" : "tag" + std::to_string(next_tag_++);
     const std::uint64_t number = possible_.submitted(pair, tag);
-    bench_.store().commit(
+    harness_.store().commit(
         PossibleRecords::makeCommit(pair, tag),
         [this, pair, number](ResultCode code) { onCommitted(pair, number, code); });
   }
@@ -78,22 +78,23 @@
   }
   void endIncarnation() {
     if (random_.chance(0.5)) {
-      bench_.world.runFor(std::chrono::seconds(30));
+      harness_.world.runFor(std::chrono::seconds(30));
     }
-    const bool only_process_dies = bench_.disk.interrupted() && random_.chance(0.5);
-    if (!only_process_dies && random_.chance(0.7)) {
-      bench_.disk.powerLoss();
+    const bool only_process_crashes = harness_.disk.interrupted() && random_.chance(0.5);
+    if (!only_process_crashes && random_.chance(0.7)) {
+      harness_.disk.powerLoss();
     } else {
-      bench_.disk.resume();
+      harness_.disk.resume();
     }
   }
   void reopen() {
-    bench_.restart();
-    // A fault of the last round may still be pending; the second opening is free of it.
-    bench_.openCode();
-    bench_.disk.clearFaults();
-    bench_.restart();
-    const OpenedStore opened = bench_.open();
+    harness_.restart();
+    // A fault of the last round may still be pending, so the store is opened once more without
+    // faults.
+    harness_.openCode();
+    harness_.disk.clearFaults();
+    harness_.restart();
+    const OpenedStore opened = harness_.open();
     EXPECT_EQ(opened.loss, "");
     possible_.expect(opened.records);
     if (instance_ != 0) {
@@ -103,7 +104,7 @@
   }
 
   base::RandomSource random_;
-  SimulatedBench bench_;
+  SimulatedStoreHarness harness_;
   PossibleRecords possible_;
   std::uint64_t next_tag_ = 0;
   std::uint64_t instance_ = 0;
--- a/libraries/storage/test/file_system_contract_test.cc
+++ b/libraries/storage/test/file_system_contract_test.cc
@@ -1,12 +1,12 @@
 #include <gtest/gtest.h>
 
-#include "store_bench.h"
+#include "store_harness.h"
 #include "switchsaddle/base/error.h"
 
 namespace switchsaddle::storage {
 namespace {
 
-/** Fixtures: each file system with its resources. */
+/** Fixtures: one for each file system, with its resources. */
 struct PosixFixture {
   TemporaryFolder folder;
   PosixFileSystem file_system{folder.path()};
@@ -98,7 +98,7 @@
   EXPECT_EQ(this->codeOf([&] { files.createFolder("missing/folder"); }), failed);
 }
 
-TEST(PosixFileSystem, FolderIsLocked) {
+TEST(PosixFileSystem, RejectsAFolderThatIsAlreadyOpen) {
   const TemporaryFolder folder;
   {
     const PosixFileSystem first(folder.path());
--- a/libraries/storage/test/possible_records.h
+++ b/libraries/storage/test/possible_records.h
@@ -13,9 +13,10 @@
 namespace switchsaddle::storage {
 
 /**
- * The records that a store may have after any faults. Each commit writes one tag to both keys of a
- * pair, or erases both, so that a partial commit is detected. An acknowledged commit excludes the
- * tags of those before it; one whose answer is missing or not Ok leaves both outcomes possible.
+ * The records that a store may contain after any faults. Each commit writes one tag to both keys of
+ * a pair, or erases both, so that a partial commit is detected. An acknowledged commit excludes the
+ * tags of those before it; a commit without a result, or with one other than Ok, leaves both
+ * outcomes possible.
  */
 class PossibleRecords {
  public:
@@ -34,19 +35,19 @@
   }
   /** The commit was rejected without a write. */
   void notWritten(int pair, std::uint64_t number) { commits(pair).erase(number); }
-  /** Checks the records read, which become the only possibility. */
+  /** Checks the records read, which from then on are the only possible ones. */
   void expect(const std::map<std::string, std::string>& records) {
     std::size_t found = 0;
     for (auto& [pair, possible] : commits_) {
       const std::string left = valueOf(records, leftKey(pair));
-      EXPECT_EQ(left, valueOf(records, rightKey(pair))) << "a commit is partly there";
+      EXPECT_EQ(left, valueOf(records, rightKey(pair))) << "a commit was applied in part";
       const auto is_left = [&left](const auto& commit) { return commit.second == left; };
       EXPECT_TRUE(std::any_of(possible.begin(), possible.end(), is_left))
           << "pair " << pair << " has \"" << left << "\"";
       possible = {{0, left}};
       found += left.empty() ? 0 : 2;
     }
-    EXPECT_EQ(records.size(), found) << "there are keys that were never written";
+    EXPECT_EQ(records.size(), found) << "the store contains keys that were never written";
   }
 
  private:
@@ -57,7 +58,7 @@
     const auto found = records.find(key);
     return found == records.end() ? "" : found->second;
   }
-  /** Tags by number of their commit; an empty tag stands for both keys being absent. */
+  /** Tags by number of their commit; an empty tag means that both keys are absent. */
   using Commits = std::map<std::uint64_t, std::string>;
   Commits& commits(int pair) { return commits_.try_emplace(pair, Commits{{0, ""}}).first->second; }
 
--- a/libraries/storage/test/store_bench.cc
+++ b/libraries/storage/test/store_harness.cc
@@ -1,4 +1,4 @@
-#include "store_bench.h"
+#include "store_harness.h"
 
 #include <cstdlib>
 #include <stdexcept>
@@ -9,7 +9,7 @@
 
 constexpr base::Duration SimulatedLimit = std::chrono::minutes(5);
 
-class IdleTimer : public base::Timer {
+class NeverExpiringTimer : public base::Timer {
  public:
   void enable(base::Duration) override { enabled_ = true; }
   void disable() override { enabled_ = false; }
@@ -24,13 +24,13 @@
 TemporaryFolder::TemporaryFolder() {
   std::string name = (std::filesystem::temp_directory_path() / "switchsaddle-XXXXXX").string();
   if (::mkdtemp(name.data()) == nullptr) {
-    throw std::runtime_error("no temporary folder");
+    throw std::runtime_error("cannot create a temporary folder");
   }
   path_ = name;
 }
 
 base::TimerPtr ManualDispatcher::createTimer(std::function<void()>) {
-  return std::make_unique<IdleTimer>();
+  return std::make_unique<NeverExpiringTimer>();
 }
 
 void ManualDispatcher::post(std::function<void()> callback) {
@@ -52,7 +52,7 @@
   }
 }
 
-OpenedStore StoreBench::open() {
+OpenedStore StoreHarness::open() {
   std::optional<OpenedStore> result;
   store().open([&result](base::ResultCode code, const OpenedStore& opened) {
     if (code != base::ResultCode::Ok) {
@@ -64,7 +64,7 @@
   return result.value();
 }
 
-base::ResultCode StoreBench::openCode() {
+base::ResultCode StoreHarness::openCode() {
   // Shared, since an interrupted disk ends runUntil() before the callback.
   auto result = std::make_shared<std::optional<base::ResultCode>>();
   store().open([result](base::ResultCode code, const OpenedStore&) { *result = code; });
@@ -72,22 +72,22 @@
   return result->value_or(base::ResultCode::InternalError);
 }
 
-base::ResultCode StoreBench::commit(std::vector<Record> records) {
+base::ResultCode StoreHarness::commit(std::vector<Record> records) {
   auto result = std::make_shared<std::optional<base::ResultCode>>();
   store().commit(std::move(records), [result](base::ResultCode code) { *result = code; });
   runUntil([result] { return result->has_value(); });
   return result->value_or(base::ResultCode::InternalError);
 }
 
-base::ResultCode StoreBench::put(const std::string& key, const std::string& bytes) {
+base::ResultCode StoreHarness::put(const std::string& key, const std::string& bytes) {
   return commit({Record{key, bytes, false}});
 }
 
-base::ResultCode StoreBench::erase(const std::string& key) {
+base::ResultCode StoreHarness::erase(const std::string& key) {
   return commit({Record{key, "", true}});
 }
 
-base::ResultCode StoreBench::scrub(std::vector<std::string>& damaged_keys) {
+base::ResultCode StoreHarness::scrub(std::vector<std::string>& damaged_keys) {
   std::optional<base::ResultCode> result;
   store().scrub([&](base::ResultCode code, const std::vector<std::string>& keys) {
     damaged_keys = keys;
@@ -97,12 +97,12 @@
   return result.value();
 }
 
-SimulatedBench::SimulatedBench(FileRecordStoreOptions options, std::uint64_t seed)
+SimulatedStoreHarness::SimulatedStoreHarness(FileRecordStoreOptions options, std::uint64_t seed)
     : world(seed), process(world), disk(seed), options_(options) {
   restart();
 }
 
-void SimulatedBench::restart() {
+void SimulatedStoreHarness::restart() {
   store_.reset();
   executor_.reset();
   process.kill();
@@ -111,18 +111,18 @@
   store_ = std::make_unique<FileRecordStore>(process, disk, *executor_, world.random(), options_);
 }
 
-void SimulatedBench::runUntil(const std::function<bool()>& condition) {
+void SimulatedStoreHarness::runUntil(const std::function<bool()>& condition) {
   const auto ended = [&] { return disk.interrupted() || condition(); };
   if (!world.runUntil(ended, SimulatedLimit)) {
     throw std::runtime_error("the condition did not become true within the limit");
   }
 }
 
-PosixBench::PosixBench(FileRecordStoreOptions options) : options_(options) {
+PosixStoreHarness::PosixStoreHarness(FileRecordStoreOptions options) : options_(options) {
   restart();
 }
 
-void PosixBench::restart() {
+void PosixStoreHarness::restart() {
   store_.reset();
   executor_.reset();
   file_system_.reset();
--- a/libraries/storage/test/store_bench.h
+++ b/libraries/storage/test/store_harness.h
@@ -19,7 +19,7 @@
 
 namespace switchsaddle::storage {
 
-/** A new folder in the system's temporary one, removed with the object. */
+/** A new folder in the system's temporary folder, removed with the object. */
 class TemporaryFolder {
  public:
   TemporaryFolder();
@@ -46,9 +46,9 @@
 };
 
 /** A record store with its file system and executor, for tests. */
-class StoreBench {
+class StoreHarness {
  public:
-  virtual ~StoreBench() = default;
+  virtual ~StoreHarness() = default;
   virtual FileSystem& fileSystem() = 0;
   virtual RecordStore& store() = 0;
   /** Destroys the store and creates another one on the same files. */
@@ -64,13 +64,13 @@
 };
 
 /** A store on a simulated disk, whose faults the test controls. */
-class SimulatedBench : public StoreBench {
+class SimulatedStoreHarness : public StoreHarness {
  public:
-  explicit SimulatedBench(FileRecordStoreOptions options, std::uint64_t seed = 1);
+  explicit SimulatedStoreHarness(FileRecordStoreOptions options, std::uint64_t seed = 1);
   FileSystem& fileSystem() override { return disk; }
   RecordStore& store() override { return *store_; }
   void restart() override;
-  /** Ends early once the disk has been interrupted. */
+  /** Returns early if the disk is interrupted. */
   void runUntil(const std::function<bool()>& condition) override;
   simulation::SimulatedStorageExecutor& executor() { return *executor_; }
   void destroyStore() { store_.reset(); }
@@ -86,9 +86,9 @@
 };
 
 /** A store on the file system of the machine. */
-class PosixBench : public StoreBench {
+class PosixStoreHarness : public StoreHarness {
  public:
-  explicit PosixBench(FileRecordStoreOptions options);
+  explicit PosixStoreHarness(FileRecordStoreOptions options);
   FileSystem& fileSystem() override { return *file_system_; }
   RecordStore& store() override { return *store_; }
   void restart() override;
--- a/libraries/storage/test/thread_storage_executor_test.cc
+++ b/libraries/storage/test/thread_storage_executor_test.cc
@@ -4,7 +4,7 @@
 
 #include <future>
 
-#include "store_bench.h"
+#include "store_harness.h"
 
 namespace switchsaddle::storage {
 namespace {
