--- a/libraries/storage/include/switchsaddle/storage/thread_storage_executor.h
+++ b/libraries/storage/include/switchsaddle/storage/thread_storage_executor.h
@@ -12,8 +12,8 @@
 
 /**
  * Runs disk work in order on its own thread and posts completions to the dispatcher, which
- * must outlive it. Destruction waits for the work in progress and drops the work in the queue with
- * its completions.
+ * must outlive it. Destruction waits for the work in progress and drops queued work and its
+ * completions.
  */
 class ThreadStorageExecutor : public StorageExecutor {
  public:
--- a/libraries/storage/source/record_directory.cc
+++ b/libraries/storage/source/record_directory.cc
@@ -121,7 +121,7 @@
 void RecordDirectory::append(std::vector<Record> records) {
   if (failed_) {
     throw base::Error(base::ResultCode::StorageFailed,
-                      "the store is not open, or a sync has failed since it was opened");
+                      "the store is not open, or a sync or rename has failed since it was opened");
   }
   NewestRecords newest;
   newest.add(std::move(records));
--- a/libraries/storage/source/record_directory.h
+++ b/libraries/storage/source/record_directory.h
@@ -117,7 +117,8 @@
   /** Last commit in each bucket's file; 0 if there is no file. */
   std::vector<std::uint64_t> bucket_commits_;
   std::uint64_t next_commit_ = 1;
-  /** Set until the first open() and after a failed sync: the content of the disk is unknown. */
+  /** Set until open() succeeds and after a failed sync or rename: the content of the disk is
+   * unknown. */
   bool failed_ = true;
   std::optional<Merge> merge_;
 };
--- a/libraries/storage/source/record_file.cc
+++ b/libraries/storage/source/record_file.cc
@@ -19,8 +19,8 @@
   }
 }
 
-/** Reads integers and strings in order. After a read beyond the end it has
- * failed and returns zero or an empty string. */
+/** Reads integers and strings in order. A read beyond the end fails; from then on every read
+ * returns zero or an empty string. */
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
--- a/libraries/storage/test/file_record_store_fault_test.cc
+++ b/libraries/storage/test/file_record_store_fault_test.cc
@@ -180,7 +180,8 @@
 TEST(FileRecordStoreFaults, CompactionIsRetriedAfterAFullDisk) {
   Scenario scenario(1);
   scenario.harness.open();
-  // The third write is that of the run, since the second commit is the third file.
+  // The first two writes are commits. Together with the initial commit there are then three commit
+  // files, so the third write is that of the run.
   scenario.harness.disk.failOnce(DiskOperation::Write, 3, ResultCode::StorageFull);
   for (int index = 0; index < 4; ++index) {
     EXPECT_EQ(scenario.commit(index, "tag"), ResultCode::Ok);
