--- a/libraries/transport/include/switchsaddle/transport/asio_dispatcher.h
+++ b/libraries/transport/include/switchsaddle/transport/asio_dispatcher.h
@@ -8,8 +8,8 @@
 namespace switchsaddle::transport {
 
 /**
- * Dispatcher of a process: a strand of an io_context, with CLOCK_BOOTTIME as its clock. Must
- * outlive its timers. A timer that expires while the process is stopped or the machine suspended
+ * Dispatcher on a strand of an io_context, with CLOCK_BOOTTIME as its clock. Must outlive its
+ * timers. A timer that expires while the process is stopped or the machine suspended
  * fires when it resumes.
  */
 class AsioDispatcher : public base::Dispatcher {
--- a/libraries/transport/include/switchsaddle/transport/peer_calls.h
+++ b/libraries/transport/include/switchsaddle/transport/peer_calls.h
@@ -13,7 +13,7 @@
 
 namespace switchsaddle::transport {
 
-/** Outcome of a call. */
+/** Result of a call. */
 struct CallResult {
   /** Ok, PeerUnreachable or PeerTimeout. */
   base::ResultCode code = base::ResultCode::PeerTimeout;
@@ -35,8 +35,8 @@
  *
  * Invariant: the callback of each call runs exactly once: with the reply, with PeerUnreachable if
  * the peer refused the connection for this request, or with PeerTimeout. A request without a reply
- * may still have been executed. Messages to the own address bypass the transport and are delivered
- * through the dispatcher. Runs on the dispatcher's strand.
+ * may still have been executed. Messages to this node's own address bypass the transport and are
+ * delivered through the dispatcher. Runs on the dispatcher's strand.
  */
 class PeerCalls : private Receiver {
  public:
--- a/libraries/transport/include/switchsaddle/transport/system_boot_clock.h
+++ b/libraries/transport/include/switchsaddle/transport/system_boot_clock.h
@@ -19,7 +19,8 @@
 
 /**
  * Wait traits of Asio's timers. Asio waits on a clock that stops while the machine is suspended, so
- * each wait is limited: a timer that expires during suspension fires at most MaximumWait after it.
+ * each wait is limited: a timer that expires during suspension fires at most MaximumWait after the
+ * machine resumes.
  */
 struct BootWaitTraits {
   static constexpr base::Duration MaximumWait = std::chrono::milliseconds(200);
--- a/libraries/transport/include/switchsaddle/transport/tcp_transport.h
+++ b/libraries/transport/include/switchsaddle/transport/tcp_transport.h
@@ -18,9 +18,10 @@
 
 /** Limits and time-outs of a TcpTransport. */
 struct TcpTransportOptions {
-  /** Maximum size of a frame's body, sent or received. */
+  /** Maximum size of the body of a sent or received frame. */
   std::size_t frame_bytes = 64U << 20U;
-  /** Maximum size of the queue of one destination; beyond it the oldest frames are dropped. */
+  /** Maximum size of the queue of one destination; if it is exceeded, the oldest frames are
+   * dropped. */
   std::size_t queue_bytes = 64U << 20U;
   /** Maximum number of incoming connections; further ones are closed. */
   std::size_t incoming_connections = 8192;
@@ -29,7 +30,7 @@
   base::Duration user_timeout = std::chrono::milliseconds(1500);
   /**
    * An outgoing connection is closed after this time without a frame. Gossip eventually contacts
-   * every peer, and each open connection costs memory at both ends.
+   * every peer, and each open connection uses memory at both ends.
    */
   base::Duration idle_timeout = std::chrono::seconds(10);
 };
@@ -42,7 +43,7 @@
   std::uint64_t bytes_sent = 0;
   /** Bytes of the frames received, length fields included. */
   std::uint64_t bytes_received = 0;
-  /** Frames dropped from a full queue or for want of a connection, or too large to send. */
+  /** Frames dropped because the queue was full, the connection failed or they were too large. */
   std::uint64_t frames_dropped = 0;
   std::uint64_t malformed_frames = 0;
   /** Envelopes whose receiver threw an exception. */
@@ -52,7 +53,7 @@
 
 /**
  * Transport over TCP. Each destination has one outgoing connection, opened on demand from the
- * listening address; incoming connections only receive. A frame consists of a length (4 bytes,
+ * listening address; incoming connections are only read. A frame consists of a length (4 bytes,
  * big-endian) and an encoded envelope; a malformed frame closes its connection.
  *
  * Invariant: a frame passed to a connection is never sent again on another one. Runs on the
--- a/libraries/transport/include/switchsaddle/transport/transport.h
+++ b/libraries/transport/include/switchsaddle/transport/transport.h
@@ -30,8 +30,8 @@
 /**
  * Datagram-like transport of envelopes between nodes. Delivery is best effort: an envelope may be
  * lost, but is never duplicated or altered, and envelopes of one connection stay in order. The
- * queue of each peer is limited; the oldest envelopes are dropped. All calls are made on the
- * dispatcher's strand and never block.
+ * queue of each peer is limited; if it is full, the oldest envelopes are dropped. All calls are
+ * made on the dispatcher's strand and never block.
  */
 class Transport {
  public:
--- a/libraries/transport/source/asio_dispatcher.cc
+++ b/libraries/transport/source/asio_dispatcher.cc
@@ -14,8 +14,9 @@
 namespace {
 
 /**
- * Timer on an Asio timer. Each enable() has its own number: the handler of an earlier one compares
- * it and does nothing, although Asio may already have queued it.
+ * Timer based on an Asio timer. enable(), disable() and destruction start a new generation; a
+ * handler of an earlier generation does nothing, since Asio may already have queued it when the
+ * timer was cancelled.
  */
 class AsioTimer : public base::Timer {
  public:
@@ -23,14 +24,14 @@
       : timer_(strand), state_(std::make_shared<State>()) {
     state_->callback = std::move(callback);
   }
-  ~AsioTimer() override { ++state_->arming; }
+  ~AsioTimer() override { ++state_->generation; }
 
   void enable(base::Duration delay) override {
-    const std::uint64_t arming = ++state_->arming;
+    const std::uint64_t generation = ++state_->generation;
     state_->enabled = true;
     timer_.expires_after(delay);
-    timer_.async_wait([state = state_, arming](const boost::system::error_code&) {
-      if (state->arming != arming) {
+    timer_.async_wait([state = state_, generation](const boost::system::error_code&) {
+      if (state->generation != generation) {
         return;
       }
       state->enabled = false;
@@ -38,7 +39,7 @@
     });
   }
   void disable() override {
-    ++state_->arming;
+    ++state_->generation;
     state_->enabled = false;
     timer_.cancel();
   }
@@ -47,7 +48,7 @@
  private:
   struct State {
     std::function<void()> callback;
-    std::uint64_t arming = 0;
+    std::uint64_t generation = 0;
     bool enabled = false;
   };
 
--- a/libraries/transport/source/frame.h
+++ b/libraries/transport/source/frame.h
@@ -5,8 +5,8 @@
 
 /**
  * @file
- * Framing of the byte stream: each frame is the length of its body (4 bytes, big-endian) and the
- * body.
+ * Framing of the byte stream: a frame consists of the length of its body (4 bytes, big-endian) and
+ * the body.
  */
 
 namespace switchsaddle::transport {
--- a/libraries/transport/source/frame_queue.cc
+++ b/libraries/transport/source/frame_queue.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Limits of one gathered write. */
+/** Maximum number and size of the frames in one gathered write. */
 constexpr std::size_t BatchFrames = 64;
 constexpr std::size_t BatchBytes = 1U << 20U;
 
--- a/libraries/transport/source/frame_queue.h
+++ b/libraries/transport/source/frame_queue.h
@@ -24,10 +24,10 @@
    */
   std::size_t push(QueuedFrame frame, std::size_t limit_bytes);
 
-  /** Removes and @return the frames for one gathered write, without their envelopes. */
+  /** Removes the frames of one gathered write. @return their bytes. */
   std::vector<std::string> popBatch();
 
-  /** Removes and @return all frames. */
+  /** Removes all frames. @return them in order. */
   std::deque<QueuedFrame> clear();
 
   bool empty() const { return frames_.empty(); }
--- a/libraries/transport/source/peer_calls.cc
+++ b/libraries/transport/source/peer_calls.cc
@@ -7,8 +7,9 @@
 namespace {
 
 /**
- * Request ids start at the clock's nanoseconds and increase far more slowly than the clock. Hence a
- * process never mistakes a reply to an earlier process at its address for one of its own.
+ * Request ids start at the clock's nanoseconds and increase far more slowly than the clock. A new
+ * process therefore never reuses the request ids of an earlier process at its address and ignores
+ * replies to that process.
  */
 std::uint64_t firstRequestId(base::TimePoint now) {
   return static_cast<std::uint64_t>(now.time_since_epoch() / std::chrono::nanoseconds(1)) + 1;
--- a/libraries/transport/source/socket_options.h
+++ b/libraries/transport/source/socket_options.h
@@ -12,21 +12,22 @@
                                           boost::system::error_code& error);
 
 /**
- * Disables Nagle's algorithm and detects a dead peer by keep-alive probes and unacknowledged bytes.
+ * Disables Nagle's algorithm and enables the detection of an unresponsive peer by keep-alive probes
+ * and unacknowledged bytes.
  * @param user_timeout time for which sent bytes may stay unacknowledged.
  */
 void setConnectionOptions(boost::asio::ip::tcp::socket& socket, base::Duration user_timeout);
 
 /**
- * Binds the socket to the address from which peers know this node. Best effort: the connection also
- * works without it.
+ * Binds the socket to the IP address at which peers reach this node. Best effort: the connection
+ * also works without it.
  */
 void bindLocalAddress(boost::asio::ip::tcp::socket& socket, const base::NodeAddress& local,
                       const boost::asio::ip::tcp::endpoint& peer);
 
 /**
- * @return whether the socket is connected to itself, which Linux does if the peer's port is free
- * and chosen as the local port.
+ * @return whether the socket is connected to itself. On Linux this happens if no process listens on
+ * the peer's port and the kernel chooses the same port as the local one.
  */
 bool isConnectedToItself(const boost::asio::ip::tcp::socket& socket);
 
--- a/libraries/transport/source/tcp_incoming_connection.cc
+++ b/libraries/transport/source/tcp_incoming_connection.cc
@@ -14,10 +14,11 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-/** Size of a read until a read fills it: a node has hundreds of connections with little traffic. */
+/** Size of a read, until one is filled: a node has hundreds of connections with little traffic. */
 constexpr std::size_t SmallReadBytes = 4U << 10U;
+/** Size of the read after one that was filled. */
 constexpr std::size_t LargeReadBytes = 64U << 10U;
-/** Capacity from which an empty buffer is released. */
+/** An empty buffer with a larger capacity is released. */
 constexpr std::size_t RetainedBufferBytes = 4 * SmallReadBytes;
 
 }  // namespace
--- a/libraries/transport/source/tcp_incoming_connection.h
+++ b/libraries/transport/source/tcp_incoming_connection.h
@@ -18,7 +18,7 @@
  public:
   using ClosedCallback = std::function<void(const std::shared_ptr<IncomingConnection>&)>;
 
-  /** @param on_closed called when the connection ends by itself, not by close(). */
+  /** @param on_closed called when the connection ends for a reason other than close(). */
   IncomingConnection(std::shared_ptr<Shared> shared, boost::asio::ip::tcp::socket socket,
                      ClosedCallback on_closed);
 
--- a/libraries/transport/source/tcp_listener.cc
+++ b/libraries/transport/source/tcp_listener.cc
@@ -23,7 +23,9 @@
   error_code error;
   const tcp::endpoint endpoint = toEndpoint(listen, error);
   if (error) {
-    throw base::Error(base::ResultCode::InvalidAddress, listen.toString() + ": bad address");
+    throw base::Error(
+        base::ResultCode::InvalidAddress,
+        listen.toString() + ": the IP address is invalid; expected an IPv4 or IPv6 address");
   }
   try {
     acceptor_.open(endpoint.protocol());
--- a/libraries/transport/source/tcp_outgoing_connection.cc
+++ b/libraries/transport/source/tcp_outgoing_connection.cc
@@ -183,7 +183,7 @@
 }
 
 void TcpTransport::OutgoingConnection::refuseQueue() {
-  // The receiver may destroy the transport, or send new frames, which belong to the next attempt.
+  // The receiver may destroy the transport, or send new frames, which are part of the next attempt.
   const auto self = shared_from_this();
   for (const QueuedFrame& frame : dropQueue()) {
     if (shared_->receiver == nullptr) {
--- a/libraries/transport/source/tcp_outgoing_connection.h
+++ b/libraries/transport/source/tcp_outgoing_connection.h
@@ -12,10 +12,10 @@
 namespace switchsaddle::transport {
 
 /**
- * Connection to one peer with the queue of its frames. Opens on demand and closes when idle.
+ * Connection to one peer and the queue of its frames. Opened on demand and closed when idle.
  *
- * Each connection attempt has its own number: handlers of an earlier attempt compare it and do
- * nothing. Frames not yet written when a connection is lost are sent on the next one. Runs on the
+ * Each connection attempt has its own number; handlers of an earlier attempt do nothing. Frames
+ * still queued when a connection is lost are sent on the next one. Runs on the
  * dispatcher's strand.
  */
 class TcpTransport::OutgoingConnection : public std::enable_shared_from_this<OutgoingConnection> {
@@ -45,7 +45,7 @@
   void onDisconnected();
   /** Removes all frames from the queue and counts them as dropped. */
   std::deque<QueuedFrame> dropQueue();
-  /** Drops the queue and reports each of its frames as refused. */
+  /** Drops the queue and reports each of its envelopes as refused. */
   void refuseQueue();
 
   std::shared_ptr<Shared> shared_;
@@ -57,7 +57,7 @@
   std::uint64_t attempt_ = 0;
   FrameQueue queue_;
   bool writing_ = false;
-  /** A write was started since the idle timer was armed. */
+  /** A write was started since the idle timer was started. */
   bool used_ = false;
   char discarded_byte_ = 0;
 };
--- a/libraries/transport/source/tcp_transport.cc
+++ b/libraries/transport/source/tcp_transport.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Number of known peers from which idle connections are forgotten. */
+/** Number of peers beyond which closed connections with an empty queue are removed. */
 constexpr std::size_t SweepThreshold = 4096;
 
 }  // namespace
--- a/libraries/transport/test/asio_dispatcher_test.cc
+++ b/libraries/transport/test/asio_dispatcher_test.cc
@@ -31,7 +31,7 @@
   EXPECT_LE(elapsed, bootTime());
 }
 
-TEST(AsioDispatcherTest, LimitsTheWaitBetweenReadingsOfTheClock) {
+TEST(AsioDispatcherTest, LimitsTheWaitBetweenClockReads) {
   const base::TimePoint far = SystemBootClock::now() + std::chrono::hours(1);
   EXPECT_EQ(BootWaitTraits::to_wait_duration(far), BootWaitTraits::MaximumWait);
   EXPECT_EQ(BootWaitTraits::to_wait_duration(std::chrono::milliseconds(1)),
@@ -59,7 +59,7 @@
   return poll(&ready, 1, limit_milliseconds) == 1 && read(pipe_end, &byte, 1) == 1;
 }
 
-TEST(AsioDispatcherTest, TimersThatExpireWhileStoppedFireOnContinuing) {
+TEST(AsioDispatcherTest, TimersThatExpireWhileTheProcessIsStoppedFireWhenItContinues) {
   std::array<int, 2> ends{};
   ASSERT_EQ(pipe(ends.data()), 0);
   const pid_t child = fork();
--- a/libraries/transport/test/dispatcher_contract_test.cc
+++ b/libraries/transport/test/dispatcher_contract_test.cc
@@ -15,7 +15,7 @@
  protected:
   DispatcherContract() { harness.start(1); }
 
-  /** Runs until a timer set now, later than the test's own, has fired. */
+  /** Runs until the delay has passed, which is longer than those of the test's timers. */
   void runPast(base::Duration delay) {
     bool fired = false;
     const base::TimerPtr timer = dispatcher().createTimer([&] { fired = true; });
@@ -61,7 +61,7 @@
   EXPECT_EQ(fired, 0);
 }
 
-TYPED_TEST(DispatcherContract, AnExpiredTimerMayBeDestroyedByAnother) {
+TYPED_TEST(DispatcherContract, AnExpiredTimerMayBeDestroyedByAnotherTimer) {
   // Both expire at the same time; whichever runs first destroys the other.
   int fired = 0;
   base::TimerPtr first;
@@ -80,13 +80,13 @@
   EXPECT_EQ(fired, 1);
 }
 
-TYPED_TEST(DispatcherContract, EnablingAnArmedTimerMovesIt) {
+TYPED_TEST(DispatcherContract, EnablingAnEnabledTimerRestartsIt) {
   std::vector<int> order;
-  const auto moved = this->dispatcher().createTimer([&] { order.push_back(1); });
+  const auto restarted = this->dispatcher().createTimer([&] { order.push_back(1); });
   const auto other = this->dispatcher().createTimer([&] { order.push_back(2); });
-  moved->enable(milliseconds(5));
+  restarted->enable(milliseconds(5));
   other->enable(milliseconds(20));
-  moved->enable(milliseconds(40));
+  restarted->enable(milliseconds(40));
   ASSERT_TRUE(this->harness.runUntil([&] { return order.size() == 2; }));
   EXPECT_EQ(order, (std::vector<int>{2, 1}));
 }
--- a/libraries/transport/test/peer_calls_test.cc
+++ b/libraries/transport/test/peer_calls_test.cc
@@ -51,8 +51,8 @@
   bool runUntilResults(std::size_t count) {
     return harness.runUntil([&] { return results.size() >= count; });
   }
-  /** Runs the simulation beyond all time-outs of these tests. */
-  void runOn() {
+  /** Runs the simulation until all time-outs of these tests have passed. */
+  void runPastAllTimeouts() {
     harness.runUntil([end = harness.dispatcher(1).now() + std::chrono::seconds(1), this] {
       return harness.dispatcher(1).now() > end;
     });
@@ -75,16 +75,18 @@
 }
 
 TEST_F(PeerCallsTest, TimesOutOnceAndIgnoresALateReply) {
-  ReplyFunction late;
-  calls[2]->handle<wire::PrepareRequest>([&](const base::NodeAddress&, const wire::PrepareRequest&,
-                                             ReplyFunction answer) { late = std::move(answer); });
+  ReplyFunction late_reply;
+  calls[2]->handle<wire::PrepareRequest>(
+      [&](const base::NodeAddress&, const wire::PrepareRequest&, ReplyFunction answer) {
+        late_reply = std::move(answer);
+      });
   call(1, harness.address(2));
   ASSERT_TRUE(runUntilResults(1));
   EXPECT_EQ(results[0].code, base::ResultCode::PeerTimeout);
   EXPECT_FALSE(results[0].reply.has_value());
-  ASSERT_TRUE(late);
-  late(reply("late"));
-  runOn();
+  ASSERT_TRUE(late_reply);
+  late_reply(reply("late"));
+  runPastAllTimeouts();
   EXPECT_EQ(results.size(), 1U);
 }
 
@@ -96,7 +98,7 @@
   EXPECT_EQ(results[0].code, base::ResultCode::PeerUnreachable);
   EXPECT_EQ(results[1].code, base::ResultCode::PeerUnreachable);
   EXPECT_LT(harness.dispatcher(1).now() - begin, milliseconds(100));
-  runOn();
+  runPastAllTimeouts();
   EXPECT_EQ(results.size(), 2U);
 }
 
@@ -113,7 +115,7 @@
   call(1, harness.address(2), "answered");
   harness.wake(1);
   ASSERT_TRUE(runUntilResults(2));
-  runOn();
+  runPastAllTimeouts();
   ASSERT_EQ(results.size(), 2U);
   EXPECT_EQ(results[0].code, base::ResultCode::PeerUnreachable);
   EXPECT_EQ(results[1].code, base::ResultCode::Ok);
@@ -123,7 +125,7 @@
   calls[2]->handle<wire::PrepareRequest>(
       [](const base::NodeAddress&, const wire::PrepareRequest&, const ReplyFunction&) {});
   call(1, harness.address(2));
-  // The first request's id, from a node that was not called.
+  // The id of the first request, but from a node that was not called.
   transports[3]->send(harness.address(1),
                       {harness.address(3), wire::EnvelopeKind::Reply, 1, reply("forged")});
   ASSERT_TRUE(runUntilResults(1));
@@ -151,7 +153,7 @@
       });
   call(1, harness.address(2));
   ASSERT_TRUE(runUntilResults(1));
-  runOn();
+  runPastAllTimeouts();
   EXPECT_EQ(results.size(), 1U);
 }
 
@@ -165,7 +167,7 @@
       });
   calls[1]->notify(harness.address(2), request("key"));
   EXPECT_TRUE(harness.runUntil([&] { return notified == 1; }));
-  runOn();
+  runPastAllTimeouts();
   EXPECT_EQ(notified, 1);
   EXPECT_TRUE(results.empty());
 }
@@ -179,18 +181,20 @@
         });
   }
   calls[1]->notifyAll({harness.address(1), harness.address(2), harness.address(3)}, request("key"));
-  runOn();
+  runPastAllTimeouts();
   EXPECT_EQ(notified, (std::vector<int>{0, 1, 1, 1}));
 }
 
-TEST_F(PeerCallsTest, AReplyFunctionMayOutliveItsPeerCalls) {
-  ReplyFunction kept;
-  calls[2]->handle<wire::PrepareRequest>([&](const base::NodeAddress&, const wire::PrepareRequest&,
-                                             ReplyFunction answer) { kept = std::move(answer); });
+TEST_F(PeerCallsTest, AReplyFunctionMayBeCalledAfterItsPeerCallsIsDestroyed) {
+  ReplyFunction reply_function;
+  calls[2]->handle<wire::PrepareRequest>(
+      [&](const base::NodeAddress&, const wire::PrepareRequest&, ReplyFunction answer) {
+        reply_function = std::move(answer);
+      });
   call(1, harness.address(2));
-  ASSERT_TRUE(harness.runUntil([&] { return static_cast<bool>(kept); }));
+  ASSERT_TRUE(harness.runUntil([&] { return static_cast<bool>(reply_function); }));
   calls[2].reset();
-  kept(reply("late"));
+  reply_function(reply("late"));
   ASSERT_TRUE(runUntilResults(1));
   EXPECT_EQ(results[0].code, base::ResultCode::PeerTimeout);
 }
@@ -201,23 +205,23 @@
   call(1, harness.address(1));
   call(1, harness.address(2));
   calls[1].reset();
-  runOn();
+  runPastAllTimeouts();
   EXPECT_TRUE(results.empty());
 }
 
 TEST_F(PeerCallsTest, AReplyToAnEarlierProcessAtTheAddressIsIgnored) {
-  std::vector<ReplyFunction> held;
+  std::vector<ReplyFunction> reply_functions;
   calls[2]->handle<wire::PrepareRequest>(
-      [&held](const base::NodeAddress&, const wire::PrepareRequest& /*message*/,
-              const ReplyFunction& answer) { held.push_back(answer); });
+      [&reply_functions](const base::NodeAddress&, const wire::PrepareRequest& /*message*/,
+                         const ReplyFunction& answer) { reply_functions.push_back(answer); });
   call(1, calls[2]->localAddress(), "first");
-  ASSERT_TRUE(harness.runUntil([&held] { return held.size() == 1; }));
+  ASSERT_TRUE(harness.runUntil([&reply_functions] { return reply_functions.size() == 1; }));
   calls[1] = nullptr;
   calls[1] = std::make_unique<PeerCalls>(harness.dispatcher(1), *transports[1]);
   call(1, calls[2]->localAddress(), "second");
-  ASSERT_TRUE(harness.runUntil([&held] { return held.size() == 2; }));
-  held[0](reply("first"));
-  held[1](reply("second"));
+  ASSERT_TRUE(harness.runUntil([&reply_functions] { return reply_functions.size() == 2; }));
+  reply_functions[0](reply("first"));
+  reply_functions[1](reply("second"));
   ASSERT_TRUE(runUntilResults(1));
   EXPECT_EQ(results[0].as<wire::RegisterReply>()->value, "second");
 }
--- a/libraries/transport/test/tcp_transport_test.cc
+++ b/libraries/transport/test/tcp_transport_test.cc
@@ -262,7 +262,7 @@
   EXPECT_EQ(destroying.calls, 2);
 }
 
-TEST_F(TcpTransportTest, RejectsAnAddressItCannotListenOn) {
+TEST_F(TcpTransportTest, RejectsAnInvalidAddressAndOneInUse) {
   const auto listening = make("127.0.2.1");
   for (const base::NodeAddress& address :
        {listening->localAddress(), base::NodeAddress{"not an address", 1}}) {
--- a/libraries/transport/test/transport_contract_test.cc
+++ b/libraries/transport/test/transport_contract_test.cc
@@ -47,12 +47,12 @@
 }
 
 TYPED_TEST(TransportContract, DeliversLargeAndSmallEnvelopes) {
-  constexpr std::size_t BigBytes = 20U << 20U;
+  constexpr std::size_t LargeBytes = 20U << 20U;
   Transport& first = this->harness.start(1);
   Transport& second = this->harness.start(2);
   second.setReceiver(&this->second_receiver);
   first.send(second.localAddress(), numbered(first, 1));
-  first.send(second.localAddress(), numbered(first, 2, std::string(BigBytes, 'x')));
+  first.send(second.localAddress(), numbered(first, 2, std::string(LargeBytes, 'x')));
   first.send(second.localAddress(), numbered(first, 3));
   std::vector<wire::Envelope>& received = this->second_receiver.envelopes;
   ASSERT_TRUE(this->harness.runUntil([&] { return received.size() == 3; }));
@@ -60,7 +60,7 @@
   for (const wire::Envelope& envelope : received) {
     bytes += std::get<wire::AcceptRequest>(envelope.message).value.size();
   }
-  EXPECT_EQ(bytes, BigBytes);
+  EXPECT_EQ(bytes, LargeBytes);
 }
 
 TYPED_TEST(TransportContract, SendsOneEnvelopeToEachOfSeveralPeers) {
@@ -81,29 +81,29 @@
 TYPED_TEST(TransportContract, ReportsARefusedConnection) {
   Transport& first = this->harness.start(1);
   first.setReceiver(&this->first_receiver);
-  const base::NodeAddress nobody = this->harness.address(99);
-  first.send(nobody, numbered(first, 1));
+  const base::NodeAddress refusing_address = this->harness.address(99);
+  first.send(refusing_address, numbered(first, 1));
   std::vector<base::NodeAddress>& refused = this->first_receiver.refused;
   ASSERT_TRUE(this->harness.runUntil([&] { return !refused.empty(); }));
-  first.send(nobody, numbered(first, 2));
+  first.send(refusing_address, numbered(first, 2));
   ASSERT_TRUE(this->harness.runUntil([&] { return refused.size() == 2; }));
-  EXPECT_EQ(refused[0], nobody);
-  EXPECT_EQ(refused[1], nobody);
+  EXPECT_EQ(refused[0], refusing_address);
+  EXPECT_EQ(refused[1], refusing_address);
 }
 
 TYPED_TEST(TransportContract, ReportsExactlyTheRefusedEnvelopes) {
   Transport& first = this->harness.start(1);
   first.setReceiver(&this->first_receiver);
-  const base::NodeAddress nobody = this->harness.address(99);
+  const base::NodeAddress refusing_address = this->harness.address(99);
   std::vector<std::uint64_t>& refused = this->first_receiver.refused_ids;
   for (std::uint64_t number = 1; number <= 3; ++number) {
-    first.send(nobody, numbered(first, number));
+    first.send(refusing_address, numbered(first, number));
   }
   ASSERT_TRUE(this->harness.runUntil([&] { return refused.size() >= 3; }));
   std::sort(refused.begin(), refused.end());
   EXPECT_EQ(refused, (std::vector<std::uint64_t>{1, 2, 3}));
   refused.clear();
-  first.send(nobody, numbered(first, 4));
+  first.send(refusing_address, numbered(first, 4));
   ASSERT_TRUE(this->harness.runUntil([&] { return !refused.empty(); }));
   EXPECT_EQ(refused, std::vector<std::uint64_t>{4});
 }
@@ -122,11 +122,11 @@
     first.send(peer, numbered(first, ++number));
     return !this->first_receiver.refused.empty();
   }));
-  RecordingReceiver reborn;
-  this->harness.start(2).setReceiver(&reborn);
+  RecordingReceiver restarted;
+  this->harness.start(2).setReceiver(&restarted);
   ASSERT_TRUE(this->harness.runUntil([&] {
     first.send(peer, numbered(first, ++number));
-    return !reborn.envelopes.empty();
+    return !restarted.envelopes.empty();
   }));
   EXPECT_EQ(received.size(), 1U);
 }
--- a/libraries/transport/test/transport_harness.h
+++ b/libraries/transport/test/transport_harness.h
@@ -59,7 +59,7 @@
   std::map<int, std::unique_ptr<Transport>> transports_;
 };
 
-/** Harness of the contract tests for loopback TCP. A node keeps its first port. */
+/** Harness of the contract tests for loopback TCP. A node has the same port after a restart. */
 class TcpHarness {
  public:
   static constexpr bool KeepsOrder = true;
