--- a/libraries/wire/include/switchsaddle/wire/admission_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/admission_messages.h
@@ -11,8 +11,8 @@
  * Messages of the fleet-wide concurrency limits: slots of the share tree's branches, allocated to
  * fronts by the limit ledger of a shard and recalled when the ledger needs them.
  *
- * Invariant: a front numbers its requests and reports of a branch with one rising sequence. A grant
- * is valid only while its sequence is the last one that the front has sent for that branch.
+ * Invariant: a front numbers its requests and reports of a branch with one increasing sequence. A
+ * grant is valid only while its sequence is the last one that the front has sent for that branch.
  */
 
 namespace switchsaddle::wire {
@@ -24,7 +24,7 @@
   /** Random instance id of the front process. */
   std::uint64_t front_instance = 0;
   base::NodeAddress front;
-  /** Rises with each request and report of the front for this branch. */
+  /** Increases with each request and report of the front for this branch. */
   std::uint64_t sequence = 0;
   /** Slots allocated to the front, in use or idle. */
   std::uint32_t allocated = 0;
@@ -43,7 +43,7 @@
 struct SlotReply {
   /** False if the addressed node does not hold the ledger's lease. */
   bool is_ledger = false;
-  /** Lease holder known to the answering node; unset if it knows none. */
+  /** Lease holder in the view of the answering node; unset if there is none. */
   base::NodeAddress ledger;
   /** Term of the ledger's lease. */
   std::uint64_t term = 0;
--- a/libraries/wire/include/switchsaddle/wire/claim_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/claim_messages.h
@@ -9,8 +9,8 @@
 
 /**
  * @file
- * Messages of idempotency-key claims, which let a one-shot request run at most once. A claim is
- * stored in a replicated register; any core node proposes on behalf of a front.
+ * Messages of idempotency-key claims, which ensure that a one-shot request runs at most once. A
+ * claim is stored in a replicated register; any core node proposes on behalf of a front.
  */
 
 namespace switchsaddle::wire {
@@ -26,7 +26,7 @@
   std::uint64_t fingerprint = 0;
   /** Unique id of this attempt. */
   std::string run;
-  /** Time for which the claim is stored. */
+  /** Time for which the claim is stored, in seconds (default one day). */
   std::uint32_t lifetime_s = 86400;
 
   template <class Archive>
@@ -43,7 +43,7 @@
   std::string run;
   ClaimState state = ClaimState::Unknown;
   std::uint16_t http_status = 0;
-  /** Response body, replayed to clients that repeat the request; only with state Ran. */
+  /** Response body, returned for resent requests; only with state Ran. */
   std::string answer;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/control_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/control_messages.h
@@ -58,7 +58,7 @@
 
 /** Reply to CoreAnnounce. */
 struct CoreAnnounceReply {
-  /** Newest acceptor set known to the answering node. */
+  /** Newest acceptor set in the view of the answering node. */
   AcceptorSet acceptor_set;
   /** The answering core process. */
   AcceptorMember member;
--- a/libraries/wire/include/switchsaddle/wire/dissemination_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/dissemination_messages.h
@@ -79,7 +79,7 @@
   std::string weights_version;
   /** Requests that the worker runs at once; 0 if the platform does not state it. */
   std::uint32_t slots = 0;
-  /** Incarnation of the worker, assigned by the platform watcher; rises with each restart. */
+  /** Incarnation of the worker, assigned by the platform watcher; increases with each restart. */
   std::uint64_t instance = 0;
   /** The platform reports the worker as warming up: it takes a reduced load (slow start). */
   bool warming_up = false;
--- a/libraries/wire/include/switchsaddle/wire/health_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/health_messages.h
@@ -6,8 +6,8 @@
 /**
  * @file
  * Passive health data: outcomes of the requests that fronts dispatched to workers, reported to the
- * cores, and the cores' advice in return. All counts decay exponentially. Each report replaces the
- * previous one, so that processing is idempotent and a lost report does no harm.
+ * cores, and the advice that the cores return. All counts decay exponentially. Each report replaces
+ * the previous one, so that processing is idempotent and a lost report needs no retry.
  */
 
 namespace switchsaddle::wire {
@@ -23,7 +23,7 @@
   float stalled = 0;
   /** Timed streams whose time per event is an outlier among the pool's workers. */
   float slow = 0;
-  /** Prompts so long that their prefill alone stalls concurrent streams of the worker. */
+  /** Prompts whose prefill alone is long enough to stall concurrent streams of the worker. */
   float long_prompts = 0;
   /** Total duration of the timed streams, in seconds. */
   float stream_s = 0;
@@ -75,7 +75,8 @@
   std::vector<PoolHealth> pools;
   /** Observation time of the front's long-term counts in seconds, decayed like the counts. */
   float observed_s = 0;
-  /** Workers worse than their peers, those that the cores watch, and a few others in rotation. */
+  /** Workers that perform worse than their peers, those watched by the cores, and a few others in
+   * rotation. */
   std::vector<WorkerHealth> workers;
 
   bool empty() const { return pools.empty() && workers.empty(); }
--- a/libraries/wire/include/switchsaddle/wire/lease_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/lease_messages.h
@@ -11,7 +11,7 @@
  * @file
  * Messages of leases for singleton roles, granted by a majority of core nodes. The holder counts
  * the duration from the moment it sends the request, the granter from receipt; the holder's lease
- * thus ends first, whatever the delay.
+ * therefore expires first, whatever the delay.
  */
 
 namespace switchsaddle::wire {
--- a/libraries/wire/include/switchsaddle/wire/load_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/load_messages.h
@@ -7,7 +7,7 @@
  * @file
  * Load reports: the requests that fronts have in flight at workers, sent with each session renewal,
  * summed by the cores and returned to the fronts. Each report is complete and replaces the previous
- * one, so that processing is idempotent and a lost report does no harm.
+ * one, so that processing is idempotent and a lost report needs no retry.
  */
 
 namespace switchsaddle::wire {
@@ -60,13 +60,13 @@
 struct FleetLoad {
   /** The core has received reports from the fronts; if false, the other fields are ignored. */
   bool known = false;
-  /** The most loaded workers, a bounded number, without the receiving front's own load. */
+  /** A bounded number of the most loaded workers, without the receiving front's own load. */
   std::vector<WorkerLoad> peer_loads;
   /** Work of all fronts, including the receiving one. */
   std::vector<WorkKindCounts> kinds;
-  /** Mean number of requests of the loaded workers that `others` does not list. */
+  /** Mean number of requests of the loaded workers that `peer_loads` does not list. */
   float unlisted_mean_requests = 0;
-  /** Mean predicted prefill time of the loaded workers that `others` does not list. */
+  /** Mean predicted prefill time of the loaded workers that `peer_loads` does not list. */
   float unlisted_mean_prefill_ms = 0;
 
   template <class Archive>
--- a/libraries/wire/include/switchsaddle/wire/message.h
+++ b/libraries/wire/include/switchsaddle/wire/message.h
@@ -39,7 +39,7 @@
 /** Version in the header of each encoded envelope; decode() rejects any other. */
 inline constexpr std::uint16_t ProtocolVersion = 2;
 
-/** Whether an envelope expects a reply, is one, or neither. */
+/** Whether an envelope expects no reply, expects one, or is one. */
 enum class EnvelopeKind : std::uint8_t { Notification, Request, Reply };
 
 /** A message with its addressing, as exchanged between two nodes. */
--- a/libraries/wire/include/switchsaddle/wire/quota_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/quota_messages.h
@@ -7,8 +7,8 @@
 
 /**
  * @file
- * Messages by which a front draws on a tenant's quota at the quota ledger, request by request,
- * while little of the quota remains.
+ * Messages by which the quota ledger admits a front's requests one by one while little of a
+ * tenant's quota remains.
  */
 
 namespace switchsaddle::wire {
@@ -23,7 +23,7 @@
   base::NodeAddress front;
   /** Random instance id of the front process. */
   std::uint64_t instance = 0;
-  /** Rises with each request of the front; see SessionRecord::completed_requests. */
+  /** Increases with each request of the front; see SessionRecord::completed_requests. */
   std::uint64_t number = 0;
 
   template <class Archive>
@@ -36,7 +36,7 @@
 struct QuotaReply {
   /** False if the addressed node does not hold the lease of the tenant's ledger. */
   bool is_ledger = false;
-  /** False if the ledger can't decide, since it does not know the admissions of all fronts. */
+  /** False if the ledger can't decide, since some fronts have not reported their admissions. */
   bool known = false;
   bool granted = false;
   /** Delay before a new request may succeed; only in a rejection. */
--- a/libraries/wire/include/switchsaddle/wire/register_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/register_messages.h
@@ -16,7 +16,7 @@
 
 namespace switchsaddle::wire {
 
-/** Answer of an acceptor to a prepare or accept request. */
+/** Result of a prepare or accept request at an acceptor. */
 enum class RegisterVerdict : std::uint8_t { Granted, Refused, Unavailable, OtherAcceptorSet };
 
 /** Proposal number, ordered by round, then by the proposer's instance. Zero precedes all others. */
@@ -52,7 +52,7 @@
  * needs a majority of both lists (joint consensus).
  */
 struct AcceptorSet {
-  /** Rises with each change. */
+  /** Increases with each change. */
   std::uint64_t epoch = 0;
   std::vector<AcceptorMember> members;
   /** Members before the change in progress. */
@@ -167,7 +167,7 @@
 /** Installs registers in an acceptor; an entry applies only if its accepted ballot is higher. */
 struct RegisterInstallRequest {
   std::vector<RegisterScanEntry> entries;
-  /** Epoch of the acceptor set known to the sender. */
+  /** Epoch of the acceptor set in the view of the sender. */
   std::uint64_t set_epoch = 0;
   /** RegisterScanReply::removed_floor that a new member must adopt; zero in repairs. */
   Ballot removed_floor{};
--- a/libraries/wire/include/switchsaddle/wire/session_messages.h
+++ b/libraries/wire/include/switchsaddle/wire/session_messages.h
@@ -47,11 +47,12 @@
   }
 };
 
-/** Extent of a front's knowledge of the fleet, from which restarted cores recover theirs. */
+/** Extent of a front's view of the fleet, from which restarted cores recover their own. */
 struct FleetKnowledge {
   /** Time since the front's process started. */
   std::uint32_t age_ms = 0;
-  /** sessions::digestOfFronts() of the fronts recently known to this front, itself included. */
+  /** sessions::digestOfFronts() of the fronts that were recently in this front's view, itself
+   * included. */
   std::uint64_t fronts_digest = 0;
 
   template <class Archive>
@@ -114,13 +115,13 @@
   std::uint64_t sequence = 0;
   /** The front must apply this configuration version before it serves requests. */
   std::uint64_t committed_version = 0;
-  /** Members of the current acceptor set, from which a front learns of replaced cores. */
+  /** Members of the current acceptor set, from which a front learns about replaced cores. */
   std::vector<base::NodeAddress> core_addresses;
   /** Fronts with live sessions: the gossip peers. */
   std::vector<base::NodeAddress> front_addresses;
   /** Digest of both lists; if the request states the same digest, both are left empty. */
   std::uint64_t members_digest = 0;
-  /** The core knows the admissions of all fronts. */
+  /** The core has received the admissions of all fronts. */
   bool quotas_complete = false;
   /** Tenants that have used much of their quota; complete if quotas_complete is set. */
   std::vector<TenantAllocation> allocations = {};
--- a/libraries/wire/include/switchsaddle/wire/stored_record.h
+++ b/libraries/wire/include/switchsaddle/wire/stored_record.h
@@ -38,7 +38,7 @@
 void readRecord(const std::string& bytes, Fields&... fields) {
   if (bytes.empty() || bytes.front() != LittleEndianTag) {
     throw base::Error(base::ResultCode::RecordCorrupt,
-                      "the record does not start with the byte order tag");
+                      "the record does not start with the little-endian byte order tag");
   }
   std::istringstream stream(bytes);
   try {
@@ -48,7 +48,7 @@
     throw base::Error(base::ResultCode::RecordCorrupt, exception.what());
   }
   if (stream.peek() != std::istringstream::traits_type::eof()) {
-    throw base::Error(base::ResultCode::RecordCorrupt, "bytes follow the last field");
+    throw base::Error(base::ResultCode::RecordCorrupt, "unexpected bytes after the last field");
   }
 }
 
--- a/libraries/wire/source/codec.cc
+++ b/libraries/wire/source/codec.cc
@@ -33,7 +33,8 @@
   return {base::ResultCode::MalformedMessage, message};
 }
 
-/** @return the body; throws MalformedMessage unless the header matches it. */
+/** @return the body. @throws base::Error with MalformedMessage if the header or the checksum is
+ * invalid. */
 std::string_view checkedBody(std::string_view bytes) {
   if (bytes.size() < HeaderBytes) {
     throw malformed("message of " + std::to_string(bytes.size()) +
@@ -81,7 +82,7 @@
     throw malformed(exception.what());
   }
   if (!at_end) {
-    throw malformed("bytes follow the envelope");
+    throw malformed("unexpected bytes after the envelope");
   }
   if (envelope.kind > EnvelopeKind::Reply) {
     throw malformed("unknown envelope kind " +
--- a/libraries/wire/test/codec_test.cc
+++ b/libraries/wire/test/codec_test.cc
@@ -28,7 +28,7 @@
  private:
   void fill(std::string& text) {
     text.clear();
-    for (std::uint64_t left = random_.below(20); left > 0; --left) {
+    for (std::uint64_t remaining = random_.below(20); remaining > 0; --remaining) {
       text.push_back(static_cast<char>(random_.next()));
     }
   }
@@ -121,7 +121,7 @@
       EXPECT_EQ(decoded.kind, envelope.kind);
       EXPECT_EQ(decoded.request_id, envelope.request_id);
       EXPECT_EQ(decoded.message.index(), index);
-      EXPECT_EQ(encode(decoded), bytes) << "kind " << index;
+      EXPECT_EQ(encode(decoded), bytes) << "message index " << index;
     }
   }
 }
@@ -159,7 +159,7 @@
 
 TEST(CodecTest, ForgedLengthsAllocateAtMostOneChunk) {
   constexpr std::size_t AllocationLimit = 1U << 20U;
-  // Eight gigabytes, as a little-endian size.
+  // The size 2^33 bytes (8 GiB), little-endian.
   const std::string forged("\0\0\0\0\2\0\0\0", 8);
   base::RandomSource random(Seed);
   for (std::size_t index = 0; index < std::variant_size_v<Message>; ++index) {
@@ -171,7 +171,7 @@
       allocation_tracker::resetLargestAllocation();
       decodes(bytes);
       ASSERT_LT(allocation_tracker::largestAllocation(), AllocationLimit)
-          << "kind " << index << " at " << offset;
+          << "message index " << index << " at " << offset;
     }
   }
 }
--- a/libraries/wire/test/stored_record_test.cc
+++ b/libraries/wire/test/stored_record_test.cc
@@ -35,7 +35,7 @@
   EXPECT_THROW(readRecord(bytes, read), base::Error);
 }
 
-TEST(StoredRecordTest, AForgedLengthAllocatesNoMemory) {
+TEST(StoredRecordTest, ForgedLengthsAllocateLessThanOneMebibyte) {
   constexpr std::uint64_t Forged = 1ULL << 32U;
   constexpr std::size_t SmallBlock = 1U << 20U;
   Names names;
