--- a/libraries/journal/include/switchsaddle/journal/journal.h
+++ b/libraries/journal/include/switchsaddle/journal/journal.h
@@ -29,15 +29,15 @@
   Subject subject = Subject::Configuration;
   /** The item, such as "tenants/editors" or a worker's id. */
   std::string key;
-  /** The new state as canonical text; empty where the item was removed. */
+  /** The new state as canonical text; empty if the item was removed. */
   std::string value;
-  /** Orders the states of one key between nodes, such as a configuration version or a term; 0 where
+  /** Orders the states of one key between nodes, such as a configuration version or a term; 0 if
    * there is no order. */
   std::uint64_t version = 0;
 };
 
 /**
- * The in-memory journal of a node: events are appended, and listeners fold them into views. Keeps
+ * The in-memory journal of a node: events are appended, and listeners apply them to views. Keeps
  * the newest events, up to its capacity, for inspection. Runs on the control strand.
  */
 class Journal {
--- a/libraries/journal/include/switchsaddle/journal/state_view.h
+++ b/libraries/journal/include/switchsaddle/journal/state_view.h
@@ -14,19 +14,19 @@
 struct StateEntry {
   std::string value;
   std::uint64_t version = 0;
-  /** When the node adopted it. */
+  /** Time at which the node recorded it. */
   base::TimePoint at;
 };
 
 /**
- * The view behind GET /v1/beliefs: folds the journal into the newest state of each subject and key.
+ * The view behind GET /v1/beliefs: reduces the journal to the newest state of each subject and key.
  * An event with an empty value removes the entry. Runs on the journal's strand.
  */
 class StateView {
  public:
   using Key = std::pair<Subject, std::string>;
 
-  /** Folds the journal's events, and those appended later. */
+  /** Applies the journal's events, and those appended later. */
   explicit StateView(Journal& journal);
   StateView(const StateView&) = delete;
   StateView& operator=(const StateView&) = delete;
@@ -37,7 +37,7 @@
   std::uint64_t digest(Subject subject) const;
 
  private:
-  void fold(const Event& event);
+  void apply(const Event& event);
 
   std::map<Key, StateEntry> entries_;
   base::CallbackScope callbacks_;
--- a/libraries/journal/source/incident_of.cc
+++ b/libraries/journal/source/incident_of.cc
@@ -10,7 +10,7 @@
 using base::ResultCode;
 using base::Severity;
 
-/** @return the result code that the event names; StorageFailed where it names none. */
+/** @return the result code that the event names; StorageFailed if it names none. */
 ResultCode storageCode(const Event& event) {
   if (event.value == "damaged") {
     return ResultCode::RecordCorrupt;
--- a/libraries/journal/source/state_view.cc
+++ b/libraries/journal/source/state_view.cc
@@ -6,12 +6,12 @@
 
 StateView::StateView(Journal& journal) {
   for (const Event& event : journal.events()) {
-    fold(event);
+    apply(event);
   }
-  journal.addListener(callbacks_.guard([this](const Event& event) { fold(event); }));
+  journal.addListener(callbacks_.guard([this](const Event& event) { apply(event); }));
 }
 
-void StateView::fold(const Event& event) {
+void StateView::apply(const Event& event) {
   const Key key{event.subject, event.key};
   if (event.value.empty()) {
     entries_.erase(key);
--- a/libraries/journal/test/state_view_test.cc
+++ b/libraries/journal/test/state_view_test.cc
@@ -13,7 +13,7 @@
   void post(std::function<void()> /*callback*/) override {}
 };
 
-TEST(StateViewTest, KeepsTheNewestStateAndDropsRemovedEntries) {
+TEST(StateViewTest, KeepsTheNewestStateAndRemovesEntriesWithoutAValue) {
   FixedClockDispatcher dispatcher;
   Journal journal(dispatcher, 2);
   journal.append(Subject::Lease, "early", "x", 1);
