--- a/libraries/admission/include/switchsaddle/admission/branch_allocations.h
+++ b/libraries/admission/include/switchsaddle/admission/branch_allocations.h
@@ -13,7 +13,7 @@
 
 /** The slots of one branch that the ledger counts for one front. */
 struct Allocation {
-  /** Of the latest message about it; 0 where it is known only from the reservation. */
+  /** Sequence number of the latest message about it; 0 if it is known only from the reservation. */
   std::uint64_t sequence = 0;
   std::uint32_t allocated = 0;
   /** As the front reported; grants are not added, since they may be lost. */
@@ -28,13 +28,13 @@
 /**
  * The slots of one branch allocated to fronts, as its ledger counts them: the last report of each
  * front, and the grants since. Invariant: a front counts for at least the slots allocated to it, so
- * that one that has ended or is unresponsive keeps its count until its slots cannot be in use any
- * more. Runs on the ledger's strand.
+ * that a front that has ended or is unresponsive keeps its count until its slots can no longer be
+ * in use. Runs on the ledger's strand.
  */
 class BranchAllocations {
  public:
   bool contains(const FrontIdentity& front) const { return allocations_.contains(front); }
-  /** @return the front's allocation, an empty one where none is counted. */
+  /** @return the front's allocation, an empty one if none is counted. */
   Allocation of(const FrontIdentity& front) const;
   /** @return the slots allocated to all fronts. */
   std::uint32_t allocated() const;
@@ -52,11 +52,12 @@
   std::uint32_t addGrant(const FrontIdentity& front, std::uint32_t slots);
   void erase(const FrontIdentity& front) { allocations_.erase(front); }
 
-  /** The front's process has ended; messages of it that arrive later are ignored. */
+  /** Records that the front's process has ended; its messages that arrive later are ignored. */
   void noteEnded(const FrontIdentity& front, base::TimePoint now);
   /** Drops the allocations of processes found to have ended at `before` or earlier. */
   void dropEnded(base::TimePoint before);
-  /** A recall timed out; the allocation is dropped where it was last seen before the given time. */
+  /** Records that a recall timed out; drops the allocation if it was last seen before the given
+   * time. */
   void noteTimedOut(const FrontIdentity& front, base::TimePoint unresponsive_since);
 
  private:
--- a/libraries/admission/include/switchsaddle/admission/branch_table.h
+++ b/libraries/admission/include/switchsaddle/admission/branch_table.h
@@ -28,12 +28,12 @@
  public:
   using Limits = std::map<std::string, std::uint32_t>;
 
-  /** @param order_by_sequence test-only where false: accepts reports that were overtaken. */
+  /** @param order_by_sequence false only in tests: overtaken reports are then accepted. */
   explicit BranchTable(bool order_by_sequence) : order_by_sequence_(order_by_sequence) {}
 
   void setLimits(Limits limits) { limits_ = std::move(limits); }
   const Limits& limits() const { return limits_; }
-  /** @return the state of a branch, created where there is none. */
+  /** @return the state of a branch; creates it if there is none. */
   BranchState& operator[](const std::string& branch) { return states_[branch]; }
   const std::map<std::string, BranchState>& states() const { return states_; }
   /** Drops the states; the limits stay. */
@@ -58,7 +58,7 @@
    */
   void applyReport(const FrontIdentity& front, const wire::SlotReport& report,
                    const std::string& branch, base::TimePoint now);
-  /** The front's process has ended. */
+  /** Records that the front's process has ended. */
   void noteEnded(const FrontIdentity& front, base::TimePoint now);
 
  private:
--- a/libraries/admission/include/switchsaddle/admission/front_recaller.h
+++ b/libraries/admission/include/switchsaddle/admission/front_recaller.h
@@ -16,7 +16,7 @@
 enum class RecallOutcome : std::uint8_t {
   /** The front released its idle slots and reported its allocations. */
   Reported,
-  /** The front knows a newer term; its report has no allocations. */
+  /** The front has seen a newer term; its report has no allocations. */
   StaleTerm,
   /** The process has ended: the connection is refused, or another instance replied. */
   FrontEnded,
--- a/libraries/admission/include/switchsaddle/admission/ledger_locator.h
+++ b/libraries/admission/include/switchsaddle/admission/ledger_locator.h
@@ -20,9 +20,10 @@
   explicit LedgerLocator(CoreAddresses core_addresses)
       : core_addresses_(std::move(core_addresses)) {}
 
-  /** @return the presumed address of the shard's ledger; empty where no core is known. */
+  /** @return the presumed address of the shard's ledger; empty if no core is known. */
   base::NodeAddress addressOf(std::uint32_t shard);
-  /** The presumed address was wrong. @param redirect the ledger by its reply; may be empty. */
+  /** Records that the presumed address was wrong.
+   * @param redirect the ledger's address according to the reply; may be empty. */
   void reject(std::uint32_t shard, const base::NodeAddress& redirect);
   /** Records a term. @return whether it is at least as high as those seen before. */
   bool observeTerm(std::uint32_t shard, std::uint64_t term);
--- a/libraries/admission/include/switchsaddle/admission/ledger_slot_broker.h
+++ b/libraries/admission/include/switchsaddle/admission/ledger_slot_broker.h
@@ -47,7 +47,7 @@
  public:
   using CoreAddresses = LedgerLocator::CoreAddresses;
 
-  /** @param core_addresses evaluated for the core nodes known at that time. */
+  /** @param core_addresses returns the addresses of the cores that are known now. */
   LedgerSlotBroker(base::Dispatcher& dispatcher, transport::PeerCalls& calls,
                    std::uint64_t front_instance, CoreAddresses core_addresses,
                    SlotBrokerOptions options);
@@ -105,7 +105,7 @@
   wire::SlotRequest nextRequest(const std::string& branch, BranchPool& pool);
   void onResult(const std::string& branch, std::uint64_t sequence,
                 const transport::CallResult& result);
-  /** No ledger processed the request. */
+  /** Handles a request that no ledger has answered. */
   void onNoLedger(const std::string& branch, std::uint64_t sequence,
                   const transport::CallResult& result);
   void onLedgerReply(const std::string& branch, std::uint64_t sequence,
--- a/libraries/admission/include/switchsaddle/admission/reservation_writer.h
+++ b/libraries/admission/include/switchsaddle/admission/reservation_writer.h
@@ -31,7 +31,7 @@
  public:
   /** Receives the register's value once it contains the term, or the failure. */
   using FencedFunction = std::function<void(const registers::RegisterOutcome&)>;
-  /** Receives the slots granted to a request; 0 where the register is unavailable. */
+  /** Receives the slots granted to a request; 0 if the register is unavailable. */
   using ConfirmFunction = std::function<void(const QueuedSlotRequest&, std::uint32_t granted)>;
   /** Whether slots of a branch are still allocated to a front. */
   using IsAllocatedFunction = std::function<bool(const FrontIdentity&, const std::string& branch)>;
@@ -83,7 +83,8 @@
   IsAllocatedFunction is_allocated_;
   /** The reservations that the register is known to contain. */
   ReservationTable durable_;
-  /** The reservations to be written; differ while a write is due or in flight. */
+  /** The reservations to be written; they differ from `durable_` while a write is due or in flight.
+   */
   ReservationTable target_;
   std::vector<PendingGrant> pending_grants_;
   bool writing_ = false;
--- a/libraries/admission/include/switchsaddle/admission/slot_broker.h
+++ b/libraries/admission/include/switchsaddle/admission/slot_broker.h
@@ -36,7 +36,7 @@
   /**
    * Acquires a slot of a branch.
    *
-   * @param callback called once; before acquire() returns where this front has an idle slot.
+   * @param callback called once; before acquire() returns if this front has an idle slot.
    */
   virtual void acquire(const std::string& branch, std::function<void(SlotOutcome)> callback) = 0;
 };
--- a/libraries/admission/include/switchsaddle/admission/slot_ledger.h
+++ b/libraries/admission/include/switchsaddle/admission/slot_ledger.h
@@ -20,7 +20,7 @@
 class LedgerLease {
  public:
   virtual ~LedgerLease() = default;
-  /** @return whether the lease is held at this moment by the clock. */
+  /** @return whether the lease is held now according to the clock. */
   virtual bool held() const = 0;
   virtual std::uint64_t term() const = 0;
 };
@@ -37,8 +37,8 @@
    */
   base::Duration ended_front_time = std::chrono::seconds(1);
   /**
-   * Slots of an unresponsive front stay allocated for this time, and for longer than any request
-   * may last.
+   * Slots of an unresponsive front stay allocated for this time, or for the longest time of a
+   * request plus a margin if that is longer.
    */
   base::Duration unresponsive_timeout = std::chrono::seconds(330);
   /** Reservations are multiples of this, so that most grants need no write of the register. */
@@ -46,7 +46,7 @@
   /** Test-only switches, which show that a mechanism is needed. */
   bool reserve_before_granting = true;
   bool order_by_sequence = true;
-  bool recall_before_refusing = true;
+  bool recall_before_rejecting = true;
   /** After a takeover a front's request counts only once the front has replied to a recall. */
   bool confirm_after_takeover = true;
   bool fence_by_term = true;
@@ -73,7 +73,8 @@
 
   /** Sets the limits in force, by branch; those of other shards are ignored. */
   void setLimits(BranchTable::Limits limits);
-  /** Sets how long a request may use its slot by the configuration; the longest time set counts. */
+  /** Sets the longest time for which the configuration lets a request use its slot. The largest
+   * value set so far counts. */
   void setLongestUse(base::Duration longest_use);
   /** The lease was gained: fences earlier ledgers, reads the reservations, recalls the fronts. */
   void onLeaseGained();
@@ -91,7 +92,7 @@
   void adopt(const ReservationTable& table);
   void rejectAll();
 
-  /** Requests a report of all branches; without effect where the front does not reply. */
+  /** Requests a report of all branches; without effect if the front does not reply. */
   void requestReport(const FrontIdentity& front);
   void applyRecall(const FrontIdentity& front, const std::string& branch, RecallOutcome outcome,
                    const wire::SlotReport& report);
--- a/libraries/admission/source/ledger_slot_broker.cc
+++ b/libraries/admission/source/ledger_slot_broker.cc
@@ -11,12 +11,12 @@
 
 /** Recommended delay before a retry after the branch was found full, in milliseconds. */
 constexpr std::uint32_t ExhaustedRetryMs = 1'000;
-/** The same after the ledger could not be reached. */
+/** Recommended delay before a retry after the ledger could not be reached, in milliseconds. */
 constexpr std::uint32_t UnavailableRetryMs = 2'000;
 
 }  // namespace
 
-/** A slot in use, which is released to the broker unless the broker is destroyed. */
+/** A slot in use. Its destructor releases the slot unless the broker has been destroyed. */
 class LedgerSlotBroker::Permit : public SlotPermit {
  public:
   explicit Permit(std::function<void()> release) : release_(std::move(release)) {}
--- a/libraries/admission/source/slot_ledger.cc
+++ b/libraries/admission/source/slot_ledger.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Added to the longest request, for the drift of clocks and late timers. */
+/** Added to the longest time of a request, to allow for clock drift and late timers. */
 constexpr base::Duration TimeoutMargin = std::chrono::seconds(30);
 
 }  // namespace
@@ -83,7 +83,7 @@
 
 void SlotLedger::onFenced(const registers::RegisterOutcome& outcome) {
   if (outcome.code != base::ResultCode::Ok) {
-    // Where cores refuse connections the register fails immediately, so the retry is delayed.
+    // If cores refuse connections, the register fails immediately, so the retry is delayed.
     fence_timer_->enable(options_.fence_retry_delay);
     return;
   }
@@ -105,7 +105,7 @@
 }
 
 void SlotLedger::rejectAll() {
-  // A reply that is not the ledger's makes the fronts look for the successor at once.
+  // A reply with `is_ledger` unset makes the fronts look for the successor at once.
   for (const QueuedSlotRequest& queued : reservations_.endTerm()) {
     queued.reply(wire::SlotReply{});
   }
@@ -137,7 +137,7 @@
 }
 
 void SlotLedger::queryOtherInstances(const FrontIdentity& front) {
-  // A message, which may be an old one, does not show which instance is the later one. The process
+  // A message may be an old one, so it does not show which instance is the later one. The process
   // that replies to a call now is the live one.
   for (const FrontIdentity& other : reservations_.otherInstances(front)) {
     requestReport(other);
@@ -234,7 +234,7 @@
 }
 
 std::vector<FrontIdentity> SlotLedger::frontsToRecall(const std::string& branch) {
-  if (!options_.recall_before_refusing) {
+  if (!options_.recall_before_rejecting) {
     return {};
   }
   std::vector<FrontIdentity> fronts = branches_[branch].allocations.liveFronts();
--- a/libraries/admission/test/ledger_protocol_test.cc
+++ b/libraries/admission/test/ledger_protocol_test.cc
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t Limit = 12;
 
-/** A front whose messages the test writes, so that old ones may arrive late. */
+/** A front whose messages the test creates, so that it can deliver old ones late. */
 struct ScriptedFront {
   ScriptedFront(simulation::World& world, simulation::Network& network)
       : process(world), transport(network.attach(address, process)), calls(process, *transport) {
@@ -23,7 +23,8 @@
     });
   }
 
-  wire::SlotRequest message(std::uint64_t sequence, std::uint32_t allocated, std::uint32_t wanted) {
+  wire::SlotRequest message(std::uint64_t sequence, std::uint32_t allocated,
+                            std::uint32_t requested) {
     wire::SlotRequest request;
     request.branch = branch;
     request.front = address;
@@ -31,7 +32,7 @@
     request.sequence = sequence;
     request.allocated = allocated;
     request.in_use = allocated;
-    request.requested = wanted;
+    request.requested = requested;
     return request;
   }
   wire::SlotReport reportOf(std::uint64_t sequence, std::uint32_t allocated) const {
@@ -84,7 +85,7 @@
   ScriptedFront front{world, network};
 };
 
-TEST_F(LedgerProtocolTest, ASuccessorIgnoresAMessageOlderThanItsPredecessorsGrants) {
+TEST_F(LedgerProtocolTest, SuccessorIgnoresAMessageOlderThanItsPredecessorsGrants) {
   acquireLease();
   ASSERT_EQ(deliver(front.message(2, 0, 5))->granted, 5U);
   acquireLease();
@@ -97,7 +98,7 @@
   EXPECT_EQ(allocated(), 5U);
 }
 
-TEST_F(LedgerProtocolTest, AMessageOfAnEarlierInstanceDoesNotReleaseTheSlotsOfTheLiveOne) {
+TEST_F(LedgerProtocolTest, MessageOfAnEarlierInstanceDoesNotReleaseSlotsOfTheLiveInstance) {
   acquireLease();
   ASSERT_EQ(deliver(front.message(1, 0, 5))->granted, 5U);
   front.reply_to_recall = [this](const wire::SlotRecall&) { return front.reportOf(2, 5); };
@@ -107,7 +108,7 @@
   EXPECT_GE(allocated(), 5U);
 }
 
-TEST_F(LedgerProtocolTest, ALaterInstanceReleasesTheSlotsOfTheEarlierOne) {
+TEST_F(LedgerProtocolTest, LaterInstanceReleasesTheSlotsOfTheEarlierInstance) {
   acquireLease();
   ASSERT_EQ(deliver(front.message(1, 0, 5))->granted, 5U);
   front.instance = 8;
@@ -174,7 +175,7 @@
 TEST_F(LedgerProtocolTest, AQueuedFrontIsRecalledTooAndItsGrantIsBasedOnTheReport) {
   acquireLease();
   ASSERT_EQ(deliver(front.message(1, 0, Limit))->granted, Limit);
-  // It requests one more, and at the time of the recall it uses two fewer.
+  // The front requests one more slot; at the time of the recall it uses two fewer.
   front.reply_to_recall = [this](const wire::SlotRecall&) { return front.reportOf(3, Limit - 2); };
   const auto reply = deliver(front.message(2, Limit, 1));
   EXPECT_TRUE(reply && reply->sequence == 3 && reply->granted == 1);
@@ -230,13 +231,13 @@
   }
   FrontNode first(world, network, {"127.0.0.2", 200}, addresses);
   FrontNode second(world, network, {"127.0.0.2", 201}, addresses);
-  const auto take_over = [&](std::size_t index) {
+  const auto take_over_lease = [&](std::size_t index) {
     cores[index]->has_lease = true;
     cores[index]->lease_term = index + 1;
     cores[index]->ledger->onLeaseGained();
     world.runFor(milliseconds(50));
   };
-  take_over(0);
+  take_over_lease(0);
   // The first ledger's write is delayed until its successor has granted all slots.
   shared.extra_delay = seconds(2);
   wire::SlotRequest request;
@@ -247,16 +248,16 @@
   cores[0]->ledger->onRequest(request, [](const wire::Message&) {});
   shared.extra_delay = {};
   cores[0]->has_lease = false;
-  take_over(1);
+  take_over_lease(1);
   for (std::uint32_t index = 0; index < Limit; ++index) {
     first.request(branch, seconds(60));
   }
   world.runFor(seconds(3));
-  // The front freezes with its slots in use; a third ledger knows it from the register only.
+  // The front freezes with its slots in use; a third ledger learns of them from the register only.
   first.process.freeze();
   cores[1]->has_lease = false;
   cores[1]->ledger->onLeaseLost();
-  take_over(2);
+  take_over_lease(2);
   for (std::uint32_t index = 0; index < Limit; ++index) {
     second.request(branch, seconds(60));
   }
@@ -268,7 +269,7 @@
   EXPECT_EQ(usedAfterLateWrite(true), static_cast<int>(Limit));
 }
 
-TEST(LedgerFenceTest, WithoutTheFenceTheBranchIsExceeded) {
+TEST(LedgerFenceTest, WithoutTheFenceTheLimitIsExceeded) {
   EXPECT_GT(usedAfterLateWrite(false), static_cast<int>(Limit));
 }
 
--- a/libraries/admission/test/slot_fleet.h
+++ b/libraries/admission/test/slot_fleet.h
@@ -19,7 +19,7 @@
  public:
   explicit SharedRegister(simulation::World& world) : world_(world) {}
   bool available = true;
-  /** Longest delay of a round, in which changes may overtake each other. */
+  /** Longest delay of each direction of an operation, so that changes may overtake each other. */
   base::Duration longest_delay = std::chrono::milliseconds(2);
 
   /** Added to the delay of changes that begin from now on. */
@@ -121,20 +121,20 @@
   cores[index]->ledger->onLeaseGained();
 }
 
-/** The branch as its workers and callers observe it at every instant. */
+/** Records the slots of one branch in use, as its workers and callers observe them. */
 class BranchObserver {
  public:
   BranchObserver(simulation::World& world, std::uint32_t limit) : world_(world), limit_(limit) {}
 
   void onUse(int change) {
-    noteFull();
+    recordFull();
     used += change;
     over_limit = over_limit || used > static_cast<int>(limit_);
-    noteFull();
+    recordFull();
   }
   /** A caller that arrived at `arrival` is rejected as over its branch limit now. */
   void onRejection(base::TimePoint arrival) {
-    noteFull();
+    recordFull();
     ++rejections;
     longest_rejection = std::max(longest_rejection, world_.now() - arrival);
     if (!full_at || *full_at < arrival) {
@@ -150,7 +150,7 @@
   base::Duration longest_rejection{};
 
  private:
-  void noteFull() {
+  void recordFull() {
     if (used >= static_cast<int>(limit_)) {
       full_at = world_.now();
     }
@@ -187,13 +187,13 @@
   void kill() {
     process.kill();
     broker.reset();
-    noteUse(-static_cast<int>(permits.size()));
+    recordUse(-static_cast<int>(permits.size()));
     permits.clear();
     calls_.reset();
     transport_.reset();
   }
 
-  bool alive() const { return broker != nullptr; }
+  bool running() const { return broker != nullptr; }
 
   /** Acquires a slot and uses it for `duration`. */
   void request(const std::string& branch, base::Duration duration) {
@@ -208,10 +208,10 @@
       }
       auto permit = std::make_shared<SlotPermitPtr>(std::move(outcome.permit));
       permits.push_back(permit);
-      noteUse(1);
+      recordUse(1);
       process.postAfter(duration, [this, permit] {
         std::erase(permits, permit);
-        noteUse(-1);
+        recordUse(-1);
         // The release of the slot may serve a queued request, which adds to `permits`.
         permit->reset();
       });
@@ -225,7 +225,7 @@
   int requests = 0;
 
  private:
-  void noteUse(int change) {
+  void recordUse(int change) {
     if (observer_ != nullptr) {
       observer_->onUse(change);
     }
--- a/libraries/admission/test/slot_fleet_seeds_test.cc
+++ b/libraries/admission/test/slot_fleet_seeds_test.cc
@@ -14,7 +14,7 @@
 constexpr int Steps = 1'500;
 constexpr int Seeds = 120;
 
-/** The mechanisms under test, each of which some run disables. */
+/** Options of the mechanisms under test; some tests disable one. */
 struct Mechanisms {
   SlotLedgerOptions ledger;
   SlotBrokerOptions broker;
@@ -46,7 +46,8 @@
   void run() {
     for (int step = 0; step < Steps; ++step) {
       for (const auto& front : fronts) {
-        const bool sends = front->alive() && !front->process.frozen() && world.random().chance(0.4);
+        const bool sends =
+            front->running() && !front->process.frozen() && world.random().chance(0.4);
         if (sends) {
           front->request(branch, milliseconds(20 + world.random().below(300)));
         }
@@ -62,7 +63,7 @@
     network.healAll();
     network.conditions.loss = 0;
     for (const auto& front : fronts) {
-      revive(*front);
+      restore(*front);
     }
     grantLease(0);
     world.runFor(seconds(3));
@@ -80,8 +81,8 @@
  private:
   void grantLease(std::size_t index) { moveLease(cores, index, ++term_); }
 
-  static void revive(FrontNode& front) {
-    if (!front.alive()) {
+  static void restore(FrontNode& front) {
+    if (!front.running()) {
       front.process.start();
       front.start();
     }
@@ -93,7 +94,7 @@
     FrontNode& front = *fronts[random.below(fronts.size())];
     switch (random.below(8)) {
       case 0:
-        if (front.alive()) {
+        if (front.running()) {
           front.kill();
         }
         break;
@@ -102,7 +103,7 @@
         break;
       case 2:
       case 3:
-        revive(front);
+        restore(front);
         break;
       case 4:
         network.cut({"127.0.0.2", static_cast<std::uint16_t>(200 + random.below(Fronts))},
@@ -122,7 +123,7 @@
 
 class SlotFleetTest : public ::testing::TestWithParam<int> {};
 
-TEST_P(SlotFleetTest, NeverExceedsTheBranchNorRejectsWithinItWhileFrontsAndLedgersFail) {
+TEST_P(SlotFleetTest, StaysWithinTheLimitAndRejectsOnlyWhenItIsReachedWhileFrontsAndLedgersFail) {
   SlotFleet fleet(static_cast<std::uint64_t>(GetParam()), Mechanisms{});
   fleet.run();
   EXPECT_FALSE(fleet.observer.over_limit);
@@ -151,8 +152,8 @@
     rejections += fleet.observer.rejections;
     longest = std::max(longest, fleet.observer.longest_rejection);
   }
-  std::cout << "seeds " << Seeds << ", rejections " << rejections << ", the longest time to one "
-            << base::toMilliseconds(longest) << " ms\n";
+  std::cout << "seeds " << Seeds << ", rejections " << rejections
+            << ", longest time to a rejection " << base::toMilliseconds(longest) << " ms\n";
   EXPECT_GT(rejections, 100 * Seeds);
 }
 
@@ -175,13 +176,13 @@
   return violations;
 }
 
-TEST(SlotFleetMechanisms, WithoutReservationsTheBranchIsExceeded) {
+TEST(SlotFleetMechanisms, WithoutReservationsTheLimitIsExceeded) {
   Mechanisms mechanisms;
   mechanisms.ledger.reserve_before_granting = false;
   EXPECT_GT(countViolations(mechanisms).over_limit, 0);
 }
 
-TEST(SlotFleetMechanisms, WithoutSequenceNumbersTheBranchIsExceeded) {
+TEST(SlotFleetMechanisms, WithoutSequenceNumbersTheLimitIsExceeded) {
   Mechanisms mechanisms;
   mechanisms.ledger.order_by_sequence = false;
   mechanisms.broker.check_sequences = false;
@@ -190,7 +191,7 @@
 
 TEST(SlotFleetMechanisms, WithoutRecallsCallersWithinTheLimitAreRejected) {
   Mechanisms mechanisms;
-  mechanisms.ledger.recall_before_refusing = false;
+  mechanisms.ledger.recall_before_rejecting = false;
   EXPECT_GT(countViolations(mechanisms).rejected_within_limit, 0);
 }
 
--- a/libraries/admission/test/slot_ledger_test.cc
+++ b/libraries/admission/test/slot_ledger_test.cc
@@ -94,7 +94,7 @@
   EXPECT_EQ(fronts[1]->outcomes.begin()->first, base::ResultCode::Ok);
 }
 
-TEST_F(SlotLedgerTest, SlotsOfAKilledFrontComeBack) {
+TEST_F(SlotLedgerTest, SlotsOfAKilledFrontAreFreed) {
   build(3, 2);
   grantLease(0);
   world->runFor(milliseconds(50));
@@ -108,7 +108,7 @@
   EXPECT_EQ(fronts[1]->outcomes.begin()->first, base::ResultCode::Ok);
 }
 
-TEST_F(SlotLedgerTest, ASuccessorCountsTheSlotsOfAFrozenFront) {
+TEST_F(SlotLedgerTest, SuccessorCountsTheSlotsOfAFrozenFront) {
   build(4, 2);
   grantLease(0);
   world->runFor(milliseconds(50));
@@ -129,7 +129,7 @@
   EXPECT_GT(inUse(), 8U);
 }
 
-TEST_F(SlotLedgerTest, NothingIsGrantedWhileNoNodeHoldsTheLease) {
+TEST_F(SlotLedgerTest, GrantsNothingWhileNoNodeHoldsTheLease) {
   build(5, 1);
   fronts[0]->request(branch, seconds(1));
   world->runFor(seconds(3));
@@ -137,7 +137,7 @@
   EXPECT_EQ(inUse(), 0U);
 }
 
-TEST_F(SlotLedgerTest, PausesBetweenFencesWhileTheRegisterIsUnavailable) {
+TEST_F(SlotLedgerTest, DelaysFenceRetriesWhileTheRegisterIsUnavailable) {
   build(9, 1);
   shared->available = false;
   grantLease(0);
--- a/libraries/front/include/switchsaddle/front/admission/quota_ledger_client.h
+++ b/libraries/front/include/switchsaddle/front/admission/quota_ledger_client.h
@@ -21,7 +21,7 @@
 class QuotaAuthority {
  public:
   virtual ~QuotaAuthority() = default;
-  /** Called with the decision; with nothing if no ledger could decide. */
+  /** Called with the decision, or with std::nullopt if no ledger could decide. */
   using Callback = std::function<void(std::optional<wire::QuotaReply>)>;
   /**
    * Requests units of a tenant's quota.
@@ -55,7 +55,8 @@
   void request(const std::string& tenant, std::uint32_t urgency, double units,
                Callback callback) override;
   bool reachable() const override;
-  /** @return the number up to which every request has been answered or has timed out. */
+  /** @return the highest number for which this and every earlier request has been answered or has
+   * timed out. */
   std::uint64_t completedRequests() const;
 
  private:
--- a/libraries/front/include/switchsaddle/front/admission/quota_meter.h
+++ b/libraries/front/include/switchsaddle/front/admission/quota_meter.h
@@ -21,16 +21,18 @@
 /** Parameters by which a front keeps to its share of the quotas. */
 struct QuotaOptions {
   configuration::QuotaBounds bounds;
-  /** Share of the limit that is used; the remainder covers units that fronts admit before their
-   * peers know of them. */
+  /** Share of the limit that is used; the remainder covers units that fronts admit before the
+   * reports of them reach their peers. */
   double used_share = configuration::UsableQuotaShare;
-  /** Upper bound, approximately, of the time until the fronts know what their peers have admitted.
+  /** Approximate upper bound of the time until a front has received the report of what its peers
+   * have admitted.
    */
-  base::Duration knowledge_lag = std::chrono::milliseconds(750);
+  base::Duration propagation_delay = std::chrono::milliseconds(750);
   /** Allocations expire after this time. */
   base::Duration allocation_lifetime = std::chrono::milliseconds(1'000);
   /** A front admits locally while the remaining quota is more than this multiple of the units that
-   * the fleet could admit within the knowledge lag; below, it requests units from the ledger. */
+   * the fleet could admit within the propagation delay. Below that, it requests units from the
+   * ledger. */
   double headroom_factor = 3;
   /** Share of the quota that a front may admit between two reports for a tenant for which the cores
    * report no allocation. */
@@ -38,8 +40,8 @@
   /** Number of fronts assumed at least by a front that has received no report since its start. */
   std::size_t assumed_fronts = 8;
   /** A front that is younger than the window and has no report admits at most this multiple of its
-   * equal share of the units that become available, and `startup_share` of the quota besides: no
-   * node may know any more what was admitted before its start. */
+   * equal share of the units that become available, plus `startup_share` of the quota: possibly no
+   * node has a record of what was admitted before its start. */
   double startup_factor = 0.8;
   double startup_share = 0.015;
 };
@@ -48,7 +50,7 @@
 enum class AdmittedUnits : std::uint8_t {
   /** They are used, or the request was rejected. */
   Keep,
-  /** The request has ended meanwhile: they are refunded. */
+  /** The request has ended in the meantime: they are refunded. */
   Refund,
 };
 
@@ -56,11 +58,11 @@
  * Enforces the tenants' quotas over the fleet without a remote call for each request.
  *
  * Fronts report the units that they admit with the renewals of their sessions, and receive the sum
- * over the fleet. While the remaining quota is more than all fronts could admit before they know of
- * each other, each admits every request. Closer to the limit the ledger decides on each request,
- * and if no ledger is reachable, each front admits within its share of the remainder. A front
- * without recent reports admits within the smaller of an equal share and its last share of the
- * complete quota.
+ * over the fleet. While the remaining quota is more than all fronts could admit before they receive
+ * each other's reports, each admits every request. Closer to the limit the ledger decides on each
+ * request, and if no ledger is reachable, each front admits within its share of the remainder. A
+ * front without recent reports admits within the smaller of an equal share and its last share of
+ * the complete quota.
  *
  * Invariant: the sum over all fronts stays within the quota however many of them are partitioned
  * from the cores. Runs on the control strand.
@@ -71,7 +73,8 @@
   QuotaMeter(base::Dispatcher& dispatcher, QuotaOptions options,
              QuotaAuthority* authority = nullptr);
 
-  /** Nothing if the request is admitted and its units are counted, else the Retry-After time. */
+  /** std::nullopt if the request is admitted and its units are counted, else the Retry-After time.
+   */
   using Decision = std::optional<base::Duration>;
   using DecisionCallback = std::function<AdmittedUnits(Decision)>;
   /**
@@ -107,7 +110,7 @@
     double total = 0;
     double reported_total = 0;
     double allocated_total = 0;
-    /** From the cores' last report; nothing if that did not include the tenant. */
+    /** From the cores' last report; std::nullopt if that did not include the tenant. */
     std::optional<wire::TenantAllocation> allocation;
     /** The last share received; used when the cores are unreachable. */
     std::optional<double> last_share;
@@ -141,7 +144,7 @@
   double availableByAllocation(double limit, const Usage& usage) const;
   double availableWithoutReport(double limit, const Usage& usage) const;
   /** @return units of `highest_reported` that are still in the window: a core that has just started
-   * does not know what fronts that have ended admitted. */
+   * has no record of what fronts that have ended admitted. */
   double unexpiredReported(const Usage& usage) const;
 
   base::Dispatcher& dispatcher_;
--- a/libraries/front/include/switchsaddle/front/admission/stage.h
+++ b/libraries/front/include/switchsaddle/front/admission/stage.h
@@ -23,7 +23,7 @@
     items_.push_back(std::move(item));
     return true;
   }
-  /** @return the oldest item, or nothing if the queue is empty. */
+  /** @return the oldest item, or std::nullopt if the queue is empty. */
   std::optional<Item> pop() {
     if (items_.empty()) {
       return std::nullopt;
--- a/libraries/front/include/switchsaddle/front/node/front_history.h
+++ b/libraries/front/include/switchsaddle/front/node/front_history.h
@@ -10,11 +10,11 @@
 namespace switchsaddle::front {
 
 /**
- * The fronts of which this one has recently received the address. After a restart of the cores
- * their membership names only the fronts that have opened a session again, while the others
- * continue to serve; therefore a front that is no longer listed remains in the history for a while.
- * The cores get a digest of it, by which a core without state recognizes that it has received the
- * reports of every front. Runs on the control strand.
+ * The fronts whose addresses this one has received recently. After a restart of the cores their
+ * membership lists only the fronts that have opened a session again, while the others continue to
+ * serve. A front that is no longer listed therefore remains in the history for a while. The cores
+ * receive a digest of the history. A core that restarted without state compares the digests to
+ * recognize that it has received the reports of every front. Runs on the control strand.
  */
 class FrontHistory {
  public:
--- a/libraries/front/include/switchsaddle/front/node/front_node.h
+++ b/libraries/front/include/switchsaddle/front/node/front_node.h
@@ -50,10 +50,12 @@
   std::function<void(metrics::Page&)> process_metrics = {};
   /** Replaces the claims at the core if set; for tests that show what these prevent. */
   claims::ClaimClient* claims = nullptr;
-  /** Replaces this front's session in the checks of admission and dispatch if set; for such tests.
+  /** Replaces this front's session in the checks of admission and dispatch if set; for the
+   * same tests.
    */
   const sessions::SessionClient* serving_session = nullptr;
-  /** Whether streams are checked for gaps, repeats and joined runs; false in such tests only. */
+  /** Whether streams are checked for gaps, repeats and joined runs; false in the same tests only.
+   */
   bool check_sequence = true;
   /** Faults of the session; for tests only. */
   sessions::SessionClientFaults session_faults = {};
@@ -81,12 +83,12 @@
   /** Opens the session and starts gossip. */
   void start();
   /**
-   * Shuts down gracefully: reports the node as not ready, rejects new work, waits for open work
-   * until the settings' stop deadline, and closes the session.
+   * Shuts down gracefully: reports the node as not ready, rejects new requests, waits for requests
+   * in flight until the settings' stop deadline, and closes the session.
    * @param stopped runs once the session is closed.
    */
   void stop(std::function<void()> stopped);
-  /** Whether this node accepts new work. */
+  /** Whether this node accepts new requests. */
   bool ready() const { return service_.ready(); }
   CallerService& service() { return service_; }
   const Counters& counters() const { return counters_; }
@@ -105,11 +107,11 @@
   void observeDraining(const workers::Worker& worker) override;
   void observeRefused(const workers::Worker& worker) override;
 
-  // The components in use: the own ones, or their replacements in tests.
+  // The components in use: the node's own, or their replacements in tests.
   admission::SlotBroker& slots();
   claims::ClaimClient& claims();
   const sessions::SessionClient& servingSession() const;
-  // Wiring of the components, at the end of the construction.
+  // Connects the components at the end of the construction.
   void connectComponents();
   void connectConfiguration();
   void connectGossip();
@@ -118,10 +120,11 @@
 
   void onConfiguration(const dissemination::ViewPtr& view);
   void refreshMembership();
-  /** Fetches the list of workers from a random core if this front that forwards has none. */
+  /** Fetches the list of workers from a random core if this front forwards requests and has none.
+   */
   void pullMissingWorkers();
   void onGranted(const wire::SessionOpenReply& granted);
-  /** Next step of a graceful shutdown; closes the session once open work has ended. */
+  /** Next step of a graceful shutdown; closes the session once no request is in flight. */
   void continueStop();
   bool isIdle() const;
   std::string metricsText() const;
--- a/libraries/front/include/switchsaddle/front/node/session_monitor.h
+++ b/libraries/front/include/switchsaddle/front/node/session_monitor.h
@@ -11,7 +11,7 @@
 
 /**
  * Reports each change of the state of a front's session to the operator. Polls the session, since
- * its lapse is no event: it follows from the clock. Runs on the control strand.
+ * its expiry raises no event: it follows from the clock. Runs on the control strand.
  */
 class SessionMonitor {
  public:
@@ -20,7 +20,7 @@
 
   /** Reports the current state if the session is open, and each change from then on. */
   void start();
-  /** Ends the reports, so that closing the session is not reported as a lapse. */
+  /** Ends the reports, so that closing the session is not reported as an expiry. */
   void stop() { timer_->disable(); }
 
  private:
--- a/libraries/front/include/switchsaddle/front/worker_calls/worker_port.h
+++ b/libraries/front/include/switchsaddle/front/worker_calls/worker_port.h
@@ -21,7 +21,7 @@
   /** The caller's own Request-Id, for tracing; may be empty. */
   std::string caller_request_id;
   std::string tenant;
-  /** Set for one-shots only. */
+  /** Set for one-shot requests only. */
   std::string idempotency_key;
   /** The decode worker, if prefill and decode run on different workers. */
   std::optional<base::NodeAddress> decode;
@@ -92,7 +92,7 @@
 
 using WorkerCallPtr = std::shared_ptr<WorkerCall>;
 
-/** Sends requests to workers: over HTTP, or to simulated ones. Never retries by itself. */
+/** Sends requests to workers over HTTP, or to simulated workers. Never retries by itself. */
 class WorkerPort {
  public:
   virtual ~WorkerPort() = default;
--- a/libraries/front/source/admission/quota_ledger_client.cc
+++ b/libraries/front/source/admission/quota_ledger_client.cc
@@ -11,7 +11,8 @@
 
 /** Time-out of one core, after which the next one is tried. */
 constexpr base::Duration CoreTimeout = std::chrono::milliseconds(150);
-/** Time-out of a request over all cores: a caller's request waits for it. */
+/** Time-out of a request over all cores, for which a caller's request waits.
+ */
 constexpr base::Duration RequestDeadline = std::chrono::milliseconds(300);
 /** Backoff after a request that no core could answer. */
 constexpr base::Duration UnansweredBackoff = std::chrono::milliseconds(500);
@@ -22,7 +23,7 @@
   wire::QuotaRequest message;
   Callback callback;
   base::TimePoint deadline;
-  /** Cores that have not been tried; the next one is the last. */
+  /** Cores that have not been tried; the next one to try is at the back. */
   std::vector<base::NodeAddress> cores;
   /** The core that the request was sent to last. */
   base::NodeAddress core;
--- a/libraries/front/source/admission/quota_meter.cc
+++ b/libraries/front/source/admission/quota_meter.cc
@@ -18,7 +18,8 @@
 constexpr base::Duration MinimumRetryAfter = std::chrono::milliseconds(200);
 constexpr base::Duration MaximumRetryAfter = std::chrono::seconds(2);
 
-/** Bound of the computed time, which keeps its conversion within range. */
+/** Upper bound of the computed wait in seconds, so that its conversion to a duration does not
+ * overflow. */
 constexpr double MaximumWaitS = 60;
 
 double secondsOf(base::Duration duration) {
@@ -68,8 +69,8 @@
 double QuotaMeter::availableUnits(double limit, const Usage& usage) const {
   const double available = availableByAllocation(limit, usage);
   const double age_s = secondsOf(dispatcher_.now() - started_at_);
-  // Cores that report have received the reports of every front for a window, including those of
-  // this front's earlier incarnation.
+  // Cores send a report only after they have received the reports of every front for a window,
+  // including those of this front's earlier incarnation.
   if (hasRecentReport() || age_s >= options_.bounds.window_s) {
     return available;
   }
@@ -89,26 +90,27 @@
     return availableWithoutReport(limit, usage);
   }
   const double unreported = usage.total - usage.allocated_total;
-  const double still_reported = unexpiredReported(usage);
+  const double unexpired = unexpiredReported(usage);
   if (!usage.allocation) {
-    return std::min(limit * options_.unreported_share, limit - still_reported) - unreported;
+    return std::min(limit * options_.unreported_share, limit - unexpired) - unreported;
   }
-  const double admitted = std::max<double>(usage.allocation->fleet_admitted, still_reported);
+  const double admitted = std::max<double>(usage.allocation->fleet_admitted, unexpired);
   const double remaining = limit - admitted;
-  const double used_in_lag =
-      usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
-  return std::max(remaining * usage.allocation->share, remaining - used_in_lag) - unreported;
+  const double used_in_delay =
+      usage.allocation->fleet_units_per_s * secondsOf(options_.propagation_delay);
+  return std::max(remaining * usage.allocation->share, remaining - used_in_delay) - unreported;
 }
 
 double QuotaMeter::availableWithoutReport(double limit, const Usage& usage) const {
   const double unreported = usage.total - usage.allocated_total;
-  const double still_reported = unexpiredReported(usage);
-  const double equal = 1.0 / static_cast<double>(fronts_);
-  const double last = usage.last_share.value_or(equal);
-  const double alone = limit * std::min(equal, last) - usage.in_window;
+  const double unexpired = unexpiredReported(usage);
+  const double equal_share = 1.0 / static_cast<double>(fronts_);
+  const double last_share = usage.last_share.value_or(equal_share);
+  const double from_own_share = limit * std::min(equal_share, last_share) - usage.in_window;
   // What the peers admitted before the last report leaves the window only gradually.
-  const double freed = (limit - still_reported) * std::max(equal, last) - unreported;
-  return still_reported > 0 ? std::min(alone, freed) : alone;
+  const double from_remainder =
+      (limit - unexpired) * std::max(equal_share, last_share) - unreported;
+  return unexpired > 0 ? std::min(from_own_share, from_remainder) : from_own_share;
 }
 
 double QuotaMeter::unexpiredReported(const Usage& usage) const {
@@ -126,10 +128,10 @@
     return false;
   }
   const double remaining = limit - usage.allocation->fleet_admitted;
-  const double used_in_lag =
-      usage.allocation->fleet_units_per_s * secondsOf(options_.knowledge_lag);
+  const double used_in_delay =
+      usage.allocation->fleet_units_per_s * secondsOf(options_.propagation_delay);
   const double unreported = usage.total - usage.allocated_total;
-  return remaining - options_.headroom_factor * used_in_lag - unreported < units;
+  return remaining - options_.headroom_factor * used_in_delay - unreported < units;
 }
 
 void QuotaMeter::acquire(const configuration::ForwardTenant& tenant, std::uint32_t urgency,
--- a/libraries/front/source/node/front_history.cc
+++ b/libraries/front/source/node/front_history.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-/** A front remains in the history for this time after it was last listed; above any quota's window.
+/** A front remains in the history for this time after it was last listed; longer than any quota's
+ * window.
  */
 constexpr base::Duration Retention = std::chrono::seconds(15);
 
--- a/libraries/front/source/node/front_node.cc
+++ b/libraries/front/source/node/front_node.cc
@@ -15,7 +15,7 @@
 /** Share of a deployment's retry allowance that is used; the remainder covers fronts that start,
  * end and restart. */
 constexpr double UsedRetryShare = 0.7;
-/** Interval of checking whether open work has ended during a graceful shutdown. */
+/** Interval of checking whether all requests have ended during a graceful shutdown. */
 constexpr base::Duration StopPollInterval = std::chrono::milliseconds(50);
 
 routing::RouterOptions routerOptions(const configuration::ForwardingSettings& settings) {
@@ -95,7 +95,7 @@
 
 FrontNode::~FrontNode() {
   // Both flows end before any component or run is destroyed: a slot that is released by one flow
-  // must not start work in the other.
+  // must not start a request in the other.
   const auto ended_streams = streams_.abandon();
   const auto ended_one_shots = one_shots_.abandon();
   forwards_.reset();
@@ -179,7 +179,8 @@
   if (granted.quotas_complete) {
     quotas_.setAllocations(granted.allocations);
   } else if (quotas_.hasTenants()) {
-    // This core has restarted without state; another may know what the fleet has admitted.
+    // This core has restarted without state; another may have a record of what the fleet has
+    // admitted.
     session_.switchToAnotherCore();
   }
   if (environment_.settings.forwarding.fleet_loads) {
@@ -268,7 +269,8 @@
   const base::TimePoint now = environment_.dispatcher.now();
   const bool notice_passed = now >= stop_notice_until_;
   if (notice_passed) {
-    // New requests could not end before the deadline; rejected, they are retried at another front.
+    // New requests could not end before the deadline. They are rejected, so that they are retried
+    // at another front.
     service_.stopForwarding();
   }
   if (!(isIdle() && notice_passed) && now < stop_deadline_) {
--- a/libraries/front/source/node/front_node_reports.cc
+++ b/libraries/front/source/node/front_node_reports.cc
@@ -2,24 +2,25 @@
 #include "switchsaddle/configuration/json_writer.h"
 #include "switchsaddle/front/node/front_node.h"
 
-// How a front describes itself: the page of metrics and the node's part of the routing table.
+// The reports of a front about itself: its metrics page, and its node entry in the routing table.
 
 namespace switchsaddle::front {
 
 std::string FrontNode::metricsText() const {
   metrics::Page page;
   counters_.appendTo(page);
-  page.counter("queue_refusals_total", "Requests refused since too many waited for the strand.",
+  page.counter("queue_refusals_total",
+               "Requests rejected because too many were queued for the control strand.",
                static_cast<double>(service_.queueRefusals()));
-  page.gauge("open_streams", "Streams not yet ended.", static_cast<double>(streams_.active()));
-  page.gauge("open_one_shots", "One-shots not yet ended.",
+  page.gauge("open_streams", "Stream requests in flight.", static_cast<double>(streams_.active()));
+  page.gauge("open_one_shots", "One-shot requests in flight.",
              static_cast<double>(one_shots_.active()));
-  page.gauge("ready", "1 where this front takes new work.", service_.ready() ? 1 : 0);
+  page.gauge("ready", "1 if this front accepts new requests, else 0.", service_.ready() ? 1 : 0);
   const std::string state(sessionStateName(session_.state()));
-  page.gauge("session_state", "1 for the state the session is in.", 1, {{"state", state}});
-  page.gauge("configuration_version", "Version of the configuration in force here.",
+  page.gauge("session_state", "1 for the current state of the session.", 1, {{"state", state}});
+  page.gauge("configuration_version", "Version of the configuration in force at this front.",
              static_cast<double>(replica_.version()));
-  page.gauge("workers", "Workers known here.",
+  page.gauge("workers", "Number of workers known to this front.",
              static_cast<double>(directory_.snapshot()->workers.size()));
   if (environment_.process_metrics) {
     environment_.process_metrics(page);
--- a/libraries/front/source/node/state_reporter.cc
+++ b/libraries/front/source/node/state_reporter.cc
@@ -54,7 +54,7 @@
 
 void StateReporter::poll() {
   const SessionState state = session_.state();
-  // The format of the cores' session tables, so that the two can be compared.
+  // Uses the format of the cores' session tables, so that the two can be compared.
   recordIfChanged(
       Subject::Session, owner_.address.toString(),
       isOpen(state) ? "live, instance " + std::to_string(owner_.instance) : std::string(), 0);
--- a/libraries/front/source/node/state_reporter.h
+++ b/libraries/front/source/node/state_reporter.h
@@ -21,8 +21,8 @@
 /**
  * The state of a front, for GET /v1/beliefs: the view of its journal, and state that changes
  * without an event, which this class polls: the session, the terms of the ledgers, and the
- * allocated slots. The ages of polled state are exact to the polling interval. Runs on the control
- * strand.
+ * allocated slots. The ages of polled state are accurate to the polling interval. Runs on the
+ * control strand.
  */
 class StateReporter {
  public:
--- a/libraries/front/source/worker_calls/http_call.h
+++ b/libraries/front/source/worker_calls/http_call.h
@@ -16,7 +16,7 @@
  * any thread. Posts the client's events to the control strand in order.
  *
  * Invariant: the observer is not called after cancel().
- * @tparam Head the form in which the observer gets the response header.
+ * @tparam Head the form in which the observer receives the response header.
  */
 template <class Head>
 class HttpCall : public WorkerCall,
--- a/libraries/front/source/worker_calls/http_forward_port.cc
+++ b/libraries/front/source/worker_calls/http_forward_port.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr base::Duration ConnectTimeout = std::chrono::milliseconds(500);
-/** A machine that does not acknowledge sent bytes within this time is considered dead: even the
- * machine of a busy worker acknowledges them. */
-constexpr base::Duration UnacknowledgedLimit = std::chrono::milliseconds(1'000);
+/** A machine that does not acknowledge sent bytes within this time is considered unreachable: even
+ * the machine of a busy worker acknowledges them. */
+constexpr base::Duration UnacknowledgedTimeout = std::chrono::milliseconds(1'000);
 constexpr std::uint16_t FirstFailureStatus = 400;
 
 http::ExchangeOptions optionsOf(const ForwardDispatch& dispatch) {
@@ -20,7 +20,7 @@
   // The run's deadline ends requests that take too long.
   options.response_timeout = {};
   options.idle_timeout = {};
-  options.tcp_user_timeout = UnacknowledgedLimit;
+  options.tcp_user_timeout = UnacknowledgedTimeout;
   options.maximum_idle_time = dispatch.maximum_idle_time;
   options.retry_lost_get = false;
   options.accepts_response = [name = dispatch.request_id_header,
