--- a/libraries/admission/include/switchsaddle/admission/front_recaller.h
+++ b/libraries/admission/include/switchsaddle/admission/front_recaller.h
@@ -20,7 +20,7 @@
   StaleTerm,
   /** The process has ended: the connection is refused, or another instance replied. */
   FrontEnded,
-  /** No reply; the front may be alive. */
+  /** No reply; the front may still run. */
   TimedOut
 };
 
--- a/libraries/admission/include/switchsaddle/admission/ledger_locator.h
+++ b/libraries/admission/include/switchsaddle/admission/ledger_locator.h
@@ -10,7 +10,7 @@
 namespace switchsaddle::admission {
 
 /**
- * Where a front finds the ledger of each shard, and the highest term it has seen of it. Tries the
+ * Locates the ledger of each shard for a front, and records the highest term seen of it. Tries the
  * cores in turn until one serves the shard. Runs on the control strand.
  */
 class LedgerLocator {
--- a/libraries/front/source/admission/quota_ledger_client.cc
+++ b/libraries/front/source/admission/quota_ledger_client.cc
@@ -53,10 +53,10 @@
   pending->callback = std::move(callback);
   pending->deadline = dispatcher_.now() + RequestDeadline;
   pending->cores = cores_();
-  const auto known = ledgers_.find(admission::ledgerShardOf(tenant));
-  if (known != ledgers_.end()) {
-    std::erase(pending->cores, known->second);
-    pending->cores.push_back(known->second);
+  const auto last_owner = ledgers_.find(admission::ledgerShardOf(tenant));
+  if (last_owner != ledgers_.end()) {
+    std::erase(pending->cores, last_owner->second);
+    pending->cores.push_back(last_owner->second);
   }
   pending_.insert(last_number_);
   sendToNextCore(pending);
--- a/libraries/front/source/node/state_reporter.cc
+++ b/libraries/front/source/node/state_reporter.cc
@@ -44,9 +44,10 @@
 void StateReporter::recordIfChanged(Subject subject, const std::string& key,
                                     const std::string& value, std::uint64_t version) {
   const auto entry = view_.entries().find({subject, key});
-  const bool known = entry != view_.entries().end();
-  const bool unchanged =
-      known ? entry->second.value == value && entry->second.version == version : value.empty();
+  const bool is_recorded = entry != view_.entries().end();
+  const bool unchanged = is_recorded
+                             ? entry->second.value == value && entry->second.version == version
+                             : value.empty();
   if (!unchanged) {
     journal_.append(subject, key, value, version);
   }
--- a/libraries/front/test/admission/quota_ledger_test.cc
+++ b/libraries/front/test/admission/quota_ledger_test.cc
@@ -1,5 +1,5 @@
-// Tenants close to their quota in fleets of many fronts: a ledger that decides on each request,
-// compared with fronts that admit within their shares of the remainder.
+// Tenants close to their quota in fleets of many fronts: compares a ledger that decides on each
+// request with fronts that admit within their shares of the remainder.
 
 #include <gtest/gtest.h>
 
@@ -74,39 +74,41 @@
       for (due_units_ += units_per_s * 0.01; due_units_ > 0; due_units_ -= MeanUnits) {
         request();
       }
-      noteWindow();
+      updateWindow();
     }
   }
-  /** Moves the ledger's lease to another core, with or without the fronts' reports. */
-  void takeOver(bool forgets) {
+  /** Moves the ledger's lease to another core, which may have lost the fronts' reports. */
+  void takeOver(bool loses_state) {
     ledger_.reset();
-    if (forgets) {
+    if (loses_state) {
       allocator_ = std::make_unique<core::QuotaAllocator>(
           process_,
           [this](const core::QuotaAllocator::RecordVisitor& visitor) {
-            for (const wire::SessionTableEntry& entry : heard()) {
+            for (const wire::SessionTableEntry& entry : liveRecords()) {
               visitor(entry.record);
             }
           },
           Bounds);
       allocator_->setConfiguration(view_);
     }
-    held_since_ = world_.now();
+    lease_held_since_ = world_.now();
     ledger_ = std::make_unique<core::QuotaLedger>(
         process_, calls_, *allocator_, Bounds.window_s,
-        [this](const std::string&) { return std::optional<base::TimePoint>(held_since_); });
+        [this](const std::string&) { return std::optional<base::TimePoint>(lease_held_since_); });
   }
   void kill(std::size_t index) { fronts_[index]->meter.reset(); }
   void restart(std::size_t index) {
     ++fronts_[index]->entry.record.instance;
     start(index);
   }
-  void cut(std::size_t index, bool is_cut) { fronts_[index]->is_cut = is_cut; }
+  void cut(std::size_t index, bool is_partitioned) {
+    fronts_[index]->is_partitioned = is_partitioned;
+  }
   std::size_t size() const { return fronts_.size(); }
   base::RandomSource& random() { return world_.random(); }
-  double mostInAnyWindow() const { return most_; }
-  double letIn() const { return let_in_; }
-  /** Requests of one kind: sent and admitted. */
+  double maximumInAnyWindow() const { return maximum_in_window_; }
+  double admittedUnits() const { return admitted_units_; }
+  /** @return the admitted share of the requests of one kind. */
   double servedShare(std::size_t kind) const {
     return static_cast<double>(served_[kind]) / static_cast<double>(requested_[kind]);
   }
@@ -131,7 +133,7 @@
     std::unique_ptr<Authority> authority;
     std::unique_ptr<QuotaMeter> meter;
     std::unique_ptr<FrontHistory> history;
-    bool is_cut = false;
+    bool is_partitioned = false;
     base::TimePoint last_seen{};
     std::uint64_t last_request = 0;
     std::set<std::uint64_t> pending_requests;
@@ -164,12 +166,12 @@
                                      number};
     process_.postAfter(milliseconds(1 + random().below(8)), [this, index, message, callback] {
       std::optional<wire::QuotaReply> answer;
-      if (!fronts_[index]->is_cut) {
+      if (!fronts_[index]->is_partitioned) {
         answer = ledger_->decide(message);
       }
       const bool usable = answer && answer->is_ledger && answer->known;
-      const base::Duration way = milliseconds(usable ? 1 + random().below(8) : 150);
-      process_.postAfter(way, [this, index, message, usable, answer, callback] {
+      const base::Duration reply_delay = milliseconds(usable ? 1 + random().below(8) : 150);
+      process_.postAfter(reply_delay, [this, index, message, usable, answer, callback] {
         Front& sender = *fronts_[index];
         const bool is_running = sender.meter && sender.entry.record.instance == message.instance;
         if (is_running) {
@@ -184,11 +186,11 @@
     std::vector<base::NodeAddress> listed;
     for (std::size_t index = 0; index < fronts_.size(); ++index) {
       Front& front = *fronts_[index];
-      if (!front.meter || front.is_cut || (steps_ + index * 7) % 25 != 0) {
+      if (!front.meter || front.is_partitioned || (steps_ + index * 7) % 25 != 0) {
         continue;
       }
       if (listed.empty()) {
-        for (const wire::SessionTableEntry& entry : heard()) {
+        for (const wire::SessionTableEntry& entry : liveRecords()) {
           listed.push_back(entry.record.front);
         }
       }
@@ -205,7 +207,7 @@
       }
     }
   }
-  std::vector<wire::SessionTableEntry> heard() const {
+  std::vector<wire::SessionTableEntry> liveRecords() const {
     std::vector<wire::SessionTableEntry> records;
     for (const std::unique_ptr<Front>& front : fronts_) {
       const bool live = front->last_seen != base::TimePoint{} &&
@@ -232,18 +234,18 @@
                            if (!wait) {
                              admitted_.push_back({world_.now(), Kinds[kind].units});
                              in_window_ += Kinds[kind].units;
-                             let_in_ += Kinds[kind].units;
+                             admitted_units_ += Kinds[kind].units;
                              ++served_[kind];
                            }
                            return AdmittedUnits::Keep;
                          });
   }
-  void noteWindow() {
+  void updateWindow() {
     while (!admitted_.empty() && world_.now() - admitted_.front().first > seconds(8)) {
       in_window_ -= admitted_.front().second;
       admitted_.pop_front();
     }
-    most_ = std::max(most_, in_window_);
+    maximum_in_window_ = std::max(maximum_in_window_, in_window_);
   }
 
   simulation::World world_;
@@ -255,7 +257,7 @@
   std::shared_ptr<const configuration::View> view_;
   std::unique_ptr<core::QuotaAllocator> allocator_;
   std::unique_ptr<core::QuotaLedger> ledger_;
-  base::TimePoint held_since_;
+  base::TimePoint lease_held_since_;
   std::vector<std::unique_ptr<Front>> fronts_;
   std::deque<std::pair<base::TimePoint, double>> admitted_;
   std::array<std::uint64_t, Kinds.size()> requested_{};
@@ -263,37 +265,38 @@
   std::uint64_t steps_ = 0;
   double due_units_ = 0;
   double in_window_ = 0;
-  double most_ = 0;
-  double let_in_ = 0;
+  double maximum_in_window_ = 0;
+  double admitted_units_ = 0;
 };
 
 /** @return the admitted share of the quota under a demand of `factor` times its rate. */
 double usedShare(std::uint64_t seed, std::size_t fronts, double factor, bool with_ledger) {
   LedgerFleet fleet(seed, fronts, with_ledger);
   fleet.run(seconds(10), Rate * factor);
-  const double before = fleet.letIn();
+  const double before = fleet.admittedUnits();
   fleet.run(seconds(16), Rate * factor);
-  EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(tenantOf()));
-  return (fleet.letIn() - before) / 2 / usedLimit();
+  EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(tenantOf()));
+  return (fleet.admittedUnits() - before) / 2 / usedLimit();
 }
 
-TEST(QuotaLedgerTest, CompleteQuotaIsAdmittedForAnyNumberOfFronts) {
+TEST(QuotaLedgerTest, AdmitsTheCompleteQuotaForAnyNumberOfFronts) {
   for (const std::size_t fronts : {6U, 67U, 291U}) {
     for (const double factor : {1.5, 7.5}) {
-      const double part = usedShare(fronts, fronts, factor, true);
-      std::cout << fronts << " fronts, asked for " << factor << " of the rate: " << part << '\n';
-      EXPECT_GE(part, 0.97) << fronts << " fronts, " << factor;
+      const double share = usedShare(fronts, fronts, factor, true);
+      std::cout << fronts << " fronts, demand of " << factor << " times the rate: admitted "
+                << share << '\n';
+      EXPECT_GE(share, 0.97) << fronts << " fronts, demand factor " << factor;
     }
   }
 }
 
 TEST(QuotaLedgerTest, WithoutTheLedgerManyFrontsAdmitLess) {
-  const double part = usedShare(1, 291, 7.5, false);
-  std::cout << "without the ledger: " << part << '\n';
-  EXPECT_LT(part, 0.9);
+  const double share = usedShare(1, 291, 7.5, false);
+  std::cout << "admitted without the ledger: " << share << '\n';
+  EXPECT_LT(share, 0.9);
 }
 
-TEST(QuotaLedgerTest, HigherPriorityIsFirstAndNoKindStarves) {
+TEST(QuotaLedgerTest, ServesHigherPriorityFirstAndStarvesNoKind) {
   LedgerFleet fleet(1, 291);
   fleet.run(seconds(60), Rate * 2);
   for (std::size_t kind = 0; kind < Kinds.size(); ++kind) {
@@ -304,8 +307,9 @@
   EXPECT_GE(fleet.servedShare(2), 0.25);
 }
 
-/** All processes are killed and restart without state: the ledger admits what surely fits. */
-TEST(QuotaLedgerTest, AfterALossOfAllStateTheLedgerAdmitsOnlyWhatHasSurelyLeftTheWindow) {
+/** All processes are killed and restart without state, so no node has a record of earlier requests.
+ * The ledger admits only what is certain to fit the quota. */
+TEST(QuotaLedgerTest, AfterLossOfAllStateAdmitsOnlyUnitsThatHaveCertainlyLeftTheWindow) {
   for (const double factor : {0.77, 7.5}) {
     LedgerFleet fleet(1, 291);
     fleet.run(seconds(12), Rate * factor);
@@ -315,13 +319,13 @@
     }
     fleet.takeOver(true);
     fleet.run(seconds(3), Rate * factor);
-    const double before = fleet.letIn();
+    const double before = fleet.admittedUnits();
     fleet.run(seconds(5), Rate * factor);
-    const double part = (fleet.letIn() - before) / (5 * Rate * std::min(1.0, factor));
-    std::cout << "asked for " << factor << " of the rate: " << part << " let in\n";
-    EXPECT_GE(part, factor < 1 ? 0.9 : 0.4);
+    const double share = (fleet.admittedUnits() - before) / (5 * Rate * std::min(1.0, factor));
+    std::cout << "demand of " << factor << " times the rate: " << share << " admitted\n";
+    EXPECT_GE(share, factor < 1 ? 0.9 : 0.4);
     fleet.run(seconds(9), Rate * factor);
-    EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(tenantOf()));
+    EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(tenantOf()));
   }
 }
 
@@ -353,10 +357,10 @@
     fleet.cut(index, false);
   }
   fleet.run(seconds(9), Rate * jump);
-  EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(tenantOf()));
-  const double before = fleet.letIn();
+  EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(tenantOf()));
+  const double before = fleet.admittedUnits();
   fleet.run(seconds(8), Rate * jump);
-  EXPECT_GE((fleet.letIn() - before) / usedLimit(), 0.75);
+  EXPECT_GE((fleet.admittedUnits() - before) / usedLimit(), 0.75);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, QuotaLedgerSeeds, testing::Range<std::uint64_t>(1, 21));
--- a/libraries/front/test/admission/quota_meter_test.cc
+++ b/libraries/front/test/admission/quota_meter_test.cc
@@ -54,7 +54,7 @@
   EXPECT_FALSE(meter.acquireLocally(tenant, 10).has_value());
 }
 
-TEST(QuotaMeterTest, FrontThatHasJustStartedAdmitsNothing) {
+TEST(QuotaMeterTest, FrontThatHasJustStartedAdmitsOnlyItsStartupShare) {
   simulation::World world{1};
   simulation::Process process{world};
   QuotaMeter meter(process, optionsOf());
@@ -86,7 +86,7 @@
   EXPECT_FALSE(meter.acquireLocally(tenant, 50).has_value());
 }
 
-/** Fronts that report to one core each quarter of a second, under changing demand. */
+/** Fronts that report to one core four times a second, under changing demand. */
 class QuotaFleet {
  public:
   QuotaFleet(std::uint64_t seed, std::size_t fronts) : world_(seed), tenant_(tenantOf(1'000)) {
@@ -97,7 +97,7 @@
     for (std::size_t index = 0; index < fronts; ++index) {
       meters_.push_back(std::make_unique<QuotaMeter>(process_, optionsOf()));
       meters_.back()->setFronts(fronts);
-      // A front serves only once its session is open, with which it gets the allocations.
+      // A front serves only once its session is open; the reply that opens it has the allocations.
       meters_.back()->setAllocations({});
       records_.emplace_back();
       records_.back().record.front = {"127.0.0.1", static_cast<std::uint16_t>(index + 1)};
@@ -112,10 +112,10 @@
       world_.runFor(Step);
       ++steps_;
       report(cut);
-      askFor(per_s * 0.01);
+      request(per_s * 0.01);
     }
   }
-  /** The first fronts end and start again with no memory. */
+  /** Ends the first fronts and restarts them without state. */
   void restart(std::size_t count) {
     for (std::size_t index = 0; index < count; ++index) {
       meters_[index] = std::make_unique<QuotaMeter>(process_, optionsOf());
@@ -126,28 +126,28 @@
       histories_[index] = std::make_unique<FrontHistory>(process_, records_[index].record.front);
     }
   }
-  /** The last fronts end for good. */
+  /** Ends the last fronts permanently. */
   void end(std::size_t count) {
     meters_.resize(meters_.size() - count);
     records_.resize(meters_.size());
     histories_.resize(meters_.size());
   }
-  /** Replaces the core of all fronts by one that knows only the live sessions. */
+  /** Replaces the core of all fronts by one that has only the live sessions. */
   void replaceCore() {
     allocator_ = std::make_unique<core::QuotaAllocator>(
         process_,
         [this](const core::QuotaAllocator::RecordVisitor& visitor) {
-          for (const wire::SessionTableEntry& entry : heard()) {
+          for (const wire::SessionTableEntry& entry : liveRecords()) {
             visitor(entry.record);
           }
         },
         Bounds);
     allocator_->setConfiguration(view_);
   }
-  /** Whether the core has lost state that no front can report any more. */
-  bool coreKnows() { return allocator_->allocate(records_[0].record).has_value(); }
-  double mostInAnyWindow() const { return most_; }
-  double letIn() const { return let_in_; }
+  /** Whether the core has the state of every front that may have admitted units in the window. */
+  bool coreHasCompleteState() { return allocator_->allocate(records_[0].record).has_value(); }
+  double maximumInAnyWindow() const { return maximum_in_window_; }
+  double admittedUnits() const { return admitted_units_; }
   const configuration::ForwardTenant& tenant() const { return tenant_; }
 
  private:
@@ -165,36 +165,36 @@
     }
   }
   /** The records of a core: those of the fronts that are connected to it. */
-  std::vector<wire::SessionTableEntry> heard() const {
+  std::vector<wire::SessionTableEntry> liveRecords() const {
     return {records_.begin(), records_.end() - static_cast<std::ptrdiff_t>(cut_)};
   }
   std::vector<base::NodeAddress> listed() const {
     std::vector<base::NodeAddress> fronts;
-    for (const wire::SessionTableEntry& entry : heard()) {
+    for (const wire::SessionTableEntry& entry : liveRecords()) {
       fronts.push_back(entry.record.front);
     }
     return fronts;
   }
-  void askFor(double units) {
+  void request(double units) {
     const base::TimePoint now = process_.now();
     constexpr double Request = 50;
-    for (owed_ += units; owed_ >= Request; owed_ -= Request) {
-      // Uneven, as callers are.
+    for (due_units_ += units; due_units_ >= Request; due_units_ -= Request) {
+      // Fronts receive unequal numbers of requests, as from real callers.
       const std::size_t first = world_.random().below(meters_.size());
       const std::size_t front = std::min(first, world_.random().below(meters_.size()));
       if (!meters_[front]->acquireLocally(tenant_, Request).has_value()) {
         admitted_.push_back({now, Request});
-        let_in_ += Request;
+        admitted_units_ += Request;
       }
     }
     while (!admitted_.empty() && now - admitted_.front().first > std::chrono::seconds(8)) {
       admitted_.pop_front();
     }
     double sum = 0;
-    for (const auto& [at, units_in] : admitted_) {
-      sum += units_in;
+    for (const auto& [at, admitted_units] : admitted_) {
+      sum += admitted_units;
     }
-    most_ = std::max(most_, sum);
+    maximum_in_window_ = std::max(maximum_in_window_, sum);
   }
 
   simulation::World world_;
@@ -208,9 +208,9 @@
   std::deque<std::pair<base::TimePoint, double>> admitted_;
   std::size_t cut_ = 0;
   std::uint64_t steps_ = 0;
-  double owed_ = 0;
-  double most_ = 0;
-  double let_in_ = 0;
+  double due_units_ = 0;
+  double maximum_in_window_ = 0;
+  double admitted_units_ = 0;
 };
 
 class QuotaFleetTest : public testing::TestWithParam<std::uint64_t> {};
@@ -221,21 +221,21 @@
     fleet.load(0, std::chrono::seconds(9), 0);
     fleet.load(750, std::chrono::seconds(12), 0);
     // Demand well within the quota is admitted completely.
-    EXPECT_GE(fleet.letIn(), 750 * 12 * 0.99) << fronts;
+    EXPECT_GE(fleet.admittedUnits(), 750 * 12 * 0.99) << fronts;
     fleet.load(6'000, std::chrono::seconds(3), 0);
     fleet.restart(fronts / 2);
     fleet.replaceCore();
     fleet.load(6'000, std::chrono::seconds(12), 0);
-    EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
+    EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
     fleet.load(750, std::chrono::seconds(12), 0);
     fleet.load(6'000, std::chrono::milliseconds(700), 0);
-    // A third of the fronts is partitioned just as a tenant's demand grows eightfold.
+    // A third of the fronts is partitioned at the time when a tenant's demand grows eightfold.
     fleet.load(6'000, std::chrono::seconds(12), fronts / 3);
-    EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
+    EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
     fleet.load(6'000, std::chrono::seconds(12), 0);
-    EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
+    EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
     fleet.load(6'000, std::chrono::seconds(20), fronts);
-    EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
+    EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(fleet.tenant())) << fronts;
   }
 }
 
@@ -244,33 +244,33 @@
   QuotaFleet fleet(GetParam(), Fronts);
   fleet.load(0, std::chrono::seconds(9), 0);
   fleet.load(900, std::chrono::seconds(12), 0);
-  const double before = fleet.letIn();
+  const double before = fleet.admittedUnits();
   fleet.replaceCore();
   fleet.load(900, std::chrono::milliseconds(500), 0);
-  EXPECT_TRUE(fleet.coreKnows());
+  EXPECT_TRUE(fleet.coreHasCompleteState());
   fleet.load(900, std::chrono::seconds(8), 0);
-  EXPECT_GE(fleet.letIn() - before, 900 * 8.5 * 0.99);
-  EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant()));
+  EXPECT_GE(fleet.admittedUnits() - before, 900 * 8.5 * 0.99);
+  EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(fleet.tenant()));
 }
 
 TEST_P(QuotaFleetTest, FrontsThatEndWhileAllCoresRestartStillCount) {
   constexpr std::size_t Fronts = 40;
-  for (const bool for_good : {false, true}) {
+  for (const bool permanently : {false, true}) {
     QuotaFleet fleet(GetParam(), Fronts);
     fleet.load(0, std::chrono::seconds(9), 0);
     fleet.load(6'000, std::chrono::seconds(9), 0);
-    // What they admitted is known to no node now.
-    if (for_good) {
+    // After this, no node has a record of what these fronts admitted.
+    if (permanently) {
       fleet.end(Fronts / 2);
     } else {
       fleet.restart(Fronts / 2);
     }
     fleet.replaceCore();
     fleet.load(6'000, std::chrono::seconds(2), 0);
-    EXPECT_FALSE(fleet.coreKnows());
+    EXPECT_FALSE(fleet.coreHasCompleteState());
     fleet.load(6'000, std::chrono::seconds(12), 0);
-    EXPECT_TRUE(fleet.coreKnows());
-    EXPECT_LE(fleet.mostInAnyWindow(), *Bounds.limitOf(fleet.tenant()));
+    EXPECT_TRUE(fleet.coreHasCompleteState());
+    EXPECT_LE(fleet.maximumInAnyWindow(), *Bounds.limitOf(fleet.tenant()));
   }
 }
 
--- a/libraries/front/test/contract/contract_examples.h
+++ b/libraries/front/test/contract/contract_examples.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::front::contract {
 
-/** A request that must be carried out, and the status it must get. */
+/** A valid request and the status that it must return. */
 struct Example {
   std::string target;
   std::string body;
@@ -18,7 +18,7 @@
     R"({"model":"large","messages":[{"role":"user","content":"hi"}]})";
 inline constexpr const char* Order = R"({"service":"orders","payload":{"n":1}})";
 
-/** Good requests by operationId, in the order in which they are sent. */
+/** Valid requests by operationId, in the order in which they are sent. */
 inline const std::vector<std::pair<std::string, Example>> Examples{
     {"createCompletion", {"/v1/chat/completions", Chat}},
     {"createOneShot", {"/v1/one-shots", Order, 200, true}},
--- a/libraries/front/test/contract/contract_test.cc
+++ b/libraries/front/test/contract/contract_test.cc
@@ -30,18 +30,18 @@
   return text;
 }
 
-/** Whether the node of this role serves the operation; callers' work is served by fronts only. */
+/** Whether nodes of this role serve the path; callers' operations are served by fronts only. */
 bool serves(const std::string& role, const std::string& path) {
   static const std::set<std::string> front_only{"/v1/chat/completions", "/v1/one-shots", "/",
                                                 "/v1/routing"};
   return role == "front" || !front_only.contains(path);
 }
 
-bool isCallers(const Operation& operation) {
+bool isCallerOperation(const Operation& operation) {
   return operation.node["tags"][0].as<std::string>() == "callers";
 }
 
-/** The live servers of one role against every operation of the document. */
+/** Tests the live server of one role against every operation of the document. */
 class ContractTest : public testing::TestWithParam<std::string> {
  protected:
   void SetUp() override {
@@ -75,8 +75,8 @@
     return nullptr;
   }
 
-  /** The first good example of the operation as a request, with its key. */
-  http::Request goodRequest(const Operation& operation) const {
+  /** @return the first valid example of the operation as a request, with its key. */
+  http::Request validRequest(const Operation& operation) const {
     for (const auto& [id, example] : Examples) {
       if (id == operation.id) {
         return requestOf(operation, example);
@@ -89,7 +89,7 @@
   static http::Request requestOf(const Operation& operation, const Example& example) {
     http::Request request{operation.method, example.target, {}, example.body};
     if (operation.is_secured) {
-      const char* key = isCallers(operation) ? "secret" : "operator";
+      const char* key = isCallerOperation(operation) ? "secret" : "operator";
       request.headers.push_back({"Authorization", std::string("Bearer ") + key});
     }
     if (example.has_idempotency_key) {
@@ -102,13 +102,13 @@
   int sendAndCheck(const Operation& operation, const http::Request& request) {
     const std::optional<http::Response> response = fleet_.exchange(GetParam(), request);
     if (!response) {
-      ADD_FAILURE() << operation.id << ": no answer";
+      ADD_FAILURE() << operation.id << ": no response";
       return 0;
     }
     const std::string status = std::to_string(response->status);
     const YAML::Node declared = operation.node["responses"][status];
     EXPECT_TRUE(declared.IsDefined())
-        << operation.id << " answered the undeclared status " << status << ": " << response->body;
+        << operation.id << " returned the undeclared status " << status << ": " << response->body;
     if (declared.IsDefined()) {
       checkBody(operation, check_.resolve(declared), *response);
     }
@@ -120,22 +120,23 @@
     const std::string_view type = response.header("Content-Type");
     const std::string kind(type.substr(0, type.find(';')));
     const YAML::Node content = declared["content"][kind];
-    ASSERT_TRUE(content.IsDefined()) << operation.id << " answered the undeclared type " << kind;
+    ASSERT_TRUE(content.IsDefined())
+        << operation.id << " returned the undeclared content type " << kind;
     if (kind == "application/json") {
       expectMatch(operation.id, content["schema"], response.body);
     }
   }
 
-  void expectMatch(const std::string& where, const YAML::Node& schema, const std::string& body) {
+  void expectMatch(const std::string& context, const YAML::Node& schema, const std::string& body) {
     std::vector<configuration::Fault> faults;
     const auto value = configuration::parseJson(body, {}, "", faults);
-    ASSERT_TRUE(value) << where << ": " << body;
+    ASSERT_TRUE(value) << context << ": " << body;
     for (const std::string& violation : check_.violations(schema, *value)) {
-      ADD_FAILURE() << where << ": " << violation << " in " << body;
+      ADD_FAILURE() << context << ": " << violation << " in " << body;
     }
   }
 
-  /** An answer outside the operations: an error body of this status. */
+  /** Expects an error body with this status, for a request outside the declared operations. */
   void expectError(const http::Request& request, int status) {
     const std::optional<http::Response> response = fleet_.exchange(GetParam(), request);
     ASSERT_TRUE(response) << request.method << " " << request.target;
@@ -150,13 +151,13 @@
                             : YAML::Node();
   }
 
-  /** Sends a bad body, which must be refused as the caller's fault. */
-  void expectRefused(const Operation& operation, const std::string& body) {
-    http::Request request = goodRequest(operation);
+  /** Sends an invalid body and expects a 4xx status. */
+  void expectRejected(const Operation& operation, const std::string& body) {
+    http::Request request = validRequest(operation);
     request.body = body;
     const int status = sendAndCheck(operation, request);
-    EXPECT_GE(status, 400) << operation.id << " took " << body.substr(0, 200);
-    EXPECT_LT(status, 500) << operation.id << " took " << body.substr(0, 200);
+    EXPECT_GE(status, 400) << operation.id << " accepted " << body.substr(0, 200);
+    EXPECT_LT(status, 500) << operation.id << " accepted " << body.substr(0, 200);
   }
 
   YAML::Node document_ = YAML::LoadFile(OpenApiFile);
@@ -165,7 +166,7 @@
   LiveFleet fleet_;
 };
 
-TEST_P(ContractTest, EveryOperationCarriesOutItsExamples) {
+TEST_P(ContractTest, EveryOperationReturnsTheDeclaredResponseForItsExamples) {
   std::set<std::string> seen;
   for (const auto& [id, example] : Examples) {
     const Operation* operation = find(id);
@@ -186,7 +187,7 @@
     if (!operation.is_secured) {
       continue;
     }
-    http::Request request = goodRequest(operation);
+    http::Request request = validRequest(operation);
     std::erase_if(request.headers,
                   [](const http::Header& header) { return header.name == "Authorization"; });
     EXPECT_EQ(sendAndCheck(operation, request), 401) << operation.id;
@@ -195,12 +196,12 @@
   }
 }
 
-TEST_P(ContractTest, OperatorsOperationsRejectATenantsKey) {
+TEST_P(ContractTest, OperatorOperationsRejectATenantKey) {
   for (const Operation& operation : operations_) {
-    if (!operation.is_secured || isCallers(operation)) {
+    if (!operation.is_secured || isCallerOperation(operation)) {
       continue;
     }
-    http::Request request = goodRequest(operation);
+    http::Request request = validRequest(operation);
     request.headers = {{"Authorization", "Bearer secret"}};
     EXPECT_EQ(sendAndCheck(operation, request), 401) << operation.id;
   }
@@ -213,7 +214,7 @@
     }
     for (const char* body :
          {"", "{", "[]", "nothing", "{\"change_id\":1,\"change_id\":2}", "\xff\xfe"}) {
-      expectRefused(operation, body);
+      expectRejected(operation, body);
     }
   }
 }
@@ -221,7 +222,7 @@
 TEST_P(ContractTest, BodiesThatAreTooLargeAreRejected) {
   for (const Operation& operation : operations_) {
     if (bodySchema(operation).IsMap()) {
-      http::Request request = goodRequest(operation);
+      http::Request request = validRequest(operation);
       request.body = std::string(TooLargeBody, ' ');
       EXPECT_EQ(sendAndCheck(operation, request), 413) << operation.id;
     }
@@ -234,9 +235,9 @@
       continue;
     }
     EXPECT_FALSE(bodySchema(operation)["additionalProperties"].as<bool>(true)) << operation.id;
-    std::string body = goodRequest(operation).body;
+    std::string body = validRequest(operation).body;
     body.pop_back();
-    expectRefused(operation, body + ",\"nonsense\":1}");
+    expectRejected(operation, body + ",\"nonsense\":1}");
   }
 }
 
@@ -247,21 +248,21 @@
       continue;
     }
     std::vector<configuration::Fault> faults;
-    const auto good = configuration::parseJson(goodRequest(operation).body, {}, "", faults);
+    const auto valid = configuration::parseJson(validRequest(operation).body, {}, "", faults);
     for (const YAML::Node& name : schema["required"]) {
       const auto field = name.as<std::string>();
-      configuration::JsonValue lacking = *good;
-      const auto place = std::find(lacking.names.begin(), lacking.names.end(), field);
-      ASSERT_NE(place, lacking.names.end()) << operation.id << " " << field;
-      const auto index = place - lacking.names.begin();
-      configuration::JsonValue mistyped = lacking;
-      lacking.names.erase(place);
-      lacking.elements.erase(lacking.elements.begin() + index);
-      expectRefused(operation, lacking.canonical());
+      configuration::JsonValue incomplete = *valid;
+      const auto position = std::find(incomplete.names.begin(), incomplete.names.end(), field);
+      ASSERT_NE(position, incomplete.names.end()) << operation.id << " " << field;
+      const auto index = position - incomplete.names.begin();
+      configuration::JsonValue mistyped = incomplete;
+      incomplete.names.erase(position);
+      incomplete.elements.erase(incomplete.elements.begin() + index);
+      expectRejected(operation, incomplete.canonical());
       const YAML::Node property = check_.resolve(schema["properties"][field]);
       if (property["type"]) {
         mistyped.elements[static_cast<std::size_t>(index)] = configuration::JsonValue{};
-        expectRefused(operation, mistyped.canonical());
+        expectRejected(operation, mistyped.canonical());
       }
     }
   }
@@ -275,7 +276,7 @@
         is_declared = is_declared || (other.path == operation.path && other.method == method);
       }
       if (!is_declared) {
-        http::Request request = goodRequest(operation);
+        http::Request request = validRequest(operation);
         request.method = method;
         expectError(request, 405);
       }
@@ -292,8 +293,8 @@
 
 class CallerContractTest : public ContractTest {};
 
-TEST_P(CallerContractTest, AStreamIsTheDeclaredEventStream) {
-  http::Request request = goodRequest(*find("createCompletion"));
+TEST_P(CallerContractTest, StreamResponseIsAnEventStreamThatEndsWithDone) {
+  http::Request request = validRequest(*find("createCompletion"));
   request.body = R"({"model":"large","stream":true,"messages":[{"role":"user","content":"a"}]})";
   const std::optional<http::Response> response = fleet_.exchange(GetParam(), request);
   ASSERT_TRUE(response);
--- a/libraries/front/test/contract/live_fleet.h
+++ b/libraries/front/test/contract/live_fleet.h
@@ -12,8 +12,8 @@
 namespace switchsaddle::front::contract {
 
 /**
- * A simulated fleet whose first front and first core answer real HTTP on loopback. The test drives
- * both the sockets and the simulated clock by hand.
+ * A simulated fleet whose first front and first core serve real HTTP on loopback. exchange() runs
+ * both the sockets and the simulated clock.
  */
 class LiveFleet {
  public:
@@ -38,40 +38,40 @@
               });
             })) {}
 
-  /** Runs until the configuration is in force and everything serves. */
+  /** Runs until the configuration is in force and all fronts are ready. */
   bool begin() { return fleet_.change(0, fullConfiguration()) == 200 && fleet_.allReady(); }
 
-  /** The address of the node of this role: "front" or "core". */
+  /** @return the address of the node of this role: "front" or "core". */
   base::NodeAddress address(const std::string& role) const {
     return role == "front" ? front_server_->address() : core_server_->address();
   }
 
-  /** Nothing where no answer came. */
+  /** @return the response, or std::nullopt if none arrived. */
   std::optional<http::Response> exchange(const std::string& role, http::Request request) {
-    std::optional<http::Response> answer;
+    std::optional<http::Response> received;
     bool ended = false;
     client_->fetch(address(role), std::move(request), {},
                    [&](const http::Response* response, http::ExchangeFailure) {
                      ended = true;
                      if (response != nullptr) {
-                       answer = *response;
+                       received = *response;
                      }
                    });
-    for (int step = 0; !ended && step < MostSteps; ++step) {
+    for (int step = 0; !ended && step < MaximumSteps; ++step) {
       context_.restart();
       context_.run_one_for(std::chrono::milliseconds(1));
       context_.poll();
       fleet_.world.runFor(std::chrono::milliseconds(1));
     }
     EXPECT_TRUE(ended);
-    return answer;
+    return received;
   }
 
   Fleet& fleet() { return fleet_; }
 
  private:
   /** Time-out of an exchange, in simulated milliseconds. */
-  static constexpr int MostSteps = 60'000;
+  static constexpr int MaximumSteps = 60'000;
 
   boost::asio::io_context context_;
   Fleet fleet_;
--- a/libraries/front/test/contract/schema_check.cc
+++ b/libraries/front/test/contract/schema_check.cc
@@ -12,7 +12,7 @@
 using configuration::JsonKind;
 using configuration::JsonValue;
 
-const std::set<std::string> KnownWords{
+const std::set<std::string> SupportedKeywords{
     "type",      "required",  "properties", "additionalProperties",
     "items",     "enum",      "pattern",    "$ref",
     "minLength", "maxLength", "minimum",    "minItems",
@@ -38,17 +38,17 @@
   return false;
 }
 
-void checkWords(const YAML::Node& schema, const std::string& path) {
+void checkKeywords(const YAML::Node& schema, const std::string& path) {
   for (const auto& member : schema) {
-    const auto word = member.first.as<std::string>();
-    if (!KnownWords.contains(word)) {
-      throw std::logic_error("the schema at " + path + " has the unknown word " + word);
+    const auto keyword = member.first.as<std::string>();
+    if (!SupportedKeywords.contains(keyword)) {
+      throw std::logic_error("the schema at " + path + " has the unsupported keyword " + keyword);
     }
   }
 }
 
-void checkText(const YAML::Node& schema, const JsonValue& value, const std::string& path,
-               std::vector<std::string>& found) {
+void checkString(const YAML::Node& schema, const JsonValue& value, const std::string& path,
+                 std::vector<std::string>& found) {
   if (schema["pattern"]) {
     const std::regex pattern(schema["pattern"].as<std::string>(), std::regex::extended);
     if (!std::regex_match(value.text, pattern)) {
@@ -70,11 +70,11 @@
   if (!values) {
     return;
   }
-  const bool listed = std::any_of(values.begin(), values.end(), [&](const YAML::Node& one) {
-    return one.as<std::string>() == value.text;
+  const bool listed = std::any_of(values.begin(), values.end(), [&](const YAML::Node& candidate) {
+    return candidate.as<std::string>() == value.text;
   });
   if (!listed) {
-    found.push_back(path + ": '" + value.text + "' is not one of the values");
+    found.push_back(path + ": '" + value.text + "' is not one of the enum values");
   }
 }
 
@@ -93,7 +93,7 @@
     from = end + 1;
   }
   if (!found.IsDefined()) {
-    throw std::logic_error("nothing stands at " + reference);
+    throw std::logic_error("unresolved reference " + reference);
   }
   return resolve(found);
 }
@@ -108,9 +108,9 @@
 void SchemaCheck::check(const YAML::Node& unresolved, const JsonValue& value,
                         const std::string& path, Violations& found) const {
   const YAML::Node schema = resolve(unresolved);
-  checkWords(schema, path);
+  checkKeywords(schema, path);
   if (schema["type"] && !hasType(schema["type"].as<std::string>(), value)) {
-    found.push_back(path + ": is no " + schema["type"].as<std::string>());
+    found.push_back(path + ": is not of type " + schema["type"].as<std::string>());
     return;
   }
   checkEnum(schema, value, path, found);
@@ -118,7 +118,7 @@
     found.push_back(path + ": below the minimum");
   }
   if (value.kind == JsonKind::String) {
-    checkText(schema, value, path, found);
+    checkString(schema, value, path, found);
   } else if (value.kind == JsonKind::Object) {
     checkObject(schema, value, path, found);
   } else if (value.kind == JsonKind::Array) {
@@ -130,7 +130,7 @@
                               const std::string& path, Violations& found) const {
   for (const YAML::Node& name : schema["required"]) {
     if (value.find(name.as<std::string>()) == nullptr) {
-      found.push_back(path + ": lacks " + name.as<std::string>());
+      found.push_back(path + ": lacks the required member " + name.as<std::string>());
     }
   }
   const YAML::Node properties = schema["properties"];
--- a/libraries/front/test/contract/schema_check.h
+++ b/libraries/front/test/contract/schema_check.h
@@ -10,18 +10,18 @@
 namespace switchsaddle::front::contract {
 
 /**
- * Holds JSON values against the schemas of an OpenAPI document: type, required, properties,
- * additionalProperties, items, enum, pattern, lengths, minimum and $ref. Throws for a word of the
- * schema language that it does not know, so that none is passed over.
+ * Validates JSON values against the schemas of an OpenAPI document: type, required, properties,
+ * additionalProperties, items, enum, pattern, lengths, minimum and $ref. Throws for a schema
+ * keyword that it does not support, so that none is ignored silently.
  */
 class SchemaCheck {
  public:
   explicit SchemaCheck(const YAML::Node& document) : document_(document) {}
 
-  /** Every violation with its path; empty where the value is right. */
+  /** @return every violation with its path; empty if the value is valid. */
   std::vector<std::string> violations(const YAML::Node& schema,
                                       const configuration::JsonValue& value) const;
-  /** The node that a $ref leads to, or the node itself. */
+  /** @return the node that a $ref refers to, or the node itself. */
   YAML::Node resolve(const YAML::Node& node) const;
 
  private:
--- a/libraries/front/test/contract/schema_check_test.cc
+++ b/libraries/front/test/contract/schema_check_test.cc
@@ -5,7 +5,7 @@
 namespace switchsaddle::front::contract {
 namespace {
 
-/** Violations of a JSON text against the schema `Thing`. */
+/** @return the violations of the schema `Thing` by a JSON text. */
 std::vector<std::string> violations(const std::string& json) {
   const SchemaCheck check(YAML::Load(R"(
 components:
@@ -31,19 +31,19 @@
 }
 
 TEST(SchemaCheckTest, FindsEachKindOfViolation) {
-  EXPECT_EQ(violations("{}"), std::vector<std::string>{"$: lacks name"});
-  EXPECT_EQ(violations("[]"), std::vector<std::string>{"$: is no object"});
+  EXPECT_EQ(violations("{}"), std::vector<std::string>{"$: lacks the required member name"});
+  EXPECT_EQ(violations("[]"), std::vector<std::string>{"$: is not of type object"});
   EXPECT_EQ(violations(R"({"name":"a","other":1})"),
             std::vector<std::string>{"$: has the unknown member other"});
   EXPECT_EQ(violations(R"({"name":"A"})"),
             std::vector<std::string>{"$.name: 'A' does not match the pattern"});
   EXPECT_EQ(violations(R"({"name":"a","kind":"odd"})"),
-            std::vector<std::string>{"$.kind: 'odd' is not one of the values"});
+            std::vector<std::string>{"$.kind: 'odd' is not one of the enum values"});
   EXPECT_EQ(violations(R"({"name":"a","counts":[]})"),
             std::vector<std::string>{"$.counts: too few items"});
-  EXPECT_EQ(
-      violations(R"({"name":"a","counts":[1,-1,1.5]})"),
-      (std::vector<std::string>{"$.counts[1]: below the minimum", "$.counts[2]: is no integer"}));
+  EXPECT_EQ(violations(R"({"name":"a","counts":[1,-1,1.5]})"),
+            (std::vector<std::string>{"$.counts[1]: below the minimum",
+                                      "$.counts[2]: is not of type integer"}));
 }
 
 TEST(SchemaCheckTest, RejectsAnUnknownKeyword) {
--- a/libraries/front/test/fakes.h
+++ b/libraries/front/test/fakes.h
@@ -17,7 +17,7 @@
 
 namespace switchsaddle::front {
 
-/** Claims in memory, with the state transitions of the core. */
+/** Claims in memory with the same state transitions as at the core. */
 class FakeClaims : public claims::ClaimClient {
  public:
   void begin(const wire::ClaimBegin& request, claims::ClaimCallback callback) override {
@@ -97,7 +97,7 @@
     admission::SlotOutcome outcome;
     outcome.code = code;
     if (code == base::ResultCode::Ok) {
-      outcome.permit = std::make_unique<Hold>(*this);
+      outcome.permit = std::make_unique<Permit>(*this);
     }
     callback(std::move(outcome));
   }
@@ -108,13 +108,13 @@
     waiting.pop_back();
     admission::SlotOutcome outcome;
     outcome.code = base::ResultCode::Ok;
-    outcome.permit = std::make_unique<Hold>(*this);
+    outcome.permit = std::make_unique<Permit>(*this);
     next(std::move(outcome));
   }
 
   base::ResultCode code = base::ResultCode::Ok;
   bool unresponsive = false;
-  /** A released slot is granted to a queued request at once. */
+  /** If true, a released slot is granted to a queued request at once. */
   bool passes_on = false;
   std::vector<std::function<void(admission::SlotOutcome)>> waiting;
   std::shared_ptr<int> in_use = std::make_shared<int>(0);
@@ -124,16 +124,16 @@
     for (const auto& callback : std::exchange(waiting, {})) {
       admission::SlotOutcome outcome;
       outcome.code = base::ResultCode::Ok;
-      outcome.permit = std::make_unique<Hold>(*this);
+      outcome.permit = std::make_unique<Permit>(*this);
       callback(std::move(outcome));
     }
   }
 
  private:
-  class Hold : public admission::SlotPermit {
+  class Permit : public admission::SlotPermit {
    public:
-    explicit Hold(FakeSlots& slots) : slots_(slots), in_use_(slots.in_use) { ++*in_use_; }
-    ~Hold() override {
+    explicit Permit(FakeSlots& slots) : slots_(slots), in_use_(slots.in_use) { ++*in_use_; }
+    ~Permit() override {
       --*in_use_;
       if (slots_.passes_on && !slots_.waiting.empty()) {
         slots_.grantWaiting();
@@ -160,7 +160,7 @@
   std::vector<base::NodeAddress> none;
 };
 
-/** Requests as sent, with their observers for the test to call. */
+/** Records the requests that are sent, with their observers, which the test calls. */
 class FakeWorkers : public WorkerPort {
  public:
   class Call : public WorkerCall {
@@ -206,7 +206,7 @@
 /** A view of the fleet that the test sets; records observations. */
 class FakeFleetView : public FleetView {
  public:
-  /** A key which is in force until the test removes it. */
+  /** A key that is in force until the test removes it. */
   static constexpr const char* KeyHash = "key-hash";
 
   FakeFleetView() { view.keys[KeyHash] = configuration::Key{"caller", KeyHash, "editors"}; }
--- a/libraries/front/test/fleet/chaos_workers.cc
+++ b/libraries/front/test/fleet/chaos_workers.cc
@@ -5,9 +5,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr base::Duration VeryLate = std::chrono::seconds(9);
+constexpr base::Duration LateDelay = std::chrono::seconds(9);
 
-/** The fault of one request; the first for one-shots, the second for streams. */
+/** The fault of one request. In names of two kinds the first is for one-shot requests, the second
+ * for streams. */
 enum class Fault : std::uint8_t {
   Lost,
   Late,
@@ -62,7 +63,7 @@
   auto call = std::make_shared<FakeWorkers::Call>();
   const bool stream = request.idempotency_key.empty();
   const base::Duration delay = milliseconds(world_.random().below(60));
-  ledger_.attempts.push_back(
+  history_.attempts.push_back(
       {world_.now(), stream, front_incarnation_(), request.address, request.caller_request_id});
   if (world_.random().chance(rates_.refused)) {
     deliver(call, observer, delay,
@@ -88,7 +89,7 @@
   const base::Duration delay = milliseconds(world_.random().below(400));
   if (fault != Fault::LostUnrunOrChangedRun) {
     worker_.postAfter(delay / 2, [this, key = request.idempotency_key] {
-      ledger_.key_runs[key].push_back(world_.now());
+      history_.key_runs[key].push_back(world_.now());
     });
   }
   if (fault == Fault::Lost || fault == Fault::LostUnrunOrChangedRun) {
@@ -99,7 +100,7 @@
   if (fault == Fault::StallOrCut) {
     return;
   }
-  const base::Duration late = fault == Fault::Late ? VeryLate : base::Duration::zero();
+  const base::Duration late = fault == Fault::Late ? LateDelay : base::Duration::zero();
   const bool crossed = fault == Fault::CrossedOrRepeat;
   const WorkerHead head = headOf(crossed ? "another" : request.request_id, "");
   for (int copy = 0; copy < (fault == Fault::DoubledOrGap ? 2 : 1); ++copy) {
@@ -116,39 +117,39 @@
 void ChaosWorkers::runStream(const WorkerRequest& request, const Call& call,
                              const std::shared_ptr<WorkerObserver>& observer) {
   const Fault fault = drawFault(world_.random(), rates_.each_fault);
-  const std::string run = "run" + std::to_string(ledger_.streams.size());
-  WorkerRun& record = ledger_.streams[run];
-  ++ledger_.stream_runs_by_request[request.caller_request_id];
+  const std::string run = "run" + std::to_string(history_.streams.size());
+  WorkerRun& record = history_.streams[run];
+  ++history_.stream_runs_by_request[request.caller_request_id];
   base::Duration at = milliseconds(world_.random().below(200));
   if (fault == Fault::Lost) {
     deliver(call, observer, at,
             [](WorkerObserver& to) { to.onFailure(WorkerFailure::Lost, false); });
     return;
   }
-  at += fault == Fault::Late ? VeryLate : base::Duration::zero();
+  at += fault == Fault::Late ? LateDelay : base::Duration::zero();
   const WorkerHead head = headOf(request.request_id, run);
   deliver(call, observer, at, [head](WorkerObserver& to) { to.onHead(head); });
   const std::uint64_t chunks = 1 + world_.random().below(20);
-  const std::uint64_t struck = world_.random().below(chunks);
+  const std::uint64_t fault_chunk = world_.random().below(chunks);
   std::uint64_t id = 0;
   for (std::uint64_t chunk = 0; chunk < chunks; ++chunk) {
     at += milliseconds(10 + world_.random().below(30));
-    const bool now = chunk == struck;
-    if (now && (fault == Fault::StallOrCut || fault == Fault::CutOrSilentClose)) {
+    const bool is_fault_chunk = chunk == fault_chunk;
+    if (is_fault_chunk && (fault == Fault::StallOrCut || fault == Fault::CutOrSilentClose)) {
       const bool closes = fault == Fault::CutOrSilentClose;
       deliver(call, observer, at, [closes](WorkerObserver& to) {
         closes ? to.onComplete() : to.onFailure(WorkerFailure::Lost, false);
       });
       return;
     }
-    id += now && fault == Fault::DoubledOrGap ? 1 : 0;
+    id += is_fault_chunk && fault == Fault::DoubledOrGap ? 1 : 0;
     std::string events = chunkEvent(id, run, chunk);
-    events += now && fault == Fault::CrossedOrRepeat ? events : "";
-    if (now && fault == Fault::LostUnrunOrChangedRun) {
+    events += is_fault_chunk && fault == Fault::CrossedOrRepeat ? events : "";
+    if (is_fault_chunk && fault == Fault::LostUnrunOrChangedRun) {
       events = chunkEvent(id, "other-" + run, chunk);
     }
-    if (now && fault == Fault::DoubledOrGap) {
-      // The chunk before the gap is lost as well, so that the text shows it.
+    if (is_fault_chunk && fault == Fault::DoubledOrGap) {
+      // Skips a text as well, so that the gap shows in the text.
       events = chunkEvent(id, run, chunk + 1);
     }
     deliver(call, observer, at, [events](WorkerObserver& to) { to.onBytes(events, [] {}); });
--- a/libraries/front/test/fleet/chaos_workers.h
+++ b/libraries/front/test/fleet/chaos_workers.h
@@ -29,13 +29,13 @@
   bool ended = false;
 };
 
-/** What all workers of a simulated fleet ran, whether or not a response arrived. */
-struct WorkerLedger {
+/** Records what all workers of a simulated fleet ran, whether or not a response arrived. */
+struct WorkerHistory {
   std::vector<WorkerAttempt> attempts;
   /** Times at which each one-shot key ran. */
   std::map<std::string, std::vector<base::TimePoint>> key_runs;
   std::map<std::string, WorkerRun> streams;
-  /** Caller's Request-Ids of all streams that ran. */
+  /** Number of runs of streams, by the caller's Request-Id. */
   std::map<std::string, int> stream_runs_by_request;
 };
 
@@ -50,20 +50,20 @@
 };
 
 /**
- * Workers that run, reject, lose, mix up, delay and duplicate one-shots, and break streams
- * before the first chunk and after it, by gap, repeat, changed run, early close, loss and stall.
- * Runs continue while the front that sent the request is frozen or killed.
+ * Workers with random faults. They reject, lose, mix up, delay and duplicate one-shot requests, and
+ * break streams before and after the first chunk by a gap, a repeat, a changed run, an early close,
+ * a loss or a stall. Runs continue while the front that sent the request is frozen or killed.
  */
 class ChaosWorkers : public WorkerPort {
  public:
   /** @param front_incarnation the current incarnation of the sending front. */
   ChaosWorkers(simulation::World& world, simulation::Process& worker, simulation::Process& front,
-               WorkerLedger& ledger, WorkerFaultRates rates,
+               WorkerHistory& history, WorkerFaultRates rates,
                std::function<std::string()> front_incarnation)
       : world_(world),
         worker_(worker),
         front_(front),
-        ledger_(ledger),
+        history_(history),
         rates_(rates),
         front_incarnation_(std::move(front_incarnation)) {}
 
@@ -84,7 +84,7 @@
   simulation::World& world_;
   simulation::Process& worker_;
   simulation::Process& front_;
-  WorkerLedger& ledger_;
+  WorkerHistory& history_;
   WorkerFaultRates rates_;
   std::function<std::string()> front_incarnation_;
 };
--- a/libraries/front/test/fleet/fleet_chaos_test.cc
+++ b/libraries/front/test/fleet/fleet_chaos_test.cc
@@ -7,7 +7,7 @@
 constexpr std::uint64_t Seeds = 20;
 constexpr int Keys = 10;
 constexpr int RequestsOfKey = 4;
-constexpr int RoundsOfFaults = 80;
+constexpr int FaultRounds = 80;
 
 /** A fleet with random partitions, message losses, frozen fronts and failing workers. */
 class FleetChaos : public testing::TestWithParam<std::uint64_t> {
@@ -26,7 +26,7 @@
     writers[key].push_back(writer);
     writer->answered = [this, key](const http::Response& response) {
       const bool not_run = response.body.find("\"not-run\"") != std::string::npos;
-      EXPECT_FALSE(not_run && runs[key] > 0) << key << " told not-run after it ran";
+      EXPECT_FALSE(not_run && runs[key] > 0) << key << " was answered not-run after it ran";
       answered_not_run += not_run ? 1 : 0;
       answered_ran += response.body.find("\"ran\"") != std::string::npos ? 1 : 0;
     };
@@ -39,8 +39,9 @@
   }
 
   void scheduleFaults(Fleet& fleet) {
-    for (int round = 0; round < RoundsOfFaults; ++round) {
-      fleet.world.schedule(std::chrono::milliseconds(250 * round), [&fleet] { oneFault(fleet); });
+    for (int round = 0; round < FaultRounds; ++round) {
+      fleet.world.schedule(std::chrono::milliseconds(250 * round),
+                           [&fleet] { injectFault(fleet); });
     }
     fleet.world.schedule(std::chrono::seconds(21), [&fleet] {
       fleet.network.healAll();
@@ -51,7 +52,7 @@
     });
   }
 
-  static void oneFault(Fleet& fleet) {
+  static void injectFault(Fleet& fleet) {
     base::RandomSource& random = fleet.world.random();
     FrontProcess& front = *fleet.fronts[random.below(Fronts)];
     switch (random.below(6)) {
@@ -103,7 +104,7 @@
       EXPECT_TRUE(writer->response) << key << " was never answered";
     }
   }
-  // The scenario has to bring about what it checks.
+  // The scenario must cause the situations that it checks.
   EXPECT_GT(keys_run, 0);
   EXPECT_GT(answered_ran, 0);
 }
--- a/libraries/front/test/fleet/fleet_loads_test.cc
+++ b/libraries/front/test/fleet/fleet_loads_test.cc
@@ -1,4 +1,5 @@
-// What fronts have under way at workers, as the cores hear it on whole nodes.
+// The requests that fronts have in flight at workers, as complete simulated nodes report them to
+// the cores.
 
 #include "fleet/simulated_fleet.h"
 
@@ -35,7 +36,7 @@
     return static_cast<const FakeWorkers&>(*fleet.fronts[front]->workers).sent.size();
   }
   /** Requests at all workers, as reported to a core. */
-  std::uint32_t heardBy(int core) const {
+  std::uint32_t requestsReportedTo(int core) const {
     const core::CoreNode& node = fleet.cores[core]->incarnation->node;
     std::uint32_t requests = 0;
     for (const auto& [id, worker] : node.workers().snapshot()->workers) {
@@ -51,28 +52,28 @@
       WorkersPerPool};
 };
 
-TEST_P(FleetLoadsTest, EveryCoreKnowsTheRequestsAtEveryWorker) {
+TEST_P(FleetLoadsTest, EveryCoreReceivesTheRequestsInFlightAtEveryWorker) {
   ASSERT_TRUE(fleet.allReady());
   ASSERT_EQ(fleet.change(0, configurationOfManySlots()), 200);
   beginStreams();
   fleet.world.runFor(milliseconds(600));
-  const std::size_t under_way = dispatchedBy(0) + dispatchedBy(1);
-  ASSERT_EQ(under_way, static_cast<std::size_t>(Streams));
+  const std::size_t in_flight = dispatchedBy(0) + dispatchedBy(1);
+  ASSERT_EQ(in_flight, static_cast<std::size_t>(Streams));
   for (int core = 0; core < Cores; ++core) {
-    EXPECT_EQ(heardBy(core), under_way);
+    EXPECT_EQ(requestsReportedTo(core), in_flight);
   }
 }
 
-TEST_P(FleetLoadsTest, KilledFrontExpiresFromTheLoads) {
+TEST_P(FleetLoadsTest, LoadsOfAKilledFrontExpire) {
   ASSERT_TRUE(fleet.allReady());
   ASSERT_EQ(fleet.change(0, configurationOfManySlots()), 200);
   beginStreams();
   fleet.world.runFor(milliseconds(600));
-  const std::size_t others = dispatchedBy(1);
+  const std::size_t of_live_front = dispatchedBy(1);
   fleet.fronts[0]->kill();
   fleet.world.runFor(milliseconds(2'500));
   for (int core = 0; core < Cores; ++core) {
-    EXPECT_EQ(heardBy(core), others);
+    EXPECT_EQ(requestsReportedTo(core), of_live_front);
   }
 }
 
--- a/libraries/front/test/fleet/fleet_test.cc
+++ b/libraries/front/test/fleet/fleet_test.cc
@@ -7,7 +7,7 @@
 
 class FleetTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FleetTest, ServesAndKeepsItsConfigurationAcrossTheFailureOfACore) {
+TEST_P(FleetTest, ServesAndKeepsItsConfigurationAfterTheFailureOfACore) {
   Fleet fleet(GetParam(), [](simulation::World&, simulation::Process& process) {
     return std::make_unique<PromptWorkers>(process);
   });
--- a/libraries/front/test/fleet/simulated_fleet.h
+++ b/libraries/front/test/fleet/simulated_fleet.h
@@ -29,7 +29,8 @@
   return {"127.0.2." + std::to_string(number + 1), 1};
 }
 
-/** Workers alternate between two zones, in pairs of a model worker and an ordinary one. */
+/** @return the zone of a worker. Pairs of a model worker and an ordinary one alternate between two
+ * zones. */
 inline std::string zoneOfWorker(const base::NodeAddress& address) {
   return (address.port - 1) / 2 % 2 == 0 ? "a" : "b";
 }
@@ -96,7 +97,7 @@
 class CallerWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override {
-    EXPECT_FALSE(response) << "answered twice";
+    EXPECT_FALSE(response) << "a second response to one request";
     response = std::move(value);
     if (answered) {
       answered(*response);
--- a/libraries/front/test/fleet/traffic_scenario.cc
+++ b/libraries/front/test/fleet/traffic_scenario.cc
@@ -13,31 +13,32 @@
 constexpr int Streams = 300;
 constexpr int WorkersPerPool = 4;
 constexpr int LoadMs = 20'000;
-constexpr int Disturbances = 30;
+constexpr int Faults = 30;
 /** Probability that the front of a one-shot is killed or frozen while it is claimed or runs. */
-constexpr double StrikeChance = 0.06;
-/** Longer than an evacuation and its time limit. */
+constexpr double OneShotFaultChance = 0.06;
+/** Longer than an evacuation including its time limit. */
 constexpr std::uint64_t LongestFreezeMs = 12'000;
-/** From the resumption of a suspended front until its network is connected again. */
-constexpr std::uint64_t LongestReturnMs = 3'000;
+/** Longest time from the resumption of a suspended front until its network is connected again. */
+constexpr std::uint64_t LongestReconnectMs = 3'000;
 /** Probability that a frozen front also loses what is sent to it, as a suspended machine does. */
 constexpr double SuspensionChance = 0.5;
-/** Interval at which an operator retries an order that has not been acknowledged. */
-constexpr int OrderAttempts = 25;
+/** Number of times that an operator resends a request. */
+constexpr int OperatorRetries = 25;
 
-/** Reports a worker's lost requests as not sent, which disables the mechanism under test. */
-class LossForgetter : public WorkerPort {
+/** Reports lost requests as not sent, which disables the mechanism under test. */
+class LossAsNotSentPort : public WorkerPort {
  public:
-  explicit LossForgetter(std::unique_ptr<WorkerPort> inner) : inner_(std::move(inner)) {}
+  explicit LossAsNotSentPort(std::unique_ptr<WorkerPort> inner) : inner_(std::move(inner)) {}
   WorkerCallPtr send(const WorkerRequest& request,
                      std::shared_ptr<WorkerObserver> observer) override {
-    return inner_->send(request, std::make_shared<Forgetful>(std::move(observer)));
+    return inner_->send(request, std::make_shared<LossAsNotSentObserver>(std::move(observer)));
   }
 
  private:
-  class Forgetful : public WorkerObserver {
+  class LossAsNotSentObserver : public WorkerObserver {
    public:
-    explicit Forgetful(std::shared_ptr<WorkerObserver> inner) : inner_(std::move(inner)) {}
+    explicit LossAsNotSentObserver(std::shared_ptr<WorkerObserver> inner)
+        : inner_(std::move(inner)) {}
     void onHead(const WorkerHead& head) override { inner_->onHead(head); }
     void onBytes(std::string bytes, std::function<void()> resume) override {
       inner_->onBytes(std::move(bytes), std::move(resume));
@@ -53,7 +54,7 @@
   std::unique_ptr<WorkerPort> inner_;
 };
 
-/** Claims that every attempt wins, which disables the mechanism under test. */
+/** Lets every attempt win its claim, which disables the mechanism under test. */
 class NoClaims : public claims::ClaimClient {
  public:
   void begin(const wire::ClaimBegin& /*request*/, claims::ClaimCallback callback) override {
@@ -109,13 +110,13 @@
         }
         const int number = fronts_made_++;
         auto workers = std::make_unique<ChaosWorkers>(
-            world, *worker_, front, ledger_, options_.faults, [this, number] {
-              return std::to_string(number) + "/" + std::to_string(lives_[number]);
+            world, *worker_, front, history_, options_.faults, [this, number] {
+              return std::to_string(number) + "/" + std::to_string(incarnations_[number]);
             });
         if (options_.lost_is_unknown) {
           return workers;
         }
-        return std::make_unique<LossForgetter>(std::move(workers));
+        return std::make_unique<LossAsNotSentPort>(std::move(workers));
       },
       WorkersPerPool,
       [this](FrontEnvironment& environment) {
@@ -140,7 +141,7 @@
 void TrafficScenario::schedule() {
   simulation::World& world = fleet_->world;
   for (int index = 0; index < Keys * RequestsOfKey; ++index) {
-    // The requests of one key are near each other, so that they meet each other in flight.
+    // The requests of one key are sent close together, so that several are in flight at once.
     const auto base_ms = static_cast<int>((index % Keys) * (LoadMs - 4'000) / Keys);
     const auto at = milliseconds(base_ms + static_cast<int>(world.random().below(4'000)));
     world.schedule(at, [this, index] { sendOneShot(index); });
@@ -149,8 +150,8 @@
     world.schedule(milliseconds(world.random().below(LoadMs)),
                    [this, index] { sendStream(index); });
   }
-  for (int round = 0; round < Disturbances; ++round) {
-    world.schedule(milliseconds(world.random().below(LoadMs)), [this] { disturb(); });
+  for (int round = 0; round < Faults; ++round) {
+    world.schedule(milliseconds(world.random().below(LoadMs)), [this] { injectFault(); });
   }
   world.schedule(milliseconds(2'000 + world.random().below(6'000)), [this] { revoke(); });
   world.schedule(milliseconds(2'000 + world.random().below(6'000)), [this] { evacuate(); });
@@ -178,16 +179,16 @@
       front,
       {"POST", "/v1/one-shots", {{"Idempotency-Key", key}}, R"({"service":"orders","payload":1})"},
       id, secret);
-  one_shots_.push_back({key, fleet_->world.now(), writer, front, lives_[front], id});
-  strikeWithinOneShot(front);
+  one_shots_.push_back({key, fleet_->world.now(), writer, front, incarnations_[front], id});
+  injectFaultDuringOneShot(front);
 }
 
-void TrafficScenario::strikeWithinOneShot(int number) {
+void TrafficScenario::injectFaultDuringOneShot(int number) {
   simulation::World& world = fleet_->world;
-  if (!world.random().chance(StrikeChance)) {
+  if (!world.random().chance(OneShotFaultChance)) {
     return;
   }
-  // Claiming takes some milliseconds, the worker some hundred.
+  // A claim takes some milliseconds, a run at the worker some hundred.
   const std::uint64_t longest_ms = world.random().chance(0.5) ? 15 : 300;
   const bool kill = world.random().chance(0.5);
   const auto pause = milliseconds(500 + world.random().below(8'000));
@@ -219,10 +220,10 @@
             {},
             R"({"model":"large","stream":true,"messages":[{"role":"user","content":"hi"}]})"},
            id, secret);
-  streams_.push_back({writer, front, lives_[front], id});
+  streams_.push_back({writer, front, incarnations_[front], id});
 }
 
-void TrafficScenario::disturb() {
+void TrafficScenario::injectFault() {
   base::RandomSource& random = fleet_->world.random();
   switch (random.below(6)) {
     case 0:
@@ -239,15 +240,15 @@
       }
       break;
     case 3:
-      disturbCore();
+      injectCoreFault();
       break;
     default:
-      disturbFront();
+      injectFrontFault();
       break;
   }
 }
 
-void TrafficScenario::disturbFront() {
+void TrafficScenario::injectFrontFault() {
   simulation::World& world = fleet_->world;
   const auto number = static_cast<int>(world.random().below(Fronts));
   FrontProcess& front = *fleet_->fronts[number];
@@ -276,10 +277,10 @@
 void TrafficScenario::endSuspension(int number) {
   simulation::World& world = fleet_->world;
   suspended_.erase(number);
-  // The machine finds one core at once and the others later.
+  // The machine reaches one core at once and the others later.
   const auto core = static_cast<int>(world.random().below(Cores));
   fleet_->network.heal(frontAddress(number), coreAddress(core));
-  world.schedule(milliseconds(world.random().below(LongestReturnMs)), [this, number] {
+  world.schedule(milliseconds(world.random().below(LongestReconnectMs)), [this, number] {
     if (!suspended_.contains(number)) {
       setReachable(number, true);
     }
@@ -306,7 +307,7 @@
 }
 
 void TrafficScenario::killFront(int number) {
-  ++lives_[number];
+  ++incarnations_[number];
   FrontProcess& front = *fleet_->fronts[number];
   front.kill();
   fleet_->world.schedule(milliseconds(100 + fleet_->world.random().below(2'000)), [&front] {
@@ -316,7 +317,7 @@
   });
 }
 
-void TrafficScenario::disturbCore() {
+void TrafficScenario::injectCoreFault() {
   simulation::World& world = fleet_->world;
   const bool all = world.random().chance(0.2);
   const auto chosen = static_cast<int>(world.random().below(Cores));
@@ -358,14 +359,14 @@
   }
 }
 
-void TrafficScenario::order(const http::Request& order_request, int attempts_left,
-                            std::function<void()> acknowledged) {
+void TrafficScenario::sendOperatorRequest(const http::Request& operator_request, int attempts_left,
+                                          std::function<void()> acknowledged) {
   simulation::World& world = fleet_->world;
   const auto front = static_cast<int>(world.random().below(Fronts));
   if (fleet_->fronts[front]->running()) {
     auto writer = std::make_shared<CallerWriter>();
     operator_writers_.push_back(writer);
-    http::Request request = order_request;
+    http::Request request = operator_request;
     request.headers.push_back({"Authorization", "Bearer operator"});
     writer->answered = [acknowledged,
                         done = std::make_shared<bool>(false)](const http::Response& response) {
@@ -377,24 +378,25 @@
     fleet_->fronts[front]->node().service().enqueue(std::move(request), writer);
   }
   if (attempts_left > 0) {
-    // Sent again whether or not a response arrives, as an impatient operator would.
-    world.schedule(milliseconds(700), [this, order_request, attempts_left, acknowledged] {
-      order(order_request, attempts_left - 1, acknowledged);
+    // The operator resends the request whether or not a response has arrived.
+    world.schedule(milliseconds(700), [this, operator_request, attempts_left, acknowledged] {
+      sendOperatorRequest(operator_request, attempts_left - 1, acknowledged);
     });
   }
 }
 
 void TrafficScenario::revoke() {
-  order({"DELETE", "/v1/keys/revoked?change_id=revocation", {}, ""}, OrderAttempts, [this] {
-    if (!revoked_) {
-      revoked_ = fleet_->world.now();
-    }
-  });
+  sendOperatorRequest({"DELETE", "/v1/keys/revoked?change_id=revocation", {}, ""}, OperatorRetries,
+                      [this] {
+                        if (!revoked_) {
+                          revoked_ = fleet_->world.now();
+                        }
+                      });
 }
 
 void TrafficScenario::evacuate() {
   const std::string path = "/v1/zones/" + std::string(EvacuatedZone) + "/evacuation";
-  order({"POST", path, {}, R"({"change_id":"empty-zone"})"}, OrderAttempts, [this] {
+  sendOperatorRequest({"POST", path, {}, R"({"change_id":"empty-zone"})"}, OperatorRetries, [this] {
     if (!evacuated_) {
       evacuated_ = fleet_->world.now();
     }
--- a/libraries/front/test/fleet/traffic_scenario.h
+++ b/libraries/front/test/fleet/traffic_scenario.h
@@ -16,7 +16,7 @@
 /** The zone that the scenario evacuates. */
 inline constexpr const char* EvacuatedZone = "a";
 
-/** The enabled mechanisms; all, except in tests that show what each prevents. */
+/** The enabled mechanisms: all of them, except in tests that show what each one prevents. */
 struct TrafficOptions {
   bool claims = true;
   bool session_check = true;
@@ -43,10 +43,10 @@
 };
 
 /**
- * A complete simulated fleet under one-shots (each key sent several times, through any front) and
- * streams, while fronts and cores are killed, frozen, started and cut off, workers fail in every
- * way, one of two keys is revoked and one of two zones emptied. Judged only by what callers and
- * workers saw.
+ * A complete simulated fleet under load. Callers send streams and one-shot requests, each key
+ * several times and through any front. Meanwhile fronts and cores are killed, frozen, restarted and
+ * partitioned, workers fail, one of two keys is revoked and one of two zones evacuated. The checks
+ * use only what callers and workers recorded.
  */
 class TrafficScenario {
  public:
@@ -54,16 +54,16 @@
   TrafficResult run();
 
  private:
-  struct OneShotCall {
+  struct OneShotRecord {
     std::string key;
     base::TimePoint sent;
     std::shared_ptr<CallerWriter> writer;
-    /** Incarnation of the front; calls of killed incarnations need no response. */
+    /** The front and its incarnation; requests to killed incarnations need no response. */
     int front = 0;
     int incarnation = 0;
     std::string caller_request_id;
   };
-  struct StreamCall {
+  struct StreamRecord {
     std::shared_ptr<CallerWriter> writer;
     int front = 0;
     int incarnation = 0;
@@ -73,50 +73,50 @@
   void schedule();
   void sendOneShot(int index);
   /** Kills or freezes the front at random while its latest one-shot is claimed or runs. */
-  void strikeWithinOneShot(int front);
+  void injectFaultDuringOneShot(int front);
   void sendStream(int index);
   std::shared_ptr<CallerWriter> send(int front, http::Request request,
                                      const std::string& caller_request_id,
                                      const std::string& secret);
-  void disturb();
-  void disturbFront();
+  void injectFault();
+  void injectFrontFault();
   void endSuspension(int number);
   /** Partitions a front from all cores and other fronts, or heals the partition. */
   void setReachable(int number, bool reachable);
-  void disturbCore();
+  void injectCoreFault();
   void killFront(int front);
   void healAll();
   void revoke();
   void evacuate();
-  void order(const http::Request& order_request, int attempts_left,
-             std::function<void()> acknowledged);
+  void sendOperatorRequest(const http::Request& operator_request, int attempts_left,
+                           std::function<void()> acknowledged);
 
   void checkServing();
   void checkHistory();
   void checkKeys();
-  void checkStream(const StreamCall& call);
+  void checkStream(const StreamRecord& record);
   /** When first attempts and retries were sent, in order. */
   struct RetryTimes {
     std::vector<base::TimePoint> firsts;
     std::vector<base::TimePoint> retries;
   };
   void checkRetries();
-  void checkRetryTimes(const std::string& who, const RetryTimes& times,
-                       base::Duration paying_window);
+  void checkRetryTimes(const std::string& front, const RetryTimes& times,
+                       base::Duration first_attempts_window);
   void checkRevocation();
   void checkEvacuation();
-  bool excused(int front, int incarnation) const;
-  void violated(const std::string& rule, const std::string& detail);
+  bool wasKilledSince(int front, int incarnation) const;
+  void addViolation(const std::string& rule, const std::string& detail);
 
   TrafficOptions options_;
-  WorkerLedger ledger_;
+  WorkerHistory history_;
   std::unique_ptr<simulation::Process> worker_;
   FakeSession always_serving_;
   std::unique_ptr<Fleet> fleet_;
-  std::deque<OneShotCall> one_shots_;
-  std::deque<StreamCall> streams_;
+  std::deque<OneShotRecord> one_shots_;
+  std::deque<StreamRecord> streams_;
   int fronts_made_ = 0;
-  std::vector<int> lives_ = std::vector<int>(Fronts, 0);
+  std::vector<int> incarnations_ = std::vector<int>(Fronts, 0);
   /** Frozen fronts that receive nothing until they resume. */
   std::set<int> suspended_;
   /** When the revocation was first acknowledged. */
--- a/libraries/front/test/fleet/traffic_scenario_test.cc
+++ b/libraries/front/test/fleet/traffic_scenario_test.cc
@@ -56,55 +56,55 @@
 }
 
 /** A disabled mechanism, and the invariant that is violated without it. */
-struct RedRun {
+struct DisabledMechanism {
   const char* name;
   TrafficOptions options;
   const char* rule;
 };
 
-std::ostream& operator<<(std::ostream& out, const RedRun& run) {
+std::ostream& operator<<(std::ostream& out, const DisabledMechanism& run) {
   return out << run.name;
 }
 
-std::vector<RedRun> redRuns() {
-  RedRun claims{"ClaimsOff", {}, "ran-twice"};
+std::vector<DisabledMechanism> disabledMechanisms() {
+  DisabledMechanism claims{"ClaimsOff", {}, "ran-twice"};
   claims.options.claims = false;
-  RedRun session{"SessionCheckOff", {}, "ran-for-revoked-key"};
+  DisabledMechanism session{"SessionCheckOff", {}, "ran-for-revoked-key"};
   session.options.session_check = false;
-  RedRun session_zone{"SessionCheckOffZone", {}, "sent-to-evacuated-zone"};
+  DisabledMechanism session_zone{"SessionCheckOffZone", {}, "sent-to-evacuated-zone"};
   session_zone.options.session_check = false;
-  RedRun lost{"LostTreatedAsNotSent", {}, "ran-twice"};
+  DisabledMechanism lost{"LostTreatedAsNotSent", {}, "ran-twice"};
   lost.options.lost_is_unknown = false;
-  RedRun gap{"SequenceCheckOffGap", {}, "piece-order"};
+  DisabledMechanism gap{"SequenceCheckOffGap", {}, "piece-order"};
   gap.options.sequence_check = false;
-  RedRun joined{"SequenceCheckOffJoinedRuns", {}, "run-changed"};
+  DisabledMechanism joined{"SequenceCheckOffJoinedRuns", {}, "run-changed"};
   joined.options.sequence_check = false;
-  RedRun early{"SequenceCheckOffEarlyEnd", {}, "early-end"};
+  DisabledMechanism early{"SequenceCheckOffEarlyEnd", {}, "early-end"};
   early.options.sequence_check = false;
-  RedRun retries{"RetryBudgetWide", {}, "too-many-retries"};
+  DisabledMechanism retries{"RetryBudgetWide", {}, "too-many-retries"};
   retries.options.retry_share = 0.5;
   retries.options.faults.not_run = 0.4;
   return {claims, session, session_zone, lost, gap, joined, early, retries};
 }
 
-class TrafficRedRuns : public testing::TestWithParam<RedRun> {};
+class TrafficMechanisms : public testing::TestWithParam<DisabledMechanism> {};
 
-TEST_P(TrafficRedRuns, DetectsADisabledMechanism) {
+TEST_P(TrafficMechanisms, DetectsADisabledMechanism) {
   std::uint64_t found_at = 0;
   for (std::uint64_t seed = 1; seed <= SeedsWithMechanismDisabled && found_at == 0; ++seed) {
     const TrafficResult result = TrafficScenario(seed, GetParam().options).run();
     found_at = result.found(GetParam().rule) ? seed : 0;
   }
-  EXPECT_GT(found_at, 0U) << "no seed broke " << GetParam().rule;
+  EXPECT_GT(found_at, 0U) << "no seed violated " << GetParam().rule;
   std::cout << GetParam().rule << " found at seed " << found_at << "\n";
 }
 
-INSTANTIATE_TEST_SUITE_P(Mechanisms, TrafficRedRuns, testing::ValuesIn(redRuns()),
-                         [](const testing::TestParamInfo<RedRun>& run) {
+INSTANTIATE_TEST_SUITE_P(Mechanisms, TrafficMechanisms, testing::ValuesIn(disabledMechanisms()),
+                         [](const testing::TestParamInfo<DisabledMechanism>& run) {
                            return std::string(run.param.name);
                          });
 
-TEST(TrafficStorm, RetriesStayWithinTheBudgetWhenMostWorkersReject) {
+TEST(TrafficRetryBudget, RetriesStayWithinTheBudgetWhenManyWorkersReject) {
   TrafficOptions options;
   options.faults.not_run = 0.4;
   std::size_t retries = 0;
--- a/libraries/front/test/limits_test.cc
+++ b/libraries/front/test/limits_test.cc
@@ -56,11 +56,11 @@
   for (int count = 0; count < 20; ++count) {
     budget.countFirstAttempt("orders");
   }
-  int spent = 0;
+  int retries = 0;
   while (budget.tryAcquire("orders", 0.1)) {
-    ++spent;
+    ++retries;
   }
-  EXPECT_EQ(spent, 3) << "a tenth of the last second's, and one";
+  EXPECT_EQ(retries, 3) << "a tenth of the last second's requests, and one";
 }
 
 TEST_F(LimitsTest, CircuitAllowsOneTrialRequestWhenHalfOpen) {
@@ -105,13 +105,13 @@
 
 TEST(Stage, RunsLongQueuesOfShortTasksOnAFlatStack) {
   Stage stage(1, 100'000);
-  StageTicket occupied;
+  StageTicket first_ticket;
   int ran = 0;
-  stage.submit([&occupied](StageTicket ticket) { occupied = std::move(ticket); });
+  stage.submit([&first_ticket](StageTicket ticket) { first_ticket = std::move(ticket); });
   for (int count = 0; count < 100'000; ++count) {
     EXPECT_TRUE(stage.submit([&ran](const StageTicket& /*ticket*/) { ++ran; }));
   }
-  occupied.reset();
+  first_ticket.reset();
   EXPECT_EQ(ran, 100'000);
   EXPECT_EQ(stage.running(), 0U);
 }
--- a/libraries/front/test/node/front_node_test.cc
+++ b/libraries/front/test/node/front_node_test.cc
@@ -11,7 +11,7 @@
 const base::NodeAddress FrontAddress{"127.0.0.1", 1};
 const base::NodeAddress CoreAddress{"127.0.0.2", 1};
 
-/** A core node that grants every session and hands out one configuration and worker list. */
+/** A core node that grants every session and serves one configuration and worker list. */
 struct FakeCore {
   FakeCore(simulation::World& world, simulation::Network& network)
       : process(world),
@@ -62,7 +62,7 @@
 };
 
 /** A writer that records the response. */
-class QuietWriter : public http::ResponseWriter {
+class RecordingWriter : public http::ResponseWriter {
  public:
   void respond(http::Response value) override { response = std::move(value); }
   void startStream(http::Response value) override { response = std::move(value); }
@@ -87,8 +87,8 @@
         FrontEnvironment{process, calls, world.random(), journal, settings, workers, 7, &slots});
     node->start();
   }
-  std::shared_ptr<QuietWriter> stream() {
-    auto writer = std::make_shared<QuietWriter>();
+  std::shared_ptr<RecordingWriter> stream() {
+    auto writer = std::make_shared<RecordingWriter>();
     node->service().enqueue(
         http::Request{
             "POST",
@@ -142,7 +142,7 @@
   EXPECT_EQ(writer->response->status, 503);
 }
 
-TEST_F(FrontNodeTest, PartitionedCoreEndsNewWorkButNotOpenStreams) {
+TEST_F(FrontNodeTest, PartitionFromTheCoreRejectsNewRequestsButNotOpenStreams) {
   ASSERT_TRUE(becomesReady());
   const auto open = stream();
   network.cut(FrontAddress, CoreAddress);
--- a/libraries/front/test/worker_calls/http_worker_port_test.cc
+++ b/libraries/front/test/worker_calls/http_worker_port_test.cc
@@ -11,7 +11,7 @@
 namespace switchsaddle::front {
 namespace {
 
-/** Records what a request came to. */
+/** Records the outcome of a request. */
 class Recorder : public WorkerObserver {
  public:
   void onHead(const WorkerHead& value) override { head = value; }
