--- a/libraries/testbed/include/switchsaddle/testbed/checks/history_checker.h
+++ b/libraries/testbed/include/switchsaddle/testbed/checks/history_checker.h
@@ -11,54 +11,57 @@
 
 namespace switchsaddle::testbed {
 
-/** What must never be seen. */
+/** The invariants that a recorded run is checked against. */
 enum class Rule : std::uint8_t {
-  /** A key ran more than once. */
+  /** An idempotency key ran more than once. */
   RanTwice,
-  /** A key was answered not-run, and ran for no other request that may have run. */
+  /** A key ran although no request that was sent before the run may have caused it. */
   RanAfterNotRun,
-  /** A refused stream or one-shot ran under its caller's request id. */
+  /** A stream or one-shot request that was refused ran under its caller's request id. */
   RanAfterRefusal,
-  /** A one-shot was answered as ran, and no worker ran its key. */
+  /** A one-shot request was answered as ran, but no worker ran its key. */
   AnsweredWithoutRun,
-  /** Pieces of a stream lack an index, repeat one, or start above 0. */
+  /** The chunk indices of a stream are not 0, 1, 2 and so on. */
   ChunkOrder,
-  /** Pieces of a stream come from two runs. */
+  /** The chunks of a stream come from more than one run. */
   RunChanged,
-  /** A stream ended with [DONE] before its run's last piece or without the worker's own end. */
+  /** A stream ended with [DONE] before the last chunk of its run, or the worker did not finish the
+   * run. */
   EarlyEnd,
-  /** A stream ended with neither [DONE] nor a visible error. */
+  /** A stream ended without [DONE] and without an error that its caller can see. */
   TruncatedEnd,
-  /** A tenant or branch ran more at once than its limit. */
+  /** A tenant or branch had more concurrent runs than its limit. */
   OverLimit,
-  /** A call was refused as over its branch while a slot was free. */
-  RefusedInside,
-  /** A run started on a worker of an evacuated zone later than EvacuationLimitMs after the
-   * acknowledgement. */
+  /** A call was refused as over its branch limit while a slot was free. */
+  RefusedWithinLimit,
+  /** A run started on a worker of an evacuated zone more than EvacuationLimitMs after the
+   * evacuation was acknowledged. */
   RanInEvacuatedZone,
-  /** A run started for a revoked key's tenant later than RevocationLimitMs after the
-   * acknowledgement. */
+  /** A run started for the tenant of a revoked key more than RevocationLimitMs after the revocation
+   * was acknowledged. */
   RanForRevokedKey,
-  /** A worker got a request later than LeavingLimitMs after it was known to be leaving. */
+  /** A worker received a request more than LeavingLimitMs after it announced that it is leaving or
+   * was killed. */
   SentToLeavingWorker,
-  /** Retries at the workers are too large a share of the first tries. */
+  /** The ratio of retries to first attempts at the workers is too high. */
   TooManyRetries,
 };
 
-/** From the acknowledgement of an evacuation to the last start in the zone, milliseconds. */
+/** Longest time from an acknowledged evacuation to a start in the zone, in milliseconds. */
 inline constexpr std::int64_t EvacuationLimitMs = 5'000;
-/** From the acknowledgement of a revocation to the last start for the key, milliseconds. */
+/** Longest time from an acknowledged revocation to a start for the key, in milliseconds. */
 inline constexpr std::int64_t RevocationLimitMs = 2'000;
-/** From the moment at which a worker announced its leaving, or was killed, milliseconds. */
+/** Longest time from a worker's announcement that it is leaving, or from its kill, to a request
+ * sent to it, in milliseconds. */
 inline constexpr std::int64_t LeavingLimitMs = 3'000;
-/** Length of the sliding window in which retries are counted, milliseconds. */
+/** Length of the sliding window in which retries are counted, in milliseconds. */
 inline constexpr std::int64_t RetryWindowMs = 10'000;
-/** Greatest share of retries in a window's first tries. */
+/** Highest allowed ratio of retries to first attempts in a window. */
 inline constexpr double RetryShare = 0.1;
 
 std::string ruleName(Rule rule);
 
-/** One finding against a rule. */
+/** One violation of a rule. */
 struct Violation {
   Rule rule = Rule::RanTwice;
   /** The key, call or tenant. */
@@ -69,57 +72,59 @@
 /** The journal of one worker, in order of writing. */
 struct WorkerJournal {
   std::string worker;
-  /** Empty where it isn't known; the rule on evacuated zones then passes over this worker. */
+  /** Empty if unknown; the rule on evacuated zones then ignores this worker. */
   std::string zone;
   std::vector<WorkerEvent> events;
 };
 
-/** What is judged: only what callers and operators saw and what workers did. */
+/** Input of the checkers: what callers and operators observed and what workers did. */
 struct Evidence {
   std::vector<CallEvent> calls;
   std::vector<WorkerJournal> journals;
-  /** What operators ordered and what was done to workers; may be empty. */
+  /** Orders of operators and injected faults; may be empty. */
   std::vector<OrderEvent> orders;
-  /** Greatest number of runs at once, by tenant; tenants not named are not limited. */
+  /** Maximum number of concurrent runs by tenant; tenants without an entry have no limit. */
   std::map<std::string, std::uint32_t> limits;
 };
 
-/** Quantiles of the time from sending a stream to its first piece, milliseconds. */
+/** Quantiles of the time from sending a stream request to its first chunk, in milliseconds. */
 struct FirstTokenTimes {
   std::size_t samples = 0;
   std::int64_t p50_ms = 0;
   std::int64_t p95_ms = 0;
 };
 
-/** Attempts at the workers of one kind, beyond the first for each caller's request. */
+/** First attempts and retries at the workers, for one kind of request. A retry is each attempt
+ * after the first for a caller's request. */
 struct RetryFindings {
   std::uint64_t first_attempts = 0;
   std::uint64_t retries = 0;
-  /** Greatest share of retries in first tries over a window, and its counts. */
+  /** Highest ratio of retries to first attempts in a window, and the counts of that window. */
   double worst_share = 0;
   std::uint64_t worst_retries = 0;
   std::uint64_t worst_first_attempts = 0;
 };
 
-/** The judgement on a record. */
+/** Result of checking a recorded run. */
 struct HistoryReport {
   std::vector<Violation> violations;
-  /** Calls by kind, end, code and outcome. */
+  /** Number of calls by kind, end, code and outcome. */
   std::map<std::string, std::size_t> answers;
-  /** Calls still open when the record ended. */
+  /** Calls without an answer at the end of the record. */
   std::size_t open_calls = 0;
   FirstTokenTimes first_token;
   std::map<std::string, std::uint32_t> peak_by_tenant;
-  /** Orders that were judged, by event, and the latest start after one of them, milliseconds. */
+  /** Number of checked orders by event, and the longest time from such an order to a forbidden
+   * event, in milliseconds. */
   std::map<std::string, std::size_t> orders;
   std::map<std::string, std::int64_t> latest_start_ms;
-  /** By kind of work. */
+  /** By kind of request. */
   std::map<std::string, RetryFindings> retries;
 };
 
 HistoryReport checkHistory(const Evidence& evidence);
 
-/** The judgement as text for people, ending in a line that counts the violations. */
+/** The report as text; the last line counts the violations. */
 std::string formatHistoryReport(const HistoryReport& report);
 
 }  // namespace switchsaddle::testbed
--- a/libraries/testbed/include/switchsaddle/testbed/fleet/fleet_layout.h
+++ b/libraries/testbed/include/switchsaddle/testbed/fleet/fleet_layout.h
@@ -14,13 +14,13 @@
   std::string zone;
 };
 
-/** A worker of a layout with the flags it starts with. */
+/** A worker of a layout with its additional command-line arguments. */
 struct LayoutWorker {
   ListedWorker listed;
   std::vector<std::string> arguments;
 };
 
-/** What a fleet consists of, as read from a layout file. */
+/** The processes of a fleet, as read from a layout file. */
 struct FleetLayout {
   /** The first two octets of every address, such as "127.40". */
   std::string network;
@@ -31,23 +31,23 @@
   std::vector<LayoutWorker> workers;
   int platform_lag_ms = 1'000;
   int crashed_listed_ms = 8'000;
-  /** JSON of the settings' "times", passed on as it is. */
+  /** JSON of the settings' "times", copied unchanged into each settings file. */
   std::string times_json = "{}";
 };
 
 /**
- * Parses a layout. Nodes are {"count": N} spread over "zones" in turn, or explicit lists of {name,
- * zone}; workers are groups {prefix, count, service, models, stage, slots, arguments}. Throws
- * base::Error with MalformedJson, UnknownField, MissingField or InvalidValue.
+ * Parses a layout. Nodes are {"count": N}, assigned to "zones" in rotation, or explicit lists of
+ * {name, zone}; workers are groups {prefix, count, service, models, stage, slots, arguments}.
+ * Throws base::Error with MalformedJson, UnknownField, MissingField or InvalidValue.
  */
 FleetLayout parseFleetLayout(const std::string& text);
 
-/** What a process of a fleet is. */
+/** The role of a process in a fleet. */
 enum class ProcessRole : std::uint8_t { Platform, Worker, Core, Front };
 
 std::string roleName(ProcessRole role);
 
-/** One process of a fleet: where it listens, what starts it and, while it runs, which one it is. */
+/** One process of a fleet: its addresses, its command line and, while it runs, its identity. */
 struct FleetProcess {
   std::string name;
   ProcessRole role = ProcessRole::Worker;
@@ -55,12 +55,12 @@
   base::NodeAddress peer_address;
   base::NodeAddress http_address;
   std::string data_folder;
-  /** A core that joined later: its settings name no initial cores. */
+  /** Set for a core that replaced another one; its settings have no initial cores. */
   bool replacement = false;
   std::vector<std::string> command;
-  /** Zero while it isn't running. */
+  /** 0 if the process was never started. */
   std::int64_t pid = 0;
-  /** Start time from /proc, in clock ticks after boot; tells a reused pid. */
+  /** Start time from /proc, in clock ticks since boot; detects a reused pid. */
   std::uint64_t start_ticks = 0;
 };
 
@@ -87,7 +87,7 @@
   std::string switchsaddle;
 };
 
-/** All processes of the layout, not running, in the order in which they are to be started. */
+/** All processes of the layout, not yet started, in start order. */
 FleetState planFleet(const FleetLayout& layout, const std::string& directory,
                      const FleetPrograms& programs);
 
@@ -96,8 +96,8 @@
                          const std::string& operator_hash);
 
 /**
- * Puts a new core with an empty data folder at a new address in the place of the one named. Throws
- * base::Error with InvalidValue where that isn't a core.
+ * Replaces the named core by a new one that has a new name, a new address and an empty data folder.
+ * Throws base::Error with InvalidValue if the process is not a core.
  */
 FleetProcess& replaceCore(FleetState& state, const std::string& name);
 
--- a/libraries/testbed/include/switchsaddle/testbed/fleet/process_control.h
+++ b/libraries/testbed/include/switchsaddle/testbed/fleet/process_control.h
@@ -8,33 +8,33 @@
 
 namespace switchsaddle::testbed {
 
-/** Which process is meant: a pid alone may have been given to another one since. */
+/** Identifies a process. The start time distinguishes it from a later process with the same pid. */
 struct ProcessIdentity {
   std::int64_t pid = 0;
-  /** Start time from /proc, in clock ticks after boot. */
+  /** Start time from /proc, in clock ticks since boot. */
   std::uint64_t start_ticks = 0;
 };
 
-/** How a process stands. */
+/** The state of a process. */
 enum class ProcessCondition : std::uint8_t { Exited, Running, Stopped };
 
 /**
- * Starts a program in a session of its own, with its output appended to a log file, so that it
- * outlives the caller. Throws base::Error with StorageFailed where it can't be started.
+ * Starts a program in its own session, so that it outlives the caller, and appends its output to a
+ * log file. Throws base::Error with StorageFailed if the program cannot be started.
  */
 ProcessIdentity launchDetached(const std::vector<std::string>& command,
                                const std::string& log_path);
 
-/** Processor time that the process has used, user and system; zero where it is gone. */
+/** User and system processor time that the process has used; zero if it has exited. */
 base::Duration cpuTimeOf(const ProcessIdentity& process);
 
-/** Exited processes that nobody reaped count as gone. */
+/** The state of the process; a zombie counts as exited. */
 ProcessCondition conditionOf(const ProcessIdentity& process);
 
-/** Sends a signal to just this process; false where it is gone. */
+/** Sends a signal to this process only; returns false if it has exited. */
 bool sendSignal(const ProcessIdentity& process, int signal_number);
 
-/** Waits until the process has the condition; false where `limit` passed first. */
+/** Waits until the process has the condition; returns false if `limit` passes first. */
 bool waitForCondition(const ProcessIdentity& process, ProcessCondition condition,
                       base::Duration limit);
 
--- a/libraries/testbed/include/switchsaddle/testbed/load/call_exchange.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/call_exchange.h
@@ -12,14 +12,14 @@
 
 namespace switchsaddle::testbed {
 
-/** Where calls are recorded. */
+/** Receives the events of calls in the order in which they happen. */
 class CallSink {
  public:
   virtual ~CallSink() = default;
   virtual void append(const CallEvent& event) = 0;
 };
 
-/** Records into a file, one line for each event. */
+/** Appends each event to a file as one line. */
 class FileCallSink : public CallSink {
  public:
   /** Throws base::Error with StorageFailed. */
@@ -30,7 +30,7 @@
   LineFile file_;
 };
 
-/** A sink with the clock that its events are recorded by. */
+/** A sink with the clock that timestamps its events. */
 struct CallRecorder {
   base::Dispatcher& dispatcher;
   CallSink& sink;
@@ -39,14 +39,14 @@
 };
 
 /**
- * One call as its caller sees it: records the head, each piece and exactly one answer. Runs on the
- * client's thread; kept alive by the client until the exchange has ended.
+ * Records one call from the caller's side: the response head, each chunk and exactly one answer.
+ * Runs on the client's thread. The client owns it until the exchange has ended.
  */
 class CallExchange : public http::ExchangeObserver {
  public:
   using Ended = std::function<void(const CallEvent& answer)>;
 
-  /** `sent` is the call's "sent" event, recorded already. */
+  /** `sent` is the call's "sent" event, which the caller has already recorded. */
   CallExchange(CallRecorder recorder, const CallEvent& sent, Ended ended);
 
   void onResponseHead(const http::Response& head) override;
--- a/libraries/testbed/include/switchsaddle/testbed/load/event_stream_reader.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/event_stream_reader.h
@@ -14,12 +14,13 @@
   std::string data;
 };
 
-/** Splits the bytes of a text/event-stream, however they are cut, into events. */
+/** Parses a text/event-stream into events; its bytes may arrive in blocks of any size.
+ */
 class EventStreamReader {
  public:
-  /** The events which these bytes complete. */
+  /** Returns the events that these bytes complete. */
   std::vector<StreamEvent> feed(std::string_view bytes);
-  /** Whether bytes of an incomplete event are left. */
+  /** Whether an incomplete event is buffered. */
   bool partial() const { return !line_.empty() || started_; }
 
  private:
--- a/libraries/testbed/include/switchsaddle/testbed/load/load_plan.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/load_plan.h
@@ -10,7 +10,7 @@
 
 namespace switchsaddle::testbed {
 
-/** One tenant's part of the load. */
+/** The load of one tenant: rates in requests per second, and the models it requests. */
 struct LoadTenant {
   std::string name;
   std::string key;
@@ -20,7 +20,8 @@
   std::vector<std::string> models;
 };
 
-/** A time in which a tenant sends many times its usual. */
+/** A load burst: a tenant's rates are multiplied by `factor` from `from_s` until `to_s`, in seconds
+ * since the start of the load. */
 struct LoadBurst {
   /** Empty for all tenants. */
   std::string tenant;
@@ -35,54 +36,56 @@
 /** What callers send, as read from a load file. */
 struct LoadPlan {
   std::vector<LoadTenant> tenants;
-  /** Families of prompts which share a chain of prefix parts; popularity follows Zipf's law. */
+  /** Number of prompt families. The prompts of a family share a chain of prefix segments; the
+   * popularity of families follows Zipf's law. */
   std::uint32_t prefix_families = 20;
   double prefix_zipf = 1.0;
   std::uint32_t prefix_segments = 3;
   std::uint32_t segment_tokens = 400;
   std::uint32_t prompt_tokens = 100;
   std::uint32_t output_tokens = 60;
-  /** Share of one-shots which are sent again under the same key without waiting for the answer. */
+  /** Share of one-shot requests that are resent with the same key before the answer arrives. */
   double resend_share = 0.05;
-  /** Share of the one-shots refused as not-run which are sent again under the same key. */
+  /** Share of the one-shot requests answered not-run that are resent with the same key. */
   double resend_refused_share = 0.3;
   base::Duration resend_delay = std::chrono::milliseconds(200);
 
   std::vector<LoadBurst> bursts;
 
   double requestsPerSecond() const;
-  /** By how much a tenant's rates are multiplied at a time. */
+  /** The factor for a tenant's rates at a time; 1 outside bursts. */
   double burstFactor(const std::string& tenant, double at_s) const;
-  /** The next time after `at_s` at which a burst begins or ends; infinity where none does. */
+  /** The first time after `at_s` at which a burst begins or ends; infinity if there is none. */
   double nextBurstChange(double at_s) const;
 };
 
 /** Throws base::Error with MalformedJson, MissingField or InvalidValue. */
 LoadPlan parseLoadPlan(const std::string& text);
 
-/** What kind of request it is. */
+/** The kind of a request. */
 enum class CallKind : std::uint8_t { Stream, OneShot };
 
 /** One request of the load. */
 struct Arrival {
-  /** Since the start of the load. */
+  /** Time since the start of the load. */
   base::Duration at{};
   CallKind kind = CallKind::Stream;
   /** Index into LoadPlan::tenants. */
   std::size_t tenant = 0;
   std::string model;
-  std::vector<PrefixSegment> parts;
+  std::vector<PrefixSegment> segments;
   std::uint32_t prompt_tokens = 0;
   std::uint32_t max_tokens = 1;
   std::string service;
   std::string idempotency_key;
-  /** Whether it is sent again soon under the same key, whatever becomes of it. */
+  /** Whether the request is always resent with the same key after the resend delay.
+   */
   bool resent_early = false;
 };
 
 /**
- * Open-loop Poisson arrivals. Equal plans and seeds give equal arrivals; keys hold the seed, so
- * that runs of different seeds never share one.
+ * Open-loop Poisson arrivals. Equal plans and seeds give equal arrivals. Idempotency keys contain
+ * the seed, so runs with different seeds never share a key.
  */
 class ArrivalGenerator {
  public:
@@ -90,11 +93,11 @@
   Arrival next();
 
  private:
-  /** One independent flow of requests. */
+  /** The requests of one tenant and kind, an independent Poisson process. */
   struct Flow {
     std::size_t tenant = 0;
     CallKind kind = CallKind::Stream;
-    double cumulated_rate = 0;
+    double cumulative_rate = 0;
   };
   double exponential(double mean);
   void setRates();
@@ -107,9 +110,9 @@
   std::uint64_t seed_;
   base::RandomSource random_;
   std::vector<Flow> flows_;
-  std::vector<double> cumulated_popularity_;
+  std::vector<double> cumulative_popularity_;
   double elapsed_s_ = 0;
-  /** Until then the flows' rates stay as they are. */
+  /** Time in seconds until which the rates of the flows are constant. */
   double rates_until_s_ = 0;
   std::uint64_t arrivals_ = 0;
 };
--- a/libraries/testbed/include/switchsaddle/testbed/load/load_runner.h
+++ b/libraries/testbed/include/switchsaddle/testbed/load/load_runner.h
@@ -14,16 +14,17 @@
 
 namespace switchsaddle::testbed {
 
-/** Where the load goes: through the fronts or, for comparison, straight to workers. */
+/** Targets of the load: the fronts or, for comparison, the workers themselves. */
 struct LoadTargets {
   std::vector<base::NodeAddress> fronts;
-  /** Used in place of the fronts where it isn't empty. */
+  /** Used instead of the fronts if not empty. */
   std::vector<ListedWorker> workers;
 };
 
 /**
- * Sends the load's arrivals at their times, whether or not earlier ones have been answered, resends
- * one-shots whose answer went astray through another front, and records everything. One thread.
+ * Sends each arrival at its time, whether or not earlier ones have been answered. If the answer to
+ * a one-shot request is lost, resends it through another front. Records all calls. Runs on one
+ * thread.
  */
 class LoadRunner {
  public:
@@ -35,11 +36,11 @@
  private:
   void schedule();
   void onArrival();
-  /** `attempt` counts the sends of this one-shot's key before this one. */
+  /** `attempt` is the number of earlier sends of this one-shot request's key. */
   void send(const Arrival& arrival, int attempt, const base::NodeAddress& avoided);
   void onEnded(const Arrival& arrival, int attempt, const base::NodeAddress& target,
                const CallEvent& answer);
-  /** Whether the caller of this one-shot sends its key again. */
+  /** Whether the caller resends this one-shot request's key. */
   bool isRetried(const CallEvent& answer);
   void resendLater(const Arrival& arrival, int attempt, const base::NodeAddress& avoided);
   void finishIfIdle();
@@ -59,11 +60,11 @@
   base::TimePoint started_{};
   Arrival next_;
   base::TimerPtr arrival_timer_;
-  /** Timers of resends; kept until the runner ends. */
+  /** Timers of resends; kept until the runner is destroyed. */
   std::vector<base::TimerPtr> resend_timers_;
   std::uint64_t calls_ = 0;
-  std::uint64_t open_ = 0;
-  bool arrivals_over_ = false;
+  std::uint64_t outstanding_ = 0;
+  bool arrivals_ended_ = false;
 };
 
 }  // namespace switchsaddle::testbed
--- a/libraries/testbed/include/switchsaddle/testbed/records/line_file.h
+++ b/libraries/testbed/include/switchsaddle/testbed/records/line_file.h
@@ -4,7 +4,8 @@
 
 namespace switchsaddle::testbed {
 
-/** A file to which lines are appended by one write(2) each, so that a killed process loses none. */
+/** A file to which each line is appended by one write(2), so that a killed process loses no line
+ * that it has appended. */
 class LineFile {
  public:
   /** Throws base::Error with StorageFailed. */
--- a/libraries/testbed/include/switchsaddle/testbed/records/order_event.h
+++ b/libraries/testbed/include/switchsaddle/testbed/records/order_event.h
@@ -6,28 +6,28 @@
 
 namespace switchsaddle::testbed {
 
-/** What an order event tells of. */
+/** The events of an order record that the checkers use. */
 namespace order_event {
 /** An evacuation was acknowledged; the subject is a zone. */
 inline constexpr const char* Evacuated = "evacuated";
-/** A restoration was sent; the subject is a zone. */
+/** A request to restore a zone is about to be sent; the subject is the zone. */
 inline constexpr const char* Restored = "restored";
-/** A revocation was acknowledged; the subject is the key's tenant, which has no other key. */
+/** A key's revocation was acknowledged; the subject is its tenant, which has no other key. */
 inline constexpr const char* Revoked = "revoked";
-/** The key is being added again; the subject is its tenant. */
+/** A request to add the key again is about to be sent; the subject is its tenant. */
 inline constexpr const char* Added = "added";
 /** A worker announced that it is leaving; the subject is the worker. */
 inline constexpr const char* Draining = "draining";
 /** A worker was killed; the subject is the worker. */
 inline constexpr const char* Vanished = "vanished";
-/** A worker is being started, or no longer announces its leaving. */
+/** A worker is about to be started again; the subject is the worker. */
 inline constexpr const char* Returned = "returned";
 }  // namespace order_event
 
 /**
- * One line of a record of orders. Events that forbid work are noted once their answer came, those
- * that allow it again before they are sent, so that a judge never blames what was allowed. Other
- * events, such as "kill", are notes for people.
+ * One line of an order record. An order that forbids runs is recorded when its answer arrives; one
+ * that allows them again is recorded before it is sent. A checker therefore never reports a run
+ * that was allowed. Other events, such as "kill", are for human readers only.
  */
 struct OrderEvent {
   /** Boot clock, milliseconds. */
@@ -42,7 +42,7 @@
 std::string toJsonLine(const OrderEvent& event);
 /** Throws base::Error with MalformedJson or InvalidValue. */
 OrderEvent parseOrderEvent(const std::string& line);
-/** All events of a record of orders; a torn last line is left out. */
+/** All events of an order record; an incomplete last line is ignored. */
 std::vector<OrderEvent> readOrderEvents(const std::string& path);
 
 }  // namespace switchsaddle::testbed
--- a/libraries/testbed/include/switchsaddle/testbed/records/worker_event.h
+++ b/libraries/testbed/include/switchsaddle/testbed/records/worker_event.h
@@ -8,23 +8,23 @@
 
 namespace switchsaddle::testbed {
 
-/** What a worker's event tells of. */
+/** The events of a worker's journal. */
 namespace worker_event {
-/** The process starts. */
+/** The process started. */
 inline constexpr const char* Up = "up";
-/** A run starts. */
+/** A run started. */
 inline constexpr const char* Start = "start";
 /** The worker finished a run. */
 inline constexpr const char* End = "end";
-/** A run was given up because its caller had gone or by a fault. */
+/** A run was cancelled because its caller disconnected or a fault was injected. */
 inline constexpr const char* Cancelled = "cancelled";
 /** A request was refused before it ran. */
 inline constexpr const char* Refused = "refused";
-/** A request waits for a free slot before it runs. */
+/** A request was queued until a slot is free. */
 inline constexpr const char* Queued = "queued";
 }  // namespace worker_event
 
-/** One line of a worker's journal: what it ran, whoever was told. */
+/** One line of a worker's journal: what it did, whether or not the caller learned of it. */
 struct WorkerEvent {
   /** Boot clock, milliseconds. */
   std::int64_t at_ms = 0;
@@ -37,11 +37,11 @@
   std::string tenant;
   std::string model;
   std::uint64_t cached_tokens = 0;
-  /** The id of the request to the worker; a router may give each of its attempts one of its own. */
+  /** The id of the request to the worker; a front may give each attempt its own id. */
   std::string request_id;
-  /** The caller's own id: of the Caller-Request-Id header, or request_id where there was none. */
+  /** The caller's id, from the Caller-Request-Id header; request_id if the header is absent. */
   std::string caller_request_id;
-  /** Pieces sent so far; set on "end" and "cancelled" of a stream. */
+  /** Number of chunks sent; set for "end" and "cancelled" of a stream. */
   std::uint64_t chunks = 0;
 };
 
@@ -50,14 +50,14 @@
 /** Throws base::Error with MalformedJson or InvalidValue. */
 WorkerEvent parseWorkerEvent(const std::string& line);
 
-/** Where a worker notes its events. */
+/** Receives the events of a worker. */
 class EventSink {
  public:
   virtual ~EventSink() = default;
   virtual void append(const WorkerEvent& event) = 0;
 };
 
-/** Appends each event to a file as a line. */
+/** Appends each event to a file as one line. */
 class FileEventSink : public EventSink {
  public:
   /** Throws base::Error with StorageFailed. */
@@ -68,7 +68,7 @@
   LineFile file_;
 };
 
-/** All events of a journal file; a torn last line is left out. */
+/** All events of a journal file; an incomplete last line is ignored. */
 std::vector<WorkerEvent> readWorkerEvents(const std::string& path);
 
 }  // namespace switchsaddle::testbed
--- a/libraries/testbed/include/switchsaddle/testbed/workers/kv_cache.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/kv_cache.h
@@ -8,24 +8,24 @@
 
 namespace switchsaddle::testbed {
 
-/** One shared part of a prompt's prefix. */
+/** One shared segment of a prompt's prefix. */
 struct PrefixSegment {
   std::string id;
   std::uint32_t tokens = 0;
 };
 
 /**
- * Model of a worker's KV cache. A part is cached for the chain of parts before it, so only a
- * leading run of a prompt can hit. Least recently used chains are evicted once the capacity in
- * tokens is passed; a chain's last part is always evicted before its first. Not thread-safe.
+ * Model of a worker's KV cache. A segment is cached together with the chain of segments before it,
+ * so only the first segments of a prompt can hit. The least recently used segments are evicted when
+ * the capacity in tokens is exceeded; a chain is evicted from its last segment on. Not thread-safe.
  */
 class KvCache {
  public:
   explicit KvCache(std::uint64_t capacity_tokens) : capacity_tokens_(capacity_tokens) {}
-  /** Tokens of the longest leading run of parts which is cached. Changes nothing. */
-  std::uint64_t cachedTokens(const std::vector<PrefixSegment>& parts) const;
-  /** Caches all parts of the prompt and marks them as used last. */
-  void insert(const std::vector<PrefixSegment>& parts);
+  /** Tokens of the longest cached sequence of leading segments. Does not mark them as used. */
+  std::uint64_t cachedTokens(const std::vector<PrefixSegment>& segments) const;
+  /** Caches all segments of the prompt and marks them as most recently used. */
+  void insert(const std::vector<PrefixSegment>& segments);
   std::uint64_t usedTokens() const { return used_tokens_; }
 
  private:
@@ -33,7 +33,7 @@
     std::uint64_t chain = 0;
     std::uint32_t tokens = 0;
   };
-  static std::vector<std::uint64_t> chainsOf(const std::vector<PrefixSegment>& parts);
+  static std::vector<std::uint64_t> chainsOf(const std::vector<PrefixSegment>& segments);
   void touch(std::uint64_t chain, std::uint32_t tokens);
   void evict();
 
--- a/libraries/testbed/include/switchsaddle/testbed/workers/platform_list.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/platform_list.h
@@ -10,7 +10,7 @@
 
 namespace switchsaddle::testbed {
 
-/** One worker as the platform knows it from its file. */
+/** One worker, as read from the platform's workers file. */
 struct ListedWorker {
   std::string id;
   base::NodeAddress address;
@@ -27,25 +27,26 @@
 /** The text that parseWorkersFile() reads. */
 std::string formatWorkersFile(const std::vector<ListedWorker>& workers);
 
-/** Ways in which the stand-in platform misbehaves on request. */
+/** Faults that the fake platform injects on request. */
 enum class PlatformFault : std::uint8_t { None, Empty, Malformed, Flap, Stale };
 
 /** Parses {"mode": "empty"}. Throws base::Error. */
 PlatformFault parsePlatformFault(const std::string& body);
 
 /**
- * The platform's list, lagging by design: what polling found is listed `lag` later, and a worker
- * that no longer answers stays listed for `crashed_listed` more. Pure; times are passed in.
+ * The fake platform's list of workers. A state that polling found is listed `lag` later; a worker
+ * that no longer answers stays listed for another `crashed_listed`. Has no clock: times are passed
+ * in.
  */
 class PlatformList {
  public:
   PlatformList(std::vector<ListedWorker> workers, base::Duration lag,
                base::Duration crashed_listed);
   const std::vector<ListedWorker>& workers() const { return workers_; }
-  /** A poll of workers()[index] found it in this state. */
-  void heard(std::size_t index, const std::string& state, base::TimePoint now);
-  /** A poll of workers()[index] got no answer. */
-  void missed(std::size_t index, base::TimePoint now);
+  /** Reports the state that a poll of workers()[index] found. */
+  void reportState(std::size_t index, const std::string& state, base::TimePoint now);
+  /** Reports that a poll of workers()[index] got no answer. */
+  void reportNoAnswer(std::size_t index, base::TimePoint now);
   void setFault(PlatformFault fault);
   /** The body of GET /v1/workers. */
   std::string answer(base::TimePoint now);
@@ -53,13 +54,13 @@
  private:
   struct Observation {
     base::TimePoint visible_from;
-    /** Empty: not listed. */
+    /** Empty if the worker is not listed. */
     std::string state;
   };
-  struct Shown {
+  struct Listing {
     std::deque<Observation> pending;
     std::string state;
-    /** The state that the last observation will bring. */
+    /** The state of the last observation, which may not be listed yet. */
     std::string last_observed;
   };
   void observe(std::size_t index, const std::string& state, base::TimePoint visible_from);
@@ -67,7 +68,7 @@
   std::string listJson(bool empty) const;
 
   std::vector<ListedWorker> workers_;
-  std::vector<Shown> shown_;
+  std::vector<Listing> listings_;
   base::Duration lag_;
   base::Duration crashed_listed_;
   std::uint64_t generation_ = 1;
--- a/libraries/testbed/include/switchsaddle/testbed/workers/slot_queue.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/slot_queue.h
@@ -7,23 +7,23 @@
 namespace switchsaddle::testbed {
 
 /**
- * A fixed number of slots with a bounded first-in first-out queue before them. A waiter's callback
- * runs within the release() or cancel() that frees its slot. Not thread-safe.
+ * A fixed number of slots with a bounded first-in first-out queue. The callback of a queued request
+ * runs within the release() that frees its slot. Not thread-safe.
  */
 class SlotQueue {
  public:
   using Ticket = std::uint64_t;
-  /** Answer to a request which found the queue full. */
+  /** Returned by acquire() if the queue is full. */
   static constexpr Ticket Refused = 0;
 
   SlotQueue(std::uint32_t slots, std::uint32_t queue_bound)
       : slots_(slots), queue_bound_(queue_bound) {}
-  /** Calls `started` at once where a slot is free, else queues it; Refused where the queue is full.
+  /** Calls `started` if a slot is free, else queues it; returns Refused if the queue is full.
    */
   Ticket acquire(std::function<void()> started);
-  /** Gives back the slot of a request that has started. */
+  /** Releases the slot of a request that has started. */
   void release();
-  /** Removes a request still waiting; false where it has started or is unknown. */
+  /** Removes a queued request; returns false if it has started or is unknown. */
   bool cancel(Ticket ticket);
   std::uint32_t running() const { return running_; }
   std::uint32_t queued() const { return static_cast<std::uint32_t>(waiting_.size()); }
--- a/libraries/testbed/include/switchsaddle/testbed/workers/worker_fault.h
+++ b/libraries/testbed/include/switchsaddle/testbed/workers/worker_fault.h
@@ -7,7 +7,7 @@
 
 namespace switchsaddle::testbed {
 
-/** Ways in which a stand-in worker misbehaves on request. */
+/** Faults that a fake worker injects on request. */
 enum class FaultMode : std::uint8_t {
   None,
   Crash,
@@ -23,19 +23,21 @@
   Refuse,
 };
 
-/** The body of POST /testbed/faults: one mode, when in a stream it strikes, and how many times. */
+/** The body of POST /testbed/faults: the mode, the chunk of a stream at which the fault is
+ * injected, and how many requests it affects. */
 struct FaultOrder {
   FaultMode mode = FaultMode::None;
-  /** Streams are struck once they have sent this many pieces. */
+  /** The fault is injected into a stream once it has sent this many chunks. */
   std::uint64_t after_chunks = 0;
-  /** Whether the body named after_chunks; without it a crash is immediate. */
+  /** Whether the body has "after_pieces"; without it a crash is immediate. */
   bool waits_for_chunk = false;
-  /** Runs still to be struck; without a number in the body, all until the next order. */
+  /** Requests still to be affected; without "count" in the body, all until the next order.
+   */
   std::uint64_t count = UINT64_MAX;
   base::Duration delay = base::Duration::zero();
 
   bool active(FaultMode wanted) const { return mode == wanted && count > 0; }
-  /** Uses up one strike of the wanted mode; false where it isn't active. */
+  /** Returns whether a fault of this mode is active, and counts one affected request if so. */
   bool take(FaultMode wanted);
 };
 
--- a/libraries/testbed/source/checks/branch_limit_checker.cc
+++ b/libraries/testbed/source/checks/branch_limit_checker.cc
@@ -27,7 +27,7 @@
   return result;
 }
 
-/** How many runs there are at each time, as steps in order of time. */
+/** The number of concurrent runs over time, as a step function. */
 class Occupancy {
  public:
   void add(std::int64_t from_ms, std::int64_t to_ms) {
@@ -52,7 +52,7 @@
   const std::map<std::int64_t, std::int64_t>& steps() const { return steps_; }
 
  private:
-  /** At one time ends come before starts. */
+  /** At equal times, ends sort before starts. */
   std::multiset<std::pair<std::int64_t, int>> changes_;
   std::map<std::int64_t, std::int64_t> steps_;
 };
@@ -92,8 +92,8 @@
     return found == limits_.branches.end() ? nullptr : &found->second;
   }
 
-  /** By branch; with a margin each run counts from when it was queued, and is widened by it, and
-   * refused attempts count as well. */
+  /** Occupancy by branch. With a margin above 0, a run counts from the time it was queued, is
+   * extended by the margin at both ends, and refused attempts count as well. */
   std::map<std::string, Occupancy> occupancies(std::int64_t margin_ms) const {
     std::map<std::string, Occupancy> result;
     for (const auto& [id, run] : runs_) {
@@ -136,7 +136,7 @@
       }
       if (findings.longest_excess_ms > tolerances_.excess_ms) {
         report_.violations.push_back({Rule::OverLimit, branch,
-                                      std::to_string(findings.peak) + " at once, slots " +
+                                      std::to_string(findings.peak) + " concurrent runs, limit " +
                                           std::to_string(findings.slots) + ", for " +
                                           std::to_string(findings.longest_excess_ms) + " ms"});
       }
@@ -170,11 +170,11 @@
     ++findings.refused;
     const std::int64_t highest = occupancy.highestWithin(call.sent.at_ms, call.answer.at_ms);
     if (highest < static_cast<std::int64_t>(findings.slots)) {
-      ++findings.refused_inside;
-      report_.violations.push_back({Rule::RefusedInside, branch,
+      ++findings.refused_within_limit;
+      report_.violations.push_back({Rule::RefusedWithinLimit, branch,
                                     "call " + std::to_string(call.sent.call) + ": at most " +
                                         std::to_string(highest) + " of " +
-                                        std::to_string(findings.slots) + " slots were in use"});
+                                        std::to_string(findings.slots) + " slots were occupied"});
     }
   }
 
@@ -207,7 +207,7 @@
   const BranchTolerances& tolerances_;
   std::map<std::uint64_t, CallHistory> calls_;
   std::map<std::string, RunHistory> runs_;
-  /** Attempts which a worker refused: they had their slots while under way. */
+  /** Attempts that a worker refused; each occupied a slot of its branch while in flight. */
   std::vector<WorkerEvent> refused_;
   /** By the id of the request to the worker. */
   std::map<std::string, std::int64_t> queued_ms_;
--- a/libraries/testbed/source/checks/branch_limit_report_text.cc
+++ b/libraries/testbed/source/checks/branch_limit_report_text.cc
@@ -8,12 +8,13 @@
   std::ostringstream text;
   for (const auto& [branch, findings] : report.branches) {
     text << "branch " << branch << ": peak " << findings.peak << " of " << findings.slots
-         << ", over it " << findings.excesses << " times, longest " << findings.longest_excess_ms
-         << " ms; refused " << findings.refused << ", inside " << findings.refused_inside << "\n";
+         << ", exceeded " << findings.excesses << " times, longest " << findings.longest_excess_ms
+         << " ms; refused " << findings.refused << ", with a free slot "
+         << findings.refused_within_limit << "\n";
   }
   for (const auto& [kind, findings] : report.retries) {
     text << "retries " << kind << ": " << findings.retries << " of " << findings.first_attempts
-         << " first tries; worst window " << findings.worst_retries << " of "
+         << " first attempts; worst window " << findings.worst_retries << " of "
          << findings.worst_first_attempts << "\n";
   }
   for (const auto& [code, times] : report.refusals) {
--- a/libraries/testbed/source/checks/call_history.h
+++ b/libraries/testbed/source/checks/call_history.h
@@ -11,23 +11,23 @@
 
 namespace switchsaddle::testbed {
 
-/** One piece as a caller saw it. */
+/** One chunk as the caller received it. */
 struct ReceivedChunk {
   std::int64_t index = -1;
   std::string run;
   std::int64_t at_ms = 0;
 };
 
-/** All that was recorded on one call. */
+/** All recorded events of one call. */
 struct CallHistory {
   CallEvent sent;
   std::vector<ReceivedChunk> chunks;
   CallEvent answer;
   bool answered = false;
 
-  /** Whether the call's answer leaves open or says that it ran. */
+  /** Whether the call ran or may have run, judging by its answer. */
   bool mayHaveRun() const;
-  /** Whether the answer promises that the call did not run. */
+  /** Whether the answer states that the call did not run. */
   bool answeredNotRun() const;
 };
 
@@ -38,16 +38,16 @@
   std::string zone;
   std::int64_t end_ms = 0;
   std::uint64_t chunks = 0;
-  /** Whether the worker itself finished it. */
+  /** Whether the worker finished the run; false if it was cancelled or the process ended. */
   bool finished = false;
 };
 
-/** Calls by number. */
+/** Groups the events by call number. */
 std::map<std::uint64_t, CallHistory> foldCalls(const std::vector<CallEvent>& events);
 
 /**
- * Adds a worker's runs, by run id. A run without an end ended at the latest with the last line that
- * its process wrote.
+ * Adds a worker's runs by run id. The end of a run without an end event is the time of the last
+ * line that its process wrote.
  */
 void foldRuns(const WorkerJournal& journal, std::map<std::string, RunHistory>& runs);
 
--- a/libraries/testbed/source/checks/history_checker.cc
+++ b/libraries/testbed/source/checks/history_checker.cc
@@ -14,7 +14,7 @@
 constexpr const char* OneShot = "one-shot";
 constexpr const char* Stream = "stream";
 
-/** Applies each rule to the folded histories. */
+/** Checks each rule against the histories of calls and runs. */
 class HistoryChecker {
  public:
   explicit HistoryChecker(const Evidence& evidence)
@@ -51,7 +51,7 @@
   }
 
  private:
-  void violated(Rule rule, const std::string& subject, const std::string& detail) {
+  void addViolation(Rule rule, const std::string& subject, const std::string& detail) {
     report_.violations.push_back(Violation{rule, subject, detail});
   }
 
@@ -62,7 +62,7 @@
   void checkKeys() {
     for (const auto& [key, runs] : runs_by_key_) {
       if (runs.size() > 1) {
-        violated(Rule::RanTwice, key, std::to_string(runs.size()) + " runs");
+        addViolation(Rule::RanTwice, key, std::to_string(runs.size()) + " runs");
       }
       for (const RunHistory* run : runs) {
         checkRunOfKey(key, *run);
@@ -73,8 +73,8 @@
     }
   }
 
-  /** Whether the call could be the one that the run was made for. */
-  static bool explains(const CallHistory& call, const RunHistory& run) {
+  /** Whether the run may have been caused by this call. */
+  static bool mayHaveCaused(const CallHistory& call, const RunHistory& run) {
     return call.mayHaveRun() && call.sent.at_ms <= run.start.at_ms;
   }
 
@@ -84,11 +84,11 @@
       return;
     }
     const auto& calls = found->second;
-    const bool explained = std::any_of(calls.begin(), calls.end(), [&run](const CallHistory* call) {
-      return explains(*call, run);
-    });
-    if (!explained) {
-      violated(Rule::RanAfterNotRun, key, "run " + run.start.run);
+    const bool caused_by_call =
+        std::any_of(calls.begin(), calls.end(),
+                    [&run](const CallHistory* call) { return mayHaveCaused(*call, run); });
+    if (!caused_by_call) {
+      addViolation(Rule::RanAfterNotRun, key, "run " + run.start.run);
     }
   }
 
@@ -98,7 +98,7 @@
     }
     for (const CallHistory* call : calls) {
       if (call->answered && call->answer.outcome == "ran") {
-        violated(Rule::AnsweredWithoutRun, key, subjectOf(*call));
+        addViolation(Rule::AnsweredWithoutRun, key, subjectOf(*call));
         return;
       }
     }
@@ -114,7 +114,7 @@
     for (const auto& [id, run] : runs_) {
       const auto found = refused.find(run.start.caller_request_id);
       if (found != refused.end() && run.start.kind != "prefill") {
-        violated(Rule::RanAfterRefusal, subjectOf(*found->second), "run " + id);
+        addViolation(Rule::RanAfterRefusal, subjectOf(*found->second), "run " + id);
       }
     }
   }
@@ -125,7 +125,8 @@
       return;
     }
     if (call.answer.end == call_end::Truncated) {
-      violated(Rule::TruncatedEnd, subjectOf(call), std::to_string(call.chunks.size()) + " pieces");
+      addViolation(Rule::TruncatedEnd, subjectOf(call),
+                   std::to_string(call.chunks.size()) + " chunks");
     }
     if (call.answer.end == call_end::Done) {
       checkEnd(call);
@@ -136,16 +137,17 @@
     std::int64_t expected = 0;
     for (const ReceivedChunk& chunk : call.chunks) {
       if (chunk.index != expected) {
-        violated(
+        addViolation(
             Rule::ChunkOrder, subjectOf(call),
-            "piece " + std::to_string(chunk.index) + " in place of " + std::to_string(expected));
+            "chunk " + std::to_string(chunk.index) + ", expected " + std::to_string(expected));
         break;
       }
       ++expected;
     }
     for (const ReceivedChunk& chunk : call.chunks) {
       if (chunk.run != call.chunks.front().run) {
-        violated(Rule::RunChanged, subjectOf(call), call.chunks.front().run + " then " + chunk.run);
+        addViolation(Rule::RunChanged, subjectOf(call),
+                     call.chunks.front().run + " then " + chunk.run);
         break;
       }
     }
@@ -155,17 +157,19 @@
     const std::string run_id = call.chunks.empty() ? call.answer.run : call.chunks.front().run;
     const auto run = runs_.find(run_id);
     if (run == runs_.end() || !run->second.finished) {
-      violated(Rule::EarlyEnd, subjectOf(call), "run " + run_id + " was not ended by its worker");
+      addViolation(Rule::EarlyEnd, subjectOf(call),
+                   "run " + run_id + " was not finished by its worker");
       return;
     }
     if (run->second.chunks != call.chunks.size()) {
-      violated(Rule::EarlyEnd, subjectOf(call),
-               std::to_string(call.chunks.size()) + " of " + std::to_string(run->second.chunks) +
-                   " pieces");
+      addViolation(Rule::EarlyEnd, subjectOf(call),
+                   std::to_string(call.chunks.size()) + " of " +
+                       std::to_string(run->second.chunks) + " chunks");
     }
   }
 
-  /** Most runs at once of a tenant; a run that ends as another starts doesn't overlap it. */
+  /** Checks the peak of concurrent runs of each tenant. Runs do not overlap if one ends at the time
+   * when the other starts. */
   void checkLimits() {
     std::map<std::string, std::multiset<std::pair<std::int64_t, int>>> changes;
     for (const auto& [id, run] : runs_) {
@@ -184,8 +188,9 @@
       report_.peak_by_tenant[tenant] = static_cast<std::uint32_t>(peak);
       const auto limit = limits_.find(tenant);
       if (limit != limits_.end() && peak > limit->second) {
-        violated(Rule::OverLimit, tenant,
-                 std::to_string(peak) + " at once, limit " + std::to_string(limit->second));
+        addViolation(
+            Rule::OverLimit, tenant,
+            std::to_string(peak) + " concurrent runs, limit " + std::to_string(limit->second));
       }
     }
   }
@@ -251,7 +256,7 @@
       return "silent-end";
     case Rule::OverLimit:
       return "over-limit";
-    case Rule::RefusedInside:
+    case Rule::RefusedWithinLimit:
       return "refused-inside";
     case Rule::RanInEvacuatedZone:
       return "ran-in-evacuated-zone";
@@ -274,11 +279,11 @@
   for (const auto& [name, count] : report.answers) {
     text << "answers: " << name << ": " << count << "\n";
   }
-  text << "calls still open: " << report.open_calls << "\n";
+  text << "calls without an answer: " << report.open_calls << "\n";
   text << "first token: p50 " << report.first_token.p50_ms << " ms, p95 "
        << report.first_token.p95_ms << " ms, samples " << report.first_token.samples << "\n";
   for (const auto& [tenant, peak] : report.peak_by_tenant) {
-    text << "peak at once: " << tenant << ": " << peak << "\n";
+    text << "peak of concurrent runs: " << tenant << ": " << peak << "\n";
   }
   for (const auto& [event, count] : report.orders) {
     text << "orders: " << event << ": " << count;
@@ -289,9 +294,9 @@
     text << "\n";
   }
   for (const auto& [kind, findings] : report.retries) {
-    text << "attempts beyond the first: " << kind << ": " << findings.retries << " of "
-         << findings.first_attempts << " first tries; worst window " << findings.worst_retries
-         << " of " << findings.worst_first_attempts << "\n";
+    text << "retries: " << kind << ": " << findings.retries << " of " << findings.first_attempts
+         << " first attempts; worst window " << findings.worst_retries << " of "
+         << findings.worst_first_attempts << "\n";
   }
   for (const Violation& violation : report.violations) {
     text << "VIOLATION " << ruleName(violation.rule) << ": " << violation.subject << ": "
--- a/libraries/testbed/source/checks/order_rules.cc
+++ b/libraries/testbed/source/checks/order_rules.cc
@@ -7,10 +7,10 @@
 namespace switchsaddle::testbed {
 namespace {
 
-/** What of a worker's event an order's subject is compared with. */
+/** The property of a worker's event that the subject of an order is compared with. */
 enum class SubjectKind : std::uint8_t { Zone, Tenant, Worker };
 
-/** A kind of order that forbids work until another allows it again. */
+/** An event after which runs are forbidden until another event allows them again. */
 struct OrderRule {
   const char* forbids;
   const char* allows;
@@ -43,7 +43,7 @@
   return journal.worker;
 }
 
-/** When work for the subject was allowed again. */
+/** The time in milliseconds from which runs for the subject are allowed again. */
 std::int64_t endOfOrder(const std::vector<OrderEvent>& orders, const OrderEvent& order,
                         const OrderRule& rule) {
   std::int64_t end = std::numeric_limits<std::int64_t>::max();
@@ -56,9 +56,9 @@
   return end;
 }
 
-/** Whether the rule forbids this event. A refused request did no work in a zone or for a key, but
- * it was sent to a leaving worker. */
-bool concerns(const OrderRule& rule, const WorkerEvent& event) {
+/** Whether the rule applies to this event. A refused request did not run in a zone or for a key,
+ * but it was sent to a leaving worker. */
+bool appliesTo(const OrderRule& rule, const WorkerEvent& event) {
   return event.event == worker_event::Start ||
          (rule.subject == SubjectKind::Worker && event.event == worker_event::Refused);
 }
@@ -69,7 +69,7 @@
   for (const WorkerJournal& journal : evidence.journals) {
     for (const WorkerEvent& event : journal.events) {
       const bool within = event.at_ms >= order.at_ms && event.at_ms < end;
-      if (!within || !concerns(rule, event) ||
+      if (!within || !appliesTo(rule, event) ||
           subjectOf(journal, event, rule.subject) != order.subject) {
         continue;
       }
@@ -79,7 +79,7 @@
       if (after_ms > rule.limit_ms) {
         report.violations.push_back({rule.rule, order.subject,
                                      event.event + " " + event.run + " at " + journal.worker +
-                                         ", " + std::to_string(after_ms) + " ms after"});
+                                         ", " + std::to_string(after_ms) + " ms after the order"});
       }
     }
   }
--- a/libraries/testbed/source/checks/order_rules.h
+++ b/libraries/testbed/source/checks/order_rules.h
@@ -4,7 +4,7 @@
 
 namespace switchsaddle::testbed {
 
-/** Applies the rules on evacuated zones, revoked keys and leaving workers. */
+/** Checks the rules on evacuated zones, revoked keys and leaving workers; adds to the report. */
 void checkOrders(const Evidence& evidence, HistoryReport& report);
 
 }  // namespace switchsaddle::testbed
--- a/libraries/testbed/source/checks/retry_rules.cc
+++ b/libraries/testbed/source/checks/retry_rules.cc
@@ -10,21 +10,21 @@
 constexpr const char* OneShot = "one-shot";
 constexpr const char* Stream = "stream";
 
-/** Attempts in order of time, each with whether it is a retry. */
+/** Attempts ordered by time; the flag is set for a retry. */
 using AttemptLog = std::multiset<std::pair<std::int64_t, bool>>;
 
-/** The times of the attempts of one kind, by the caller's request. */
+/** The times of the attempts for one kind of request, by the caller's request id. */
 using AttemptTimes = std::map<std::string, std::multiset<std::int64_t>>;
 
-/** By kind of work; a caller's resend has a request id of its own. */
+/** By kind of request; a resent request has its own request id. */
 std::map<std::string, AttemptTimes> attemptTimes(const Evidence& evidence) {
   std::map<std::string, AttemptTimes> attempts;
   for (const WorkerJournal& journal : evidence.journals) {
     for (const WorkerEvent& event : journal.events) {
       const bool attempt =
           event.event == worker_event::Start || event.event == worker_event::Refused;
-      const bool judged = event.kind == Stream || event.kind == OneShot;
-      if (attempt && judged && !event.caller_request_id.empty()) {
+      const bool counted = event.kind == Stream || event.kind == OneShot;
+      if (attempt && counted && !event.caller_request_id.empty()) {
         attempts[event.kind][event.caller_request_id].insert(event.at_ms);
       }
     }
@@ -82,7 +82,7 @@
       violations.push_back({Rule::TooManyRetries, kind,
                             std::to_string(findings.worst_retries) + " retries of " +
                                 std::to_string(findings.worst_first_attempts) +
-                                " first tries within the window"});
+                                " first attempts in a window"});
     }
   }
   return by_kind;
--- a/libraries/testbed/source/checks/retry_rules.h
+++ b/libraries/testbed/source/checks/retry_rules.h
@@ -10,9 +10,9 @@
 namespace switchsaddle::testbed {
 
 /**
- * Applies the rule on retries: within each window that ends with a retry, the attempts at the
- * workers beyond the first for a caller's request may be at most this share of the first ones.
- * Attempts without a caller's request id are passed over. Returns what was found, by kind of work.
+ * Checks the retry limit: in each window that ends with a retry, the ratio of retries to first
+ * attempts must not exceed `share`. Attempts without a caller's request id are ignored. Returns the
+ * findings by kind of request and adds violations.
  */
 std::map<std::string, RetryFindings> checkRetries(const Evidence& evidence, std::int64_t window_ms,
                                                   double share, std::vector<Violation>& violations);
--- a/libraries/testbed/source/fleet/fleet_layout.cc
+++ b/libraries/testbed/source/fleet/fleet_layout.cc
@@ -17,11 +17,12 @@
     std::string_view("zones"),    std::string_view("cores"),  std::string_view("fronts"),
     std::string_view("platform"), std::string_view("times"),  std::string_view("workers")};
 
-void refuseUnknownKeys(const boost::json::object& object) {
+void rejectUnknownKeys(const boost::json::object& object) {
   for (const auto& field : object) {
     const std::string_view key(field.key().data(), field.key().size());
     if (std::find(LayoutKeys.begin(), LayoutKeys.end(), key) == LayoutKeys.end()) {
-      throw base::Error(base::ResultCode::UnknownField, "unknown key", std::string(key));
+      throw base::Error(base::ResultCode::UnknownField, "unknown key in the layout",
+                        std::string(key));
     }
   }
 }
@@ -29,7 +30,8 @@
 std::int64_t countField(const boost::json::object& object, const std::string& path) {
   const std::int64_t count = integerField(object, "count", 1);
   if (count < 0 || count > LargestCount) {
-    throw base::Error(base::ResultCode::InvalidValue, "count out of range", path + ".count");
+    throw base::Error(base::ResultCode::InvalidValue, "expected a count from 0 to 250",
+                      path + ".count");
   }
   return count;
 }
@@ -80,7 +82,7 @@
   }
 }
 
-void refuseDoubleNames(const FleetLayout& layout) {
+void rejectDuplicateNames(const FleetLayout& layout) {
   std::vector<std::string> names;
   for (const LayoutNode& node : layout.cores) {
     names.push_back(node.name);
@@ -92,9 +94,10 @@
     names.push_back(worker.listed.id);
   }
   std::sort(names.begin(), names.end());
-  const auto twice = std::adjacent_find(names.begin(), names.end());
-  if (twice != names.end()) {
-    throw base::Error(base::ResultCode::InvalidValue, "name used twice: " + *twice, *twice);
+  const auto duplicate = std::adjacent_find(names.begin(), names.end());
+  if (duplicate != names.end()) {
+    throw base::Error(base::ResultCode::InvalidValue, "duplicate process name " + *duplicate,
+                      *duplicate);
   }
 }
 
@@ -102,11 +105,12 @@
 
 FleetLayout parseFleetLayout(const std::string& text) {
   const boost::json::object object = parseObject(text);
-  refuseUnknownKeys(object);
+  rejectUnknownKeys(object);
   FleetLayout layout;
   layout.network = textField(object, "network", "127.40");
   if (layout.network.rfind("127.", 0) != 0) {
-    throw base::Error(base::ResultCode::InvalidValue, "not a loopback network", "network");
+    throw base::Error(base::ResultCode::InvalidValue,
+                      "expected a loopback network, which starts with 127.", "network");
   }
   layout.region = textField(object, "region", "local");
   layout.operator_key = textField(object, "operator_key");
@@ -128,7 +132,7 @@
   layout.crashed_listed_ms =
       static_cast<int>(integerField(platform, "crashed_listed_ms", layout.crashed_listed_ms));
   layout.times_json = boost::json::serialize(objectField(object, "times"));
-  refuseDoubleNames(layout);
+  rejectDuplicateNames(layout);
   return layout;
 }
 
--- a/libraries/testbed/source/fleet/fleet_plan.cc
+++ b/libraries/testbed/source/fleet/fleet_plan.cc
@@ -87,8 +87,8 @@
   return list;
 }
 
-/** An address of the old one's network which no process of the fleet uses. */
-std::string freshIp(const FleetState& state, const std::string& old_ip) {
+/** An IP address in the network of `old_ip` that no process of the fleet uses. */
+std::string unusedIp(const FleetState& state, const std::string& old_ip) {
   const std::string network = old_ip.substr(0, old_ip.rfind('.') + 1);
   int largest = 0;
   for (const FleetProcess& process : state.processes) {
@@ -100,7 +100,7 @@
   return network + std::to_string(largest + 1);
 }
 
-std::string freshName(FleetState& state, const std::string& old_name) {
+std::string unusedName(FleetState& state, const std::string& old_name) {
   int number = 2;
   std::string name = old_name + "-r" + std::to_string(number);
   while (state.find(name) != nullptr) {
@@ -166,10 +166,10 @@
 FleetProcess& replaceCore(FleetState& state, const std::string& name) {
   FleetProcess* old = state.find(name);
   if (old == nullptr || old->role != ProcessRole::Core) {
-    throw base::Error(base::ResultCode::InvalidValue, "not a core: " + name);
+    throw base::Error(base::ResultCode::InvalidValue, "expected the name of a core, got " + name);
   }
-  const std::string ip = freshIp(state, old->http_address.ip);
-  const LayoutNode node{freshName(state, name), old->zone};
+  const std::string ip = unusedIp(state, old->http_address.ip);
+  const LayoutNode node{unusedName(state, name), old->zone};
   const std::string program = old->command.at(0);
   *old = planNode(node, ProcessRole::Core, ip, state.directory, program);
   old->replacement = true;
--- a/libraries/testbed/source/fleet/fleet_state.cc
+++ b/libraries/testbed/source/fleet/fleet_state.cc
@@ -28,7 +28,8 @@
       return role;
     }
   }
-  throw base::Error(base::ResultCode::InvalidValue, "unknown role " + name, "role");
+  throw base::Error(base::ResultCode::InvalidValue,
+                    "expected platform, worker, core or front, got " + name, "role");
 }
 
 FleetProcess processFromJson(const boost::json::object& object) {
--- a/libraries/testbed/source/fleet/process_control.cc
+++ b/libraries/testbed/source/fleet/process_control.cc
@@ -17,18 +17,19 @@
 
 constexpr int ExecFailed = 127;
 constexpr auto PollInterval = std::chrono::milliseconds(2);
-/** Fields of /proc/PID/stat after the program's name: the state, the times used, the start time. */
+/** Numbers of fields of /proc/PID/stat that are skipped between the state, the processor times and
+ * the start time. */
 constexpr int FieldsBetweenStateAndTimes = 10;
 constexpr int FieldsBetweenTimesAndStart = 6;
 
-/** What /proc tells about a process. */
+/** The fields of /proc/PID/stat that are used here. */
 struct ProcessStat {
   char state = 'X';
   std::uint64_t used_ticks = 0;
   std::uint64_t start_ticks = 0;
 };
 
-/** State 'X' where there is no such process. */
+/** Returns state 'X' if there is no such process. */
 ProcessStat readStat(std::int64_t pid) {
   ProcessStat stat;
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
@@ -57,8 +58,8 @@
 
 [[noreturn]] void runProgram(const std::vector<std::string>& command, const std::string& log_path) {
   const int log = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-  const int nothing = ::open("/dev/null", O_RDONLY);
-  ::dup2(nothing, STDIN_FILENO);
+  const int null_device = ::open("/dev/null", O_RDONLY);
+  ::dup2(null_device, STDIN_FILENO);
   ::dup2(log, STDOUT_FILENO);
   ::dup2(log, STDERR_FILENO);
   std::vector<char*> arguments;
@@ -71,7 +72,8 @@
   ::_exit(ExecFailed);
 }
 
-/** The intermediate process: leaves the session, forks the program and reports its pid. */
+/** Runs in the intermediate process: starts a new session, forks the program and writes its pid to
+ * `report`. */
 [[noreturn]] void forkProgram(const std::vector<std::string>& command, const std::string& log_path,
                               int report) {
   ::setsid();
@@ -88,23 +90,25 @@
 ProcessIdentity launchDetached(const std::vector<std::string>& command,
                                const std::string& log_path) {
   if (command.empty() || ::access(command[0].c_str(), X_OK) != 0) {
-    throw base::Error(base::ResultCode::StorageFailed,
-                      "cannot execute " + (command.empty() ? "nothing" : command[0]));
+    throw base::Error(
+        base::ResultCode::StorageFailed,
+        "not an executable file: " + (command.empty() ? "(empty command)" : command[0]));
   }
   int pipe_ends[2];
   if (::pipe2(pipe_ends, O_CLOEXEC) != 0) {
-    throw base::Error(base::ResultCode::StorageFailed, "cannot make a pipe");
+    throw base::Error(base::ResultCode::StorageFailed,
+                      "cannot create a pipe for the pid of a new process");
   }
-  const pid_t middle = ::fork();
-  if (middle == 0) {
+  const pid_t intermediate = ::fork();
+  if (intermediate == 0) {
     forkProgram(command, log_path, pipe_ends[1]);
   }
   ::close(pipe_ends[1]);
   pid_t program = -1;
-  const ssize_t taken = middle > 0 ? ::read(pipe_ends[0], &program, sizeof(program)) : 0;
+  const ssize_t taken = intermediate > 0 ? ::read(pipe_ends[0], &program, sizeof(program)) : 0;
   ::close(pipe_ends[0]);
-  if (middle > 0) {
-    ::waitpid(middle, nullptr, 0);
+  if (intermediate > 0) {
+    ::waitpid(intermediate, nullptr, 0);
   }
   if (taken != sizeof(program) || program <= 0) {
     throw base::Error(base::ResultCode::StorageFailed, "cannot start " + command[0]);
--- a/libraries/testbed/source/load/call_exchange.cc
+++ b/libraries/testbed/source/load/call_exchange.cc
@@ -12,7 +12,7 @@
 constexpr int Success = 200;
 constexpr std::string_view StreamEnd = "[DONE]";
 
-/** A number in decimal digits, or the fallback. */
+/** Parses a decimal number; returns the fallback if the text has none. */
 std::int64_t toNumber(std::string_view text, std::int64_t fallback) {
   std::int64_t number = fallback;
   std::from_chars(text.data(), text.data() + text.size(), number);
--- a/libraries/testbed/source/load/load_plan.cc
+++ b/libraries/testbed/source/load/load_plan.cc
@@ -11,13 +11,14 @@
 namespace switchsaddle::testbed {
 namespace {
 
-/** Longest output asked for, as a multiple of the mean. */
+/** Maximum requested output length, as a multiple of the mean. */
 constexpr double LongestOutputFactor = 6.0;
 
 double rateField(const boost::json::object& object, std::string_view name) {
   const double rate = numberField(object, name);
   if (rate < 0) {
-    throw base::Error(base::ResultCode::InvalidValue, "must not be negative", std::string(name));
+    throw base::Error(base::ResultCode::InvalidValue,
+                      "expected a rate of at least 0 requests per second", std::string(name));
   }
   return rate;
 }
@@ -26,7 +27,8 @@
                             std::uint32_t fallback) {
   const std::int64_t number = integerField(object, name, fallback);
   if (number <= 0 || number > INT32_MAX) {
-    throw base::Error(base::ResultCode::InvalidValue, "out of range", std::string(name));
+    throw base::Error(base::ResultCode::InvalidValue, "expected a positive 32-bit integer",
+                      std::string(name));
   }
   return static_cast<std::uint32_t>(number);
 }
@@ -40,7 +42,8 @@
   tenant.one_shot_service = textField(object, "one_shot_service");
   tenant.models = textListField(object, "models");
   if (tenant.streams_per_s > 0 && tenant.models.empty()) {
-    throw base::Error(base::ResultCode::MissingField, "is required with streams", "models");
+    throw base::Error(base::ResultCode::MissingField, "is required if streams_per_s is above 0",
+                      "models");
   }
   return tenant;
 }
@@ -58,8 +61,8 @@
 double LoadPlan::burstFactor(const std::string& tenant, double at_s) const {
   double factor = 1;
   for (const LoadBurst& burst : bursts) {
-    const bool meant = burst.tenant.empty() || burst.tenant == tenant;
-    factor *= meant && at_s >= burst.from_s && at_s < burst.to_s ? burst.factor : 1;
+    const bool applies = burst.tenant.empty() || burst.tenant == tenant;
+    factor *= applies && at_s >= burst.from_s && at_s < burst.to_s ? burst.factor : 1;
   }
   return factor;
 }
@@ -85,7 +88,9 @@
   const bool valid = whole && first == ':' && second == ':' && burst.factor > 0 &&
                      burst.from_s >= 0 && burst.to_s > burst.from_s;
   if (!valid) {
-    throw base::Error(base::ResultCode::InvalidValue, "not TENANT:FACTOR:FROM:TO: " + text);
+    throw base::Error(
+        base::ResultCode::InvalidValue,
+        "expected TENANT:FACTOR:FROM:TO with FACTOR > 0 and 0 <= FROM < TO, got " + text);
   }
   burst.tenant = burst.tenant == "all" ? "" : burst.tenant;
   return burst;
@@ -109,7 +114,8 @@
       numberField(object, "resend_refused_share", plan.resend_refused_share);
   plan.resend_delay = std::chrono::milliseconds(integerField(object, "resend_delay_ms", 200));
   if (plan.requestsPerSecond() <= 0) {
-    throw base::Error(base::ResultCode::InvalidValue, "the load has no requests", "tenants");
+    throw base::Error(base::ResultCode::InvalidValue,
+                      "expected at least one tenant with a rate above 0", "tenants");
   }
   return plan;
 }
@@ -120,7 +126,7 @@
   double popularity = 0;
   for (std::uint32_t family = 0; family < plan_.prefix_families; ++family) {
     popularity += 1.0 / std::pow(family + 1.0, plan_.prefix_zipf);
-    cumulated_popularity_.push_back(popularity);
+    cumulative_popularity_.push_back(popularity);
   }
 }
 
@@ -143,28 +149,28 @@
 }
 
 const ArrivalGenerator::Flow& ArrivalGenerator::drawFlow() {
-  const double drawn = random_.uniform() * flows_.back().cumulated_rate;
+  const double drawn = random_.uniform() * flows_.back().cumulative_rate;
   const auto found =
       std::upper_bound(flows_.begin(), flows_.end(), drawn,
-                       [](double value, const Flow& flow) { return value < flow.cumulated_rate; });
+                       [](double value, const Flow& flow) { return value < flow.cumulative_rate; });
   return found == flows_.end() ? flows_.back() : *found;
 }
 
 std::uint32_t ArrivalGenerator::drawFamily() {
-  const double drawn = random_.uniform() * cumulated_popularity_.back();
+  const double drawn = random_.uniform() * cumulative_popularity_.back();
   const auto found =
-      std::upper_bound(cumulated_popularity_.begin(), cumulated_popularity_.end(), drawn);
-  const auto family = static_cast<std::uint32_t>(found - cumulated_popularity_.begin());
+      std::upper_bound(cumulative_popularity_.begin(), cumulative_popularity_.end(), drawn);
+  const auto family = static_cast<std::uint32_t>(found - cumulative_popularity_.begin());
   return std::min(family, plan_.prefix_families - 1);
 }
 
 Arrival ArrivalGenerator::next() {
-  double at_s = elapsed_s_ + exponential(1.0 / flows_.back().cumulated_rate);
+  double at_s = elapsed_s_ + exponential(1.0 / flows_.back().cumulative_rate);
   while (at_s >= rates_until_s_) {
-    // Arrivals have no memory: the wait begins anew under the new rates.
+    // Poisson arrivals are memoryless: draw a new waiting time with the new rates.
     elapsed_s_ = rates_until_s_;
     setRates();
-    at_s = elapsed_s_ + exponential(1.0 / flows_.back().cumulated_rate);
+    at_s = elapsed_s_ + exponential(1.0 / flows_.back().cumulative_rate);
   }
   elapsed_s_ = at_s;
   const Flow& flow = drawFlow();
@@ -186,11 +192,11 @@
   const LoadTenant& tenant = plan_.tenants[arrival.tenant];
   arrival.model = tenant.models[random_.below(tenant.models.size())];
   const std::uint32_t family = drawFamily();
-  // The first part is the tenant's own, the others the family's.
-  arrival.parts.push_back(PrefixSegment{tenant.name, plan_.segment_tokens});
-  for (std::uint32_t part = 1; part < plan_.prefix_segments; ++part) {
-    arrival.parts.push_back(
-        PrefixSegment{tenant.name + "/f" + std::to_string(family) + "/" + std::to_string(part),
+  // The first segment belongs to the tenant, the others to the family.
+  arrival.segments.push_back(PrefixSegment{tenant.name, plan_.segment_tokens});
+  for (std::uint32_t segment = 1; segment < plan_.prefix_segments; ++segment) {
+    arrival.segments.push_back(
+        PrefixSegment{tenant.name + "/f" + std::to_string(family) + "/" + std::to_string(segment),
                       plan_.segment_tokens});
   }
   arrival.prompt_tokens = static_cast<std::uint32_t>(1 + exponential(plan_.prompt_tokens));
--- a/libraries/testbed/source/load/load_runner.cc
+++ b/libraries/testbed/source/load/load_runner.cc
@@ -11,9 +11,9 @@
 constexpr base::Duration AnswerLimit = std::chrono::seconds(30);
 
 std::string streamBody(const Arrival& arrival) {
-  boost::json::array parts;
-  for (const PrefixSegment& part : arrival.parts) {
-    parts.push_back({{"id", part.id}, {"tokens", part.tokens}});
+  boost::json::array segments;
+  for (const PrefixSegment& segment : arrival.segments) {
+    segments.push_back({{"id", segment.id}, {"tokens", segment.tokens}});
   }
   const std::string content(arrival.prompt_tokens * BytesPerToken, 'x');
   const boost::json::array messages{{{"role", "user"}, {"content", content}}};
@@ -21,7 +21,7 @@
                                                     {"messages", messages},
                                                     {"stream", true},
                                                     {"max_tokens", arrival.max_tokens},
-                                                    {"prefix_parts", std::move(parts)}});
+                                                    {"prefix_parts", std::move(segments)}});
 }
 
 std::string oneShotBody(const Arrival& arrival) {
@@ -30,7 +30,7 @@
       boost::json::object{{"service", arrival.service}, {"payload", payload}});
 }
 
-bool wentAstray(const CallEvent& answer) {
+bool isAnswerLost(const CallEvent& answer) {
   return answer.end == call_end::Lost || answer.end == call_end::Cut ||
          answer.end == call_end::NotConnected;
 }
@@ -68,7 +68,7 @@
 void LoadRunner::schedule() {
   next_ = generator_.next();
   if (next_.at >= duration_) {
-    arrivals_over_ = true;
+    arrivals_ended_ = true;
     finishIfIdle();
     return;
   }
@@ -136,7 +136,7 @@
   sent.model = arrival.model;
   sent.target = target.toString();
   recorder_.record(sent);
-  ++open_;
+  ++outstanding_;
   auto observer = std::make_shared<CallExchange>(
       recorder_, sent, [this, arrival, attempt, target](const CallEvent& answer) {
         onEnded(arrival, attempt, target, answer);
@@ -151,7 +151,7 @@
 
 void LoadRunner::onEnded(const Arrival& arrival, int attempt, const base::NodeAddress& target,
                          const CallEvent& answer) {
-  --open_;
+  --outstanding_;
   const bool may_resend = arrival.kind == CallKind::OneShot && attempt < MaximumResends;
   if (may_resend && isRetried(answer)) {
     resendLater(arrival, attempt + 1, target);
@@ -163,14 +163,14 @@
   if (answer.outcome == "not-run") {
     return random_.chance(plan_.resend_refused_share);
   }
-  return wentAstray(answer);
+  return isAnswerLost(answer);
 }
 
 void LoadRunner::resendLater(const Arrival& arrival, int attempt,
                              const base::NodeAddress& avoided) {
-  ++open_;
+  ++outstanding_;
   resend_timers_.push_back(recorder_.dispatcher.createTimer([this, arrival, attempt, avoided] {
-    --open_;
+    --outstanding_;
     send(arrival, attempt, avoided);
     finishIfIdle();
   }));
@@ -178,7 +178,7 @@
 }
 
 void LoadRunner::finishIfIdle() {
-  if (arrivals_over_ && open_ == 0) {
+  if (arrivals_ended_ && outstanding_ == 0) {
     finished_();
   }
 }
--- a/libraries/testbed/source/records/json_fields.cc
+++ b/libraries/testbed/source/records/json_fields.cc
@@ -10,7 +10,7 @@
 namespace {
 
 [[noreturn]] void wrongType(std::string_view name) {
-  throw base::Error(base::ResultCode::InvalidValue, "wrong type of field", std::string(name));
+  throw base::Error(base::ResultCode::InvalidValue, "field has the wrong type", std::string(name));
 }
 
 }  // namespace
@@ -21,7 +21,7 @@
   options.allow_comments = true;
   boost::json::value value = boost::json::parse({text.data(), text.size()}, failure, {}, options);
   if (failure || !value.is_object()) {
-    throw base::Error(base::ResultCode::MalformedJson, "not a JSON object");
+    throw base::Error(base::ResultCode::MalformedJson, "expected a JSON object");
   }
   return std::move(value.as_object());
 }
--- a/libraries/testbed/source/records/line_file.cc
+++ b/libraries/testbed/source/records/line_file.cc
@@ -10,7 +10,7 @@
 LineFile::LineFile(const std::string& path)
     : file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644)) {
   if (file_ < 0) {
-    throw base::Error(base::ResultCode::StorageFailed, "cannot open " + path);
+    throw base::Error(base::ResultCode::StorageFailed, "cannot open for appending: " + path);
   }
 }
 
@@ -22,7 +22,7 @@
   const std::string bytes = line + "\n";
   const ssize_t written = ::write(file_, bytes.data(), bytes.size());
   if (written != static_cast<ssize_t>(bytes.size())) {
-    throw base::Error(base::ResultCode::StorageFailed, "cannot append a line");
+    throw base::Error(base::ResultCode::StorageFailed, "cannot append a line to the record file");
   }
 }
 
--- a/libraries/testbed/source/workers/decode_relay.cc
+++ b/libraries/testbed/source/workers/decode_relay.cc
@@ -25,7 +25,7 @@
   });
   ticket_ = worker_.slots.acquire([weak] {
     if (const auto self = weak.lock()) {
-      self->onSlot();
+      self->onSlotAcquired();
     }
   });
   if (ticket_ == SlotQueue::Refused) {
@@ -34,15 +34,15 @@
   }
 }
 
-void DecodeRelay::onSlot() {
+void DecodeRelay::onSlotAcquired() {
   prefilling_ = true;
   run_ = worker_.nextRun();
-  const std::uint64_t cached = worker_.cache.cachedTokens(request_.parts);
+  const std::uint64_t cached = worker_.cache.cachedTokens(request_.segments);
   std::uint64_t prompt_tokens = request_.own_tokens;
-  for (const PrefixSegment& part : request_.parts) {
-    prompt_tokens += part.tokens;
+  for (const PrefixSegment& segment : request_.segments) {
+    prompt_tokens += segment.tokens;
   }
-  worker_.cache.insert(request_.parts);
+  worker_.cache.insert(request_.segments);
   worker_.note("start", Kind, run_, request_.identity, cached, 0);
   const base::Duration age = worker_.dispatcher.now() - worker_.started;
   timer_ = worker_.dispatcher.createTimer([this] { onPrefilled(); });
@@ -53,17 +53,18 @@
   prefilling_ = false;
   worker_.note("end", Kind, run_, request_.identity, 0, 0);
   worker_.slots.release();
-  http::Request onward;
-  onward.method = "POST";
-  onward.target = original_.target;
-  onward.body = original_.body;
-  onward.headers = {{"Content-Type", "application/json"},
-                    {"Request-Id", request_.identity.request_id},
-                    {"Caller-Request-Id", request_.identity.caller_request_id},
-                    {"Tenant", request_.identity.tenant},
-                    {PrefilledHeader, "1"}};
+  http::Request decode_request;
+  decode_request.method = "POST";
+  decode_request.target = original_.target;
+  decode_request.body = original_.body;
+  decode_request.headers = {{"Content-Type", "application/json"},
+                            {"Request-Id", request_.identity.request_id},
+                            {"Caller-Request-Id", request_.identity.caller_request_id},
+                            {"Tenant", request_.identity.tenant},
+                            {PrefilledHeader, "1"}};
   http::ExchangeOptions options;
-  exchange_ = worker_.client.start(decode_worker_, std::move(onward), options, shared_from_this());
+  exchange_ =
+      worker_.client.start(decode_worker_, std::move(decode_request), options, shared_from_this());
 }
 
 void DecodeRelay::onResponseHead(const http::Response& head) {
--- a/libraries/testbed/source/workers/decode_relay.h
+++ b/libraries/testbed/source/workers/decode_relay.h
@@ -10,12 +10,13 @@
 
 namespace switchsaddle::testbed {
 
-/** The header by which a prefill worker tells the decode worker that the prefill is done. */
+/** The header that a prefill worker sends to the decode worker: the prefill is done. */
 inline constexpr const char* PrefilledHeader = "Prefilled";
 
 /**
- * The prefill side of a pair: takes a slot for the prefill, then fetches the stream from the decode
- * worker and relays its head and bytes as they are, reading on only as the client takes them.
+ * The prefill side of a prefill and decode pair. Occupies a slot during the prefill, then requests
+ * the stream from the decode worker and relays its head and bytes unchanged. Reads the next bytes
+ * only after the client has accepted the previous ones.
  */
 class DecodeRelay : public PendingRequest,
                     public http::ExchangeObserver,
@@ -31,7 +32,7 @@
   void onFailure(http::ExchangeFailure failure, bool refused) override;
 
  private:
-  void onSlot();
+  void onSlotAcquired();
   void onPrefilled();
   void onClientDisconnected();
   void close();
--- a/libraries/testbed/source/workers/fake_worker.cc
+++ b/libraries/testbed/source/workers/fake_worker.cc
@@ -14,7 +14,7 @@
 namespace switchsaddle::testbed {
 namespace {
 
-/** Tokens of a message's text, by the usual rule of thumb. */
+/** Estimate of the bytes of text per token. */
 constexpr std::size_t BytesPerToken = 4;
 constexpr std::uint32_t LongestOutput = 4'096;
 
@@ -26,14 +26,14 @@
   return static_cast<std::uint32_t>(bytes / BytesPerToken + 1);
 }
 
-std::vector<PrefixSegment> prefixParts(const boost::json::object& body) {
-  std::vector<PrefixSegment> parts;
-  for (const boost::json::object& part : objectListField(body, "prefix_parts")) {
+std::vector<PrefixSegment> prefixSegments(const boost::json::object& body) {
+  std::vector<PrefixSegment> segments;
+  for (const boost::json::object& segment : objectListField(body, "prefix_parts")) {
     const auto tokens =
-        static_cast<std::uint32_t>(std::max<std::int64_t>(0, integerField(part, "tokens")));
-    parts.push_back(PrefixSegment{textField(part, "id"), tokens});
+        static_cast<std::uint32_t>(std::max<std::int64_t>(0, integerField(segment, "tokens")));
+    segments.push_back(PrefixSegment{textField(segment, "id"), tokens});
   }
-  return parts;
+  return segments;
 }
 
 std::uint32_t outputTokens(const boost::json::object& body, WorkerState& worker) {
@@ -61,7 +61,7 @@
   StreamRequest stream;
   stream.identity = parseIdentity(request);
   stream.identity.model = textField(body, "model");
-  stream.parts = prefixParts(body);
+  stream.segments = prefixSegments(body);
   stream.own_tokens = ownTokens(body);
   stream.output_tokens = outputTokens(body, worker);
   stream.prefilled = !request.header(PrefilledHeader).empty();
@@ -99,7 +99,7 @@
     } else if (path == "/v1/one-shots" && request.method == "POST") {
       handleOneShot(request, writer);
     } else {
-      writer->respond(state_->refusal(404, "", "unknown path"));
+      writer->respond(state_->refusal(404, "", "unknown path or method"));
     }
   } catch (const base::Error& error) {
     writer->respond(state_->refusal(400, std::string(request.header("Request-Id")), error.what()));
@@ -131,23 +131,25 @@
   writer->respond(std::move(response));
 }
 
-bool FakeWorker::struckAtOnce(const std::string& kind, const http::Request& request,
-                              const http::ResponseWriterPtr& writer) {
+bool FakeWorker::refuseByFault(const std::string& kind, const http::Request& request,
+                               const http::ResponseWriterPtr& writer) {
   if (!state_->fault.take(FaultMode::Refuse)) {
     return false;
   }
-  writer->respond(state_->refuseBeforeRun(kind, parseIdentity(request), "refused"));
+  writer->respond(
+      state_->refuseBeforeRun(kind, parseIdentity(request), "refused by an injected fault"));
   return true;
 }
 
 void FakeWorker::handleStream(const http::Request& request, const http::ResponseWriterPtr& writer) {
-  if (struckAtOnce("stream", request, writer)) {
+  if (refuseByFault("stream", request, writer)) {
     return;
   }
   StreamRequest stream = parseStream(request, *state_);
   const auto& models = state_->options.models;
   if (std::find(models.begin(), models.end(), stream.identity.model) == models.end()) {
-    writer->respond(state_->refusal(404, stream.identity.request_id, "unknown model"));
+    writer->respond(
+        state_->refusal(404, stream.identity.request_id, "model is not served by this worker"));
     return;
   }
   const std::string_view decode_worker = request.header("Decode-Worker");
@@ -161,7 +163,7 @@
 
 void FakeWorker::handleOneShot(const http::Request& request,
                                const http::ResponseWriterPtr& writer) {
-  if (struckAtOnce("one-shot", request, writer)) {
+  if (refuseByFault("one-shot", request, writer)) {
     return;
   }
   const boost::json::object body = parseObject(request.body);
--- a/libraries/testbed/source/workers/kv_cache.cc
+++ b/libraries/testbed/source/workers/kv_cache.cc
@@ -4,32 +4,32 @@
 
 namespace switchsaddle::testbed {
 
-std::vector<std::uint64_t> KvCache::chainsOf(const std::vector<PrefixSegment>& parts) {
+std::vector<std::uint64_t> KvCache::chainsOf(const std::vector<PrefixSegment>& segments) {
   std::vector<std::uint64_t> chains;
   std::uint64_t chain = 0;
-  for (const PrefixSegment& part : parts) {
-    chain = base::combineHashes(chain, base::hashBytes(part.id));
+  for (const PrefixSegment& segment : segments) {
+    chain = base::combineHashes(chain, base::hashBytes(segment.id));
     chains.push_back(chain);
   }
   return chains;
 }
 
-std::uint64_t KvCache::cachedTokens(const std::vector<PrefixSegment>& parts) const {
-  const std::vector<std::uint64_t> chains = chainsOf(parts);
+std::uint64_t KvCache::cachedTokens(const std::vector<PrefixSegment>& segments) const {
+  const std::vector<std::uint64_t> chains = chainsOf(segments);
   std::uint64_t tokens = 0;
-  for (std::size_t index = 0; index < parts.size(); ++index) {
+  for (std::size_t index = 0; index < segments.size(); ++index) {
     if (!by_chain_.contains(chains[index])) {
       break;
     }
-    tokens += parts[index].tokens;
+    tokens += segments[index].tokens;
   }
   return tokens;
 }
 
-void KvCache::insert(const std::vector<PrefixSegment>& parts) {
-  const std::vector<std::uint64_t> chains = chainsOf(parts);
-  for (std::size_t index = parts.size(); index > 0; --index) {
-    touch(chains[index - 1], parts[index - 1].tokens);
+void KvCache::insert(const std::vector<PrefixSegment>& segments) {
+  const std::vector<std::uint64_t> chains = chainsOf(segments);
+  for (std::size_t index = segments.size(); index > 0; --index) {
+    touch(chains[index - 1], segments[index - 1].tokens);
   }
   evict();
 }
--- a/libraries/testbed/source/workers/one_shot_run.cc
+++ b/libraries/testbed/source/workers/one_shot_run.cc
@@ -17,7 +17,7 @@
   worker_.pending.insert(shared_from_this());
   ticket_ = worker_.slots.acquire([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->onSlot();
+      self->onSlotAcquired();
     }
   });
   if (ticket_ == SlotQueue::Refused) {
@@ -28,14 +28,14 @@
   }
 }
 
-void OneShotRun::onSlot() {
+void OneShotRun::onSlotAcquired() {
   run_ = worker_.nextRun();
   worker_.note("start", Kind, run_, identity_, 0, 0);
-  work_timer_ = worker_.dispatcher.createTimer([this] { onWorked(); });
-  work_timer_->enable(worker_.options.one_shot_time);
+  service_timer_ = worker_.dispatcher.createTimer([this] { onServiceTimeElapsed(); });
+  service_timer_->enable(worker_.options.one_shot_time);
 }
 
-void OneShotRun::onWorked() {
+void OneShotRun::onServiceTimeElapsed() {
   FaultOrder& fault = worker_.fault;
   if (fault.waits_for_chunk && fault.take(FaultMode::Crash)) {
     worker_.crash();
@@ -60,14 +60,14 @@
 }
 
 void OneShotRun::answer() {
-  std::string shown_request = identity_.request_id;
+  std::string sent_request_id = identity_.request_id;
   if (worker_.fault.take(FaultMode::Crossed)) {
     const bool usable =
         !worker_.last_request_id.empty() && worker_.last_request_id != identity_.request_id;
-    shown_request = usable ? worker_.last_request_id : "crossed-" + identity_.request_id;
+    sent_request_id = usable ? worker_.last_request_id : "crossed-" + identity_.request_id;
   }
   http::Response response;
-  response.headers = worker_.answerHeaders(shown_request);
+  response.headers = worker_.answerHeaders(sent_request_id);
   response.headers.push_back({"Run", run_});
   response.headers.push_back({"Content-Type", "application/json"});
   response.body = boost::json::serialize(
--- a/libraries/testbed/source/workers/one_shot_run.h
+++ b/libraries/testbed/source/workers/one_shot_run.h
@@ -9,8 +9,8 @@
 namespace switchsaddle::testbed {
 
 /**
- * One one-shot: its effect takes place at "start", and it goes on when the client has gone, as a
- * charge does.
+ * One one-shot request. Its effect takes place at "start", and it continues after the client
+ * disconnects, as a payment would.
  */
 class OneShotRun : public PendingRequest, public std::enable_shared_from_this<OneShotRun> {
  public:
@@ -18,14 +18,14 @@
   void start();
 
  private:
-  void onSlot();
-  void onWorked();
+  void onSlotAcquired();
+  void onServiceTimeElapsed();
   void answer();
 
   WorkerState& worker_;
   RequestIdentity identity_;
   http::ResponseWriterPtr writer_;
-  base::TimerPtr work_timer_;
+  base::TimerPtr service_timer_;
   base::TimerPtr answer_timer_;
   SlotQueue::Ticket ticket_ = SlotQueue::Refused;
   std::string run_;
--- a/libraries/testbed/source/workers/platform_list.cc
+++ b/libraries/testbed/source/workers/platform_list.cc
@@ -67,46 +67,47 @@
   if (mode == "stale") {
     return PlatformFault::Stale;
   }
-  throw base::Error(base::ResultCode::InvalidValue, "unknown fault mode " + mode, "mode");
+  throw base::Error(base::ResultCode::InvalidValue,
+                    "expected none, empty, malformed, flap or stale, got " + mode, "mode");
 }
 
 PlatformList::PlatformList(std::vector<ListedWorker> workers, base::Duration lag,
                            base::Duration crashed_listed)
     : workers_(std::move(workers)),
-      shown_(workers_.size()),
+      listings_(workers_.size()),
       lag_(lag),
       crashed_listed_(crashed_listed) {}
 
-void PlatformList::heard(std::size_t index, const std::string& state, base::TimePoint now) {
+void PlatformList::reportState(std::size_t index, const std::string& state, base::TimePoint now) {
   observe(index, state, now + lag_);
 }
 
-void PlatformList::missed(std::size_t index, base::TimePoint now) {
+void PlatformList::reportNoAnswer(std::size_t index, base::TimePoint now) {
   observe(index, "", now + lag_ + crashed_listed_);
 }
 
 void PlatformList::observe(std::size_t index, const std::string& state,
                            base::TimePoint visible_from) {
-  Shown& shown = shown_[index];
-  if (shown.last_observed == state) {
+  Listing& listing = listings_[index];
+  if (listing.last_observed == state) {
     return;
   }
-  shown.last_observed = state;
-  // A worker heard again before its removal showed is never removed.
-  while (!shown.pending.empty() && shown.pending.back().visible_from >= visible_from) {
-    shown.pending.pop_back();
+  listing.last_observed = state;
+  // If a worker answers again before its removal is listed, the removal is dropped.
+  while (!listing.pending.empty() && listing.pending.back().visible_from >= visible_from) {
+    listing.pending.pop_back();
   }
-  shown.pending.push_back(Observation{visible_from, state});
+  listing.pending.push_back(Observation{visible_from, state});
 }
 
 void PlatformList::advance(base::TimePoint now) {
-  for (Shown& shown : shown_) {
-    while (!shown.pending.empty() && shown.pending.front().visible_from <= now) {
-      if (shown.state != shown.pending.front().state) {
-        shown.state = shown.pending.front().state;
+  for (Listing& listing : listings_) {
+    while (!listing.pending.empty() && listing.pending.front().visible_from <= now) {
+      if (listing.state != listing.pending.front().state) {
+        listing.state = listing.pending.front().state;
         ++generation_;
       }
-      shown.pending.pop_front();
+      listing.pending.pop_front();
     }
   }
 }
@@ -130,11 +131,11 @@
 std::string PlatformList::listJson(bool empty) const {
   boost::json::array list;
   for (std::size_t index = 0; index < workers_.size() && !empty; ++index) {
-    if (shown_[index].state.empty()) {
+    if (listings_[index].state.empty()) {
       continue;
     }
     boost::json::object object = toJson(workers_[index]);
-    object["state"] = shown_[index].state;
+    object["state"] = listings_[index].state;
     list.push_back(std::move(object));
   }
   return boost::json::serialize(
--- a/libraries/testbed/source/workers/stream_run.cc
+++ b/libraries/testbed/source/workers/stream_run.cc
@@ -31,7 +31,7 @@
   });
   ticket_ = worker_.slots.acquire([weak] {
     if (const auto self = weak.lock()) {
-      self->onSlot();
+      self->onSlotAcquired();
     }
   });
   if (ticket_ == SlotQueue::Refused) {
@@ -43,16 +43,16 @@
   }
 }
 
-void StreamRun::onSlot() {
+void StreamRun::onSlotAcquired() {
   running_ = true;
   run_ = worker_.nextRun();
-  shown_run_ = run_;
-  cached_tokens_ = worker_.cache.cachedTokens(request_.parts);
+  sent_run_ = run_;
+  cached_tokens_ = worker_.cache.cachedTokens(request_.segments);
   std::uint64_t prompt_tokens = request_.own_tokens;
-  for (const PrefixSegment& part : request_.parts) {
-    prompt_tokens += part.tokens;
+  for (const PrefixSegment& segment : request_.segments) {
+    prompt_tokens += segment.tokens;
   }
-  worker_.cache.insert(request_.parts);
+  worker_.cache.insert(request_.segments);
   worker_.note("start", Kind, run_, request_.identity, cached_tokens_, 0);
 
   const base::Duration age = worker_.dispatcher.now() - worker_.started;
@@ -77,14 +77,14 @@
 }
 
 void StreamRun::sendNextChunk() {
-  if (struck()) {
+  if (injectFault()) {
     return;
   }
   if (chunks_ == request_.output_tokens) {
     finish();
     return;
   }
-  std::string chunk = chunkEvent(index_, shown_run_);
+  std::string chunk = chunkEvent(index_, sent_run_);
   ++chunks_;
   ++index_;
   sendChunk(std::move(chunk));
@@ -109,7 +109,7 @@
   chunk_timer_->enable(worker_.options.speed.tokenTime(worker_.slots.running()));
 }
 
-bool StreamRun::struck() {
+bool StreamRun::injectFault() {
   FaultOrder& fault = worker_.fault;
   if (chunks_ < fault.after_chunks) {
     return false;
@@ -136,7 +136,7 @@
   } else if (index_ > 0 && fault.take(FaultMode::Repeat)) {
     --index_;
   } else if (fault.take(FaultMode::ChangeRun)) {
-    shown_run_ = run_ + "-other";
+    sent_run_ = run_ + "-other";
   }
   return false;
 }
--- a/libraries/testbed/source/workers/stream_run.h
+++ b/libraries/testbed/source/workers/stream_run.h
@@ -9,20 +9,20 @@
 
 namespace switchsaddle::testbed {
 
-/** A stream as asked for. */
+/** A parsed stream request. */
 struct StreamRequest {
   RequestIdentity identity;
-  std::vector<PrefixSegment> parts;
-  /** Tokens of the prompt after its shared parts. */
+  std::vector<PrefixSegment> segments;
+  /** Tokens of the prompt after its shared segments. */
   std::uint32_t own_tokens = 0;
   std::uint32_t output_tokens = 1;
-  /** Set where the prefill has been done by another worker. */
+  /** Set if another worker has done the prefill. */
   bool prefilled = false;
 };
 
 /**
- * One stream: waits for a slot, prefills, sends pieces at the worker's speed with at most one
- * outstanding, and ends with [DONE]. Faults strike between pieces.
+ * One stream: waits for a slot, prefills, sends chunks at the worker's speed and ends with [DONE].
+ * At most one chunk is being written at a time. Faults are injected between chunks.
  */
 class StreamRun : public PendingRequest, public std::enable_shared_from_this<StreamRun> {
  public:
@@ -30,16 +30,16 @@
   void start();
 
  private:
-  void onSlot();
+  void onSlotAcquired();
   void onPrefilled();
   void sendNextChunk();
   void sendChunk(std::string chunk);
   void onWritten(bool taken);
-  /** Whether a fault ended or stopped the stream. */
-  bool struck();
+  /** Injects an active fault; returns whether it ended or stalled the stream. */
+  bool injectFault();
   void finish();
   void onClientDisconnected();
-  /** Notes the end, frees the slot and lets go of this. */
+  /** Records the end, frees the slot and removes this run from the pending requests. */
   void close(const std::string& event);
 
   WorkerState& worker_;
@@ -49,10 +49,10 @@
   base::TimerPtr chunk_timer_;
   SlotQueue::Ticket ticket_ = SlotQueue::Refused;
   std::string run_;
-  std::string shown_run_;
+  std::string sent_run_;
   std::uint64_t cached_tokens_ = 0;
   std::uint64_t chunks_ = 0;
-  /** The index shown on the next piece. */
+  /** The index of the next chunk as sent; a fault may change it. */
   std::uint64_t index_ = 0;
   bool running_ = false;
   bool closed_ = false;
--- a/libraries/testbed/source/workers/worker_fault.cc
+++ b/libraries/testbed/source/workers/worker_fault.cc
@@ -29,12 +29,13 @@
       return row.mode;
     }
   }
-  throw base::Error(base::ResultCode::InvalidValue, "unknown fault mode " + name, "mode");
+  throw base::Error(base::ResultCode::InvalidValue, "unknown fault mode of a worker: " + name,
+                    "mode");
 }
 
 std::uint64_t notNegative(std::int64_t number, const char* path) {
   if (number < 0) {
-    throw base::Error(base::ResultCode::InvalidValue, "must not be negative", path);
+    throw base::Error(base::ResultCode::InvalidValue, "expected a number of at least 0", path);
   }
   return static_cast<std::uint64_t>(number);
 }
--- a/libraries/testbed/source/workers/worker_state.h
+++ b/libraries/testbed/source/workers/worker_state.h
@@ -17,13 +17,13 @@
 
 namespace switchsaddle::testbed {
 
-/** A request that a worker is holding: kept alive by the worker until it has ended. */
+/** A queued or running request; the worker owns it until it has ended. */
 class PendingRequest {
  public:
   virtual ~PendingRequest() = default;
 };
 
-/** What a caller's request says, apart from its kind. */
+/** Identifiers, tenant and model of a request. */
 struct RequestIdentity {
   std::string request_id;
   std::string caller_request_id;
@@ -32,24 +32,25 @@
   std::string idempotency_key;
 };
 
-/** What all requests of one stand-in worker share. One strand. */
+/** State shared by all requests of a fake worker. Used on one strand. */
 struct WorkerState {
   WorkerState(WorkerOptions worker_options, base::Dispatcher& strand, http::Client& http_client,
               EventSink& sink, std::function<void()> crash_process);
 
-  /** A run id which no other process of this worker ever used. */
+  /** A run id that no earlier instance of this worker has used. */
   std::string nextRun();
-  /** The headers that every answer carries. */
+  /** The headers of every answer. */
   std::vector<http::Header> answerHeaders(const std::string& request_id) const;
   http::Response refusal(std::uint16_t status, const std::string& request_id,
                          const std::string& reason) const;
-  /** The answer to a request that is refused before it runs; notes it and says so in Not-Run. */
+  /** Records that a request is refused before it runs; returns the answer, which has the Not-Run
+   * header. */
   http::Response refuseBeforeRun(const std::string& kind, const RequestIdentity& identity,
                                  const std::string& reason);
   void note(const std::string& event, const std::string& kind, const std::string& run,
             const RequestIdentity& identity, std::uint64_t cached_tokens, std::uint64_t chunks);
   bool draining() const { return drained || fault.active(FaultMode::Drain); }
-  /** Lets go of a held request once the present callback has returned. */
+  /** Removes a pending request; it is destroyed after the current callback has returned. */
   void forget(const std::shared_ptr<PendingRequest>& request);
 
   WorkerOptions options;
@@ -64,7 +65,7 @@
   base::RandomSource random;
   bool drained = false;
   std::uint64_t runs = 0;
-  /** The request answered last, for crossed answers. */
+  /** Id of the request answered last; the "crossed" fault sends it with another answer. */
   std::string last_request_id;
   std::set<std::shared_ptr<PendingRequest>> pending;
 };
--- a/libraries/testbed/test/checks/branch_limit_checker_test.cc
+++ b/libraries/testbed/test/checks/branch_limit_checker_test.cc
@@ -7,7 +7,7 @@
 
 constexpr int OverBranchLimit = 3001;
 
-/** Fabricated evidence of one tenant whose streams have two slots. */
+/** Builds records of one tenant whose streams have two slots. */
 class BranchLimitCheckerTest : public testing::Test {
  protected:
   BranchLimitCheckerTest() {
@@ -62,7 +62,7 @@
   WorkerJournal journal_;
 };
 
-TEST_F(BranchLimitCheckerTest, HoldsLongExcessesAgainstTheBranch) {
+TEST_F(BranchLimitCheckerTest, ReportsAnExcessLongerThanTheTolerance) {
   run("a", 0, 1'000);
   run("b", 0, 1'000);
   run("c", 900, 2'000);
@@ -74,18 +74,18 @@
   EXPECT_EQ(rules(), Rules{Rule::OverLimit});
 }
 
-TEST_F(BranchLimitCheckerTest, HoldsRefusalsAgainstAFreeSlotOnly) {
+TEST_F(BranchLimitCheckerTest, ReportsARefusalOnlyIfASlotWasFree) {
   run("a", 0, 1'000);
   run("b", 0, 500);
   refused(100, 200);
   refused(540, 600);
   EXPECT_EQ(rules(), Rules{});
   refused(560, 600);
-  EXPECT_EQ(rules(), Rules{Rule::RefusedInside});
+  EXPECT_EQ(rules(), Rules{Rule::RefusedWithinLimit});
   EXPECT_EQ(result().refusals.at(OverBranchLimit).samples, 3U);
 }
 
-TEST_F(BranchLimitCheckerTest, ARunThatAWorkerQueuedHasItsSlotAlready) {
+TEST_F(BranchLimitCheckerTest, AQueuedRunOccupiesItsSlot) {
   run("a", 0, 1'000);
   note("queued", "b", 100);
   run("b", 500, 1'000);
@@ -93,7 +93,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(BranchLimitCheckerTest, HoldsRetriesAboveATenthAgainstTheFleet) {
+TEST_F(BranchLimitCheckerTest, ReportsRetriesAboveTenPercentOfFirstAttempts) {
   for (std::int64_t number = 0; number < 10; ++number) {
     run("r" + std::to_string(number), number * 10, number * 10 + 1);
   }
@@ -103,7 +103,7 @@
   EXPECT_EQ(rules(), Rules{Rule::TooManyRetries});
 }
 
-TEST_F(BranchLimitCheckerTest, RetriesAreCountedAgainstTheFirstAttemptsOfTheirWindow) {
+TEST_F(BranchLimitCheckerTest, ComparesRetriesWithTheFirstAttemptsOfTheirWindow) {
   for (std::int64_t number = 0; number < 10; ++number) {
     run("r" + std::to_string(number), number * 10, number * 10 + 1);
   }
--- a/libraries/testbed/test/checks/history_checker_test.cc
+++ b/libraries/testbed/test/checks/history_checker_test.cc
@@ -5,7 +5,7 @@
 namespace switchsaddle::testbed {
 namespace {
 
-/** Builds fabricated evidence; a healthy record by itself breaks no rule. */
+/** Builds records of calls, runs and orders. */
 class HistoryCheckerTest : public testing::Test {
  protected:
   void sent(std::uint64_t call, const std::string& kind, std::int64_t at_ms,
@@ -54,7 +54,7 @@
     line.tenant = "t1";
     journal_.events.push_back(line);
   }
-  /** A finished stream of two pieces under this call. */
+  /** Records a stream of two chunks that its worker finished. */
   void stream(std::uint64_t call, const std::string& end = call_end::Done) {
     const std::string run = "run" + std::to_string(call);
     sent(call, "stream", 10);
@@ -82,7 +82,7 @@
 
 using Rules = std::vector<Rule>;
 
-TEST_F(HistoryCheckerTest, AHealthyRecordBreaksNoRule) {
+TEST_F(HistoryCheckerTest, AValidRecordHasNoViolations) {
   stream(1);
   sent(2, "one-shot", 10, "k");
   worker("start", "one-shot", "o1", 12, "k", "r2");
@@ -101,7 +101,7 @@
   EXPECT_EQ(rules(), Rules{Rule::RanTwice});
 }
 
-TEST_F(HistoryCheckerTest, FindsAKeyThatRanThoughAnsweredNotRun) {
+TEST_F(HistoryCheckerTest, FindsARunOfAKeyThatWasAnsweredNotRun) {
   sent(1, "one-shot", 10, "k");
   answered(1, call_end::Refused, "not-run", 503);
   worker("start", "one-shot", "o1", 2'000, "k");
@@ -117,7 +117,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(HistoryCheckerTest, AResendAfterTheRunDoesNotExcuseIt) {
+TEST_F(HistoryCheckerTest, AResendAfterTheRunDoesNotAllowTheRun) {
   sent(1, "one-shot", 10, "k");
   answered(1, call_end::Refused, "not-run", 503);
   worker("start", "one-shot", "o1", 2'000, "k");
@@ -139,7 +139,7 @@
   EXPECT_EQ(rules(), Rules{Rule::AnsweredWithoutRun});
 }
 
-TEST_F(HistoryCheckerTest, FindsGapsRepeatsAndLateStarts) {
+TEST_F(HistoryCheckerTest, FindsChunkIndicesOutOfSequence) {
   for (const std::vector<std::int64_t>& indices :
        {std::vector<std::int64_t>{0, 2}, {0, 0}, {1, 2}, {0, -1}}) {
     evidence_.calls.clear();
@@ -160,7 +160,7 @@
   EXPECT_EQ(rules(), Rules{Rule::RunChanged});
 }
 
-TEST_F(HistoryCheckerTest, FindsAnEndThatTheWorkerNeverMade) {
+TEST_F(HistoryCheckerTest, FindsADoneEventOfARunThatTheWorkerCancelled) {
   sent(1, "stream", 10);
   worker("start", "stream", "s1", 11);
   chunk(1, 0, "s1", 20);
@@ -169,7 +169,7 @@
   EXPECT_EQ(rules(), Rules{Rule::EarlyEnd});
 }
 
-TEST_F(HistoryCheckerTest, FindsAnEndWithoutTheLastChunk) {
+TEST_F(HistoryCheckerTest, FindsADoneEventBeforeTheLastChunk) {
   sent(1, "stream", 10);
   worker("start", "stream", "s1", 11);
   chunk(1, 0, "s1", 20);
@@ -178,7 +178,7 @@
   EXPECT_EQ(rules(), Rules{Rule::EarlyEnd});
 }
 
-TEST_F(HistoryCheckerTest, FindsASilentEndButNotAVisibleOne) {
+TEST_F(HistoryCheckerTest, FindsATruncatedEndAndAcceptsVisibleErrors) {
   stream(1, call_end::Error);
   stream(2, call_end::Cut);
   EXPECT_EQ(rules(), Rules{});
@@ -230,7 +230,7 @@
   EXPECT_EQ(rules(), Rules{});
 }
 
-TEST_F(HistoryCheckerTest, FindsWorkForALeavingWorkerAlsoWhereItRefusesIt) {
+TEST_F(HistoryCheckerTest, FindsRequestsSentToALeavingWorkerIncludingRefusedOnes) {
   journal_.worker = "w1";
   for (const char* event : {order_event::Draining, order_event::Vanished}) {
     for (const char* attempt : {"start", "refused"}) {
--- a/libraries/testbed/test/fleet/examples_test.cc
+++ b/libraries/testbed/test/fleet/examples_test.cc
@@ -11,7 +11,7 @@
 namespace switchsaddle::testbed {
 namespace {
 
-/** What a deployment's example load sends in all, requests a second. */
+/** Expected total rates of a deployment's example load, in requests per second. */
 struct ExampleCase {
   const char* name;
   double requests_per_s;
--- a/libraries/testbed/test/fleet/fleet_layout_test.cc
+++ b/libraries/testbed/test/fleet/fleet_layout_test.cc
@@ -27,7 +27,7 @@
   return base::ResultCode::Ok;
 }
 
-TEST(FleetLayoutTest, SpreadsCountsOverZones) {
+TEST(FleetLayoutTest, AssignsCountedNodesToZonesInRotation) {
   const FleetLayout layout = parseFleetLayout(Layout);
   ASSERT_EQ(layout.cores.size(), 3U);
   EXPECT_EQ(layout.cores[1].zone, "b");
@@ -39,7 +39,7 @@
   EXPECT_NE(layout.workers[0].listed.address, layout.workers[2].listed.address);
 }
 
-TEST(FleetLayoutTest, RefusesFaultyLayouts) {
+TEST(FleetLayoutTest, RejectsInvalidLayouts) {
   EXPECT_EQ(codeOf("["), base::ResultCode::MalformedJson);
   EXPECT_EQ(codeOf("{}"), base::ResultCode::MissingField);
   EXPECT_EQ(codeOf(R"({"operator_key":"k","core":{}})"), base::ResultCode::UnknownField);
@@ -54,7 +54,7 @@
   FleetState state_ = planFleet(parseFleetLayout(Layout), "/d", {"lab", "daemon"});
 };
 
-TEST_F(FleetPlanTest, StartsBackEndsBeforeCoresBeforeFronts) {
+TEST_F(FleetPlanTest, OrdersWorkersBeforeCoresAndCoresBeforeFronts) {
   ASSERT_EQ(state_.processes.size(), 8U);
   EXPECT_EQ(state_.processes.front().role, ProcessRole::Platform);
   EXPECT_EQ(state_.processes[4].role, ProcessRole::Core);
@@ -63,7 +63,7 @@
             (std::vector<std::string>{"daemon", "front", "--settings", "/d/settings/edge.json"}));
 }
 
-TEST_F(FleetPlanTest, StateReadsBack) {
+TEST_F(FleetPlanTest, StateRoundTrips) {
   state_.processes[4].pid = 77;
   state_.processes[4].start_ticks = 123'456;
   EXPECT_EQ(formatFleetState(parseFleetState(formatFleetState(state_))), formatFleetState(state_));
@@ -79,7 +79,7 @@
   EXPECT_FALSE(front.contains("initial_cores"));
 }
 
-TEST_F(FleetPlanTest, TheDaemonsAcceptTheSettings) {
+TEST_F(FleetPlanTest, GeneratedSettingsAreValid) {
   const std::string hash = configuration::sha256Hex("secret");
   replaceCore(state_, "core-2");
   for (const FleetProcess& process : state_.processes) {
@@ -89,8 +89,9 @@
     std::vector<configuration::Fault> faults;
     const auto settings = configuration::parseSettings(settingsText(state_, process, hash), faults);
     EXPECT_TRUE(faults.empty()) << process.name << ": " << faults[0].path;
-    const auto wrong = configuration::checkSettings(settings, roleName(process.role));
-    EXPECT_TRUE(wrong.empty()) << process.name << ": " << wrong[0].path << wrong[0].message;
+    const auto rejected = configuration::checkSettings(settings, roleName(process.role));
+    EXPECT_TRUE(rejected.empty()) << process.name << ": " << rejected[0].path
+                                  << rejected[0].message;
   }
 }
 
--- a/libraries/testbed/test/fleet/process_control_test.cc
+++ b/libraries/testbed/test/fleet/process_control_test.cc
@@ -9,27 +9,27 @@
 namespace switchsaddle::testbed {
 namespace {
 
-constexpr base::Duration Patience = std::chrono::minutes(1);
+constexpr base::Duration ConditionLimit = std::chrono::minutes(1);
 
 class ProcessControlTest : public testing::Test {
  protected:
-  /** A program that only waits, for as long as the test may take. */
+  /** A process that sleeps for longer than the test takes. */
   ProcessIdentity process_ = launchDetached({"/bin/sleep", "600"}, "/dev/null");
   ~ProcessControlTest() override { sendSignal(process_, SIGKILL); }
 };
 
-TEST_F(ProcessControlTest, KillsStopsAndWakesJustThatProcess) {
+TEST_F(ProcessControlTest, SignalsOnlyTheGivenProcess) {
   EXPECT_NE(conditionOf(process_), ProcessCondition::Exited);
   EXPECT_TRUE(sendSignal(process_, SIGSTOP));
-  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Stopped, Patience));
+  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Stopped, ConditionLimit));
   EXPECT_TRUE(sendSignal(process_, SIGCONT));
-  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Running, Patience));
+  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Running, ConditionLimit));
   EXPECT_TRUE(sendSignal(process_, SIGKILL));
-  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Exited, Patience));
+  EXPECT_TRUE(waitForCondition(process_, ProcessCondition::Exited, ConditionLimit));
   EXPECT_FALSE(sendSignal(process_, SIGKILL));
 }
 
-TEST_F(ProcessControlTest, ANewProcessUnderAnOldPidIsNotTheSame) {
+TEST_F(ProcessControlTest, AReusedPidIsNotTheSameProcess) {
   const ProcessIdentity other{process_.pid, process_.start_ticks + 1};
   EXPECT_EQ(conditionOf(other), ProcessCondition::Exited);
   EXPECT_FALSE(sendSignal(other, SIGKILL));
@@ -49,7 +49,7 @@
   EXPECT_TRUE(waitForCondition(process, ProcessCondition::Exited, std::chrono::seconds(20)));
 }
 
-TEST(ProcessLaunchTest, AMissingProgramIsAnError) {
+TEST(ProcessLaunchTest, RejectsAMissingProgram) {
   EXPECT_THROW(launchDetached({"/nonexistent/program"}, "/dev/null"), base::Error);
 }
 
--- a/libraries/testbed/test/load/event_stream_reader_test.cc
+++ b/libraries/testbed/test/load/event_stream_reader_test.cc
@@ -11,7 +11,7 @@
     "id: 0\ndata: {\"a\":1}\n\n: comment\n\nevent: error\r\nid: 1\r\ndata: x\r\n\r\n"
     "data: [DONE]\n\nid: 9\n";
 
-TEST(EventStreamReaderTest, ReadsTheSameHoweverTheBytesAreCut) {
+TEST(EventStreamReaderTest, ParsesTheSameEventsForAnyBlockSize) {
   for (std::size_t step = 1; step <= Stream.size(); ++step) {
     EventStreamReader reader;
     std::vector<StreamEvent> events;
@@ -30,7 +30,7 @@
   }
 }
 
-TEST(CallEventTest, ReadsBackALine) {
+TEST(CallEventTest, RoundTripsAsAJsonLine) {
   CallEvent event;
   event.at_ms = 5;
   event.event = "answer";
--- a/libraries/testbed/test/load/load_plan_test.cc
+++ b/libraries/testbed/test/load/load_plan_test.cc
@@ -52,21 +52,21 @@
   EXPECT_NEAR(resends, one_shots * 0.1, one_shots * 0.03);
 }
 
-TEST(ArrivalGeneratorTest, PopularFamiliesComeMoreOften) {
+TEST(ArrivalGeneratorTest, DrawsFamiliesByZipfPopularity) {
   ArrivalGenerator generator(parseLoadPlan(Plan), 1);
   std::map<std::string, int> families;
   for (int draw = 0; draw < Draws; ++draw) {
     const Arrival arrival = generator.next();
     if (arrival.kind == CallKind::Stream) {
-      ASSERT_EQ(arrival.parts.size(), 2U);
-      ++families[arrival.parts[1].id];
+      ASSERT_EQ(arrival.segments.size(), 2U);
+      ++families[arrival.segments[1].id];
     }
   }
   EXPECT_EQ(families.size(), 10U);
   EXPECT_NEAR(families["large/f0/1"] / static_cast<double>(families["large/f9/1"]), 10.0, 2.5);
 }
 
-TEST(LoadPlanTest, RefusesFaultyPlans) {
+TEST(LoadPlanTest, RejectsInvalidPlans) {
   for (const char* text :
        {"[]", "{}", R"({"tenants":[{"streams_per_s":1}]})", R"({"tenants":[{"streams_per_s":-1}]})",
         R"({"tenants":[{"one_shots_per_s":1}],"prefixes":{"families":0}})"}) {
@@ -74,7 +74,7 @@
   }
 }
 
-TEST(LoadPlan, ABurstMultipliesOneTenantsArrivalsForATime) {
+TEST(LoadPlan, ABurstMultipliesOneTenantsArrivalsDuringItsPeriod) {
   LoadPlan plan;
   plan.tenants = {LoadTenant{"calm", "", 10, 0, "", {"m"}},
                   LoadTenant{"loud", "", 10, 0, "", {"m"}}};
@@ -94,7 +94,7 @@
   }
 }
 
-TEST(LoadPlan, RefusesAMalformedBurst) {
+TEST(LoadPlan, RejectsAMalformedBurst) {
   for (const char* text : {"", "t", "t:10", "t:10:5:5", "t:0:1:2", "t:2:1:2x"}) {
     EXPECT_THROW(parseLoadBurst(text), base::Error) << text;
   }
--- a/libraries/testbed/test/load/load_runner_test.cc
+++ b/libraries/testbed/test/load/load_runner_test.cc
@@ -26,7 +26,7 @@
   std::vector<CallEvent> events;
 };
 
-/** Answers every exchange by the script, some time after its start. */
+/** Answers every exchange by the script, in a callback posted at its start. */
 class ScriptedClient : public http::Client {
  public:
   using Script = std::function<void(http::ExchangeObserver&)>;
@@ -94,7 +94,7 @@
   EXPECT_EQ(finished_, 1);
 }
 
-TEST_F(LoadRunnerTest, ResendsALostKeyThroughTheOtherFrontAtMostTwice) {
+TEST_F(LoadRunnerTest, ResendsAKeyWithoutAnswerThroughTheOtherFrontAtMostTwice) {
   ScriptedClient client(process_, [](http::ExchangeObserver& observer) {
     observer.onFailure(http::ExchangeFailure::NoResponse, false);
   });
@@ -111,7 +111,7 @@
   EXPECT_EQ(finished_, 1);
 }
 
-TEST_F(LoadRunnerTest, ResendsARefusedKeyByTheShare) {
+TEST_F(LoadRunnerTest, ResendsTheConfiguredShareOfRefusedKeys) {
   ScriptedClient client(process_, [](http::ExchangeObserver& observer) {
     http::Response refusal;
     refusal.status = 429;
@@ -128,7 +128,7 @@
   EXPECT_EQ(client.requests.size() - without_resends, 3 * without_resends);
 }
 
-TEST_F(LoadRunnerTest, ResendsEarlyByTheShare) {
+TEST_F(LoadRunnerTest, ResendsTheConfiguredShareOfKeysBeforeTheAnswer) {
   ScriptedClient client(process_, [](http::ExchangeObserver& observer) {
     observer.onResponseHead({});
     observer.onComplete();
@@ -199,14 +199,14 @@
   EXPECT_EQ(answer().end, call_end::Truncated);
 }
 
-TEST_F(CallExchangeTest, ACutBodyIsCutAndCountsOnce) {
+TEST_F(CallExchangeTest, ACutBodyIsRecordedOnce) {
   head();
   exchange_->onFailure(http::ExchangeFailure::BodyTruncated, false);
   exchange_->onFailure(http::ExchangeFailure::BodyTruncated, false);
   EXPECT_EQ(answer().end, call_end::Cut);
 }
 
-TEST_F(CallExchangeTest, ARefusalKeepsCodeAndOutcome) {
+TEST_F(CallExchangeTest, RecordsCodeAndOutcomeOfARefusal) {
   head(429);
   bytes(R"({"error":{"code":3001},"outcome":"not-run"})");
   exchange_->onComplete();
--- a/libraries/testbed/test/workers/fake_worker_test.cc
+++ b/libraries/testbed/test/workers/fake_worker_test.cc
@@ -137,7 +137,7 @@
   EXPECT_EQ(sink_.count("start"), 2U);
 }
 
-TEST_F(FakeWorkerTest, ACallerWhoLeavesFreesTheSlot) {
+TEST_F(FakeWorkerTest, ADisconnectedCallerFreesItsSlot) {
   const auto first = stream("r1");
   const auto second = stream("r2");
   first->client_disconnected();
@@ -146,7 +146,7 @@
   EXPECT_TRUE(second->ended);
 }
 
-TEST_F(FakeWorkerTest, MalformedStreamsAreMalformed) {
+TEST_F(FakeWorkerTest, StreamFaultsChangeIndicesAndRunIds) {
   struct Case {
     const char* mode;
     const char* shown;
@@ -162,7 +162,7 @@
   }
 }
 
-TEST_F(FakeWorkerTest, CutStreamsHaveNoEnd) {
+TEST_F(FakeWorkerTest, CutStreamsHaveNoDoneEvent) {
   order(R"({"mode":"cut","after_pieces":2,"count":1})");
   const auto cut = stream();
   world_.runFor(seconds(5));
@@ -176,7 +176,7 @@
   EXPECT_EQ(sink_.count("end"), 0U);
 }
 
-TEST_F(FakeWorkerTest, CrashesAtOnceOrAfterChunks) {
+TEST_F(FakeWorkerTest, CrashesImmediatelyOrAfterChunks) {
   order(R"({"mode":"crash","after_pieces":2})");
   EXPECT_EQ(crashes_, 0);
   const auto writer = stream();
@@ -217,7 +217,7 @@
   EXPECT_EQ(sink_.count("start"), 3U);
 }
 
-TEST_F(FakeWorkerTest, RefusesAndDrainsOnOrder) {
+TEST_F(FakeWorkerTest, RefusesAndDrainsWhenTheFaultIsSet) {
   order(R"({"mode":"refuse","count":1})");
   EXPECT_EQ(stream()->head.status, 503);
   order(R"({"mode":"drain"})");
@@ -226,14 +226,14 @@
   EXPECT_EQ(writer->head.header("Worker-State"), "draining");
 }
 
-TEST_F(FakeWorkerTest, BadInputGetsAnAnswer) {
+TEST_F(FakeWorkerTest, AnswersInvalidRequestsWithClientErrors) {
   EXPECT_EQ(post("/v1/chat/completions", "{")->head.status, 400);
   EXPECT_EQ(post("/v1/chat/completions", R"({"model":"none"})")->head.status, 404);
   EXPECT_EQ(post("/testbed/faults", R"({"mode":"unheard"})")->head.status, 400);
   EXPECT_EQ(post("/nowhere", "")->head.status, 404);
 }
 
-TEST_F(FakeWorkerTest, APairWithoutItsDecodeWorkerFails) {
+TEST_F(FakeWorkerTest, AnswersBadGatewayIfTheDecodeWorkerIsUnreachable) {
   http::Request request;
   request.method = "POST";
   request.target = "/v1/chat/completions";
@@ -246,7 +246,7 @@
   EXPECT_TRUE(worker_.idle());
 }
 
-TEST(WorkerEventTest, ReadsBackALine) {
+TEST(WorkerEventTest, RoundTripsAsAJsonLine) {
   WorkerEvent event;
   event.at_ms = 12;
   event.event = "start";
--- a/libraries/testbed/test/workers/kv_cache_test.cc
+++ b/libraries/testbed/test/workers/kv_cache_test.cc
@@ -5,7 +5,7 @@
 namespace switchsaddle::testbed {
 namespace {
 
-TEST(KvCacheTest, CountsOnlyTheLeadingRun) {
+TEST(KvCacheTest, CountsOnlyLeadingSegments) {
   KvCache cache(1'000);
   cache.insert({{"system", 100}, {"menu", 50}});
   EXPECT_EQ(cache.cachedTokens({{"system", 100}, {"menu", 50}, {"new", 10}}), 150U);
--- a/libraries/testbed/test/workers/platform_list_test.cc
+++ b/libraries/testbed/test/workers/platform_list_test.cc
@@ -20,7 +20,7 @@
     return {worker};
   }
   base::TimePoint at(int second) { return base::TimePoint{} + seconds(second); }
-  /** The state w1 is listed with; empty where it isn't. */
+  /** The listed state of w1; empty if it is not listed. */
   std::string stateAt(int second) {
     const auto workers = objectListField(parseObject(list_.answer(at(second))), "workers");
     return workers.empty() ? "" : textField(workers[0], "state");
@@ -29,32 +29,32 @@
 };
 
 TEST_F(PlatformListTest, ListsAWorkerAndItsDrainingAfterTheLag) {
-  list_.heard(0, "ready", at(0));
+  list_.reportState(0, "ready", at(0));
   EXPECT_EQ(stateAt(1), "");
   EXPECT_EQ(stateAt(2), "ready");
-  list_.heard(0, "draining", at(10));
+  list_.reportState(0, "draining", at(10));
   EXPECT_EQ(stateAt(11), "ready");
   EXPECT_EQ(stateAt(12), "draining");
 }
 
-TEST_F(PlatformListTest, KeepsACrashedWorkerListedForAWhile) {
-  list_.heard(0, "ready", at(0));
-  list_.missed(0, at(10));
-  list_.missed(0, at(15));
+TEST_F(PlatformListTest, KeepsACrashedWorkerListedForTheConfiguredTime) {
+  list_.reportState(0, "ready", at(0));
+  list_.reportNoAnswer(0, at(10));
+  list_.reportNoAnswer(0, at(15));
   EXPECT_EQ(stateAt(19), "ready");
   EXPECT_EQ(stateAt(20), "");
 }
 
-TEST_F(PlatformListTest, AWorkerBackInTimeIsNeverRemoved) {
-  list_.heard(0, "ready", at(0));
-  list_.missed(0, at(10));
-  list_.heard(0, "ready", at(13));
+TEST_F(PlatformListTest, AWorkerThatAnswersBeforeItsRemovalStaysListed) {
+  list_.reportState(0, "ready", at(0));
+  list_.reportNoAnswer(0, at(10));
+  list_.reportState(0, "ready", at(13));
   EXPECT_EQ(stateAt(15), "ready");
   EXPECT_EQ(stateAt(30), "ready");
 }
 
-TEST_F(PlatformListTest, FaultsShowInTheAnswer) {
-  list_.heard(0, "ready", at(0));
+TEST_F(PlatformListTest, FaultsChangeTheAnswer) {
+  list_.reportState(0, "ready", at(0));
   ASSERT_EQ(stateAt(2), "ready");
   list_.setFault(PlatformFault::Empty);
   EXPECT_EQ(stateAt(3), "");
@@ -63,13 +63,13 @@
   list_.setFault(PlatformFault::Flap);
   EXPECT_NE(stateAt(3), stateAt(3));
   list_.setFault(PlatformFault::Stale);
-  list_.heard(0, "draining", at(3));
+  list_.reportState(0, "draining", at(3));
   EXPECT_EQ(stateAt(9), "ready");
   list_.setFault(PlatformFault::None);
   EXPECT_EQ(stateAt(9), "draining");
 }
 
-TEST_F(PlatformListTest, WorkersFileReadsBack) {
+TEST_F(PlatformListTest, WorkersFileRoundTrips) {
   const auto read = parseWorkersFile(formatWorkersFile(oneWorker()));
   ASSERT_EQ(read.size(), 1U);
   EXPECT_EQ(read[0].address, oneWorker()[0].address);
