--- a/programs/benchmarks/routing_benchmark.cc
+++ b/programs/benchmarks/routing_benchmark.cc
@@ -10,8 +10,9 @@
 #include "switchsaddle/simulation/process.h"
 
 /**
- * Cost of one placement, choose() and complete() together, at the size the routing table is meant
- * for. Run it by hand; it is no test, since its figures move with the machine's load.
+ * Time of one placement, choose() and complete() together, with a routing table of the largest
+ * supported size. Run it manually: it is not a test, because its figures depend on the load of the
+ * machine.
  */
 namespace switchsaddle::routing {
 namespace {
@@ -21,7 +22,7 @@
 constexpr std::size_t Prefixes = 740'000;
 constexpr std::size_t RememberedChains = 1U << 20U;
 constexpr std::size_t DrawnPrompts = 1U << 16U;
-/** Placements under way at any moment. */
+/** Number of placements in flight. */
 constexpr std::size_t InFlight = 64;
 
 std::string modelName(std::size_t model) {
@@ -86,7 +87,7 @@
     router_->setWorkers(snapshot);
   }
 
-  /** Every prefix is drawn equally often, the worst case for the caches. */
+  /** Draws all prefixes with equal probability, the worst case for the caches. */
   void drawPrompts() {
     for (std::size_t index = 0; index < DrawnPrompts; ++index) {
       const std::size_t prefix = random_.below(Prefixes / 2);
--- a/programs/testbed/changes_command.cc
+++ b/programs/testbed/changes_command.cc
@@ -77,12 +77,18 @@
 
 void addChangesCommand(CLI::App& app) {
   auto arguments = std::make_shared<ChangesArguments>();
-  CLI::App* command = app.add_subcommand("changes", "Change the configuration again and again");
-  command->add_option("--fleet", arguments->fleet, "The fleet's fleet.json")->required();
-  command->add_option("--record", arguments->record, "CSV of the answers")->required();
-  command->add_option("--prefix", arguments->prefix, "Begins each change_id");
-  command->add_option("--count", arguments->count, "Changes");
-  command->add_option("--pause-ms", arguments->pause_ms, "Pause after each answer");
+  CLI::App* command = app.add_subcommand(
+      "changes", "Send configuration changes to the cores of a fleet and record the answers");
+  command->add_option("--fleet", arguments->fleet, "Path of the fleet's fleet.json (required)")
+      ->required();
+  command
+      ->add_option("--record", arguments->record,
+                   "CSV file to write, one line for each change (required)")
+      ->required();
+  command->add_option("--prefix", arguments->prefix, "Prefix of each change_id (default change)");
+  command->add_option("--count", arguments->count, "Number of changes (default 20)");
+  command->add_option("--pause-ms", arguments->pause_ms,
+                      "Pause after each answer in milliseconds (default 500)");
   command->callback([arguments] { makeChanges(*arguments); });
 }
 
--- a/programs/testbed/check_history_command.cc
+++ b/programs/testbed/check_history_command.cc
@@ -19,7 +19,7 @@
 
 constexpr int ViolationsFound = 1;
 
-/** The command line of `switchsaddle-testbed judge`. */
+/** The command line of `switchsaddle-testbed check-history`. */
 struct CheckHistoryArguments {
   EvidenceFiles files;
   std::vector<std::string> limits;
@@ -28,11 +28,11 @@
   testbed::BranchTolerances tolerances;
 };
 
-/** Reads "tenant=N". */
+/** Parses "TENANT=N" and adds the limit. Throws base::Error. */
 void addLimit(const std::string& text, testbed::Evidence& evidence) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos) {
-    throw base::Error(base::ResultCode::InvalidValue, "not TENANT=N: " + text);
+    throw base::Error(base::ResultCode::InvalidValue, "expected TENANT=N, got " + text);
   }
   evidence.limits[text.substr(0, equals)] =
       static_cast<std::uint32_t>(std::stoul(text.substr(equals + 1)));
@@ -48,7 +48,7 @@
   return testbed::BranchLimits::fromView(configuration::buildView(document));
 }
 
-/** Prints the judgement on the branches and returns whether they were kept. */
+/** Prints the report on branch limits; returns whether there are no violations. */
 bool checkLimits(const CheckHistoryArguments& arguments, const testbed::Evidence& evidence) {
   testbed::BurstPeriod burst;
   if (!arguments.burst.empty()) {
@@ -81,23 +81,36 @@
   auto arguments = std::make_shared<CheckHistoryArguments>();
   CLI::App* command =
       app.add_subcommand("check-history", "Check load records against the workers' journals");
-  command->add_option("--record", arguments->files.records, "Record of a load; may be repeated")
+  command
+      ->add_option("--record", arguments->files.records,
+                   "Record written by load (required, repeatable)")
       ->required();
-  command->add_option("--journals", arguments->files.journals, "Folder of the workers' journals")
+  command
+      ->add_option("--journals", arguments->files.journals,
+                   "Folder of the workers' journals (required)")
       ->required();
   command->add_option("--orders", arguments->files.orders,
-                      "Record of orders, as `failures` writes it");
+                      "Order record written by failures (default: no orders)");
   command->add_option("--fleet", arguments->files.fleet,
-                      "fleet.json, for the zones of the workers");
-  command->add_option("--limit", arguments->limits, "TENANT=N: most runs at once");
-  command->add_option("--configuration", arguments->configuration,
-                      "Configuration file: check branches, refusals inside them, and retries");
-  command->add_option("--crowd", arguments->burst,
-                      "TENANT:FACTOR:FROM:TO of the load, to tell before, during and after");
-  command->add_option("--excess-ms", arguments->tolerances.excess_ms,
-                      "Longest time for which more runs than slots may be seen");
-  command->add_option("--occupancy-ms", arguments->tolerances.occupancy_ms,
-                      "A run takes its slot this much earlier and later than its worker noted");
+                      "Path of fleet.json, for the zones of the workers (default: zones unknown)");
+  command->add_option(
+      "--limit", arguments->limits,
+      "TENANT=N: maximum number of concurrent runs of a tenant (repeatable, default no limit)");
+  command->add_option(
+      "--configuration", arguments->configuration,
+      "Configuration file: also check the branch limits, refusals for them, and retries "
+      "(default: not checked)");
+  command->add_option(
+      "--crowd", arguments->burst,
+      "Load burst as given to load, TENANT:FACTOR:FROM:TO with times in seconds; splits "
+      "the report into before, during and after (default: no burst)");
+  command->add_option(
+      "--excess-ms", arguments->tolerances.excess_ms,
+      "Longest allowed time with more runs than slots in milliseconds (default 100)");
+  command->add_option(
+      "--occupancy-ms", arguments->tolerances.occupancy_ms,
+      "A run occupies its slot this many milliseconds before and after the times in the "
+      "journal (default 50)");
   command->callback([arguments] { runCheckHistory(*arguments); });
 }
 
--- a/programs/testbed/claims_command.cc
+++ b/programs/testbed/claims_command.cc
@@ -24,7 +24,8 @@
   std::size_t answer_bytes = 300;
 };
 
-/** Begins and ends claims at a steady rate and measures how long each step takes. One thread. */
+/** Begins and finishes claims at a constant rate and measures the latency of each request. Runs on
+ * one thread. */
 class ClaimLoad {
  public:
   explicit ClaimLoad(const ClaimsArguments& arguments)
@@ -49,12 +50,12 @@
 
  private:
   static constexpr base::Duration TickInterval = std::chrono::milliseconds(5);
-  static constexpr base::Duration Tail = std::chrono::seconds(3);
+  static constexpr base::Duration AnswerWaitTime = std::chrono::seconds(3);
 
   void tick() {
     const base::Duration elapsed = dispatcher_.now() - start_;
     const base::Duration complete = std::chrono::seconds(arguments_.seconds);
-    if (elapsed > complete + Tail) {
+    if (elapsed > complete + AnswerWaitTime) {
       context_.stop();
       return;
     }
@@ -144,15 +145,23 @@
 
 void addClaimsCommand(CLI::App& app) {
   auto arguments = std::make_shared<ClaimsArguments>();
-  CLI::App* command = app.add_subcommand("claims", "Begin and end claims at a steady rate");
-  command->add_option("--cores", arguments->cores, "IP:PORT of cores, asked in turn")
+  CLI::App* command = app.add_subcommand(
+      "claims", "Begin and finish claims at a constant rate; print latencies as CSV");
+  command
+      ->add_option("--cores", arguments->cores, "IP:PORT of the cores, used in rotation (required)")
       ->delimiter(',')
       ->required();
-  command->add_option("--address", arguments->address, "IP:PORT to ask from")->required();
-  command->add_option("--prefix", arguments->prefix, "Begins each key; new for each run");
-  command->add_option("--rate", arguments->rate, "Claims a second");
-  command->add_option("--seconds", arguments->seconds, "How long claims begin");
-  command->add_option("--answer-bytes", arguments->answer_bytes, "Size of the recorded answer");
+  command
+      ->add_option("--address", arguments->address,
+                   "IP:PORT that requests are sent from (required)")
+      ->required();
+  command->add_option("--prefix", arguments->prefix,
+                      "Prefix of each idempotency key; must differ between runs (default claim)");
+  command->add_option("--rate", arguments->rate, "Claims per second (default 100)");
+  command->add_option("--seconds", arguments->seconds,
+                      "Time in seconds during which claims are begun (default 10)");
+  command->add_option("--answer-bytes", arguments->answer_bytes,
+                      "Size of each recorded answer in bytes (default 300)");
   command->callback([arguments] { ClaimLoad(*arguments).run(); });
 }
 
--- a/programs/testbed/commands.h
+++ b/programs/testbed/commands.h
@@ -6,8 +6,8 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** Each adds one subcommand with its options; the subcommand runs as its callback and throws
- * CLI::RuntimeError with the exit code where that isn't 0. */
+/** Each function adds one subcommand with its options. The subcommand runs in its callback, which
+ * throws CLI::RuntimeError if the exit code is not 0. */
 void addWorkerCommand(CLI::App& app);
 void addPlatformCommand(CLI::App& app);
 void addFleetCommand(CLI::App& app);
--- a/programs/testbed/control_command.cc
+++ b/programs/testbed/control_command.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Violations printed of one seed. */
+/** Maximum number of violations printed for one seed. */
 constexpr std::size_t ViolationsShown = 5;
 
 /** The command line of `switchsaddle-testbed control`. */
@@ -23,7 +23,7 @@
   std::string off;
 };
 
-/** Sums over the runs of one sweep. */
+/** Totals over all seeds. */
 struct Totals {
   std::uint64_t failed_seeds = 0;
   std::uint64_t acknowledged = 0;
@@ -95,15 +95,17 @@
 
 void addControlCommand(CLI::App& app) {
   CLI::App* command = app.add_subcommand(
-      "control", "Run the simulated control plane under faults over many seeds; CSV on stdout");
+      "control", "Simulate the control plane with injected faults for several seeds; print CSV");
   command->footer("Example: switchsaddle-testbed control --seeds 1000");
   const auto arguments = std::make_shared<ControlArguments>();
-  command->add_option("--seeds", arguments->seeds, "Number of seeds");
-  command->add_option("--first-seed", arguments->first_seed, "First seed");
-  command->add_option("--changes", arguments->changes,
-                      "Acknowledged changes after which the faults end; else 30 s of faults");
-  command->add_option("--fronts", arguments->fronts, "Number of fronts");
-  command->add_option("--off", arguments->off, "Switch one mechanism off")
+  command->add_option("--seeds", arguments->seeds, "Number of seeds (default 100)");
+  command->add_option("--first-seed", arguments->first_seed, "First seed (default 1)");
+  command->add_option(
+      "--changes", arguments->changes,
+      "Number of acknowledged changes after which fault injection ends (default 0: after 30 "
+      "seconds)");
+  command->add_option("--fronts", arguments->fronts, "Number of fronts (default 3)");
+  command->add_option("--off", arguments->off, "Mechanism to disable (default: none)")
       ->check(CLI::IsMember(scenarios::mechanisms()));
   command->callback([arguments] { run(*arguments); });
 }
--- a/programs/testbed/evidence_files.cc
+++ b/programs/testbed/evidence_files.cc
@@ -11,7 +11,7 @@
 namespace switchsaddle::testbed_commands {
 namespace {
 
-/** Numbers the calls of each further record after those of the ones before. */
+/** Adds a record; renumbers its calls to follow those of the records added before. */
 void addRecord(const std::string& path, testbed::Evidence& evidence) {
   std::uint64_t base_number = 0;
   for (const testbed::CallEvent& event : evidence.calls) {
@@ -54,7 +54,9 @@
     evidence.orders = testbed::readOrderEvents(files.orders);
   }
   if (evidence.calls.empty() || evidence.journals.empty()) {
-    throw base::Error(base::ResultCode::InvalidValue, "nothing to check: no calls or no journals");
+    throw base::Error(
+        base::ResultCode::InvalidValue,
+        "expected at least one call in the records and one .jsonl file in the journals folder");
   }
   return evidence;
 }
--- a/programs/testbed/evidence_files.h
+++ b/programs/testbed/evidence_files.h
@@ -7,18 +7,18 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** Where the evidence for a judgement stands. */
+/** Paths of the files that a recorded run is checked from. */
 struct EvidenceFiles {
   std::vector<std::string> records;
-  /** Folder of the workers' journals, each named after its worker. */
+  /** Folder of the workers' journals; each file is named after its worker. */
   std::string journals;
-  /** May be empty: no orders. */
+  /** Order record; empty if there are no orders. */
   std::string orders;
-  /** fleet.json; may be empty: the zones of the workers aren't known. */
+  /** Path of fleet.json; empty if the zones of the workers are unknown. */
   std::string fleet;
 };
 
-/** Reads all of it. Throws base::Error, also where there are no calls or no journals. */
+/** Reads all files. Throws base::Error, also if there are no calls or no journals. */
 testbed::Evidence readEvidence(const EvidenceFiles& files);
 
 }  // namespace switchsaddle::testbed_commands
--- a/programs/testbed/experiment_command.cc
+++ b/programs/testbed/experiment_command.cc
@@ -34,7 +34,7 @@
     known += " " + experiment->name();
   }
   throw base::Error(base::ResultCode::InvalidValue,
-                    "no experiment is named " + name + "; known:" + known);
+                    "unknown experiment " + name + "; expected one of:" + known);
 }
 
 void printRow(const experiments::Row& row) {
@@ -57,15 +57,16 @@
   }
 }
 
-/** Feeds the script to gnuplot, which writes the PNG file the script names. */
+/** Runs gnuplot with the script, which writes a PNG file. */
 void drawPlot(const std::string& script) {
   std::FILE* gnuplot = ::popen("gnuplot", "w");
   if (gnuplot == nullptr) {
-    throw base::Error(base::ResultCode::InternalError, "cannot start gnuplot");
+    throw base::Error(base::ResultCode::InternalError, "cannot start gnuplot for --plot");
   }
   std::fwrite(script.data(), 1, script.size(), gnuplot);
   if (::pclose(gnuplot) != 0) {
-    throw base::Error(base::ResultCode::InternalError, "gnuplot failed");
+    throw base::Error(base::ResultCode::InternalError,
+                      "gnuplot exited with an error; see its output above");
   }
 }
 
@@ -101,15 +102,21 @@
 
 void addExperimentCommand(CLI::App& app) {
   auto arguments = std::make_shared<ExperimentArguments>();
-  CLI::App* command =
-      app.add_subcommand("experiment", "Run a simulated scenario over parameters and seeds");
-  command->add_option("name", arguments->name, "The experiment, such as routing")->required();
-  command->add_option("--parameter", arguments->parameters, "NAME=a,b,c; repeatable");
-  command->add_option("--seeds", arguments->seeds, "Seeds per combination");
-  command->add_option("--first-seed", arguments->first_seed, "The first of the seeds");
-  command->add_option("--csv", arguments->csv, "Write each run as a line to this file");
-  command->add_option("--plot", arguments->plot, "Draw the measure into this PNG file");
-  command->add_option("--measure", arguments->measure, "The measure to draw");
+  CLI::App* command = app.add_subcommand(
+      "experiment", "Run a simulated experiment for each combination of parameters and seeds");
+  command->add_option("name", arguments->name, "Name of the experiment, such as routing (required)")
+      ->required();
+  command->add_option(
+      "--parameter", arguments->parameters,
+      "NAME=a,b,c: values of a parameter (repeatable, default: the experiment's value)");
+  command->add_option("--seeds", arguments->seeds,
+                      "Number of seeds for each combination (default 1)");
+  command->add_option("--first-seed", arguments->first_seed, "First seed (default 1)");
+  command->add_option("--csv", arguments->csv,
+                      "CSV file to write, one line for each run (default: none)");
+  command->add_option("--plot", arguments->plot, "PNG file to draw the measure to (default: none)");
+  command->add_option("--measure", arguments->measure,
+                      "Measure to draw (default: the experiment's main measure)");
   command->callback([arguments] { runExperiment(*arguments); });
 }
 
--- a/programs/testbed/failure_run.cc
+++ b/programs/testbed/failure_run.cc
@@ -22,15 +22,15 @@
 
 constexpr base::Duration Tick = milliseconds(20);
 constexpr base::Duration SignalLimit = std::chrono::seconds(10);
-constexpr base::Duration RetryUndo = milliseconds(500);
-/** A whole fleet is to serve again about twelve seconds after a restart. */
-constexpr base::Duration HealLimit = std::chrono::seconds(12);
+constexpr base::Duration UndoRetryInterval = milliseconds(500);
+/** A complete fleet is required to serve again about 12 seconds after a restart. */
+constexpr base::Duration RecoveryLimit = std::chrono::seconds(12);
 constexpr base::Duration FaultAnswerLimit = std::chrono::seconds(1);
-/** Frozen cores sleep longer than every session and lease. */
-constexpr base::Duration LongFreeze = std::chrono::seconds(20);
-constexpr std::array Faults{"crash", "stall",  "late",   "crossed",    "cut",
-                            "gap",   "repeat", "refuse", "change-run", "silent-close"};
-constexpr std::array Kinds{
+/** Longer than the duration of every session and lease. */
+constexpr base::Duration LongFreezeTime = std::chrono::seconds(20);
+constexpr std::array WorkerFaultModes{"crash", "stall",  "late",   "crossed",    "cut",
+                                      "gap",   "repeat", "refuse", "change-run", "silent-close"};
+constexpr std::array FailureKinds{
     "front-kill",  "front-freeze",     "front-stop",     "core-kill",   "core-freeze",
     "core-stop",   "core-freeze-long", "cores-kill-all", "worker-kill", "worker-freeze",
     "worker-stop", "worker-fault",     "worker-drain",   "evacuate",    "revoke"};
@@ -38,7 +38,7 @@
 }  // namespace
 
 std::vector<std::string> failureKinds() {
-  return {Kinds.begin(), Kinds.end()};
+  return {FailureKinds.begin(), FailureKinds.end()};
 }
 
 FailureRun::FailureRun(Fleet& fleet, OrderRecord& record, std::uint64_t seed,
@@ -64,13 +64,13 @@
   undos_.emplace(Clock::now() + delay, std::move(undo));
 }
 
-void FailureRun::disturb(base::Duration duration) {
+void FailureRun::injectFailures(base::Duration duration) {
   const Clock::time_point end = Clock::now() + duration;
   Clock::time_point next = Clock::now() + between(500, 1'500);
   while (Clock::now() < end) {
     runDueUndos(false);
     if (Clock::now() >= next) {
-      disturbOnce();
+      injectFailure();
       next = Clock::now() + between(300, 2'000);
     }
     std::this_thread::sleep_for(Tick);
@@ -82,25 +82,25 @@
     const Undo undo = std::move(undos_.begin()->second);
     undos_.erase(undos_.begin());
     if (!undo()) {
-      later(RetryUndo, undo);
+      later(UndoRetryInterval, undo);
       if (all) {
-        std::this_thread::sleep_for(RetryUndo);
+        std::this_thread::sleep_for(UndoRetryInterval);
       }
     }
   }
 }
 
-void FailureRun::heal() {
+void FailureRun::recover() {
   runDueUndos(true);
   for (std::thread& thread : operators_) {
     thread.join();
   }
   operators_.clear();
-  fleet_.waitReady(fleet_.named({"all"}), HealLimit);
+  fleet_.waitReady(fleet_.named({"all"}), RecoveryLimit);
   record_.note("healed", "all");
 }
 
-void FailureRun::disturbOnce() {
+void FailureRun::injectFailure() {
   const std::string& kind = kinds_[random_.below(kinds_.size())];
   if (kind == "cores-kill-all") {
     killAllCores();
@@ -125,7 +125,7 @@
     } else if (kind.ends_with("-stop")) {
       stop(*process, between(500, 4'000));
     } else if (kind.ends_with("-long")) {
-      freeze(*process, LongFreeze);
+      freeze(*process, LongFreezeTime);
     } else {
       const int longest_ms = role == ProcessRole::Worker ? 1'500 : 6'000;
       freeze(*process, between(200, longest_ms));
@@ -133,27 +133,27 @@
   }
 }
 
-bool FailureRun::mayDisturb(const FleetProcess& process) const {
-  if (disturbed_.contains(process.name)) {
+bool FailureRun::mayFail(const FleetProcess& process) const {
+  if (affected_.contains(process.name)) {
     return false;
   }
   std::size_t all = 0;
-  std::size_t taken = 0;
-  // Workers of one pool have one prefix in their names.
+  std::size_t affected = 0;
+  // The names of all workers of a pool have the same prefix.
   const std::string pool = process.name.substr(0, process.name.rfind('-'));
   for (FleetProcess* other : fleet_.ofRole(process.role)) {
     const bool same = process.role != ProcessRole::Worker ||
                       other->name.substr(0, other->name.rfind('-')) == pool;
     all += same ? 1 : 0;
-    taken += same && disturbed_.contains(other->name) ? 1 : 0;
+    affected += same && affected_.contains(other->name) ? 1 : 0;
   }
-  const std::size_t most = process.role == ProcessRole::Front ? all - 1 : (all - 1) / 2;
-  return taken < most;
+  const std::size_t limit = process.role == ProcessRole::Front ? all - 1 : (all - 1) / 2;
+  return affected < limit;
 }
 
 FleetProcess* FailureRun::pick(ProcessRole role) {
   std::vector<FleetProcess*> candidates = fleet_.ofRole(role);
-  std::erase_if(candidates, [this](const FleetProcess* process) { return !mayDisturb(*process); });
+  std::erase_if(candidates, [this](const FleetProcess* process) { return !mayFail(*process); });
   return candidates.empty() ? nullptr : candidates[random_.below(candidates.size())];
 }
 
@@ -171,13 +171,13 @@
   noteLeaving(*process, order_event::Returned);
   record_.note("start", name);
   fleet_.start(*process);
-  disturbed_.erase(name);
+  affected_.erase(name);
   return true;
 }
 
 void FailureRun::kill(FleetProcess& process, base::Duration down) {
   record_.note("kill", process.name, std::to_string(base::toMilliseconds(down)) + " ms");
-  disturbed_.insert(process.name);
+  affected_.insert(process.name);
   fleet_.signalAll({&process}, SIGKILL, ProcessCondition::Exited, SignalLimit);
   noteLeaving(process, order_event::Vanished);
   later(down, [this, name = process.name] { return startAgain(name); });
@@ -185,7 +185,7 @@
 
 void FailureRun::stop(FleetProcess& process, base::Duration down) {
   record_.note("stop", process.name, std::to_string(base::toMilliseconds(down)) + " ms");
-  disturbed_.insert(process.name);
+  affected_.insert(process.name);
   testbed::sendSignal(Fleet::identityOf(process), SIGTERM);
   noteLeaving(process, order_event::Draining);
   later(down, [this, name = process.name] { return startAgain(name); });
@@ -193,12 +193,12 @@
 
 void FailureRun::freeze(FleetProcess& process, base::Duration frozen) {
   record_.note("freeze", process.name, std::to_string(base::toMilliseconds(frozen)) + " ms");
-  disturbed_.insert(process.name);
+  affected_.insert(process.name);
   fleet_.signalAll({&process}, SIGSTOP, ProcessCondition::Stopped, SignalLimit);
   later(frozen, [this, name = process.name] {
     record_.note("wake", name);
     fleet_.signalAll({fleet_.state().find(name)}, SIGCONT, ProcessCondition::Running, SignalLimit);
-    disturbed_.erase(name);
+    affected_.erase(name);
     return true;
   });
 }
@@ -206,7 +206,7 @@
 void FailureRun::killAllCores() {
   const base::Duration down = between(200, 3'000);
   for (FleetProcess* core : fleet_.ofRole(ProcessRole::Core)) {
-    if (!disturbed_.contains(core->name)) {
+    if (!affected_.contains(core->name)) {
       kill(*core, down);
     }
   }
@@ -226,23 +226,23 @@
   if (worker == nullptr) {
     return;
   }
-  const std::string mode = Faults[random_.below(Faults.size())];
+  const std::string mode = WorkerFaultModes[random_.below(WorkerFaultModes.size())];
   const std::string body = R"({"mode":")" + mode + R"(","after_pieces":)" +
                            std::to_string(random_.below(12)) + R"(,"count":)" +
                            std::to_string(1 + random_.below(6)) + R"(,"delay_ms":)" +
                            std::to_string(random_.below(12'000)) + "}";
   record_.note("fault", worker->name, body);
-  disturbed_.insert(worker->name);
+  affected_.insert(worker->name);
   sendFault(*worker, body);
   later(between(1'000, 5'000), [this, name = worker->name, mode] {
-    FleetProcess* struck = fleet_.state().find(name);
+    FleetProcess* faulty = fleet_.state().find(name);
     if (mode == "crash" || mode == "stall") {
-      // What stalled would hold its slots for as long as its callers wait.
-      fleet_.signalAll({struck}, SIGKILL, ProcessCondition::Exited, SignalLimit);
+      // A stalled request would occupy its slot until its caller disconnects.
+      fleet_.signalAll({faulty}, SIGKILL, ProcessCondition::Exited, SignalLimit);
       return startAgain(name);
     }
-    sendFault(*struck, R"({"mode":"none"})");
-    disturbed_.erase(name);
+    sendFault(*faulty, R"({"mode":"none"})");
+    affected_.erase(name);
     return true;
   });
 }
@@ -253,9 +253,9 @@
     return;
   }
   record_.note(order_event::Draining, worker->name);
-  disturbed_.insert(worker->name);
-  // Observations stay for one instance, so a worker that drained comes back as another process
-  // after the platform has dropped it.
+  affected_.insert(worker->name);
+  // Observations of a worker are kept for one instance. A drained worker is therefore restarted as
+  // a new process, after the platform has removed it from its list.
   later(between(4'000, 8'000), [this, name = worker->name] {
     FleetProcess* drained = fleet_.state().find(name);
     fleet_.signalAll({drained}, SIGKILL, ProcessCondition::Exited, SignalLimit);
@@ -271,24 +271,24 @@
     zones.insert(worker->zone);
   }
   const auto chosen = std::next(zones.begin(), static_cast<long>(random_.below(zones.size())));
-  if (disturbed_.contains("zones")) {
+  if (affected_.contains("zones")) {
     return;
   }
-  disturbed_.insert("zones");
+  affected_.insert("zones");
   record_.note("evacuate", *chosen);
   const auto done = std::make_shared<std::atomic<bool>>(false);
   OperatorOrders orders(nodes(), fleet_.state().operator_key, nextOperator(), record_);
-  const base::Duration empty = between(6'000, 12'000);
-  operators_.emplace_back([orders, zone = *chosen, empty, done]() mutable {
+  const base::Duration evacuated_for = between(6'000, 12'000);
+  operators_.emplace_back([orders, zone = *chosen, evacuated_for, done]() mutable {
     if (orders.evacuate(zone)) {
-      std::this_thread::sleep_for(empty);
+      std::this_thread::sleep_for(evacuated_for);
     }
     orders.restore(zone);
     *done = true;
   });
-  later(empty, [this, done] {
+  later(evacuated_for, [this, done] {
     if (*done) {
-      disturbed_.erase("zones");
+      affected_.erase("zones");
     }
     return done->load();
   });
@@ -296,10 +296,10 @@
 
 void FailureRun::revokeKey() {
   const std::string tenant = tenants_[random_.below(tenants_.size())];
-  if (disturbed_.contains("keys")) {
+  if (affected_.contains("keys")) {
     return;
   }
-  disturbed_.insert("keys");
+  affected_.insert("keys");
   record_.note("revoke", tenant);
   const auto done = std::make_shared<std::atomic<bool>>(false);
   OperatorOrders orders(nodes(), fleet_.state().operator_key, nextOperator(), record_);
@@ -313,7 +313,7 @@
   });
   later(revoked, [this, done] {
     if (*done) {
-      disturbed_.erase("keys");
+      affected_.erase("keys");
     }
     return done->load();
   });
--- a/programs/testbed/failure_run.h
+++ b/programs/testbed/failure_run.h
@@ -15,14 +15,13 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** The names of all disturbances. */
+/** The kinds of failures that a FailureRun can inject. */
 std::vector<std::string> failureKinds();
 
 /**
- * Disturbs a running fleet at seeded moments until it is told to heal. Keeps so much alive that the
- * fleet can go on: a majority of cores but for `cores-kill-all`, one front, and half of each pool
- * of workers. One thread, beside the operators' threads, which use no state of this object but the
- * record.
+ * Injects failures into a running fleet at times drawn from a seed. Leaves enough processes running
+ * for the fleet to serve: a majority of the cores (except for `cores-kill-all`), one front, and
+ * half of each worker pool. Runs on one thread; the threads of operators use only the record.
  */
 class FailureRun {
  public:
@@ -32,24 +31,25 @@
   FailureRun(const FailureRun&) = delete;
   FailureRun& operator=(const FailureRun&) = delete;
 
-  /** Disturbs the fleet for this long. */
-  void disturb(base::Duration duration);
-  /** Ends all disturbances, starts what is down and waits until the fleet is ready. */
-  void heal();
+  /** Injects failures for this time. */
+  void injectFailures(base::Duration duration);
+  /** Ends all injected failures, starts processes that have exited and waits until the fleet is
+   * ready. */
+  void recover();
 
  private:
   using Clock = std::chrono::steady_clock;
-  /** What ends a disturbance; returns false where it has to be tried again. */
+  /** Ends an injected failure; returns false if it has to be retried. */
   using Undo = std::function<bool()>;
 
-  void disturbOnce();
+  void injectFailure();
   void runDueUndos(bool all);
   void later(base::Duration delay, Undo undo);
   base::Duration between(int least_ms, int most_ms);
 
-  /** A process of the role that may be taken away now; null where there is none. */
+  /** A random process of the role that may fail now; null if there is none. */
   testbed::FleetProcess* pick(testbed::ProcessRole role);
-  bool mayDisturb(const testbed::FleetProcess& process) const;
+  bool mayFail(const testbed::FleetProcess& process) const;
   void kill(testbed::FleetProcess& process, base::Duration down);
   void freeze(testbed::FleetProcess& process, base::Duration frozen);
   void stop(testbed::FleetProcess& process, base::Duration down);
@@ -59,7 +59,7 @@
   void evacuateZone();
   void revokeKey();
   bool sendFault(const testbed::FleetProcess& worker, const std::string& body);
-  /** Where operators send their orders: every core and front. */
+  /** Addresses that operators send their orders to: every core and front. */
   std::vector<base::NodeAddress> nodes();
   std::string nextOperator();
   bool startAgain(const std::string& name);
@@ -71,8 +71,9 @@
   std::string name_;
   std::vector<std::string> kinds_;
   std::vector<std::string> tenants_;
-  /** Processes disturbed now, by name. */
-  std::set<std::string> disturbed_;
+  /** Names of the processes with an injected failure; "zones" and "keys" stand for orders of
+   * operators. */
+  std::set<std::string> affected_;
   std::multimap<Clock::time_point, Undo> undos_;
   std::vector<std::thread> operators_;
   int orders_ = 0;
--- a/programs/testbed/failures_command.cc
+++ b/programs/testbed/failures_command.cc
@@ -25,7 +25,7 @@
 
 /** The command line of `switchsaddle-testbed failures`. */
 struct FailuresArguments {
-  FleetUp up;
+  FleetStartOptions start_options;
   std::string load;
   std::uint64_t first_seed = 1;
   int seeds = 1;
@@ -60,16 +60,17 @@
   Fleet& fleet_;
 };
 
-/** Brings a fleet up, loads and disturbs it, and judges. Returns the number of violations. */
+/** Starts a fleet, sends load, injects failures and checks the recorded run. Returns the number of
+ * violations. */
 std::size_t runSeed(const FailuresArguments& arguments, std::uint64_t seed) {
-  FleetUp up = arguments.up;
-  up.directory += "/seed-" + std::to_string(seed);
-  Fleet fleet = bringUp(up);
+  FleetStartOptions start_options = arguments.start_options;
+  start_options.directory += "/seed-" + std::to_string(seed);
+  Fleet fleet = bringUp(start_options);
   const ScopedFleet scoped_fleet(fleet);
   const std::string directory = fleet.state().directory;
   const std::string fleet_file = directory + "/fleet.json";
   OrderRecord record(directory + "/orders.jsonl");
-  LoadOrder load;
+  LoadOptions load;
   load.fleet = fleet_file;
   load.load = arguments.load;
   load.record = directory + "/record.jsonl";
@@ -78,8 +79,8 @@
   auto loading = std::async(std::launch::async, [load] { return runLoad(load); });
   {
     FailureRun run(fleet, record, seed, arguments.kinds, tenantsOf(arguments.load));
-    run.disturb(std::chrono::seconds(arguments.seconds));
-    run.heal();
+    run.injectFailures(std::chrono::seconds(arguments.seconds));
+    run.recover();
   }
   loading.get();
   const auto report = testbed::checkHistory(readEvidence(
@@ -104,22 +105,30 @@
 void addFailuresCommand(CLI::App& app) {
   auto arguments = std::make_shared<FailuresArguments>();
   CLI::App* command = app.add_subcommand(
-      "failures", "Load a fleet of real processes, inject faults by seed and check the history");
+      "failures",
+      "Send load to a fleet of real processes, inject failures by seed and check the record");
   command
-      ->add_option("--directory", arguments->up.directory, "Folder; each seed gets its own in it")
+      ->add_option("--directory", arguments->start_options.directory,
+                   "Folder to create; each seed gets a subfolder (required)")
       ->required();
-  command->add_option("--layout", arguments->up.layout, "Layout file")->required();
-  command->add_option("--configuration", arguments->up.configuration, "Configuration file")
+  command
+      ->add_option("--layout", arguments->start_options.layout,
+                   "Layout file of the fleet (required)")
+      ->required();
+  command
+      ->add_option("--configuration", arguments->start_options.configuration,
+                   "Configuration file applied to the fleet (required)")
       ->required();
-  command->add_option("--load", arguments->load, "Load file")->required();
-  command->add_option("--switchsaddle", arguments->up.switchsaddle,
-                      "The daemon's program; the one beside this by default");
-  command->add_option("--network", arguments->up.network,
-                      "First two octets of every address, in place of the layout's");
-  command->add_option("--seed", arguments->first_seed, "The first seed");
-  command->add_option("--seeds", arguments->seeds, "How many seeds");
-  command->add_option("--seconds", arguments->seconds, "How long each is loaded and disturbed");
-  command->add_option("--kinds", arguments->kinds, "Disturbances to draw from; all by default")
+  command->add_option("--load", arguments->load, "Load file (required)")->required();
+  command->add_option("--switchsaddle", arguments->start_options.switchsaddle,
+                      "Path of the switchsaddle program (default: in the folder of this program)");
+  command->add_option("--network", arguments->start_options.network,
+                      "First two octets of every address (default: from the layout)");
+  command->add_option("--seed", arguments->first_seed, "First seed (default 1)");
+  command->add_option("--seeds", arguments->seeds, "Number of seeds (default 1)");
+  command->add_option("--seconds", arguments->seconds,
+                      "Time of load and failures for each seed in seconds (default 30)");
+  command->add_option("--kinds", arguments->kinds, "Kinds of failures to draw from (default: all)")
       ->check(CLI::IsMember(failureKinds()));
   command->callback([arguments] { runFailures(*arguments); });
 }
--- a/programs/testbed/fleet.cc
+++ b/programs/testbed/fleet.cc
@@ -33,15 +33,15 @@
 }
 
 void writeFile(const std::string& path, const std::string& text) {
-  const std::string aside = path + ".new";
+  const std::string temporary_path = path + ".new";
   {
-    std::ofstream file(aside, std::ios::binary | std::ios::trunc);
+    std::ofstream file(temporary_path, std::ios::binary | std::ios::trunc);
     file << text << "\n";
     if (!file.flush()) {
-      throw base::Error(base::ResultCode::StorageFailed, "cannot write " + aside);
+      throw base::Error(base::ResultCode::StorageFailed, "cannot write " + temporary_path);
     }
   }
-  files::rename(aside, path);
+  files::rename(temporary_path, path);
 }
 
 const char* readinessPath(ProcessRole role) {
@@ -70,7 +70,7 @@
 FleetLock::FleetLock(const std::string& directory)
     : file_(::open((directory + "/fleet.lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0644)) {
   if (file_ < 0 || ::flock(file_, LOCK_EX) != 0) {
-    throw base::Error(base::ResultCode::StorageFailed, "cannot lock the fleet in " + directory);
+    throw base::Error(base::ResultCode::StorageFailed, "cannot lock fleet.lock in " + directory);
   }
 }
 
@@ -100,7 +100,8 @@
       }
     }
     if (found.size() == before) {
-      fail("no process is named " + name);
+      fail("unknown process or group " + name +
+           "; expected a name from fleet.json, or cores, fronts, workers or all");
     }
   }
   return found;
@@ -137,7 +138,7 @@
 
 void Fleet::start(FleetProcess& process) {
   if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Exited) {
-    fail(process.name + " is running already");
+    fail(process.name + " is already running");
   }
   const auto identity =
       testbed::launchDetached(process.command, state_.directory + "/" + process.name + ".log");
@@ -153,17 +154,17 @@
   }
   for (const FleetProcess* process : processes) {
     if (!testbed::waitForCondition(identityOf(*process), condition, limit)) {
-      fail(process->name + " is not " + conditionName(condition) + " in time");
+      fail(process->name + " was not " + conditionName(condition) + " within the time limit");
     }
   }
 }
 
 void Fleet::wipe(const FleetProcess& process) const {
   if (testbed::conditionOf(identityOf(process)) != ProcessCondition::Exited) {
-    fail(process.name + " is running; its data folder stays");
+    fail(process.name + " is running; its data folder can be wiped only after it has exited");
   }
   if (process.data_folder.rfind(state_.directory + "/data/", 0) != 0) {
-    fail(process.name + " has no data folder in the fleet's directory");
+    fail(process.name + " has no data folder below data/ in the fleet's directory");
   }
   files::remove_all(process.data_folder);
   files::create_directories(process.data_folder);
@@ -174,10 +175,10 @@
   for (const FleetProcess* process : processes) {
     while (!answersOk(process->http_address, readinessPath(process->role))) {
       if (testbed::conditionOf(identityOf(*process)) == ProcessCondition::Exited) {
-        fail(process->name + " has ended; see " + process->name + ".log");
+        fail(process->name + " exited before it was ready; see " + process->name + ".log");
       }
       if (std::chrono::steady_clock::now() >= deadline) {
-        fail(process->name + " is not ready in time");
+        fail(process->name + " was not ready within the time limit");
       }
       std::this_thread::sleep_for(ProbeInterval);
     }
@@ -185,7 +186,7 @@
 }
 
 void Fleet::applyConfiguration(const std::string& document, base::Duration limit) {
-  // The interface takes plain JSON; a file may hold comments.
+  // The API accepts JSON without comments; configuration files may contain comments.
   const std::string plain = boost::json::serialize(testbed::parseObject(document));
   http::Request request;
   request.method = "POST";
@@ -211,7 +212,7 @@
     }
     std::this_thread::sleep_for(ProbeInterval);
   }
-  fail("the configuration was not applied: " + last_answer);
+  fail("the configuration was not applied; last answer: " + last_answer);
 }
 
 std::string Fleet::status() const {
--- a/programs/testbed/fleet.h
+++ b/programs/testbed/fleet.h
@@ -9,10 +9,10 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** Held while a command changes a fleet's state, so that two commands don't undo each other. */
+/** Lock on a fleet's directory, so that two commands do not change fleet.json at the same time. */
 class FleetLock {
  public:
-  /** Waits for the lock of the fleet in this directory. Throws base::Error. */
+  /** Blocks until the lock of this directory is free. Throws base::Error. */
   explicit FleetLock(const std::string& directory);
   ~FleetLock();
   FleetLock(const FleetLock&) = delete;
@@ -23,8 +23,8 @@
 };
 
 /**
- * A fleet of real processes in one directory. Its state is kept in fleet.json, rewritten aside and
- * renamed after each change, so that every command finds the processes by pid and start time.
+ * A fleet of real processes in one directory. Its state is kept in fleet.json, so that each command
+ * finds the processes by pid and start time. Each change writes a new file and renames it.
  */
 class Fleet {
  public:
@@ -34,25 +34,28 @@
   void save() const;
 
   testbed::FleetState& state() { return state_; }
-  /** The processes named; "cores", "fronts", "workers" and "all" stand for groups. */
+  /** The processes with these names; "cores", "fronts", "workers" and "all" are groups. */
   std::vector<testbed::FleetProcess*> named(const std::vector<std::string>& names);
   /** All processes of a role. */
   std::vector<testbed::FleetProcess*> ofRole(testbed::ProcessRole role);
 
-  /** Folders and settings files of all processes. */
+  /** Creates the folders and settings files of all processes. */
   void prepare();
   void writeSettings(const testbed::FleetProcess& process) const;
   void start(testbed::FleetProcess& process);
-  /** Sends the signal to all, then waits until each is in the condition. */
+  /** Sends the signal to all, then waits until each has the condition. Throws base::Error if one
+   * does not have it within `limit`. */
   void signalAll(const std::vector<testbed::FleetProcess*>& processes, int signal_number,
                  testbed::ProcessCondition condition, base::Duration limit);
-  /** Empties the data folder of a process that is down. */
+  /** Deletes the content of the data folder of a process that is not running. Throws base::Error.
+   */
   void wipe(const testbed::FleetProcess& process) const;
-  /** Waits until each answers 200 on its readiness path. Throws where one dies or time is up. */
+  /** Waits until each answers 200 on its readiness path. Throws base::Error if one exits or the
+   * limit passes. */
   void waitReady(const std::vector<testbed::FleetProcess*>& processes, base::Duration limit);
-  /** Applies a whole configuration as the operator, repeating until it is committed. */
+  /** Applies a complete configuration as the operator; resends the change until it is committed. */
   void applyConfiguration(const std::string& document, base::Duration limit);
-  /** One line on each process. */
+  /** One line for each process: name, role, zone, address, pid, condition and readiness. */
   std::string status() const;
 
   static testbed::ProcessIdentity identityOf(const testbed::FleetProcess& process);
--- a/programs/testbed/fleet_command.cc
+++ b/programs/testbed/fleet_command.cc
@@ -18,7 +18,7 @@
 using testbed::ProcessRole;
 
 constexpr base::Duration KillLimit = std::chrono::seconds(10);
-/** Longer than the daemons' own bound for open streams. */
+/** Longer than the limit after which the daemons end their open streams. */
 constexpr base::Duration StopLimit = std::chrono::seconds(60);
 
 /** The command lines of `switchsaddle-testbed fleet ...`. */
@@ -44,14 +44,14 @@
 }
 
 void up(const FleetArguments& arguments) {
-  FleetUp order;
-  order.directory = arguments.directory;
-  order.layout = arguments.layout;
-  order.configuration = arguments.configuration;
-  order.switchsaddle = arguments.switchsaddle;
-  order.network = arguments.network;
-  order.ready_limit = arguments.readyLimit();
-  std::cout << bringUp(order).status();
+  FleetStartOptions options;
+  options.directory = arguments.directory;
+  options.layout = arguments.layout;
+  options.configuration = arguments.configuration;
+  options.switchsaddle = arguments.switchsaddle;
+  options.network = arguments.network;
+  options.ready_limit = arguments.readyLimit();
+  std::cout << bringUp(options).status();
 }
 
 void start(const FleetArguments& arguments) {
@@ -105,7 +105,8 @@
 CLI::App* addAction(CLI::App& fleet, const Arguments& arguments, const std::string& name,
                     const std::string& help, std::function<void(const FleetArguments&)> action) {
   CLI::App* command = fleet.add_subcommand(name, help);
-  command->add_option("--directory", arguments->directory, "The fleet's directory")->required();
+  command->add_option("--directory", arguments->directory, "Directory of the fleet (required)")
+      ->required();
   command->callback([arguments, action = std::move(action)] { action(*arguments); });
   return command;
 }
@@ -113,54 +114,70 @@
 void addNamedAction(CLI::App& fleet, const Arguments& arguments, const std::string& name,
                     const std::string& help, std::function<void(const FleetArguments&)> action) {
   CLI::App* command = addAction(fleet, arguments, name, help, std::move(action));
-  command->add_option("names", arguments->names, "Processes, or cores, fronts, workers, all")
+  command
+      ->add_option("names", arguments->names,
+                   "Names of processes, or cores, fronts, workers or all (required)")
       ->required();
 }
 
 void addUp(CLI::App& fleet, const Arguments& arguments) {
-  CLI::App* command = addAction(fleet, arguments, "up", "Start a fleet and wait for it", up);
-  command->add_option("--layout", arguments->layout, "Layout file")->required();
+  CLI::App* command =
+      addAction(fleet, arguments, "up", "Start a fleet and wait until it is ready", up);
+  command->add_option("--layout", arguments->layout, "Layout file of the fleet (required)")
+      ->required();
   command->add_option("--configuration", arguments->configuration,
-                      "Configuration applied once the cores are ready");
+                      "Configuration file applied when the cores are ready (default: none)");
   command->add_option("--switchsaddle", arguments->switchsaddle,
-                      "The daemon's program; the one beside this by default");
+                      "Path of the switchsaddle program (default: in the folder of this program)");
   command->add_option("--network", arguments->network,
-                      "First two octets of every address, in place of the layout's");
-  command->add_option("--ready-seconds", arguments->ready_seconds, "Limit of each wait");
+                      "First two octets of every address (default: from the layout)");
+  command->add_option("--ready-seconds", arguments->ready_seconds,
+                      "Time limit for each group of processes to be ready in seconds (default 30)");
 }
 
 void addStart(CLI::App& fleet, const Arguments& arguments) {
-  CLI::App* command = addAction(fleet, arguments, "start", "Start processes that are down", start);
-  command->add_option("names", arguments->names, "Processes or groups")->required();
-  command->add_flag("--ready", arguments->wait_ready, "Wait until they are ready");
-  command->add_option("--ready-seconds", arguments->ready_seconds, "Limit of that wait");
+  CLI::App* command =
+      addAction(fleet, arguments, "start", "Start processes that are not running", start);
+  command
+      ->add_option("names", arguments->names,
+                   "Names of processes, or cores, fronts, workers or all (required)")
+      ->required();
+  command->add_flag("--ready", arguments->wait_ready,
+                    "Wait until the processes are ready (default: do not wait)");
+  command->add_option("--ready-seconds", arguments->ready_seconds,
+                      "Time limit for the wait in seconds (default 30)");
 }
 
 }  // namespace
 
 void addFleetCommand(CLI::App& app) {
   auto arguments = std::make_shared<FleetArguments>();
-  CLI::App* fleet = app.add_subcommand("fleet", "Start a fleet of real processes and disturb it");
+  CLI::App* fleet =
+      app.add_subcommand("fleet", "Start, signal and inspect a fleet of real processes");
   fleet->require_subcommand(1);
   addUp(*fleet, arguments);
   addStart(*fleet, arguments);
-  addNamedAction(*fleet, arguments, "kill", "SIGKILL and wait", [](const FleetArguments& given) {
-    signalNamed(given, SIGKILL, ProcessCondition::Exited, KillLimit);
-  });
-  addNamedAction(*fleet, arguments, "stop", "SIGTERM and wait", [](const FleetArguments& given) {
-    signalNamed(given, SIGTERM, ProcessCondition::Exited, StopLimit);
-  });
-  addNamedAction(*fleet, arguments, "freeze", "SIGSTOP", [](const FleetArguments& given) {
-    signalNamed(given, SIGSTOP, ProcessCondition::Stopped, KillLimit);
-  });
-  addNamedAction(*fleet, arguments, "wake", "SIGCONT", wake);
-  addNamedAction(*fleet, arguments, "wipe", "Empty the data folder of a process that is down",
+  addNamedAction(*fleet, arguments, "kill", "Send SIGKILL and wait until the processes have exited",
+                 [](const FleetArguments& given) {
+                   signalNamed(given, SIGKILL, ProcessCondition::Exited, KillLimit);
+                 });
+  addNamedAction(*fleet, arguments, "stop", "Send SIGTERM and wait until the processes have exited",
+                 [](const FleetArguments& given) {
+                   signalNamed(given, SIGTERM, ProcessCondition::Exited, StopLimit);
+                 });
+  addNamedAction(*fleet, arguments, "freeze",
+                 "Send SIGSTOP and wait until the processes are stopped",
+                 [](const FleetArguments& given) {
+                   signalNamed(given, SIGSTOP, ProcessCondition::Stopped, KillLimit);
+                 });
+  addNamedAction(*fleet, arguments, "wake", "Send SIGCONT and wait until the processes run", wake);
+  addNamedAction(*fleet, arguments, "wipe", "Delete the data of processes that are not running",
                  wipe);
-  addNamedAction(*fleet, arguments, "replace", "An empty core at a new address in a core's place",
-                 replace);
+  addNamedAction(*fleet, arguments, "replace",
+                 "Kill cores and start a new core without data at a new address for each", replace);
   addAction(*fleet, arguments, "down", "Kill every process of the fleet", down);
   addAction(
-      *fleet, arguments, "status", "One line on each process",
+      *fleet, arguments, "status", "Print one line for each process",
       [](const FleetArguments& given) { std::cout << Fleet::load(given.directory).status(); });
 }
 
--- a/programs/testbed/fleet_up.cc
+++ b/programs/testbed/fleet_up.cc
@@ -26,15 +26,17 @@
   std::ofstream(directory + "/workers.json") << testbed::formatWorkersFile(listed) << "\n";
 }
 
-void refuseRunningFleet(const std::string& directory) {
+void requireNoRunningFleet(const std::string& directory) {
   if (!std::filesystem::exists(directory + "/fleet.json")) {
     return;
   }
   Fleet earlier = Fleet::load(directory);
   for (const FleetProcess* process : earlier.named({"all"})) {
     if (testbed::conditionOf(Fleet::identityOf(*process)) != ProcessCondition::Exited) {
-      throw base::Error(base::ResultCode::InvalidValue,
-                        process->name + " of an earlier fleet is running; use fleet down first");
+      throw base::Error(
+          base::ResultCode::InvalidValue,
+          process->name +
+              " of an earlier fleet in this directory is running; run fleet down first");
     }
   }
 }
@@ -45,52 +47,54 @@
   }
 }
 
-/** The layout, with its addresses in the order's network. */
-testbed::FleetLayout readLayout(const FleetUp& order) {
-  const std::string text = testbed::readTextFile(order.layout);
-  if (order.network.empty()) {
+/** Reads the layout file; replaces its network if the options name one. */
+testbed::FleetLayout readLayout(const FleetStartOptions& options) {
+  const std::string text = testbed::readTextFile(options.layout);
+  if (options.network.empty()) {
     return testbed::parseFleetLayout(text);
   }
   boost::json::object layout = testbed::parseObject(text);
-  layout["network"] = order.network;
+  layout["network"] = options.network;
   return testbed::parseFleetLayout(boost::json::serialize(layout));
 }
 
-/** Starts the processes, each group once the one before it is ready. */
-void startInOrder(Fleet& fleet, const FleetUp& order) {
+/** Starts platform, workers and cores, waits until they are ready, applies the configuration, then
+ * starts the fronts. */
+void startInOrder(Fleet& fleet, const FleetStartOptions& options) {
   for (const ProcessRole role : {ProcessRole::Platform, ProcessRole::Worker, ProcessRole::Core}) {
     startAll(fleet, role);
   }
   for (const ProcessRole role : {ProcessRole::Platform, ProcessRole::Worker, ProcessRole::Core}) {
-    fleet.waitReady(fleet.ofRole(role), order.ready_limit);
+    fleet.waitReady(fleet.ofRole(role), options.ready_limit);
   }
-  if (!order.configuration.empty()) {
-    fleet.applyConfiguration(testbed::readTextFile(order.configuration), order.ready_limit);
+  if (!options.configuration.empty()) {
+    fleet.applyConfiguration(testbed::readTextFile(options.configuration), options.ready_limit);
   }
   startAll(fleet, ProcessRole::Front);
-  fleet.waitReady(fleet.ofRole(ProcessRole::Front), order.ready_limit);
+  fleet.waitReady(fleet.ofRole(ProcessRole::Front), options.ready_limit);
 }
 
 }  // namespace
 
-Fleet bringUp(const FleetUp& order) {
+Fleet bringUp(const FleetStartOptions& options) {
   const std::string testbed_program = files::read_symlink("/proc/self/exe").string();
-  const std::string beside = (files::path(testbed_program).parent_path() / "switchsaddle").string();
-  const std::string daemon = order.switchsaddle.empty() ? beside : order.switchsaddle;
-  const std::string directory = files::absolute(order.directory).lexically_normal().string();
+  const std::string sibling_program =
+      (files::path(testbed_program).parent_path() / "switchsaddle").string();
+  const std::string daemon = options.switchsaddle.empty() ? sibling_program : options.switchsaddle;
+  const std::string directory = files::absolute(options.directory).lexically_normal().string();
   files::create_directories(directory);
   const FleetLock lock(directory);
-  refuseRunningFleet(directory);
-  const testbed::FleetLayout layout = readLayout(order);
+  requireNoRunningFleet(directory);
+  const testbed::FleetLayout layout = readLayout(options);
   writeWorkersFile(layout, directory);
   Fleet fleet(
       testbed::planFleet(layout, directory, {testbed_program, files::absolute(daemon).string()}));
   fleet.prepare();
   fleet.save();
   try {
-    startInOrder(fleet, order);
+    startInOrder(fleet, options);
   } catch (const base::Error&) {
-    // Half a fleet would hold its addresses against the next one.
+    // Processes of a partly started fleet would occupy the addresses of the next one.
     fleet.signalAll(fleet.named({"all"}), SIGKILL, ProcessCondition::Exited, KillLimit);
     throw;
   }
--- a/programs/testbed/fleet_up.h
+++ b/programs/testbed/fleet_up.h
@@ -7,22 +7,22 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** What a fleet is brought up from. */
-struct FleetUp {
+/** Parameters for starting a fleet. */
+struct FleetStartOptions {
   std::string directory;
-  /** Layout file. */
+  /** Path of the layout file. */
   std::string layout;
-  /** Configuration file applied once the cores are ready; may be empty. */
+  /** Path of the configuration file applied when the cores are ready; empty for none. */
   std::string configuration;
-  /** The daemon's program; empty: the one beside this. */
+  /** Path of the switchsaddle program; empty for the one in the folder of this program. */
   std::string switchsaddle;
-  /** First two octets of every address; empty: the layout's. */
+  /** First two octets of every address; empty for the network of the layout. */
   std::string network;
-  /** Limit of each wait. */
+  /** Time limit for each group of processes to be ready. */
   base::Duration ready_limit = std::chrono::seconds(30);
 };
 
 /** Starts a fleet and waits until it is ready. Throws base::Error. */
-Fleet bringUp(const FleetUp& order);
+Fleet bringUp(const FleetStartOptions& options);
 
 }  // namespace switchsaddle::testbed_commands
--- a/programs/testbed/fuzz_command.cc
+++ b/programs/testbed/fuzz_command.cc
@@ -19,7 +19,7 @@
   std::uint64_t seed = 1;
 };
 
-/** Writes the inputs that showed a fault, for the corpus of a test. */
+/** Writes each input that revealed a fault to a file, which can be added to the corpus. */
 void writeFaults(const FuzzOptions& options, const fuzz::Target& target,
                  const fuzz::FuzzReport& report) {
   for (std::size_t number = 0; number < report.faults.size(); ++number) {
@@ -35,7 +35,7 @@
     std::erase_if(targets, [&](const auto& target) { return target.name != options.target; });
   }
   if (targets.empty()) {
-    throw CLI::ValidationError("--target", "no such reader");
+    throw CLI::ValidationError("--target", "expected the name of a parser under test");
   }
   std::size_t faults = 0;
   const std::chrono::duration<double> share(options.seconds / static_cast<double>(targets.size()));
@@ -57,14 +57,21 @@
 
 void addFuzzCommand(CLI::App& app) {
   auto options = std::make_shared<FuzzOptions>();
-  CLI::App* command = app.add_subcommand("fuzz", "Send changed inputs to every reader");
-  command->add_option("--corpus", options->corpus, "Folder of right inputs")
+  CLI::App* command =
+      app.add_subcommand("fuzz", "Run every parser on mutated inputs and report faults");
+  command
+      ->add_option("--corpus", options->corpus,
+                   "Folder of valid inputs to mutate (default libraries/fuzz/corpus)")
       ->check(CLI::ExistingDirectory);
-  command->add_option("--target", options->target, "One reader alone");
-  command->add_option("--faults", options->faults, "Folder for inputs that showed a fault")
+  command->add_option("--target", options->target, "Name of a single parser to run (default: all)");
+  command
+      ->add_option("--faults", options->faults,
+                   "Folder to write inputs to that revealed a fault (default .)")
       ->check(CLI::ExistingDirectory);
-  command->add_option("--seconds", options->seconds, "For all readers together");
-  command->add_option("--seed", options->seed, "Gives the same inputs again");
+  command->add_option("--seconds", options->seconds,
+                      "Total time for all parsers in seconds (default 60)");
+  command->add_option("--seed", options->seed,
+                      "Seed of the mutations; equal seeds give equal inputs (default 1)");
   command->callback([options] {
     if (runAll(*options) > 0) {
       throw CLI::RuntimeError(1);
--- a/programs/testbed/http_probe.h
+++ b/programs/testbed/http_probe.h
@@ -8,11 +8,12 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** One small exchange, waited for. Nothing where no whole response came within the limit. */
+/** Sends one request and blocks until it is answered. Returns std::nullopt if no complete response
+ * arrives within the limit. */
 std::optional<http::Response> fetchOnce(const base::NodeAddress& address, http::Request request,
                                         base::Duration limit);
 
-/** Whether GET target answers 200. */
+/** Whether a GET request to the target is answered 200 within a second. */
 bool answersOk(const base::NodeAddress& address, const char* target);
 
 }  // namespace switchsaddle::testbed_commands
--- a/programs/testbed/lightweight_front_shard.cc
+++ b/programs/testbed/lightweight_front_shard.cc
@@ -25,7 +25,7 @@
   member.tcp =
       std::make_unique<transport::TcpTransport>(context_, dispatcher_, settings.peer_address);
   member.counting = std::make_unique<lightweight_fronts::CountingTransport>(
-      *member.tcp, sent_, received_, options_.weigh);
+      *member.tcp, sent_, received_, options_.measure_sizes);
   member.front = std::make_unique<lightweight_fronts::LightweightFront>(
       dispatcher_, *member.counting, seed, settings,
       [this](std::uint64_t before, std::uint64_t after) {
@@ -75,7 +75,7 @@
     sample.bytes_received += counters.bytes_received;
     sample.frames_sent += counters.frames_sent;
     sample.frames_received += counters.frames_received;
-    sample.slots_got += member.front->slotsGranted();
+    sample.slots_granted += member.front->slotsGranted();
     sample.slots_refused += member.front->slotsRejected();
   }
   const std::lock_guard lock(mutex_);
--- a/programs/testbed/lightweight_front_shard.h
+++ b/programs/testbed/lightweight_front_shard.h
@@ -16,7 +16,7 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** What the fronts of one shard have done up to now. */
+/** Totals over the fronts of one shard since their start. */
 struct ShardSample {
   std::size_t serving = 0;
   std::uint64_t lowest_version = 0;
@@ -26,20 +26,20 @@
   std::uint64_t bytes_received = 0;
   std::uint64_t frames_sent = 0;
   std::uint64_t frames_received = 0;
-  std::uint64_t slots_got = 0;
+  std::uint64_t slots_granted = 0;
   std::uint64_t slots_refused = 0;
 };
 
-/** How the lightweight fronts of a process behave. */
+/** Options of all lightweight fronts of a process. */
 struct ShardOptions {
-  /** Made-up completions a second on each front. */
+  /** Simulated completions per second and front. */
   std::size_t prompts_per_second = 0;
-  bool weigh = false;
-  /** Takes a slot from the limit ledgers for each completion. */
+  bool measure_sizes = false;
+  /** Whether each completion acquires a slot from the limit ledgers. */
   bool acquire_slots = false;
 };
 
-/** Some of the process's lightweight fronts, on one thread with one strand. */
+/** A subset of the lightweight fronts of a process, which shares one thread. */
 class LightweightFrontShard {
  public:
   explicit LightweightFrontShard(const ShardOptions& options);
@@ -47,12 +47,12 @@
   LightweightFrontShard(const LightweightFrontShard&) = delete;
   LightweightFrontShard& operator=(const LightweightFrontShard&) = delete;
 
-  /** Before start() only. */
+  /** Must be called before start(). */
   void addFront(const configuration::Settings& settings, std::uint64_t seed);
   void start();
-  /** Ends the thread. The results below may be read from then on. */
+  /** Ends the thread. tally(), sent() and received() may be read only afterwards. */
   void stop();
-  /** The sample of the last full second. Callable from any thread. */
+  /** The sample taken last, once a second. May be called from any thread. */
   ShardSample sample() const;
 
   const lightweight_fronts::VersionTally& tally() const { return tally_; }
--- a/programs/testbed/lightweight_fronts_command.cc
+++ b/programs/testbed/lightweight_fronts_command.cc
@@ -22,11 +22,11 @@
 namespace {
 
 constexpr std::uint16_t PeerPort = 7'100;
-/** Lightweight fronts listen on NETWORK.10.1 and on. */
+/** Third octet of the first address: lightweight fronts listen on NETWORK.10.1 and following. */
 constexpr std::size_t FirstBlock = 10;
 constexpr std::size_t AddressesInBlock = 250;
 
-/** Set by SIGTERM: the run ends with the present second. */
+/** Set by SIGTERM; the run ends after the current second. */
 volatile std::sig_atomic_t end_of_run = 0;
 
 /** The command line of `switchsaddle-testbed lightweight-fronts`. */
@@ -82,7 +82,7 @@
     sum.bytes_received += sample.bytes_received;
     sum.frames_sent += sample.frames_sent;
     sum.frames_received += sample.frames_received;
-    sum.slots_got += sample.slots_got;
+    sum.slots_granted += sample.slots_granted;
     sum.slots_refused += sample.slots_refused;
   }
   return sum;
@@ -117,11 +117,11 @@
             << ',' << sample.bytes_sent << ',' << sample.bytes_received << ',' << sample.frames_sent
             << ',' << sample.frames_received << ',' << secondsOf(usage.ru_utime) << ','
             << secondsOf(usage.ru_stime) << ',' << residentMegabytes() << ',' << load << ','
-            << sample.slots_got << ',' << sample.slots_refused << '\n'
+            << sample.slots_granted << ',' << sample.slots_refused << '\n'
             << std::flush;
 }
 
-/** Milliseconds on the boot clock, which the other commands of this machine share. */
+/** Milliseconds of the boot clock, which all processes on a machine share. */
 std::int64_t milliseconds(base::TimePoint time) {
   return base::toMilliseconds(time.time_since_epoch());
 }
@@ -194,27 +194,40 @@
 
 void addLightweightFrontsCommand(CLI::App& app) {
   auto arguments = std::make_shared<LightweightFrontsArguments>();
-  CLI::App* command =
-      app.add_subcommand("lightweight-fronts", "Run many fronts without callers in this process");
-  command->add_option("--seeds-cores", arguments->seeds, "IP:PORT of cores")
+  CLI::App* command = app.add_subcommand(
+      "lightweight-fronts",
+      "Run many lightweight fronts, which have no callers, in one process; print CSV");
+  command->add_option("--seeds-cores", arguments->seeds, "IP:PORT of the cores to join (required)")
       ->delimiter(',')
       ->required();
-  command->add_option("--count", arguments->count, "Lightweight fronts")
+  command->add_option("--count", arguments->count, "Number of lightweight fronts (default 25)")
       ->check(CLI::Range(1, 2'000));
-  command->add_option("--threads", arguments->threads, "Threads that share them")
+  command
+      ->add_option("--threads", arguments->threads,
+                   "Number of threads that the fronts are distributed over (default 1)")
       ->check(CLI::Range(1, 8));
-  command->add_option("--network", arguments->network, "First two octets of their addresses");
-  command->add_option("--zones", arguments->zones, "Zones, taken in turn")->delimiter(',');
-  command->add_option("--seconds", arguments->seconds, "How long they run");
-  command->add_option("--seed", arguments->seed, "Seed of their choices");
+  command->add_option("--network", arguments->network,
+                      "First two octets of the fronts' addresses (default 127.52)");
+  command
+      ->add_option("--zones", arguments->zones,
+                   "Zones, assigned to the fronts in rotation (default a)")
+      ->delimiter(',');
+  command->add_option("--seconds", arguments->seconds, "Time to run in seconds (default 30)");
+  command->add_option("--seed", arguments->seed,
+                      "Seed of the first front's random choices (default 1)");
   command->add_option("--prompts", arguments->shard.prompts_per_second,
-                      "Made-up completions a second on each front");
-  command->add_option("--versions", arguments->versions_file,
-                      "CSV of when each version came into force");
-  command->add_option("--kinds", arguments->kinds_file, "CSV of messages by kind");
-  command->add_flag("--slots", arguments->shard.acquire_slots,
-                    "Take a slot from the limit ledgers for each of them");
-  command->add_flag("--weigh", arguments->shard.weigh, "Weigh messages by kind; costs time");
+                      "Simulated completions per second and front (default 0)");
+  command->add_option(
+      "--versions", arguments->versions_file,
+      "CSV file to write with the times at which fronts applied each configuration version "
+      "(default: none)");
+  command->add_option("--kinds", arguments->kinds_file,
+                      "CSV file to write with frames and bytes by message kind (default: none)");
+  command->add_flag(
+      "--slots", arguments->shard.acquire_slots,
+      "Acquire a slot from the limit ledgers for each simulated completion (default: no)");
+  command->add_flag("--weigh", arguments->shard.measure_sizes,
+                    "Measure message sizes by kind, which costs processor time (default: no)");
   command->callback([arguments] { runLightweightFronts(*arguments); });
 }
 
--- a/programs/testbed/load_command.cc
+++ b/programs/testbed/load_command.cc
@@ -12,7 +12,7 @@
 namespace switchsaddle::testbed_commands {
 namespace {
 
-/** Processor time that all running fronts have used so far. */
+/** Total processor time that the running fronts have used since their start. */
 base::Duration frontCpuTime(const std::string& fleet_file) {
   base::Duration used = base::Duration::zero();
   for (const testbed::FleetProcess& process :
@@ -24,27 +24,35 @@
   return used;
 }
 
-void runLoadCommand(const LoadOrder& order) {
-  const base::Duration before = frontCpuTime(order.fleet);
-  std::cout << "calls sent: " << runLoad(order) << "\n";
-  const base::Duration used = frontCpuTime(order.fleet) - before;
+void runLoadCommand(const LoadOptions& options) {
+  const base::Duration before = frontCpuTime(options.fleet);
+  std::cout << "calls sent: " << runLoad(options) << "\n";
+  const base::Duration used = frontCpuTime(options.fleet) - before;
   std::cout << "processor time of all fronts: " << base::toMilliseconds(used) << " ms\n";
 }
 
 }  // namespace
 
 void addLoadCommand(CLI::App& app) {
-  auto arguments = std::make_shared<LoadOrder>();
-  CLI::App* command = app.add_subcommand("load", "Send a load and record what callers see");
-  command->add_option("--fleet", arguments->fleet, "The fleet's fleet.json")->required();
-  command->add_option("--load", arguments->load, "Load file")->required();
-  command->add_option("--record", arguments->record, "File to record into; must not exist")
+  auto arguments = std::make_shared<LoadOptions>();
+  CLI::App* command = app.add_subcommand("load", "Send load to a fleet and record each call");
+  command->add_option("--fleet", arguments->fleet, "Path of the fleet's fleet.json (required)")
       ->required();
-  command->add_option("--seconds", arguments->seconds, "How long requests arrive");
-  command->add_option("--seed", arguments->seed, "Seed of the arrivals; keys hold it");
-  command->add_flag("--direct", arguments->direct, "Straight to the workers, without the fronts");
-  command->add_option("--crowd", arguments->bursts,
-                      "TENANT:FACTOR:FROM:TO: a tenant, or all, many times as often for a time");
+  command->add_option("--load", arguments->load, "Load file (required)")->required();
+  command
+      ->add_option("--record", arguments->record,
+                   "Record file to create; must not exist (required)")
+      ->required();
+  command->add_option("--seconds", arguments->seconds,
+                      "Time in seconds during which requests are sent (default 30)");
+  command->add_option("--seed", arguments->seed,
+                      "Seed of the arrivals, which is part of each idempotency key (default 1)");
+  command->add_flag("--direct", arguments->direct,
+                    "Send to the workers instead of the fronts (default: to the fronts)");
+  command->add_option(
+      "--crowd", arguments->bursts,
+      "Load burst TENANT:FACTOR:FROM:TO: multiplies the rates of a tenant, or all, from FROM "
+      "to TO in seconds (repeatable, default: none)");
   command->callback([arguments] { runLoadCommand(*arguments); });
 }
 
--- a/programs/testbed/load_run.cc
+++ b/programs/testbed/load_run.cc
@@ -13,48 +13,50 @@
 namespace switchsaddle::testbed_commands {
 namespace {
 
-/** Calls still open this long after the last arrival are left unanswered in the record. */
-constexpr base::Duration LongestTail = std::chrono::seconds(90);
+/** Time to wait for answers after the last arrival. Later answers are not recorded. */
+constexpr base::Duration AnswerWaitLimit = std::chrono::seconds(90);
 
-testbed::LoadTargets readTargets(const LoadOrder& order) {
-  const auto state = testbed::parseFleetState(testbed::readTextFile(order.fleet));
+testbed::LoadTargets readTargets(const LoadOptions& options) {
+  const auto state = testbed::parseFleetState(testbed::readTextFile(options.fleet));
   testbed::LoadTargets targets;
   for (const testbed::FleetProcess& process : state.processes) {
     if (process.role == testbed::ProcessRole::Front) {
       targets.fronts.push_back(process.http_address);
     }
   }
-  if (order.direct) {
+  if (options.direct) {
     targets.workers =
         testbed::parseWorkersFile(testbed::readTextFile(state.directory + "/workers.json"));
   }
   if (targets.fronts.empty() && targets.workers.empty()) {
-    throw base::Error(base::ResultCode::InvalidValue, "the fleet has no target for the load");
+    throw base::Error(base::ResultCode::InvalidValue,
+                      "the fleet has no front or worker to send the load to");
   }
   return targets;
 }
 
 }  // namespace
 
-std::uint64_t runLoad(const LoadOrder& order) {
-  auto plan = testbed::parseLoadPlan(testbed::readTextFile(order.load));
-  for (const std::string& burst : order.bursts) {
+std::uint64_t runLoad(const LoadOptions& options) {
+  auto plan = testbed::parseLoadPlan(testbed::readTextFile(options.load));
+  for (const std::string& burst : options.bursts) {
     plan.bursts.push_back(testbed::parseLoadBurst(burst));
   }
-  if (std::filesystem::exists(order.record)) {
-    throw base::Error(base::ResultCode::InvalidValue, order.record + " exists already");
+  if (std::filesystem::exists(options.record)) {
+    throw base::Error(base::ResultCode::InvalidValue,
+                      options.record + " already exists; expected a new record file");
   }
   boost::asio::io_context context{1};
   transport::AsioDispatcher dispatcher(context);
   const auto client = http::createClient(context);
-  testbed::FileCallSink sink(order.record);
-  const base::Duration duration = std::chrono::seconds(order.seconds);
-  testbed::LoadRunner runner(std::move(plan), readTargets(order), order.seed, duration,
+  testbed::FileCallSink sink(options.record);
+  const base::Duration duration = std::chrono::seconds(options.seconds);
+  testbed::LoadRunner runner(std::move(plan), readTargets(options), options.seed, duration,
                              testbed::CallRecorder{dispatcher, sink}, *client,
                              [&context] { context.stop(); });
   const auto limit = dispatcher.createTimer([&context] { context.stop(); });
   dispatcher.post([&] {
-    limit->enable(duration + LongestTail);
+    limit->enable(duration + AnswerWaitLimit);
     runner.start();
   });
   context.run();
--- a/programs/testbed/load_run.h
+++ b/programs/testbed/load_run.h
@@ -6,22 +6,23 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** One load on a fleet. */
-struct LoadOrder {
-  /** The fleet's fleet.json. */
+/** Parameters of a load sent to a fleet. */
+struct LoadOptions {
+  /** Path of the fleet's fleet.json. */
   std::string fleet;
   std::string load;
-  /** File to record into; must not exist. */
+  /** Path of the record file to create; must not exist. */
   std::string record;
   int seconds = 30;
   std::uint64_t seed = 1;
-  /** Straight to the workers, without the fronts. */
+  /** Send to the workers instead of the fronts. */
   bool direct = false;
-  /** Times in which a tenant sends more, each as testbed::parseLoadBurst() reads it. */
+  /** Load bursts in the format of testbed::parseLoadBurst(). */
   std::vector<std::string> bursts;
 };
 
-/** Sends the load, waits for its answers and returns the number of calls. Throws base::Error. */
-std::uint64_t runLoad(const LoadOrder& order);
+/** Sends the load and waits for its answers. Returns the number of calls sent. Throws base::Error.
+ */
+std::uint64_t runLoad(const LoadOptions& options);
 
 }  // namespace switchsaddle::testbed_commands
--- a/programs/testbed/main.cc
+++ b/programs/testbed/main.cc
@@ -4,9 +4,9 @@
 
 #include "commands.h"
 
-/** Entry of the laboratory: stand-ins, load and experiments. Never installed. */
+/** Entry point of the test bed: fakes, load, checks and experiments. Not installed. */
 int main(int argument_count, char** arguments) {
-  CLI::App app{"switchsaddle-testbed: stand-ins and experiments for switchsaddle"};
+  CLI::App app{"switchsaddle-testbed: fake workers, load, checks and experiments for switchsaddle"};
   app.require_subcommand(1);
   switchsaddle::testbed_commands::addWorkerCommand(app);
   switchsaddle::testbed_commands::addPlatformCommand(app);
--- a/programs/testbed/operator_orders.cc
+++ b/programs/testbed/operator_orders.cc
@@ -12,7 +12,7 @@
 
 namespace order_event = testbed::order_event;
 
-/** A little longer than a node waits for an acknowledgement. */
+/** Slightly longer than a node waits for a change to be acknowledged. */
 constexpr base::Duration AnswerLimit = std::chrono::seconds(3);
 constexpr base::Duration OrderLimit = std::chrono::seconds(40);
 constexpr base::Duration Pause = std::chrono::milliseconds(100);
--- a/programs/testbed/operator_orders.h
+++ b/programs/testbed/operator_orders.h
@@ -9,21 +9,21 @@
 namespace switchsaddle::testbed_commands {
 
 /**
- * One operator: sends an order to the nodes in turn, again under its change_id, until it is
- * acknowledged as in force everywhere. Blocking; notes what was acknowledged and when.
+ * A fake operator. Sends an order to the nodes in rotation, with the same change_id, until it is
+ * acknowledged as in force on all nodes. Blocks; records each order and its acknowledgement.
  */
 class OperatorOrders {
  public:
-  /** `nodes` take the control API; `name` keeps the change_ids of several operators apart. */
+  /** `nodes` serve the control API; `name` makes the change_ids of several operators distinct. */
   OperatorOrders(std::vector<base::NodeAddress> nodes, std::string operator_key, std::string name,
                  OrderRecord& record);
 
-  /** Each returns false where the order was not acknowledged in time. */
+  /** Each returns false if the order was not acknowledged in time. */
   bool evacuate(const std::string& zone);
   bool restore(const std::string& zone);
-  /** The key whose id and tenant have this name. */
+  /** Revokes the key whose id and tenant have this name. */
   bool revokeKey(const std::string& tenant);
-  /** A key whose secret is "key-TENANT", as in the examples. */
+  /** Adds a key whose secret is "key-TENANT", as in the examples. */
   bool addKey(const std::string& tenant);
 
  private:
--- a/programs/testbed/order_record.h
+++ b/programs/testbed/order_record.h
@@ -6,7 +6,8 @@
 
 namespace switchsaddle::testbed_commands {
 
-/** Notes orders and disturbances in a file with the machine's boot clock. Any thread may note. */
+/** Records orders and injected failures in a file, timestamped with the machine's boot clock.
+ * Thread-safe. */
 class OrderRecord {
  public:
   /** Throws base::Error with StorageFailed. */
--- a/programs/testbed/platform_command.cc
+++ b/programs/testbed/platform_command.cc
@@ -24,11 +24,11 @@
   std::string workers_file;
   int lag_ms = 1'000;
   int crashed_listed_ms = 8'000;
-  bool synthetic_workers = false;
+  bool list_without_polling = false;
   int churn_ms = 0;
 };
 
-/** Polls the workers and serves the lagging list until it is told to stop. One thread. */
+/** Polls the workers and serves the delayed list until SIGTERM or SIGINT. Runs on one thread. */
 class PlatformProcess {
  public:
   explicit PlatformProcess(const PlatformArguments& arguments)
@@ -43,9 +43,9 @@
                                   })),
         signals_(context_, SIGTERM, SIGINT),
         timer_(dispatcher_.createTimer([this] { poll(); })),
-        churn_timer_(dispatcher_.createTimer([this] { churn(); })),
-        churn_pause_(std::chrono::milliseconds(arguments.churn_ms)),
-        synthetic_workers_(arguments.synthetic_workers) {}
+        churn_timer_(dispatcher_.createTimer([this] { drainNextWorker(); })),
+        churn_interval_(std::chrono::milliseconds(arguments.churn_ms)),
+        list_without_polling_(arguments.list_without_polling) {}
 
   void run() {
     signals_.async_wait([this](const boost::system::error_code& failure, int) {
@@ -53,8 +53,8 @@
         context_.stop();
       }
     });
-    if (synthetic_workers_) {
-      listAll();
+    if (list_without_polling_) {
+      listAllAsReady();
     } else {
       poll();
     }
@@ -62,20 +62,20 @@
   }
 
  private:
-  /** Lists workers that do not exist as ready, for runs at the size of a whole fleet. */
-  void listAll() {
+  /** Lists all workers as ready without polling, so that they need not exist. */
+  void listAllAsReady() {
     for (std::size_t index = 0; index < list_.workers().size(); ++index) {
-      list_.heard(index, "ready", dispatcher_.now());
+      list_.reportState(index, "ready", dispatcher_.now());
     }
-    if (churn_pause_ > base::Duration::zero()) {
-      churn_timer_->enable(churn_pause_);
+    if (churn_interval_ > base::Duration::zero()) {
+      churn_timer_->enable(churn_interval_);
     }
   }
 
-  /** One worker after the other begins to drain. */
-  void churn() {
-    list_.heard(churned_++ % list_.workers().size(), "draining", dispatcher_.now());
-    churn_timer_->enable(churn_pause_);
+  /** Lists one more worker as draining. */
+  void drainNextWorker() {
+    list_.reportState(drained_++ % list_.workers().size(), "draining", dispatcher_.now());
+    churn_timer_->enable(churn_interval_);
   }
 
   void poll() {
@@ -100,14 +100,14 @@
 
   void onPolled(std::size_t index, const http::Response* response) {
     if (response == nullptr || response->status != 200) {
-      list_.missed(index, dispatcher_.now());
+      list_.reportNoAnswer(index, dispatcher_.now());
       return;
     }
     try {
       const auto state = testbed::textField(testbed::parseObject(response->body), "state");
-      list_.heard(index, state, dispatcher_.now());
+      list_.reportState(index, state, dispatcher_.now());
     } catch (const base::Error&) {
-      list_.missed(index, dispatcher_.now());
+      list_.reportNoAnswer(index, dispatcher_.now());
     }
   }
 
@@ -144,26 +144,35 @@
   boost::asio::signal_set signals_;
   base::TimerPtr timer_;
   base::TimerPtr churn_timer_;
-  base::Duration churn_pause_;
-  std::size_t churned_ = 0;
-  bool synthetic_workers_;
+  base::Duration churn_interval_;
+  std::size_t drained_ = 0;
+  bool list_without_polling_;
 };
 
 }  // namespace
 
 void addPlatformCommand(CLI::App& app) {
   auto arguments = std::make_shared<PlatformArguments>();
-  CLI::App* command = app.add_subcommand("platform", "Run the stand-in platform");
-  command->add_option("--address", arguments->address, "IP:PORT to listen on")->required();
-  command->add_option("--workers", arguments->workers_file, "File that lists the workers")
+  CLI::App* command =
+      app.add_subcommand("platform", "Run the fake platform, which serves a list of workers");
+  command->add_option("--address", arguments->address, "IP:PORT to listen on (required)")
       ->required();
-  command->add_option("--lag-ms", arguments->lag_ms, "How late the list is");
-  command->add_option("--crashed-listed-ms", arguments->crashed_listed_ms,
-                      "How long a worker that vanished stays listed");
-  command->add_flag("--synthetic-workers", arguments->synthetic_workers,
-                    "List all workers as ready without asking them");
-  command->add_option("--churn-ms", arguments->churn_ms,
-                      "With --synthetic-workers: how often one more worker begins to drain");
+  command
+      ->add_option("--workers", arguments->workers_file,
+                   "JSON file that lists the workers (required)")
+      ->required();
+  command->add_option("--lag-ms", arguments->lag_ms,
+                      "Delay of the list in milliseconds (default 1000)");
+  command->add_option(
+      "--crashed-listed-ms", arguments->crashed_listed_ms,
+      "Additional time that a worker without an answer stays listed in milliseconds "
+      "(default 8000)");
+  command->add_flag("--synthetic-workers", arguments->list_without_polling,
+                    "List all workers as ready without polling them (default: poll)");
+  command->add_option(
+      "--churn-ms", arguments->churn_ms,
+      "With --synthetic-workers: interval in milliseconds at which one more worker is listed "
+      "as draining (default 0: never)");
   command->callback([arguments] { PlatformProcess(*arguments).run(); });
 }
 
--- a/programs/testbed/slopes_command.cc
+++ b/programs/testbed/slopes_command.cc
@@ -27,7 +27,7 @@
   int repetitions = 5;
 };
 
-/** Mean time of one run, in milliseconds. */
+/** Mean time of one call in milliseconds. */
 template <class Function>
 double timeOf(int repetitions, Function function) {
   const auto start = std::chrono::steady_clock::now();
@@ -118,13 +118,22 @@
 
 void addSlopesCommand(CLI::App& app) {
   auto arguments = std::make_shared<SlopesArguments>();
-  CLI::App* command = app.add_subcommand("slopes", "Measure sizes and times at several sizes");
-  command->add_option("--tenants", arguments->tenants, "Numbers of tenants")->delimiter(',');
-  command->add_option("--workers", arguments->workers, "Numbers of workers")->delimiter(',');
-  command->add_option("--recorded", arguments->recorded, "Recorded changes in the register");
-  command->add_option("--repetitions", arguments->repetitions, "Runs of each step");
-  command->add_option("--write-configuration", arguments->configuration_file,
-                      "Only write the configuration of the first number of tenants");
+  CLI::App* command = app.add_subcommand(
+      "slopes", "Measure encoded sizes and processing times for several fleet sizes; print CSV");
+  command
+      ->add_option("--tenants", arguments->tenants,
+                   "Numbers of tenants (default 1000,2000,4000,8500)")
+      ->delimiter(',');
+  command->add_option("--workers", arguments->workers, "Numbers of workers (default 300,1000,2100)")
+      ->delimiter(',');
+  command->add_option("--recorded", arguments->recorded,
+                      "Number of recorded changes in the register (default: the maximum)");
+  command->add_option("--repetitions", arguments->repetitions,
+                      "Number of repetitions of each measurement (default 5)");
+  command->add_option(
+      "--write-configuration", arguments->configuration_file,
+      "File to write the configuration with the first number of tenants to, without "
+      "measuring (default: none)");
   command->callback([arguments] { measure(*arguments); });
 }
 
--- a/programs/testbed/worker_command.cc
+++ b/programs/testbed/worker_command.cc
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr int CrashExitCode = 70;
-/** How long a stopping worker shows itself as draining at least. */
+/** Minimum time for which a stopping worker reports that it is draining. */
 constexpr base::Duration ShortestDrain = std::chrono::milliseconds(1'500);
 constexpr base::Duration LongestDrain = std::chrono::seconds(30);
 constexpr base::Duration IdleCheck = std::chrono::milliseconds(50);
@@ -31,7 +31,7 @@
   testbed::WorkerOptions options;
 };
 
-/** Runs one worker until it is told to stop and its requests have ended. One thread. */
+/** Runs one worker. After SIGTERM or SIGINT it drains and exits. Runs on one thread. */
 class WorkerProcess {
  public:
   explicit WorkerProcess(const WorkerArguments& arguments)
@@ -87,26 +87,45 @@
 void addWorkerCommand(CLI::App& app) {
   auto arguments = std::make_shared<WorkerArguments>();
   testbed::WorkerOptions& options = arguments->options;
-  CLI::App* command = app.add_subcommand("worker", "Run one stand-in worker");
-  command->add_option("--address", arguments->address, "IP:PORT to listen on")->required();
-  command->add_option("--journal", arguments->journal, "File its runs are appended to")->required();
-  command->add_option("--id", options.id, "Worker id")->required();
-  command->add_option("--service", options.service, "Pool it belongs to")->required();
-  command->add_option("--models", options.models, "Models it serves")->delimiter(',');
-  command->add_option("--stage", options.stage, "both, prefill or decode")
+  CLI::App* command = app.add_subcommand("worker", "Run one fake worker");
+  command->add_option("--address", arguments->address, "IP:PORT to listen on (required)")
+      ->required();
+  command
+      ->add_option("--journal", arguments->journal,
+                   "Journal file that events are appended to (required)")
+      ->required();
+  command->add_option("--id", options.id, "Id of the worker (required)")->required();
+  command->add_option("--service", options.service, "Pool that the worker belongs to (required)")
+      ->required();
+  command->add_option("--models", options.models, "Models that the worker serves (default: none)")
+      ->delimiter(',');
+  command
+      ->add_option(
+          "--stage", options.stage,
+          "Stage of a stream that the worker serves: both, prefill or decode (default both)")
       ->check(CLI::IsMember({"both", "prefill", "decode"}));
-  command->add_option("--slots", options.slots, "Requests that run at once");
-  command->add_option("--queue", options.queue_bound, "Requests that may wait");
-  command->add_option("--cache-tokens", options.cache_tokens, "Capacity of the KV cache");
-  command->add_option("--prefill-speed", options.speed.prefill_tokens_per_s, "Tokens a second");
-  command->add_option("--decode-speed", options.speed.decode_tokens_per_s, "Tokens a second");
-  command->add_option("--slowdown", options.speed.slowdown_per_running,
-                      "Share by which each further request slows decoding");
-  command->add_option("--cold-factor", options.speed.warm_up_factor, "Slowdown of a cold prefill");
-  command->add_option("--cold-ms", arguments->slow_start_ms, "How long the process is cold");
-  command->add_option("--one-shot-ms", arguments->one_shot_ms, "Time of work of a one-shot");
-  command->add_option("--weights-version", options.weights_version, "Version of the weights");
-  command->add_option("--seed", options.seed, "Seed of output lengths");
+  command->add_option("--slots", options.slots,
+                      "Maximum number of concurrent requests (default 16)");
+  command->add_option("--queue", options.queue_bound,
+                      "Maximum number of queued requests (default 32)");
+  command->add_option("--cache-tokens", options.cache_tokens,
+                      "Capacity of the KV cache in tokens (default 200000)");
+  command->add_option("--prefill-speed", options.speed.prefill_tokens_per_s,
+                      "Prefill speed in tokens per second (default 8000)");
+  command->add_option("--decode-speed", options.speed.decode_tokens_per_s,
+                      "Decode speed of a single request in tokens per second (default 60)");
+  command->add_option(
+      "--slowdown", options.speed.slowdown_per_running,
+      "Fraction by which each additional running request slows decoding (default 0.02)");
+  command->add_option("--cold-factor", options.speed.warm_up_factor,
+                      "Factor on the prefill time during warm-up (default 4)");
+  command->add_option("--cold-ms", arguments->slow_start_ms,
+                      "Warm-up time after the start in milliseconds (default 5000)");
+  command->add_option("--one-shot-ms", arguments->one_shot_ms,
+                      "Service time of a one-shot request in milliseconds (default 20)");
+  command->add_option("--weights-version", options.weights_version,
+                      "Version of the model weights (default 1)");
+  command->add_option("--seed", options.seed, "Seed of the output lengths (default 1)");
   command->callback([arguments] {
     arguments->options.speed.warm_up_period = std::chrono::milliseconds(arguments->slow_start_ms);
     arguments->options.one_shot_time = std::chrono::milliseconds(arguments->one_shot_ms);
