--- a/libraries/testbed/source/workers/fake_worker.cc
+++ b/libraries/testbed/source/workers/fake_worker.cc
@@ -136,8 +136,7 @@
   if (!state_->fault.take(FaultMode::Refuse)) {
     return false;
   }
-  writer->respond(
-      state_->refuseBeforeRun(kind, parseIdentity(request), "refused by an injected fault"));
+  writer->respond(state_->refuseBeforeRun(kind, parseIdentity(request), "refused"));
   return true;
 }
 
--- a/programs/testbed/control_command.cc
+++ b/programs/testbed/control_command.cc
@@ -100,10 +100,9 @@
   const auto arguments = std::make_shared<ControlArguments>();
   command->add_option("--seeds", arguments->seeds, "Number of seeds (default 100)");
   command->add_option("--first-seed", arguments->first_seed, "First seed (default 1)");
-  command->add_option(
-      "--changes", arguments->changes,
-      "Number of acknowledged changes after which fault injection ends (default 0: after 30 "
-      "seconds)");
+  command->add_option("--changes", arguments->changes,
+                      "Number of acknowledged changes after which fault injection ends "
+                      "(default 0: after 30 seconds)");
   command->add_option("--fronts", arguments->fronts, "Number of fronts (default 3)");
   command->add_option("--off", arguments->off, "Mechanism to disable (default: none)")
       ->check(CLI::IsMember(scenarios::mechanisms()));
--- a/programs/testbed/failures_command.cc
+++ b/programs/testbed/failures_command.cc
@@ -109,7 +109,7 @@
       "Send load to a fleet of real processes, inject failures by seed and check the record");
   command
       ->add_option("--directory", arguments->start_options.directory,
-                   "Folder to create; each seed gets a subfolder (required)")
+                   "Folder for the fleets; each seed gets a subfolder (required)")
       ->required();
   command
       ->add_option("--layout", arguments->start_options.layout,
--- a/programs/testbed/fleet.h
+++ b/programs/testbed/fleet.h
@@ -47,7 +47,7 @@
    * does not have it within `limit`. */
   void signalAll(const std::vector<testbed::FleetProcess*>& processes, int signal_number,
                  testbed::ProcessCondition condition, base::Duration limit);
-  /** Deletes the content of the data folder of a process that is not running. Throws base::Error.
+  /** Deletes the data of a process that is not running. Throws base::Error.
    */
   void wipe(const testbed::FleetProcess& process) const;
   /** Waits until each answers 200 on its readiness path. Throws base::Error if one exits or the
--- a/programs/testbed/fuzz_command.cc
+++ b/programs/testbed/fuzz_command.cc
@@ -35,7 +35,7 @@
     std::erase_if(targets, [&](const auto& target) { return target.name != options.target; });
   }
   if (targets.empty()) {
-    throw CLI::ValidationError("--target", "expected the name of a parser under test");
+    throw CLI::ValidationError("--target", "expected the name of a fuzz target");
   }
   std::size_t faults = 0;
   const std::chrono::duration<double> share(options.seconds / static_cast<double>(targets.size()));
@@ -58,18 +58,19 @@
 void addFuzzCommand(CLI::App& app) {
   auto options = std::make_shared<FuzzOptions>();
   CLI::App* command =
-      app.add_subcommand("fuzz", "Run every parser on mutated inputs and report faults");
+      app.add_subcommand("fuzz", "Run every fuzz target on mutated inputs and report faults");
   command
       ->add_option("--corpus", options->corpus,
                    "Folder of valid inputs to mutate (default libraries/fuzz/corpus)")
       ->check(CLI::ExistingDirectory);
-  command->add_option("--target", options->target, "Name of a single parser to run (default: all)");
+  command->add_option("--target", options->target,
+                      "Name of a single fuzz target to run (default: all)");
   command
       ->add_option("--faults", options->faults,
                    "Folder to write inputs to that revealed a fault (default .)")
       ->check(CLI::ExistingDirectory);
   command->add_option("--seconds", options->seconds,
-                      "Total time for all parsers in seconds (default 60)");
+                      "Total time for all fuzz targets in seconds (default 60)");
   command->add_option("--seed", options->seed,
                       "Seed of the mutations; equal seeds give equal inputs (default 1)");
   command->callback([options] {
--- a/programs/testbed/load_run.h
+++ b/programs/testbed/load_run.h
@@ -21,7 +21,7 @@
   std::vector<std::string> bursts;
 };
 
-/** Sends the load and waits for its answers. Returns the number of calls sent. Throws base::Error.
+/** Sends the load, waits for its answers and returns the number of calls. Throws base::Error.
  */
 std::uint64_t runLoad(const LoadOptions& options);
 
