--- a/programs/testbed/changes_command.cc
+++ b/programs/testbed/changes_command.cc
@@ -79,11 +79,8 @@
   auto arguments = std::make_shared<ChangesArguments>();
   CLI::App* command = app.add_subcommand(
       "changes", "Send configuration changes to the cores of a fleet and record the answers");
-  command->add_option("--fleet", arguments->fleet, "Path of the fleet's fleet.json (required)")
-      ->required();
-  command
-      ->add_option("--record", arguments->record,
-                   "CSV file to write, one line for each change (required)")
+  command->add_option("--fleet", arguments->fleet, "Path of the fleet's fleet.json")->required();
+  command->add_option("--record", arguments->record, "CSV file to write, one line for each change")
       ->required();
   command->add_option("--prefix", arguments->prefix, "Prefix of each change_id (default change)");
   command->add_option("--count", arguments->count, "Number of changes (default 20)");
--- a/programs/testbed/check_history_command.cc
+++ b/programs/testbed/check_history_command.cc
@@ -81,13 +81,9 @@
   auto arguments = std::make_shared<CheckHistoryArguments>();
   CLI::App* command =
       app.add_subcommand("check-history", "Check load records against the workers' journals");
-  command
-      ->add_option("--record", arguments->files.records,
-                   "Record written by load (required, repeatable)")
+  command->add_option("--record", arguments->files.records, "Record written by load (repeatable)")
       ->required();
-  command
-      ->add_option("--journals", arguments->files.journals,
-                   "Folder of the workers' journals (required)")
+  command->add_option("--journals", arguments->files.journals, "Folder of the workers' journals")
       ->required();
   command->add_option("--orders", arguments->files.orders,
                       "Order record written by failures (default: no orders)");
--- a/programs/testbed/claims_command.cc
+++ b/programs/testbed/claims_command.cc
@@ -147,13 +147,10 @@
   auto arguments = std::make_shared<ClaimsArguments>();
   CLI::App* command = app.add_subcommand(
       "claims", "Begin and finish claims at a constant rate; print latencies as CSV");
-  command
-      ->add_option("--cores", arguments->cores, "IP:PORT of the cores, used in rotation (required)")
+  command->add_option("--cores", arguments->cores, "IP:PORT of the cores, used in rotation")
       ->delimiter(',')
       ->required();
-  command
-      ->add_option("--address", arguments->address,
-                   "IP:PORT that requests are sent from (required)")
+  command->add_option("--address", arguments->address, "IP:PORT that requests are sent from")
       ->required();
   command->add_option("--prefix", arguments->prefix,
                       "Prefix of each idempotency key; must differ between runs (default claim)");
--- a/programs/testbed/experiment_command.cc
+++ b/programs/testbed/experiment_command.cc
@@ -104,7 +104,7 @@
   auto arguments = std::make_shared<ExperimentArguments>();
   CLI::App* command = app.add_subcommand(
       "experiment", "Run a simulated experiment for each combination of parameters and seeds");
-  command->add_option("name", arguments->name, "Name of the experiment, such as routing (required)")
+  command->add_option("name", arguments->name, "Name of the experiment, such as routing")
       ->required();
   command->add_option(
       "--parameter", arguments->parameters,
--- a/programs/testbed/failures_command.cc
+++ b/programs/testbed/failures_command.cc
@@ -109,17 +109,15 @@
       "Send load to a fleet of real processes, inject failures by seed and check the record");
   command
       ->add_option("--directory", arguments->start_options.directory,
-                   "Folder for the fleets; each seed gets a subfolder (required)")
+                   "Folder for the fleets; each seed gets a subfolder")
       ->required();
-  command
-      ->add_option("--layout", arguments->start_options.layout,
-                   "Layout file of the fleet (required)")
+  command->add_option("--layout", arguments->start_options.layout, "Layout file of the fleet")
       ->required();
   command
       ->add_option("--configuration", arguments->start_options.configuration,
-                   "Configuration file applied to the fleet (required)")
+                   "Configuration file applied to the fleet")
       ->required();
-  command->add_option("--load", arguments->load, "Load file (required)")->required();
+  command->add_option("--load", arguments->load, "Load file")->required();
   command->add_option("--switchsaddle", arguments->start_options.switchsaddle,
                       "Path of the switchsaddle program (default: in the folder of this program)");
   command->add_option("--network", arguments->start_options.network,
--- a/programs/testbed/fleet_command.cc
+++ b/programs/testbed/fleet_command.cc
@@ -105,8 +105,7 @@
 CLI::App* addAction(CLI::App& fleet, const Arguments& arguments, const std::string& name,
                     const std::string& help, std::function<void(const FleetArguments&)> action) {
   CLI::App* command = fleet.add_subcommand(name, help);
-  command->add_option("--directory", arguments->directory, "Directory of the fleet (required)")
-      ->required();
+  command->add_option("--directory", arguments->directory, "Directory of the fleet")->required();
   command->callback([arguments, action = std::move(action)] { action(*arguments); });
   return command;
 }
@@ -116,15 +115,14 @@
   CLI::App* command = addAction(fleet, arguments, name, help, std::move(action));
   command
       ->add_option("names", arguments->names,
-                   "Names of processes, or cores, fronts, workers or all (required)")
+                   "Names of processes, or cores, fronts, workers or all")
       ->required();
 }
 
 void addUp(CLI::App& fleet, const Arguments& arguments) {
   CLI::App* command =
       addAction(fleet, arguments, "up", "Start a fleet and wait until it is ready", up);
-  command->add_option("--layout", arguments->layout, "Layout file of the fleet (required)")
-      ->required();
+  command->add_option("--layout", arguments->layout, "Layout file of the fleet")->required();
   command->add_option("--configuration", arguments->configuration,
                       "Configuration file applied when the cores are ready (default: none)");
   command->add_option("--switchsaddle", arguments->switchsaddle,
@@ -140,7 +138,7 @@
       addAction(fleet, arguments, "start", "Start processes that are not running", start);
   command
       ->add_option("names", arguments->names,
-                   "Names of processes, or cores, fronts, workers or all (required)")
+                   "Names of processes, or cores, fronts, workers or all")
       ->required();
   command->add_flag("--ready", arguments->wait_ready,
                     "Wait until the processes are ready (default: do not wait)");
--- a/programs/testbed/lightweight_fronts_command.cc
+++ b/programs/testbed/lightweight_fronts_command.cc
@@ -197,7 +197,7 @@
   CLI::App* command = app.add_subcommand(
       "lightweight-fronts",
       "Run many lightweight fronts, which have no callers, in one process; print CSV");
-  command->add_option("--seeds-cores", arguments->seeds, "IP:PORT of the cores to join (required)")
+  command->add_option("--seeds-cores", arguments->seeds, "IP:PORT of the cores to join")
       ->delimiter(',')
       ->required();
   command->add_option("--count", arguments->count, "Number of lightweight fronts (default 25)")
--- a/programs/testbed/load_command.cc
+++ b/programs/testbed/load_command.cc
@@ -36,12 +36,9 @@
 void addLoadCommand(CLI::App& app) {
   auto arguments = std::make_shared<LoadOptions>();
   CLI::App* command = app.add_subcommand("load", "Send load to a fleet and record each call");
-  command->add_option("--fleet", arguments->fleet, "Path of the fleet's fleet.json (required)")
-      ->required();
-  command->add_option("--load", arguments->load, "Load file (required)")->required();
-  command
-      ->add_option("--record", arguments->record,
-                   "Record file to create; must not exist (required)")
+  command->add_option("--fleet", arguments->fleet, "Path of the fleet's fleet.json")->required();
+  command->add_option("--load", arguments->load, "Load file")->required();
+  command->add_option("--record", arguments->record, "Record file to create; must not exist")
       ->required();
   command->add_option("--seconds", arguments->seconds,
                       "Time in seconds during which requests are sent (default 30)");
--- a/programs/testbed/platform_command.cc
+++ b/programs/testbed/platform_command.cc
@@ -155,11 +155,8 @@
   auto arguments = std::make_shared<PlatformArguments>();
   CLI::App* command =
       app.add_subcommand("platform", "Run the fake platform, which serves a list of workers");
-  command->add_option("--address", arguments->address, "IP:PORT to listen on (required)")
-      ->required();
-  command
-      ->add_option("--workers", arguments->workers_file,
-                   "JSON file that lists the workers (required)")
+  command->add_option("--address", arguments->address, "IP:PORT to listen on")->required();
+  command->add_option("--workers", arguments->workers_file, "JSON file that lists the workers")
       ->required();
   command->add_option("--lag-ms", arguments->lag_ms,
                       "Delay of the list in milliseconds (default 1000)");
--- a/programs/testbed/worker_command.cc
+++ b/programs/testbed/worker_command.cc
@@ -88,15 +88,11 @@
   auto arguments = std::make_shared<WorkerArguments>();
   testbed::WorkerOptions& options = arguments->options;
   CLI::App* command = app.add_subcommand("worker", "Run one fake worker");
-  command->add_option("--address", arguments->address, "IP:PORT to listen on (required)")
-      ->required();
-  command
-      ->add_option("--journal", arguments->journal,
-                   "Journal file that events are appended to (required)")
-      ->required();
-  command->add_option("--id", options.id, "Id of the worker (required)")->required();
-  command->add_option("--service", options.service, "Pool that the worker belongs to (required)")
+  command->add_option("--address", arguments->address, "IP:PORT to listen on")->required();
+  command->add_option("--journal", arguments->journal, "Journal file that events are appended to")
       ->required();
+  command->add_option("--id", options.id, "Id of the worker")->required();
+  command->add_option("--service", options.service, "Pool that the worker belongs to")->required();
   command->add_option("--models", options.models, "Models that the worker serves (default: none)")
       ->delimiter(',');
   command
