--- a/programs/switchsaddle/check_command.cc
+++ b/programs/switchsaddle/check_command.cc
@@ -17,14 +17,19 @@
                                                {"configuration", CheckKind::Configuration},
                                                {"settings", CheckKind::Settings}};
   auto options = std::make_shared<CheckOptions>();
-  CLI::App* command = app.add_subcommand("check", "Check a settings file or a configuration");
-  command->add_option("file", options->file, "The file")->required();
-  command->add_option("--kind", options->kind, "What the file is; told by its content if left out")
+  CLI::App* command =
+      app.add_subcommand("check", "Validate a settings file or a configuration file offline");
+  command->add_option("file", options->file, "Path of the file to check")->required();
+  command
+      ->add_option("--kind", options->kind, "Kind of the file (default: detect, from its content)")
       ->transform(CLI::CheckedTransformer(kinds).description("{configuration,settings,detect}"))
       ->type_name("KIND");
-  command->add_option("--role", options->role, "Check settings for this role: front or core")
+  command
+      ->add_option("--role", options->role,
+                   "Role that the settings are checked for, front or core (default: none, "
+                   "check the form only)")
       ->check(CLI::IsMember({"front", "core"}));
-  command->add_flag("--json", options->json, "Write the faults as JSON");
+  command->add_flag("--json", options->json, "Write the faults as JSON (default: text)");
   command_line::describeUse(*command,
                             {"switchsaddle check configuration.json",
                              "switchsaddle check front.json --kind settings --role front"});
--- a/programs/switchsaddle/core_command.cc
+++ b/programs/switchsaddle/core_command.cc
@@ -91,7 +91,7 @@
 }  // namespace
 
 void addCoreCommand(CLI::App& app, int& exit_code) {
-  CLI::App* command = app.add_subcommand("core", "Run a control-plane node");
+  CLI::App* command = app.add_subcommand("core", "Run a core: a node of the control plane");
   command_line::describeUse(*command,
                             {"switchsaddle core --settings core.json --data-folder data"});
   const auto options = addSettingsOptions(*command);
--- a/programs/switchsaddle/ctl_command_builder.cc
+++ b/programs/switchsaddle/ctl_command_builder.cc
@@ -69,17 +69,21 @@
 
 CtlCommandBuilder::CtlCommandBuilder(CLI::App& app, int& exit_code)
     : options_(std::make_shared<CtlOptions>()), exit_code_(exit_code) {
-  command_ = app.add_subcommand("ctl", "Operate a fleet over its control API");
+  command_ =
+      app.add_subcommand("ctl", "Read and change the state of a fleet through its control API");
   command_line::describeUse(*command_, {ExampleStart + "status"});
   command_->fallthrough();
   command_->require_subcommand(1);
-  command_->add_option("--address", options_->addresses, "Control addresses, IP:PORT[,IP:PORT]")
+  command_
+      ->add_option("--address", options_->addresses,
+                   "HTTP addresses of nodes, tried in this order: IP:PORT[,IP:PORT...]")
       ->delimiter(',')
       ->required();
-  CLI::Option* key = command_->add_option("--key", options_->key, "The operator's key");
-  command_->add_option("--key-file", options_->key_file, "File that holds the operator's key")
+  CLI::Option* key = command_->add_option("--key", options_->key, "Operator key (default: none)");
+  command_
+      ->add_option("--key-file", options_->key_file, "File whose first line is the operator key")
       ->excludes(key);
-  command_->add_flag("--json", options_->json, "Write answers as JSON");
+  command_->add_flag("--json", options_->json, "Write responses as JSON (default: tables)");
 }
 
 CLI::App* CtlCommandBuilder::addGroup(const CtlSubcommand& group) {
@@ -105,18 +109,23 @@
 }
 
 void addChangeIdOption(CLI::App* subcommand, std::string& change_id) {
-  subcommand->add_option("--change-id", change_id, "Names the change; same id for a resend");
+  subcommand->add_option("--change-id", change_id,
+                         "Idempotency key of the change; a retry must repeat it (default: random)");
 }
 
 void addChangeOptions(CLI::App* subcommand, const std::shared_ptr<ChangeArguments>& arguments) {
   addChangeIdOption(subcommand, arguments->change_id);
-  subcommand->add_option("--base-version", arguments->base_version, "Version the change is made on")
+  subcommand
+      ->add_option(
+          "--base-version", arguments->base_version,
+          "Configuration version that the change is based on (default: the version in force, or "
+          "the original one of a change that --change-id repeats)")
       ->each([arguments](const std::string&) { arguments->has_base_version = true; });
-  subcommand->add_flag("--dry-run", arguments->dry_run, "Check only");
+  subcommand->add_flag("--dry-run", arguments->dry_run, "Validate the change without writing it");
 }
 
 void addWatchOption(CLI::App* subcommand, bool& watch) {
-  subcommand->add_flag("--watch", watch, "Show it again each second until interrupted");
+  subcommand->add_flag("--watch", watch, "Show the current state every second until interrupted");
 }
 
 ExitCode showResource(OperatorClient& client, const std::string& target, bool watch) {
@@ -137,7 +146,7 @@
   std::ostringstream text;
   text << file.rdbuf();
   if (!file) {
-    throw base::Error(base::ResultCode::UnknownPath, "the file " + path + " cannot be read");
+    throw base::Error(base::ResultCode::UnknownPath, "cannot read the file '" + path + "'");
   }
   return text.str();
 }
--- a/programs/switchsaddle/ctl_core_set_commands.cc
+++ b/programs/switchsaddle/ctl_core_set_commands.cc
@@ -15,22 +15,23 @@
   const auto arguments = std::make_shared<ReplaceArguments>();
   CLI::App* command =
       builder.add(group,
-                  {"replace", "Put an empty core node in place of a lost one",
+                  {"replace", "Replace a lost core with an empty one",
                    "core replace 10.0.0.5:7000 10.0.0.9:7000"},
                   [arguments](OperatorClient& client) {
                     return client.replaceCore(base::NodeAddress::parse(arguments->old_member),
                                               base::NodeAddress::parse(arguments->new_member));
                   });
-  command->add_option("old", arguments->old_member, "Peer address of the member that leaves")
+  command->add_option("old", arguments->old_member, "Peer address of the lost core, IP:PORT")
+      ->required();
+  command->add_option("new", arguments->new_member, "Peer address of the empty core, IP:PORT")
       ->required();
-  command->add_option("new", arguments->new_member, "Peer address of the empty node")->required();
 }
 
 }  // namespace
 
 void addCoreSetCommands(CtlCommandBuilder& builder) {
-  CLI::App* group =
-      builder.addGroup({"core", "Change the core set", "core replace 10.0.0.5:7000 10.0.0.9:7000"});
+  CLI::App* group = builder.addGroup(
+      {"core", "Change the members of the core", "core replace 10.0.0.5:7000 10.0.0.9:7000"});
   addReplace(builder, group);
 }
 
--- a/programs/switchsaddle/ctl_maintenance_commands.cc
+++ b/programs/switchsaddle/ctl_maintenance_commands.cc
@@ -12,15 +12,17 @@
 };
 
 void addWorkerOptions(CLI::App* command, MaintenanceArguments& arguments) {
-  command->add_option("worker", arguments.worker, "The worker's id")->required();
+  command->add_option("worker", arguments.worker, "Id of the worker")->required();
   addChangeIdOption(command, arguments.change_id);
 }
 
 void addNext(CtlCommandBuilder& builder, CLI::App* group) {
   const auto change_id = std::make_shared<std::string>();
-  CLI::App* command = builder.add(
-      group, {"next", "Take out the sickest worker that may be missed", "maintenance next"},
-      [change_id](OperatorClient& client) { return client.maintainNext(*change_id); });
+  CLI::App* command =
+      builder.add(group,
+                  {"next", "Put the least healthy worker that its pool can spare into maintenance",
+                   "maintenance next"},
+                  [change_id](OperatorClient& client) { return client.maintainNext(*change_id); });
   addChangeIdOption(command, *change_id);
 }
 
@@ -28,7 +30,7 @@
   const auto watch = std::make_shared<bool>(false);
   CLI::App* command = builder.add(
       group,
-      {"status", "List the workers that are out, and what they still have",
+      {"status", "List the workers in maintenance and their requests in flight",
        "maintenance status --watch"},
       [watch](OperatorClient& client) { return showResource(client, "/v1/maintenance", *watch); });
   addWatchOption(command, *watch);
@@ -37,7 +39,7 @@
 void addStart(CtlCommandBuilder& builder, CLI::App* group) {
   const auto arguments = std::make_shared<MaintenanceArguments>();
   CLI::App* command =
-      builder.add(group, {"start", "Take out one worker", "maintenance start worker-7"},
+      builder.add(group, {"start", "Put one worker into maintenance", "maintenance start worker-7"},
                   [arguments](OperatorClient& client) {
                     return client.startMaintenance(arguments->worker, arguments->change_id);
                   });
@@ -46,19 +48,21 @@
 
 void addFinish(CtlCommandBuilder& builder, CLI::App* group) {
   const auto arguments = std::make_shared<MaintenanceArguments>();
-  CLI::App* command = builder.add(
-      group, {"finish", "Let a worker take requests again", "maintenance finish worker-7"},
-      [arguments](OperatorClient& client) {
-        return client.finishMaintenance(arguments->worker, arguments->change_id);
-      });
+  CLI::App* command =
+      builder.add(group,
+                  {"finish", "End the maintenance of a worker; it receives requests again",
+                   "maintenance finish worker-7"},
+                  [arguments](OperatorClient& client) {
+                    return client.finishMaintenance(arguments->worker, arguments->change_id);
+                  });
   addWorkerOptions(command, *arguments);
 }
 
 }  // namespace
 
 void addMaintenanceCommands(CtlCommandBuilder& builder) {
-  CLI::App* group =
-      builder.addGroup({"maintenance", "Take workers out for maintenance", "maintenance next"});
+  CLI::App* group = builder.addGroup(
+      {"maintenance", "Start and end the maintenance of workers", "maintenance next"});
   addNext(builder, group);
   addStatus(builder, group);
   addStart(builder, group);
--- a/programs/switchsaddle/ctl_transport.cc
+++ b/programs/switchsaddle/ctl_transport.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Above the time for which a node waits for the acknowledgement of a change. */
+/** Longer than a node waits for the acknowledgement of a change. */
 constexpr base::Duration ResponseTimeout = std::chrono::seconds(4);
 constexpr base::Duration ConnectTimeout = std::chrono::milliseconds(700);
 constexpr auto RetryDelay = std::chrono::milliseconds(300);
--- a/programs/switchsaddle/ctl_zone_commands.cc
+++ b/programs/switchsaddle/ctl_zone_commands.cc
@@ -12,22 +12,23 @@
 };
 
 void addZoneOptions(CLI::App* command, ZoneArguments& arguments) {
-  command->add_option("zone", arguments.zone, "The zone")->required();
+  command->add_option("zone", arguments.zone, "Name of the zone")->required();
   addChangeIdOption(command, arguments.change_id);
 }
 
 void addEvacuate(CtlCommandBuilder& builder) {
   const auto arguments = std::make_shared<ZoneArguments>();
-  CLI::App* command = builder.add({"evacuate", "Empty a zone", "evacuate north"},
-                                  [arguments](OperatorClient& client) {
-                                    return client.evacuate(arguments->zone, arguments->change_id);
-                                  });
+  CLI::App* command =
+      builder.add({"evacuate", "Send no new requests to the workers of a zone", "evacuate north"},
+                  [arguments](OperatorClient& client) {
+                    return client.evacuate(arguments->zone, arguments->change_id);
+                  });
   addZoneOptions(command, *arguments);
 }
 
 void addRestore(CtlCommandBuilder& builder) {
   const auto arguments = std::make_shared<ZoneArguments>();
-  CLI::App* command = builder.add({"restore", "Let a zone take work again", "restore north"},
+  CLI::App* command = builder.add({"restore", "End the evacuation of a zone", "restore north"},
                                   [arguments](OperatorClient& client) {
                                     return client.restore(arguments->zone, arguments->change_id);
                                   });
--- a/programs/switchsaddle/daemon_process.cc
+++ b/programs/switchsaddle/daemon_process.cc
@@ -100,15 +100,16 @@
     page.counter(name, help, static_cast<double>(value));
   };
   add("peer_messages_sent_total", "Messages sent to other nodes.", traffic.frames_sent);
-  add("peer_messages_received_total", "Messages taken from other nodes.", traffic.frames_received);
-  add("peer_messages_dropped_total", "Messages given up before they were sent.",
+  add("peer_messages_received_total", "Messages received from other nodes.",
+      traffic.frames_received);
+  add("peer_messages_dropped_total", "Messages to other nodes dropped before they were sent.",
       traffic.frames_dropped);
-  add("peer_messages_malformed_total", "Frames that could not be decoded.",
+  add("peer_messages_malformed_total", "Frames from other nodes that could not be decoded.",
       traffic.malformed_frames);
   add("peer_bytes_sent_total", "Bytes sent to other nodes.", traffic.bytes_sent);
-  add("peer_bytes_received_total", "Bytes of messages taken from other nodes.",
+  add("peer_bytes_received_total", "Bytes of messages received from other nodes.",
       traffic.bytes_received);
-  page.histogram("strand_lateness_seconds", "How late timers of the control strand run.",
+  page.histogram("strand_lateness_seconds", "Delay of the control strand's timers, in seconds.",
                  strand_watch_.lateness());
   page.process();
 }
--- a/programs/switchsaddle/front_command.cc
+++ b/programs/switchsaddle/front_command.cc
@@ -89,7 +89,7 @@
 }  // namespace
 
 void addFrontCommand(CLI::App& app, int& exit_code) {
-  CLI::App* command = app.add_subcommand("front", "Run a data-plane node");
+  CLI::App* command = app.add_subcommand("front", "Run a front: a node of the data plane");
   command_line::describeUse(*command, {"switchsaddle front --settings front.json"});
   const auto options = addSettingsOptions(*command);
   command->callback([options, &exit_code] {
--- a/programs/switchsaddle/http_platform_source.cc
+++ b/programs/switchsaddle/http_platform_source.cc
@@ -13,16 +13,17 @@
 
 constexpr std::uint16_t StatusOk = 200;
 
-/** @param response nullptr if there was none. */
+/** @param response nullptr if none was received. */
 workers::PlatformReading readingOf(const http::Response* response) {
   workers::PlatformReading reading;
   if (response == nullptr) {
-    reading.fault = "the platform did not answer";
+    reading.fault = "expected a response of the platform to GET /v1/workers, got none";
     return reading;
   }
   if (response->status != StatusOk) {
     reading.code = base::ResultCode::InvalidValue;
-    reading.fault = "the platform answered status " + std::to_string(response->status);
+    reading.fault = "expected status 200 of the platform for GET /v1/workers, got " +
+                    std::to_string(response->status);
     return reading;
   }
   return workers::parsePlatformList(response->body);
--- a/programs/switchsaddle/information_commands.cc
+++ b/programs/switchsaddle/information_commands.cc
@@ -11,8 +11,8 @@
 
 void addVersion(CLI::App& app) {
   auto json = std::make_shared<bool>(false);
-  CLI::App* command = app.add_subcommand("version", "Print the version");
-  command->add_flag("--json", *json, "Write it as JSON");
+  CLI::App* command = app.add_subcommand("version", "Print the version of this program");
+  command->add_flag("--json", *json, "Write the version as JSON (default: text)");
   command_line::describeUse(*command, {"switchsaddle version"});
   command->callback([json] {
     if (*json) {
@@ -25,8 +25,10 @@
 
 void addCompletion(CLI::App& app) {
   auto shell = std::make_shared<std::string>();
-  CLI::App* command = app.add_subcommand("completion", "Print a shell's completion script");
-  command->add_option("shell", *shell, "The shell")->required()->check(CLI::IsMember({"bash"}));
+  CLI::App* command = app.add_subcommand("completion", "Print a completion script for a shell");
+  command->add_option("shell", *shell, "Shell that the script is for")
+      ->required()
+      ->check(CLI::IsMember({"bash"}));
   command_line::describeUse(*command, {"source <(switchsaddle completion bash)"});
   command->callback([&app, shell] { std::cout << command_line::bashCompletion(app); });
 }
--- a/programs/switchsaddle/main.cc
+++ b/programs/switchsaddle/main.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-/** Entry of the daemon and operator binary: the role is a subcommand. */
+/** Entry point of the daemons and of the operators' commands, which are subcommands. */
 int main(int argument_count, char** arguments) {
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(arguments[0]);
--- a/programs/switchsaddle/platform_adapter.cc
+++ b/programs/switchsaddle/platform_adapter.cc
@@ -52,7 +52,8 @@
     return std::make_unique<TranslatingAdapter>();
   }
   throw base::Error(base::ResultCode::SettingsInvalid,
-                    "dialect: '" + settings.dialect + "' is not known", "dialect");
+                    "dialect: expected 'platform' or an empty text, got '" + settings.dialect + "'",
+                    "dialect");
 }
 
 }  // namespace switchsaddle
--- a/programs/switchsaddle/platform_adapter.h
+++ b/programs/switchsaddle/platform_adapter.h
@@ -28,7 +28,7 @@
   /**
    * Handles an operator's request in the platform's format.
    * @param respond called exactly once if the request is handled.
-   * @return false if the request is not one of the platform's.
+   * @return false if the request is not part of the platform's interface.
    */
   virtual bool handleControl(core::ControlService& control, const http::Request& request,
                              const std::function<void(http::Response)>& respond) = 0;
--- a/programs/switchsaddle/settings_options.cc
+++ b/programs/switchsaddle/settings_options.cc
@@ -14,7 +14,7 @@
 std::string readFile(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    throw base::Error(base::ResultCode::SettingsInvalid, "cannot read settings file " + path);
+    throw base::Error(base::ResultCode::SettingsInvalid, "cannot read the settings file " + path);
   }
   std::ostringstream text;
   text << file.rdbuf();
@@ -49,7 +49,8 @@
 }
 
 std::string describeFaults(const std::vector<configuration::Fault>& faults) {
-  std::string text = "the settings have " + std::to_string(faults.size()) + " fault(s)";
+  std::string text = "expected valid settings, found " + std::to_string(faults.size()) +
+                     " fault(s), one per line:";
   for (const configuration::Fault& fault : faults) {
     text += "\n  " + std::to_string(static_cast<int>(fault.code)) + " " + fault.path + ": " +
             fault.message;
@@ -74,18 +75,27 @@
 
 std::shared_ptr<SettingsOptions> addSettingsOptions(CLI::App& command) {
   auto options = std::make_shared<SettingsOptions>();
-  command.add_option("--settings", options->file, "Settings file (JSON)");
-  command.add_option("--peer-address", options->peer_address,
-                     "Where peers reach this process, IP:PORT");
-  command.add_option("--http-address", options->http_address, "HTTP address, IP:PORT");
-  command.add_option("--zone", options->zone, "Zone of this machine");
-  command.add_option("--region", options->region, "Region of this machine");
+  command.add_option("--settings", options->file,
+                     "Path of the settings file, JSON with comments (default: none)");
+  command.add_option(
+      "--peer-address", options->peer_address,
+      "Listening address for other nodes, IP:PORT (default: from the settings file)");
+  command.add_option("--http-address", options->http_address,
+                     "Listening address for callers and operators, IP:PORT (default: from the "
+                     "settings file)");
+  command.add_option("--zone", options->zone,
+                     "Zone of this node (default: from the settings file)");
+  command.add_option("--region", options->region,
+                     "Region of this node (default: from the settings file)");
   command.add_option("--data-folder", options->data_folder,
-                     "Folder of all files this process keeps");
-  command.add_option("--seed", options->seeds,
-                     "Peer address of a core process; several may be given");
+                     "Folder of stored data and log dumps (default: from the settings file)");
+  command.add_option(
+      "--seed", options->seeds,
+      "Peer address of a core, IP:PORT; repeat the option for several (default: from "
+      "the settings file)");
   command.add_option("--platform-address", options->platform_address,
-                     "The platform's address, IP:PORT");
+                     "Address of the platform that lists the workers, IP:PORT (default: from the "
+                     "settings file)");
   return options;
 }
 
