--- a/libraries/operator_client/include/switchsaddle/operator_client/control_endpoint.h
+++ b/libraries/operator_client/include/switchsaddle/operator_client/control_endpoint.h
@@ -14,7 +14,7 @@
 class ControlTransport {
  public:
   virtual ~ControlTransport() = default;
-  /** @return the complete response; nothing after a time-out, refusal or broken connection. */
+  /** @return the complete response; std::nullopt after any failure of the connection. */
   virtual std::optional<http::Response> exchange(const base::NodeAddress& address,
                                                  const http::Request& request) = 0;
   /** Waits before the next round of attempts. */
@@ -30,7 +30,7 @@
   bool awaits_force = false;
 };
 
-/** Outcome of a call: the last response, or none. */
+/** Outcome of a control request: the last response, or none. */
 struct ControlOutcome {
   bool is_answered = false;
   std::uint16_t status = 0;
@@ -41,19 +41,19 @@
 
 /**
  * The control API of a fleet, served by any of its nodes. Rotates through the addresses until a
- * response is final: the next node is called after a time-out or an error that is safe to retry.
+ * response is final: the next node is tried after a time-out or an error that is safe to retry.
  *
- * Invariant: all attempts of a call send identical requests, so that a change keeps its change_id
- * and is executed once. Not thread-safe.
+ * Invariant: all attempts of call() send identical requests, so that a change keeps its change_id
+ * and is applied once. Not thread-safe.
  */
 class ControlEndpoint {
  public:
   /** @param key the operator's key. */
   ControlEndpoint(ControlTransport& transport, std::vector<base::NodeAddress> addresses,
                   std::string key);
-  /** Calls the addresses in turn, at most MaximumRounds times each. */
+  /** Sends the request to the addresses in turn, at most MaximumRounds times each. */
   ControlOutcome call(const ControlCall& call);
-  /** Calls one node, without retries. */
+  /** Sends the request to one node, without retries. */
   ControlOutcome callAt(const base::NodeAddress& address, const ControlCall& call);
 
  private:
--- a/libraries/operator_client/include/switchsaddle/operator_client/operator_client.h
+++ b/libraries/operator_client/include/switchsaddle/operator_client/operator_client.h
@@ -20,10 +20,10 @@
 
 /** Options of a configuration change. */
 struct ChangeOptions {
-  /** Idempotency key; empty generates one. */
+  /** Idempotency key; a random one is generated if it is empty. */
   std::string change_id;
   /**
-   * Unset uses the original base version if the history contains the change_id, else the version in
+   * Default: the original base version if the history contains the change_id, else the version in
    * force.
    */
   std::optional<std::uint64_t> base_version;
@@ -33,11 +33,11 @@
 /** A key to be added. */
 struct KeyOptions {
   std::string tenant;
-  /** Empty lets the server derive the id. */
+  /** If empty, the server derives the id from the change_id. */
   std::string id;
-  /** Hash of the operator's secret; empty lets the server generate the secret. */
+  /** SHA-256 of the secret; if empty, the server generates the secret. */
   std::string sha256;
-  /** Idempotency key; empty generates one. */
+  /** Idempotency key; a random one is generated if it is empty. */
   std::string change_id;
 };
 
@@ -64,7 +64,7 @@
   ExitCode remove(const std::string& path, const ChangeOptions& options);
   /** Shows a resource of the control API. */
   ExitCode show(const std::string& target);
-  /** Shows the routing table of the answering node. @param model empty for all models. */
+  /** Shows the routing table of the node that responds. @param model empty for all models. */
   ExitCode showRouting(const std::string& model);
   /** Writes the configuration as a file that apply() accepts. */
   ExitCode get();
@@ -88,11 +88,11 @@
   ExitCode replaceCore(const base::NodeAddress& old_member, const base::NodeAddress& new_member);
 
  private:
-  /** Sends an order whose body contains only its change_id. */
-  ExitCode order(const std::string& target, const std::string& change_id);
-  /** Sends a DELETE with the change_id, which ends an order or revokes a key. */
-  ExitCode endOrder(const std::string& target, const std::string& change_id);
-  /** @return the node's state; nothing, with the failure reported, if it cannot be fetched. */
+  /** Sends a POST whose body contains only the change_id. */
+  ExitCode postWithChangeId(const std::string& target, const std::string& change_id);
+  /** Sends a DELETE with the change_id as a query parameter. */
+  ExitCode deleteWithChangeId(const std::string& target, const std::string& change_id);
+  /** @return the node's state; std::nullopt, with the failure reported, if it is unavailable. */
   std::optional<configuration::StateReport> fetchState(const base::NodeAddress& address);
 
   ControlEndpoint& endpoint_;
@@ -102,7 +102,7 @@
   std::unique_ptr<ChangeSubmitter> submitter_;
 };
 
-/** @return a change_id that is unique: 128 random bits. */
+/** @return a new change_id with 128 random bits. */
 std::string makeChangeId();
 
 }  // namespace switchsaddle::operator_client
--- a/libraries/operator_client/include/switchsaddle/operator_client/tables.h
+++ b/libraries/operator_client/include/switchsaddle/operator_client/tables.h
@@ -13,7 +13,7 @@
 std::string renderTable(const std::vector<TableRow>& rows);
 
 /**
- * Renders a response body for people: scalar members as lines, those of nested objects with their
+ * Renders a response body as text: scalar members as lines, those of nested objects with their
  * path, followed by lists of objects as tables with a column for each member. Long cells are
  * truncated.
  */
--- a/libraries/operator_client/source/change_submitter.cc
+++ b/libraries/operator_client/source/change_submitter.cc
@@ -21,7 +21,7 @@
 }
 
 std::string retryHint(const std::string& change_id) {
-  return "send it again with --change-id " + change_id;
+  return "run the command again with --change-id " + change_id;
 }
 
 ChangeSubmitter::ChangeSubmitter(ControlEndpoint& endpoint, OutcomeReporter& reporter)
@@ -50,7 +50,7 @@
     return options.base_version;
   }
   if (!options.change_id.empty()) {
-    // A repeated change must have its original base version to be recognised as the same change.
+    // A repeated change is recognised as the same change only with its original base version.
     if (const auto base_version = baseFromHistory(options.change_id)) {
       return base_version;
     }
@@ -71,9 +71,9 @@
   if (changes == nullptr) {
     return std::nullopt;
   }
-  for (const JsonValue& line : changes->elements) {
-    if (line.textOf("change_id") == change_id) {
-      return static_cast<std::uint64_t>(line.integerOf("version")) - 1;
+  for (const JsonValue& change : changes->elements) {
+    if (change.textOf("change_id") == change_id) {
+      return static_cast<std::uint64_t>(change.integerOf("version")) - 1;
     }
   }
   return std::nullopt;
--- a/libraries/operator_client/source/change_submitter.h
+++ b/libraries/operator_client/source/change_submitter.h
@@ -9,7 +9,7 @@
 
 namespace switchsaddle::operator_client {
 
-/** Submits configuration changes, with the right base version for new and repeated ones. */
+/** Submits configuration changes and determines the base version of new and repeated ones. */
 class ChangeSubmitter {
  public:
   ChangeSubmitter(ControlEndpoint& endpoint, OutcomeReporter& reporter);
@@ -21,9 +21,9 @@
   ExitCode submit(const std::string& members, const ChangeOptions& options);
 
  private:
-  /** @return the base version; nothing, with the failure reported, if it cannot be determined. */
+  /** @return the base version; std::nullopt, with the failure reported, if it is unavailable. */
   std::optional<std::uint64_t> findBaseVersion(const ChangeOptions& options);
-  /** @return the base version of a committed change; nothing if the history lacks it. */
+  /** @return the base version of a committed change; std::nullopt if the history lacks it. */
   std::optional<std::uint64_t> baseFromHistory(const std::string& change_id);
 
   ControlEndpoint& endpoint_;
@@ -33,7 +33,7 @@
 /** @return the given change_id, or a new one if it is empty. */
 std::string changeIdOrNew(const std::string& change_id);
 
-/** @return how to repeat the change with this id. */
+/** @return the instruction how to repeat the change with this id. */
 std::string retryHint(const std::string& change_id);
 
 }  // namespace switchsaddle::operator_client
--- a/libraries/operator_client/source/control_endpoint.cc
+++ b/libraries/operator_client/source/control_endpoint.cc
@@ -61,7 +61,7 @@
       if (isFinal(call, outcome)) {
         return outcome;
       }
-      // Errors and time-outs do not replace "committed", which remains true.
+      // A later error or time-out does not replace status 202: the change remains committed.
       const bool is_less_certain = !outcome.is_answered || last.status == StatusAccepted;
       if (!is_less_certain || outcome.status == StatusAccepted) {
         last = std::move(outcome);
--- a/libraries/operator_client/source/operator_client.cc
+++ b/libraries/operator_client/source/operator_client.cc
@@ -48,7 +48,7 @@
   std::vector<Fault> faults;
   const configuration::Document document = configuration::parseConfigurationFile(text, faults);
   if (!faults.empty()) {
-    reporter_->reportFaults("the file is not a configuration", faults);
+    reporter_->reportFaults("the configuration file is invalid:", faults);
     return ExitCode::Refused;
   }
   const std::string member = replace_all ? "\"document\":" : "\"set\":";
@@ -60,7 +60,7 @@
   std::vector<Fault> faults;
   const std::optional<JsonValue> value = configuration::parseJson(json, {}, path, faults);
   if (!value) {
-    reporter_->reportFaults("the value is not JSON", faults);
+    reporter_->reportFaults("expected a value in JSON:", faults);
     return ExitCode::Refused;
   }
   JsonWriter writer;
@@ -97,25 +97,26 @@
   return ExitCode::Done;
 }
 
-ExitCode OperatorClient::order(const std::string& target, const std::string& change_id) {
+ExitCode OperatorClient::postWithChangeId(const std::string& target, const std::string& change_id) {
   const std::string id = changeIdOrNew(change_id);
   JsonWriter writer;
   writer.beginObject().name("change_id").string(id).endObject();
   return reporter_->report(endpoint_.call({"POST", target, writer.text(), true}), retryHint(id));
 }
 
-ExitCode OperatorClient::endOrder(const std::string& target, const std::string& change_id) {
+ExitCode OperatorClient::deleteWithChangeId(const std::string& target,
+                                            const std::string& change_id) {
   const std::string id = changeIdOrNew(change_id);
   const std::string full_target = target + "?change_id=" + escapeForUrl(id);
   return reporter_->report(endpoint_.call({"DELETE", full_target, "", true}), retryHint(id));
 }
 
 ExitCode OperatorClient::evacuate(const std::string& zone, const std::string& change_id) {
-  return order("/v1/zones/" + escapeForUrl(zone) + "/evacuation", change_id);
+  return postWithChangeId("/v1/zones/" + escapeForUrl(zone) + "/evacuation", change_id);
 }
 
 ExitCode OperatorClient::restore(const std::string& zone, const std::string& change_id) {
-  return endOrder("/v1/zones/" + escapeForUrl(zone) + "/evacuation", change_id);
+  return deleteWithChangeId("/v1/zones/" + escapeForUrl(zone) + "/evacuation", change_id);
 }
 
 ExitCode OperatorClient::showWorkerHealth(const std::string& worker) {
@@ -123,16 +124,16 @@
 }
 
 ExitCode OperatorClient::maintainNext(const std::string& change_id) {
-  return order("/v1/maintenance/next", change_id);
+  return postWithChangeId("/v1/maintenance/next", change_id);
 }
 
 ExitCode OperatorClient::startMaintenance(const std::string& worker, const std::string& change_id) {
-  return order("/v1/maintenance/workers/" + escapeForUrl(worker), change_id);
+  return postWithChangeId("/v1/maintenance/workers/" + escapeForUrl(worker), change_id);
 }
 
 ExitCode OperatorClient::finishMaintenance(const std::string& worker,
                                            const std::string& change_id) {
-  return endOrder("/v1/maintenance/workers/" + escapeForUrl(worker), change_id);
+  return deleteWithChangeId("/v1/maintenance/workers/" + escapeForUrl(worker), change_id);
 }
 
 ExitCode OperatorClient::addKey(const KeyOptions& options) {
@@ -152,7 +153,7 @@
 }
 
 ExitCode OperatorClient::revokeKey(const std::string& id, const std::string& change_id) {
-  return endOrder("/v1/keys/" + escapeForUrl(id), change_id);
+  return deleteWithChangeId("/v1/keys/" + escapeForUrl(id), change_id);
 }
 
 std::optional<configuration::StateReport> OperatorClient::fetchState(
@@ -166,7 +167,8 @@
   std::optional<configuration::StateReport> report =
       configuration::parseStateReport(outcome.body, faults);
   if (!report) {
-    reporter_->reportFaults(address.toString() + " sent no report of beliefs", faults);
+    reporter_->reportFaults(address.toString() + " sent an invalid response to GET /v1/beliefs:",
+                            faults);
   }
   return report;
 }
@@ -194,9 +196,10 @@
   writer.name("old").string(old_member.toString());
   writer.name("new").string(new_member.toString());
   writer.endObject();
-  // A repeated request for a completed replacement gets the same answer.
-  const ExitCode code = reporter_->report(
-      endpoint_.call({"POST", "/v1/core/replacements", writer.text(), true}), "ask again");
+  // The response to a repeated request for a completed replacement is the same.
+  const ExitCode code =
+      reporter_->report(endpoint_.call({"POST", "/v1/core/replacements", writer.text(), true}),
+                        "run the same command again");
   if (code == ExitCode::Done && !json_) {
     out_ << old_member.toString() << " is replaced by " << new_member.toString() << "\n";
   }
--- a/libraries/operator_client/source/outcome_reporter.cc
+++ b/libraries/operator_client/source/outcome_reporter.cc
@@ -43,7 +43,8 @@
     out_ << (body ? renderBody(*body) : outcome.body);
   }
   if (outcome.status == StatusAccepted) {
-    errors_ << "committed, not yet in force on every front: " << retry_hint << "\n";
+    errors_ << "the change is committed, but not yet in force on every front; to wait for it, "
+            << retry_hint << "\n";
     return ExitCode::NotYetInForce;
   }
   return ExitCode::Done;
@@ -56,7 +57,7 @@
   }
   const std::optional<JsonValue> body = parseBody(outcome.body);
   const JsonValue* error = body ? body->find("error") : nullptr;
-  errors_ << outcome.address.toString() << " answered " << outcome.status << "\n";
+  errors_ << outcome.address.toString() << " responded with HTTP status " << outcome.status << "\n";
   if (error != nullptr) {
     writeErrorBody(*error, errors_);
   }
@@ -64,16 +65,16 @@
     errors_ << "the version in force is " << body->integerOf("version") << "\n";
   }
   if (outcome.status >= FirstServerError && !retry_hint.empty()) {
-    errors_ << "it may have been carried out: " << retry_hint << "\n";
+    errors_ << "the change may have been committed; to find out, " << retry_hint << "\n";
     return ExitCode::Unknown;
   }
   return ExitCode::Refused;
 }
 
 ExitCode OutcomeReporter::reportUnanswered(const std::string& retry_hint) {
-  errors_ << "no node answered";
+  errors_ << "no node responded";
   if (!retry_hint.empty()) {
-    errors_ << "; it may have been carried out: " << retry_hint;
+    errors_ << "; the change may have been committed; to find out, " << retry_hint;
   }
   errors_ << "\n";
   return ExitCode::Unknown;
@@ -82,7 +83,7 @@
 void OutcomeReporter::reportFaults(const std::string& message, const std::vector<Fault>& faults) {
   errors_ << message << "\n";
   for (const Fault& fault : faults) {
-    errors_ << "  " << (fault.path.empty() ? "(whole)" : fault.path) << ": "
+    errors_ << "  " << (fault.path.empty() ? "(whole input)" : fault.path) << ": "
             << static_cast<int>(fault.code) << " " << base::describe(fault.code).name << ": "
             << fault.message << "\n";
   }
--- a/libraries/operator_client/source/outcome_reporter.h
+++ b/libraries/operator_client/source/outcome_reporter.h
@@ -23,7 +23,7 @@
 
   /**
    * Writes any outcome.
-   * @param retry_hint how to repeat the request; empty if its outcome does not matter.
+   * @param retry_hint how to repeat the request; empty if it changes nothing.
    */
   ExitCode report(const ControlOutcome& outcome, const std::string& retry_hint);
   /** Writes an outcome that is not a success; see report(). */
--- a/libraries/operator_client/source/response_body.h
+++ b/libraries/operator_client/source/response_body.h
@@ -11,7 +11,7 @@
 inline constexpr std::uint16_t StatusAccepted = 202;
 inline constexpr std::uint16_t FirstServerError = 500;
 
-/** @return the JSON body of a response of the control API; nothing if it is not JSON. */
+/** @return the JSON body of a response of the control API; std::nullopt if it is not JSON. */
 std::optional<configuration::JsonValue> parseBody(const std::string& body);
 
 }  // namespace switchsaddle::operator_client
--- a/libraries/operator_client/source/tables.cc
+++ b/libraries/operator_client/source/tables.cc
@@ -64,7 +64,7 @@
   return rows;
 }
 
-/** Plain members come first, so that no line is taken for a row of a table. */
+/** Scalar members are written first, so that their lines cannot be mistaken for table rows. */
 struct Sections {
   std::string lines;
   std::string tables;
--- a/libraries/operator_client/test/operator_client_test.cc
+++ b/libraries/operator_client/test/operator_client_test.cc
@@ -19,7 +19,7 @@
   std::string body;
 };
 
-/** Responds from a script; a missing response or a status of zero is a time-out. */
+/** Sends scripted responses; times out if none is left or its status is zero. */
 class ScriptedTransport : public ControlTransport {
  public:
   std::optional<http::Response> exchange(const base::NodeAddress& address,
@@ -33,10 +33,10 @@
     return response.status == 0 ? std::nullopt : std::optional(response);
   }
   void pause() override { ++pauses; }
-  void answer(std::uint16_t status, const std::string& body = "{}") {
+  void respondWith(std::uint16_t status, const std::string& body = "{}") {
     script.push_back({status, {}, body});
   }
-  void beUnresponsive() { answer(0); }
+  void timeOut() { respondWith(0); }
 
   std::deque<http::Response> script;
   std::vector<SentRequest> sent;
@@ -55,10 +55,10 @@
 constexpr const char* RetrySafe = R"({"error": {"code": 7001, "retry_safe": true}})";
 
 TEST_F(OperatorClientTest, ARetrySendsTheIdenticalRequestToTheNextAddress) {
-  transport_.beUnresponsive();
-  transport_.answer(503, RetrySafe);
-  transport_.answer(202, R"({"version": 5})");
-  transport_.answer(200, R"({"version": 5, "acknowledged": true})");
+  transport_.timeOut();
+  transport_.respondWith(503, RetrySafe);
+  transport_.respondWith(202, R"({"version": 5})");
+  transport_.respondWith(200, R"({"version": 5, "acknowledged": true})");
   const ChangeOptions options{"id-1", 4, false};
   EXPECT_EQ(client_.set("evacuations/a", "{}", options), ExitCode::Done);
   ASSERT_EQ(transport_.sent.size(), 4);
@@ -71,22 +71,23 @@
   EXPECT_EQ(transport_.pauses, 1);
 }
 
-TEST_F(OperatorClientTest, CommittedIsKeptAfterLaterTimeouts) {
-  transport_.answer(202, R"({"version": 5})");
+TEST_F(OperatorClientTest, ReportsACommittedChangeDespiteLaterTimeouts) {
+  transport_.respondWith(202, R"({"version": 5})");
   EXPECT_EQ(client_.evacuate("north", "id-1"), ExitCode::NotYetInForce);
   EXPECT_EQ(transport_.sent.size(), 2 * MaximumRounds);
   EXPECT_THAT(errors_.str(), HasSubstr("--change-id id-1"));
 }
 
-TEST_F(OperatorClientTest, NoResponseIsUnknownAndNamesTheChange) {
+TEST_F(OperatorClientTest, ATimeoutIsUnknownAndReportsTheChangeId) {
   const ChangeOptions options{"id-1", 4, false};
   EXPECT_EQ(client_.remove("keys/a", options), ExitCode::Unknown);
   EXPECT_THAT(errors_.str(), HasSubstr("--change-id id-1 --base-version 4"));
 }
 
-TEST_F(OperatorClientTest, RejectionsAreFinalAndListTheirFaults) {
-  transport_.answer(200, R"({"version": 7})");
-  transport_.answer(422, R"({"version": 7, "error": {"code": 6002, "name": "ConfigurationInvalid",
+TEST_F(OperatorClientTest, ARejectionIsNotRetriedAndItsFaultsAreReported) {
+  transport_.respondWith(200, R"({"version": 7})");
+  transport_.respondWith(422,
+                         R"({"version": 7, "error": {"code": 6002, "name": "ConfigurationInvalid",
     "message": "m", "faults": [{"path": "a.b", "code": 1003, "message": "is missing"}]}})");
   EXPECT_EQ(client_.apply("{}", false, {}), ExitCode::Refused);
   EXPECT_EQ(transport_.sent.size(), 2);
@@ -95,38 +96,38 @@
   EXPECT_THAT(errors_.str(), HasSubstr("the version in force is 7"));
 }
 
-TEST_F(OperatorClientTest, ACommittedChangeIsRepeatedOnItsOriginalBase) {
-  transport_.answer(200, R"({"changes": [{"version": 3, "change_id": "id-1"}]})");
-  transport_.answer(200, R"({"version": 3})");
+TEST_F(OperatorClientTest, ARepeatedChangeKeepsItsOriginalBaseVersion) {
+  transport_.respondWith(200, R"({"changes": [{"version": 3, "change_id": "id-1"}]})");
+  transport_.respondWith(200, R"({"version": 3})");
   EXPECT_EQ(client_.apply("{}", true, {"id-1", {}, false}), ExitCode::Done);
   EXPECT_EQ(transport_.sent[1].body, R"({"change_id":"id-1","base_version":2,"document":{}})");
 }
 
-TEST_F(OperatorClientTest, FaultyInputIsNotSent) {
+TEST_F(OperatorClientTest, InvalidInputIsNotSent) {
   EXPECT_EQ(client_.apply(R"({"a": 1, "a": 2})", true, {}), ExitCode::Refused);
   EXPECT_EQ(client_.set("a", "{", {}), ExitCode::Refused);
   EXPECT_TRUE(transport_.sent.empty());
 }
 
-TEST_F(OperatorClientTest, DryRunsDoNotAwaitForce) {
-  transport_.answer(202);
+TEST_F(OperatorClientTest, ADryRunIsNotRetriedAfterStatus202) {
+  transport_.respondWith(202);
   EXPECT_EQ(client_.set("a", "1", {"id-1", 4, true}), ExitCode::NotYetInForce);
   EXPECT_EQ(transport_.sent[0].line, "POST /v1/configuration/changes?dry_run=true");
   EXPECT_EQ(transport_.sent.size(), 1);
 }
 
 TEST_F(OperatorClientTest, GetWritesAFileThatApplyAccepts) {
-  transport_.answer(200,
-                    R"({"version": 7, "digest": "d", "document": {"a/b": {"x": 1}, "c/d": 2}})");
+  transport_.respondWith(
+      200, R"({"version": 7, "digest": "d", "document": {"a/b": {"x": 1}, "c/d": 2}})");
   EXPECT_EQ(client_.get(), ExitCode::Done);
-  transport_.answer(200);
+  transport_.respondWith(200);
   EXPECT_EQ(client_.apply(out_.str(), true, {"id-1", 7, false}), ExitCode::Done);
   EXPECT_THAT(transport_.sent[1].body, HasSubstr(R"("document":{"a/b":{"x":1},"c/d":2})"));
 }
 
-TEST_F(OperatorClientTest, ComparesTheTwoNodes) {
-  transport_.answer(200, R"({"node": "a", "now_ms": 1, "beliefs": []})");
-  transport_.answer(200, R"({"node": "b", "now_ms": 1, "beliefs": [
+TEST_F(OperatorClientTest, ComparesTheStatesOfTwoNodes) {
+  transport_.respondWith(200, R"({"node": "a", "now_ms": 1, "beliefs": []})");
+  transport_.respondWith(200, R"({"node": "b", "now_ms": 1, "beliefs": [
     {"subject": "lease", "key": "k", "value": "v", "version": 1, "since_ms": 9}]})");
   EXPECT_EQ(client_.compare({"127.0.0.8", 8}, {"127.0.0.9", 9}), ExitCode::Refused);
   EXPECT_EQ(transport_.sent[0].address, "127.0.0.8:8");
@@ -135,9 +136,9 @@
   EXPECT_EQ(client_.compare({"127.0.0.8", 8}, {"127.0.0.9", 9}), ExitCode::Unknown);
 }
 
-TEST_F(OperatorClientTest, OrdersContainTheirChangeId) {
+TEST_F(OperatorClientTest, RequestsContainTheirChangeId) {
   for (int count = 0; count < 4; ++count) {
-    transport_.answer(200);
+    transport_.respondWith(200);
   }
   client_.restore("north", "c1");
   client_.revokeKey("k1", "c2");
@@ -194,7 +195,7 @@
   EXPECT_EQ(renderBody(*body), "set\n" + std::string(69, 'x') + "...\n");
 }
 
-TEST(MakeChangeIdTest, IdsDiffer) {
+TEST(MakeChangeIdTest, GeneratesDifferentIds) {
   EXPECT_NE(makeChangeId(), makeChangeId());
 }
 
