--- a/libraries/command_line/include/switchsaddle/command_line/command_line.h
+++ b/libraries/command_line/include/switchsaddle/command_line/command_line.h
@@ -14,9 +14,9 @@
  * Parses a command line and runs the callbacks of its subcommands. Exceptions of callbacks
  * propagate.
  * @param out receives requested help.
- * @param errors receives the fault of an invalid command line.
- * @return nothing if the callbacks ran; Done if help was requested; Usage if the command line is
- *     invalid.
+ * @param errors receives the error of an invalid command line.
+ * @return std::nullopt if the callbacks ran; Done if help was requested; Usage if the command line
+ * is invalid.
  */
 std::optional<ExitCode> parse(CLI::App& app, int argument_count, const char* const* arguments,
                               std::ostream& out, std::ostream& errors);
@@ -25,8 +25,8 @@
 void describeUse(CLI::App& command, std::initializer_list<std::string> examples);
 
 /**
- * @return a bash script that completes the application's subcommands and options, and file names
- *     elsewhere. Generated from the application's command tree.
+ * @return a bash script that completes the subcommands and options of the application's command
+ *     tree, and file names in other positions.
  */
 std::string bashCompletion(const CLI::App& app);
 
--- a/libraries/command_line/source/bash_completion.cc
+++ b/libraries/command_line/source/bash_completion.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Completions of one subcommand; the lists are separated by spaces. */
+/** Completions of one subcommand, as lists of words separated by spaces. */
 struct Level {
   /** Names of the subcommands from the root, separated by slashes. */
   std::string path;
@@ -64,8 +64,8 @@
 }
 
 /**
- * @return the body of the completion function: it follows the words before the cursor down the
- * tree, skipping the values of options, and offers the words of the level reached.
+ * @return the body of the completion function. It descends the command tree by the words before the
+ * cursor, skips the values of options, and completes from the words of the level reached.
  */
 std::string completionBody(const std::string& prefix, const std::string& root) {
   return "  local path='" + root +
--- a/libraries/command_line/test/command_line_test.cc
+++ b/libraries/command_line/test/command_line_test.cc
@@ -32,21 +32,21 @@
     return parse(app_, static_cast<int>(words.size()), words.data(), out_, errors_);
   }
 
-  /** @return the completions that bash offers for the last word, one per line. */
+  /** @return the completions of the last word in bash, one per line. */
   static std::string complete(const std::string& script, const std::string& words) {
     const std::string path = testing::TempDir() + "/completion-test.sh";
     std::ofstream file(path);
     file << script << "COMP_WORDS=(" << words << ")\n"
          << "COMP_CWORD=$((${#COMP_WORDS[@]} - 1))\n_tool\nprintf '%s\\n' \"${COMPREPLY[@]}\"\n";
     file.close();
-    std::string offered;
+    std::string completions;
     FILE* pipe = popen(("bash " + path).c_str(), "r");
     std::array<char, 256> buffer{};
     while (fgets(buffer.data(), buffer.size(), pipe) != nullptr) {
-      offered += buffer.data();
+      completions += buffer.data();
     }
     EXPECT_EQ(pclose(pipe), 0);
-    return offered;
+    return completions;
   }
 
   CLI::App app_{"A tool", "tool"};
@@ -75,7 +75,7 @@
   EXPECT_TRUE(out_.str().empty());
 }
 
-TEST_F(CommandLineTest, HelpIsDoneAndWrittenToTheOutput) {
+TEST_F(CommandLineTest, HelpIsWrittenToTheOutputAndExitsWithDone) {
   EXPECT_EQ(parseWords({"run", "--help"}), ExitCode::Done);
   EXPECT_NE(out_.str().find("--speed"), std::string::npos);
   EXPECT_TRUE(errors_.str().empty());
@@ -97,7 +97,7 @@
 
 TEST_F(CommandLineTest, BashCompletionSkipsTheValuesOfOptions) {
   const std::string script = bashCompletion(app_);
-  // "key" is the value of --speed here and no subcommand.
+  // "key" is the value of --speed here, not the subcommand.
   EXPECT_EQ(complete(script, "tool run --speed key --j"), "--json\n");
   EXPECT_EQ(complete(script, "tool run --speed ''"), "\n");
 }
