--- a/libraries/base/include/switchsaddle/base/callback_scope.h
+++ b/libraries/base/include/switchsaddle/base/callback_scope.h
@@ -7,8 +7,8 @@
 
 /**
  * Binds callbacks to the lifetime of the object that registers them: a callback wrapped by guard()
- * does nothing once its scope has been destroyed. Declared as the last member of its owner, so that
- * it ends before anything that the callbacks use. Runs on the owner's strand.
+ * does nothing once its scope has been destroyed. Must be the last member of its owner, so that it
+ * is destroyed before the members that the callbacks use. Runs on the owner's strand.
  */
 class CallbackScope {
  public:
@@ -17,8 +17,8 @@
   CallbackScope& operator=(const CallbackScope&) = delete;
 
   /**
-   * @param callback called with the arguments of the returned function; its result is dropped.
-   * @return a function that calls it while the scope exists. Copyable if the callback is.
+   * @param callback called with the arguments of the returned function; its result is ignored.
+   * @return a function that calls the callback while the scope exists; copyable if the callback is.
    */
   template <class Callback>
   auto guard(Callback callback) const {
--- a/libraries/base/include/switchsaddle/base/dispatcher.h
+++ b/libraries/base/include/switchsaddle/base/dispatcher.h
@@ -35,7 +35,7 @@
   virtual TimePoint now() const = 0;
   /** Creates a timer, initially disabled. */
   virtual TimerPtr createTimer(std::function<void()> callback) = 0;
-  /** Runs the callback on the strand after the current one returns. Thread-safe. */
+  /** Queues the callback on the strand; it never runs within this call. Thread-safe. */
   virtual void post(std::function<void()> callback) = 0;
 };
 
--- a/libraries/base/include/switchsaddle/base/incident.h
+++ b/libraries/base/include/switchsaddle/base/incident.h
@@ -20,7 +20,7 @@
   std::string request_id;
   /** Additional values; empty ones are not logged. */
   std::vector<LogField> fields;
-  /** Requests a dump of the log ring, which holds the events that led to the incident. */
+  /** Whether to dump the log ring, which contains the events that led to the incident. */
   bool dumps_ring = false;
 };
 
--- a/libraries/base/include/switchsaddle/base/incident_log.h
+++ b/libraries/base/include/switchsaddle/base/incident_log.h
@@ -23,8 +23,8 @@
 
 /**
  * Logs incidents as key=value lines and dumps the log ring into a folder for those that request it,
- * both rate-limited by event. Without a folder it logs once that the ring stays in memory. Failure
- * to write a dump is logged and never fatal. Runs on the control strand.
+ * both rate-limited by event. Without a folder it logs once that dumps are not written. Failure to
+ * write a dump is logged and never fatal. Runs on the control strand.
  */
 class IncidentLog : public IncidentSink {
  public:
--- a/libraries/base/include/switchsaddle/base/log.h
+++ b/libraries/base/include/switchsaddle/base/log.h
@@ -45,15 +45,15 @@
   std::vector<std::string> lines() const;
   /**
    * Writes the lines to an open file; async-signal-safe. If the ring is locked, by another thread
-   * or the interrupted one, a message to this effect is written instead.
+   * or the interrupted one, a message that says so is written instead.
    */
   void writeFromSignal(int file) const;
   /** @return the number of lines ever appended, including those dropped. */
   std::uint64_t appended() const;
 
   /**
-   * Writes the ring to `ring-N.log`, with N from 0 to files - 1. Uses a number without a file, else
-   * replaces the file modified longest ago.
+   * Writes the ring to `ring-N.log`, with N from 0 to files - 1. Uses the first number without a
+   * file; if there is none, replaces the file modified longest ago.
    * @param folder created if missing.
    * @param reason stated in the first line.
    * @return the path of the file.
--- a/libraries/base/include/switchsaddle/base/node_address.h
+++ b/libraries/base/include/switchsaddle/base/node_address.h
@@ -20,7 +20,7 @@
   std::string toString() const;
   /**
    * Parses "IP:PORT".
-   * @throws Error with InvalidAddress.
+   * @throws Error with InvalidAddress if the text has another form or the IP is not numeric.
    */
   static NodeAddress parse(std::string_view text);
 
--- a/libraries/base/include/switchsaddle/base/time.h
+++ b/libraries/base/include/switchsaddle/base/time.h
@@ -6,7 +6,8 @@
 
 /**
  * The machine's boot clock (CLOCK_BOOTTIME): monotonic, and advancing while the machine is
- * suspended. Time points of different machines are not comparable; messages contain durations only.
+ * suspended. Time points of different machines are not comparable, so messages contain only
+ * durations.
  */
 struct BootClock {
   using duration = std::chrono::nanoseconds;
--- a/libraries/base/source/crash_dump.cc
+++ b/libraries/base/source/crash_dump.cc
@@ -16,7 +16,7 @@
 constexpr std::array FatalSignals{SIGSEGV, SIGBUS, SIGFPE, SIGILL, SIGABRT};
 constexpr mode_t FileMode = 0640;
 
-/** State of the signal handler; set once, before the handlers are installed. */
+/** State of the signal handlers; set once, before they are installed. */
 const LogRing* crash_ring = nullptr;
 std::string* crash_path = nullptr;
 std::atomic<bool> crash_written{false};
@@ -37,7 +37,7 @@
 }
 
 void writeText(int file, std::string_view text) {
-  // A signal handler cannot report a failure.
+  // The result is ignored, since a signal handler cannot report a failure.
   [[maybe_unused]] const ssize_t written = ::write(file, text.data(), text.size());
 }
 
--- a/libraries/base/source/log.cc
+++ b/libraries/base/source/log.cc
@@ -118,7 +118,7 @@
 }
 
 void LogRing::writeFromSignal(int file) const {
-  constexpr std::string_view Busy = "the ring was in use\n";
+  constexpr std::string_view Busy = "log ring not written: it was locked when the signal arrived\n";
   constexpr std::string_view LineEnd = "\n";
   const std::unique_lock lock(mutex_, std::try_to_lock);
   if (!lock.owns_lock()) {
--- a/libraries/base/test/incident_log_test.cc
+++ b/libraries/base/test/incident_log_test.cc
@@ -85,9 +85,9 @@
 
 TEST_F(IncidentLogTest, TheDumpContainsTheLineThatCausedIt) {
   IncidentLog log(process_, processLogRing(), folder_);
-  Incident lapsed = incident("session-lapsed");
-  lapsed.request_id = "the-cause";
-  log.report(lapsed);
+  Incident cause = incident("session-lapsed");
+  cause.request_id = "the-cause";
+  log.report(cause);
   EXPECT_NE(readFile(folder_ / "ring-0.log").find("request_id=the-cause"), std::string::npos);
 }
 
@@ -103,20 +103,20 @@
 
 TEST_F(IncidentLogTest, LimitsLinesPerSecondAndStatesHowManyWereSuppressed) {
   IncidentLog log(process_, ring_, {}, {std::chrono::minutes(1), 5, 1});
-  const Incident flood{"no-quorum", Severity::Warning, ResultCode::NoQuorum, {}, {}, false};
+  const Incident repeated{"no-quorum", Severity::Warning, ResultCode::NoQuorum, {}, {}, false};
   const std::uint64_t before = processLogRing().appended();
   for (int number = 0; number < 100; ++number) {
-    log.report(flood);
+    log.report(repeated);
   }
   EXPECT_EQ(processLogRing().appended() - before, 5U);
   world_.runFor(std::chrono::seconds(1));
-  log.report(flood);
+  log.report(repeated);
   EXPECT_NE(processLogRing().lines().back().find("left_out=95"), std::string::npos);
-  log.report(flood);
+  log.report(repeated);
   EXPECT_EQ(processLogRing().lines().back().find("left_out"), std::string::npos);
 }
 
-TEST_F(IncidentLogTest, LogsAMissingFolderOnce) {
+TEST_F(IncidentLogTest, LogsOnceThatNoFolderIsSet) {
   IncidentLog log(process_, ring_, {});
   const auto warnings = [] {
     const std::vector<std::string> lines = processLogRing().lines();
@@ -131,7 +131,7 @@
   EXPECT_EQ(warnings() - before, 1);
 }
 
-TEST_F(IncidentLogTest, AnUnwritableFolderIsNotFatal) {
+TEST_F(IncidentLogTest, FailureToWriteADumpIsNotFatal) {
   std::ofstream(folder_ / "file") << "not a folder";
   IncidentLog log(process_, ring_, folder_ / "file");
   EXPECT_NO_THROW(log.report(incident("no-quorum")));
@@ -140,7 +140,7 @@
 
 using CrashDumpDeathTest = IncidentLogTest;
 
-TEST_F(CrashDumpDeathTest, AFatalSignalWritesTheRingAndEndsTheProcess) {
+TEST_F(CrashDumpDeathTest, AFatalSignalWritesTheRingAndTerminatesTheProcess) {
   EXPECT_EXIT(
       {
         installCrashDump(ring_, folder_);
@@ -150,7 +150,7 @@
   EXPECT_EQ(readFile(folder_ / CrashFileName), "reason=SIGSEGV\nearlier\n");
 }
 
-TEST_F(CrashDumpDeathTest, AnUncaughtExceptionWritesItsReason) {
+TEST_F(CrashDumpDeathTest, AnUncaughtExceptionWritesItsMessage) {
   EXPECT_EXIT(
       {
         installCrashDump(processLogRing(), folder_);
--- a/libraries/base/test/log_test.cc
+++ b/libraries/base/test/log_test.cc
@@ -47,7 +47,7 @@
   std::vector<std::string> messages;
 };
 
-TEST_F(LogTest, KeepsTheLastLinesInOrder) {
+TEST_F(LogTest, KeepsTheNewestLinesInOrder) {
   LogRing ring(3);
   for (int number = 0; number < 5; ++number) {
     ring.append(std::to_string(number));
@@ -65,7 +65,7 @@
             R"(severity=error event=failed reason="a \"b\"\x0a\\c=d")");
 }
 
-TEST_F(LogTest, SendsWarningsAndAboveToGlogAndAllToTheRing) {
+TEST_F(LogTest, WritesWarningsAndErrorsToGlogAndAllEventsToTheRing) {
   CollectingSink sink;
   const std::uint64_t before = processLogRing().appended();
   logEvent(Severity::Debug, "debugged");
@@ -114,7 +114,7 @@
   std::ofstream(folder / "file") << "not a folder";
   try {
     LogRing().dumpTo(folder / "file", "reason");
-    FAIL() << "wrote into a file as if it were a folder";
+    FAIL() << "expected StorageFailed, since the path is a file";
   } catch (const Error& error) {
     EXPECT_EQ(error.code(), ResultCode::StorageFailed);
   }
