--- a/libraries/http/include/switchsaddle/http/client.h
+++ b/libraries/http/include/switchsaddle/http/client.h
@@ -37,12 +37,13 @@
   virtual void onResponseHead(const Response& head) = 0;
   /**
    * @param bytes next bytes of the body.
-   * @param resume makes the client read on (back-pressure); may be called within this call.
+   * @param resume makes the client read the next bytes (back-pressure); may be called within this
+   *     call.
    */
   virtual void onBodyBytes(std::string bytes, std::function<void()> resume) = 0;
   /** The body is complete. */
   virtual void onComplete() = 0;
-  /** @param refused the server's host actively refused the connection. */
+  /** @param refused whether the server's host refused the connection. */
   virtual void onFailure(ExchangeFailure failure, bool refused) = 0;
 };
 
@@ -71,8 +72,8 @@
   /** Retry a GET once if it was lost on a reused connection. */
   bool retry_lost_get = true;
   /**
-   * Predicate that recognises the response to this request. A response for which it is false is
-   * read and discarded. Empty accepts any response.
+   * Returns whether a response belongs to this request. Other responses are read and discarded. If
+   * empty, any response is accepted.
    */
   std::function<bool(const Response& head)> accepts_response;
   /** Use a new connection for this exchange only. */
@@ -90,7 +91,7 @@
                                           const ExchangeOptions& options,
                                           std::shared_ptr<ExchangeObserver> observer) = 0;
   /**
-   * Exchange with a small response, collected in memory.
+   * Runs an exchange and collects its response in memory; for small responses.
    * @param callback receives the complete response, or nullptr and the failure.
    */
   virtual void fetch(const base::NodeAddress& address, Request request,
--- a/libraries/http/include/switchsaddle/http/server.h
+++ b/libraries/http/include/switchsaddle/http/server.h
@@ -25,8 +25,8 @@
   /** Sends the header of a streamed response. */
   virtual void startStream(Response head) = 0;
   /**
-   * Queues one chunk. Callers limit the chunks in flight (back-pressure).
-   * @param written called with true once the chunk is in the socket's buffer, with false if the
+   * Queues one chunk. The handler must limit the chunks in flight (back-pressure).
+   * @param written called with true when the chunk is in the socket's buffer, with false if the
    *     client has disconnected.
    */
   virtual void writeChunk(std::string chunk, std::function<void(bool)> written) = 0;
@@ -61,7 +61,7 @@
   virtual ~Server() = default;
   /** @return the address bound, with the actual port. */
   virtual base::NodeAddress address() const = 0;
-  /** Accepts no more connections; open ones close after their next response. */
+  /** Stops accepting connections; open ones close after their next response. */
   virtual void stopAccepting() = 0;
   /** Closes each connection after its next response ("Connection: close"); accepts new ones. */
   virtual void closeAfterResponses() = 0;
--- a/libraries/http/source/client_exchange.cc
+++ b/libraries/http/source/client_exchange.cc
@@ -54,7 +54,7 @@
   if (ended_.exchange(true)) {
     return;
   }
-  // Posted, since the observer, which end() releases, may be the caller.
+  // Posted, since end() releases the observer, which may be calling cancel().
   asio::post(client_->strand, [self = shared_from_this()] { self->end(); });
 }
 
--- a/libraries/http/source/client_exchange.h
+++ b/libraries/http/source/client_exchange.h
@@ -55,14 +55,14 @@
   void deliverHead();
   void readBody();
   void onBody(const boost::system::error_code& error);
-  /** Continues after a part of a response that is discarded. */
+  /** Continues after a chunk of a response that is discarded. */
   void onDiscardedBody(bool truncated);
   void deliverBody(bool truncated);
   void resume(std::uint64_t chunk);
 
   void complete();
   void returnToPool();
-  /** Retries on a new connection if that cannot run the request twice, else fails. */
+  /** Retries on a new connection if the request cannot run twice, else reports the failure. */
   void failBeforeHead(bool any_byte_sent);
   bool mayRetry(bool any_byte_sent) const;
   void fail(ExchangeFailure failure, bool refused = false);
@@ -88,11 +88,11 @@
   /** The connection is from the pool. */
   bool reused_ = false;
   std::size_t written_bytes_ = 0;
-  /** Reading has started; a long request may still be being written. */
+  /** Reading has started, possibly while a long request is still being written. */
   bool reading_ = false;
   /** The response being read belongs to another request. */
   bool discarding_ = false;
-  /** Time for which the server keeps the connection open, if it states it. */
+  /** Time for which the server keeps the connection open, if it sent one. */
   std::optional<base::Duration> keep_alive_timeout_;
   bool retried_ = false;
   std::atomic<bool> ended_ = false;
--- a/libraries/http/source/client_pool.cc
+++ b/libraries/http/source/client_pool.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::size_t MaximumConnectionsPerKey = 64;
-/** Below the usual limit of servers, so that they rarely close a connection first. */
+/** Below the usual limit of servers, so that a server rarely closes a connection first. */
 constexpr base::Duration DefaultIdleTimeout = std::chrono::seconds(30);
-/** Margin before the server's time-out, so that a request does not cross its close. */
+/** Margin before the server's time-out, so that it does not close during a request. */
 constexpr base::Duration ExpiryMargin = std::chrono::milliseconds(200);
 constexpr auto SweepInterval = std::chrono::seconds(10);
 
--- a/libraries/http/source/client_pool.h
+++ b/libraries/http/source/client_pool.h
@@ -26,17 +26,17 @@
 
 /**
  * Pool of idle keep-alive connections. Invariant: a connection that the server has closed or sent
- * unexpected bytes on is never handed out. Runs on the client's strand.
+ * unexpected bytes on is never reused. Runs on the client's strand.
  */
 class ClientPool {
  public:
   using Socket = boost::asio::ip::tcp::socket;
 
-  /** @return the connection released last that is usable and idle for at most `idle_limit`. */
+  /** @return the most recently released usable connection idle for at most `idle_limit`. */
   std::optional<Socket> acquire(const PoolKey& key, base::Duration idle_limit);
   /**
    * Adds an idle connection; closes it if the pool of the key is full.
-   * @param keep_alive_timeout time for which the server keeps the connection, if it states it.
+   * @param keep_alive_timeout time for which the server keeps the connection, if it sent one.
    */
   void release(const PoolKey& key, Socket socket, std::optional<base::Duration> keep_alive_timeout);
 
--- a/libraries/http/source/connection_writer.h
+++ b/libraries/http/source/connection_writer.h
@@ -11,7 +11,8 @@
 
 /**
  * The handler's writer of one exchange. Dispatches its calls to the server's strand; calls after
- * the end of the exchange do nothing. Destruction without a response answers with InternalError.
+ * the end of the exchange do nothing. If it is destroyed without a response, it sends
+ * InternalError.
  */
 class ConnectionWriter : public ResponseWriter {
  public:
--- a/libraries/http/source/response_parser.h
+++ b/libraries/http/source/response_parser.h
@@ -48,7 +48,7 @@
   std::array<char, BodyBufferBytes> body_buffer_;
 };
 
-/** @return the time-out of the Keep-Alive header; nothing if there is none. */
+/** @return the time-out of the Keep-Alive header; std::nullopt if there is none. */
 std::optional<base::Duration> keepAliveTimeout(const Response& head);
 
 }  // namespace switchsaddle::http
--- a/libraries/http/source/server_connection.h
+++ b/libraries/http/source/server_connection.h
@@ -72,7 +72,7 @@
     Streaming,
     /** The last bytes of the response are being written. */
     Finishing,
-    /** Remaining bytes of the client are discarded, so that it can read the response. */
+    /** The client's remaining bytes are discarded, so that it can read the response. */
     Lingering,
     Closed,
   };
--- a/libraries/http/test/client_test.cc
+++ b/libraries/http/test/client_test.cc
@@ -18,8 +18,8 @@
   }
 
   /**
-   * A server that reads a little of each connection, sends the given bytes and closes it;
-   * with `hold_open` it keeps the connection instead.
+   * A server that reads some bytes of each connection, sends the given bytes and closes the
+   * connection, or keeps it open if `hold_open` is set.
    */
   base::NodeAddress serveRaw(std::string answer, bool hold_open = false) {
     acceptor.emplace(context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
@@ -230,7 +230,7 @@
   std::string padding_ = std::string(100, 'x');
 };
 
-TEST_F(ClientTest, MayBeCancelledFromItsCallbacks) {
+TEST_F(ClientTest, AnExchangeMayBeCancelledFromItsCallbacks) {
   serveEcho();
   std::weak_ptr<Exchange> exchange;
   int calls = 0;
@@ -289,7 +289,7 @@
   EXPECT_EQ(observer->body, "right");
 }
 
-TEST_F(ClientTest, OnlyAResponseToAnotherRequestIsNoResponse) {
+TEST_F(ClientTest, ReportsNoResponseAfterOnlyAResponseToAnotherRequest) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nwrong");
   EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"}, onlyNamed())->failure,
--- a/libraries/http/test/server_test.cc
+++ b/libraries/http/test/server_test.cc
@@ -103,7 +103,7 @@
   EXPECT_TRUE(runUntil([&] { return server->openConnections() == 0; }));
 }
 
-TEST_F(ServerTest, AnswersAnExpectationToContinue) {
+TEST_F(ServerTest, RespondsToExpect100Continue) {
   serveEcho();
   const std::string received = exchangeRaw(
       "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\nConnection: "
@@ -255,7 +255,7 @@
   }
 }
 
-TEST_F(ServerTest, StopsAcceptingButCompletesOpenExchanges) {
+TEST_F(ServerTest, StopsAcceptingAndCompletesOpenExchanges) {
   ResponseWriterPtr kept;
   serve([&](const Request&, const ResponseWriterPtr& writer) { kept = writer; });
   const auto open = exchange({"GET", "/", {}, ""});
