--- a/libraries/allocation_tracker/include/switchsaddle/allocation_tracker/allocation_tracker.h
+++ b/libraries/allocation_tracker/include/switchsaddle/allocation_tracker/allocation_tracker.h
@@ -4,8 +4,8 @@
 
 /**
  * @file
- * For tests of decoders: replaces the global operator new of a program that links this by one that
- * records the largest requested size. Not thread-safe.
+ * For tests of decoders. A program that links this library gets a global operator new that records
+ * the largest requested size. Not thread-safe.
  */
 
 namespace switchsaddle::allocation_tracker {
--- a/libraries/metrics/include/switchsaddle/metrics/page.h
+++ b/libraries/metrics/include/switchsaddle/metrics/page.h
@@ -18,8 +18,8 @@
 
 /**
  * One scrape of a process's metrics in the Prometheus text format. Names get the prefix
- * "switchsaddle_". Metrics with the same name and different labels form one family, whose help text
- * is that of the first. Not thread-safe.
+ * "switchsaddle_". Metrics with the same name and different labels form one family with the help
+ * text of the first. Not thread-safe.
  */
 class Page {
  public:
--- a/libraries/metrics/include/switchsaddle/metrics/strand_watch.h
+++ b/libraries/metrics/include/switchsaddle/metrics/strand_watch.h
@@ -7,12 +7,13 @@
 namespace switchsaddle::metrics {
 
 /**
- * Measures the scheduling delay of the control strand: how late its timers fire. Reports each delay
- * from LateStrand on as the incident `strand-late`. Runs on that strand.
+ * Measures the scheduling delay of the control strand: the time between the due time of a timer and
+ * its callback. Reports each delay of at least LateStrand as the incident `strand-late`. Runs on
+ * that strand.
  */
 class StrandWatch {
  public:
-  /** Delay from which session renewals and calls between nodes may miss their time-outs. */
+  /** Minimum delay with which session renewals and peer requests may exceed their time-outs. */
   static constexpr base::Duration LateStrand = std::chrono::milliseconds(150);
 
   StrandWatch(base::Dispatcher& dispatcher, base::IncidentSink& incidents);
--- a/libraries/metrics/test/strand_watch_test.cc
+++ b/libraries/metrics/test/strand_watch_test.cc
@@ -30,7 +30,7 @@
   EXPECT_EQ(std::accumulate(counts.begin(), counts.end(), std::uint64_t{0}), 40U);
 }
 
-TEST_F(StrandWatchTest, ReportsTheDelayOfTheStrand) {
+TEST_F(StrandWatchTest, ReportsTheDelayInMilliseconds) {
   process_.freeze();
   world_.runFor(seconds(1));
   process_.wake();
