--- a/libraries/http/source/connection_writer.h
+++ b/libraries/http/source/connection_writer.h
@@ -54,7 +54,7 @@
     boost::asio::dispatch(strand_,
                           [connection = connection_, exchange = exchange_, chunk = std::move(chunk),
                            written = std::move(written)]() mutable {
-                            if (connection->current(exchange) && connection->streaming()) {
+                            if (connection->isCurrent(exchange) && connection->streaming()) {
                               connection->writeChunk(chunk, std::move(written));
                             } else if (written) {
                               connection->postWritten(std::move(written), false);
@@ -82,7 +82,7 @@
   void run(Action action) {
     boost::asio::dispatch(strand_, [connection = connection_, exchange = exchange_,
                                     action = std::move(action)]() mutable {
-      if (connection->current(exchange)) {
+      if (connection->isCurrent(exchange)) {
         action(*connection);
       }
     });
--- a/libraries/http/source/server_connection.cc
+++ b/libraries/http/source/server_connection.cc
@@ -96,7 +96,7 @@
   server_->connections.erase(shared_from_this());
 }
 
-bool ServerConnection::current(std::uint64_t exchange) const {
+bool ServerConnection::isCurrent(std::uint64_t exchange) const {
   const bool open = phase_ == Phase::Awaiting || phase_ == Phase::Streaming;
   return open && exchange == exchange_;
 }
@@ -108,7 +108,8 @@
     return;
   }
   if (buffer_.size() > 0) {
-    // The buffer may contain a complete request, after which the pending read would wait forever.
+    // The buffer may contain a complete request; then the client may send nothing more and the
+    // pending read would never return.
     error_code ignored;
     socket_.cancel(ignored);
     return;
@@ -331,7 +332,7 @@
   }
   if (phase_ == Phase::Closed) {
     asio::post(server_->strand, std::move(callback));
-  } else if (current(exchange)) {
+  } else if (isCurrent(exchange)) {
     client_disconnected_ = std::move(callback);
   }
 }
--- a/libraries/http/source/server_connection.h
+++ b/libraries/http/source/server_connection.h
@@ -48,7 +48,7 @@
   void start();
   void close();
   /** @return whether the exchange with this number is in progress. */
-  bool current(std::uint64_t exchange) const;
+  bool isCurrent(std::uint64_t exchange) const;
 
   // The functions of ResponseWriter for the exchange in progress.
   void respond(Response response);
--- a/libraries/http/test/client_test.cc
+++ b/libraries/http/test/client_test.cc
@@ -21,9 +21,9 @@
    * A server that reads some bytes of each connection, sends the given bytes and closes the
    * connection, or keeps it open if `hold_open` is set.
    */
-  base::NodeAddress serveRaw(std::string answer, bool hold_open = false) {
+  base::NodeAddress serveRaw(std::string response, bool hold_open = false) {
     acceptor.emplace(context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    raw_answer = std::move(answer);
+    raw_response = std::move(response);
     raw_hold_open = hold_open;
     acceptRaw();
     return {"127.0.0.1", acceptor->local_endpoint().port()};
@@ -39,7 +39,7 @@
       kept->async_read_some(boost::asio::buffer(*bytes),
                             [this, kept, bytes](const boost::system::error_code&, std::size_t) {
                               boost::system::error_code ignored;
-                              boost::asio::write(*kept, boost::asio::buffer(raw_answer), ignored);
+                              boost::asio::write(*kept, boost::asio::buffer(raw_response), ignored);
                               if (raw_hold_open) {
                                 raw_sockets.push_back(kept);
                               }
@@ -56,7 +56,7 @@
   }
 
   std::optional<tcp::acceptor> acceptor;
-  std::string raw_answer;
+  std::string raw_response;
   bool raw_hold_open = false;
   int raw_connections = 0;
   std::vector<std::shared_ptr<tcp::socket>> raw_sockets;
@@ -242,15 +242,15 @@
 
 TEST_F(ClientTest, ConnectsFromTheLocalAddress) {
   acceptor.emplace(context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-  std::string seen;
+  std::string remote_ip;
   acceptor->async_accept([&](const boost::system::error_code&, tcp::socket socket) {
-    seen = socket.remote_endpoint().address().to_string();
+    remote_ip = socket.remote_endpoint().address().to_string();
   });
   ExchangeOptions options;
   options.local_ip = "127.9.8.7";
   const base::NodeAddress address{"127.0.0.1", acceptor->local_endpoint().port()};
   runAt(address, {"GET", "/", {}, ""}, options);
-  EXPECT_EQ(seen, "127.9.8.7");
+  EXPECT_EQ(remote_ip, "127.9.8.7");
 }
 
 TEST_F(ClientTest, FetchReturnsTheCompleteResponseOrTheFailure) {
@@ -263,16 +263,16 @@
   server.reset();
   std::optional<ExchangeFailure> failure;
   client->fetch(address, {"GET", "/", {}, ""}, {},
-                [&](const Response* response, ExchangeFailure how) {
+                [&](const Response* response, ExchangeFailure kind) {
                   EXPECT_EQ(response, nullptr);
-                  failure = how;
+                  failure = kind;
                 });
   EXPECT_TRUE(runUntil([&] { return failure.has_value(); }));
   EXPECT_EQ(failure, ExchangeFailure::NotConnected);
 }
 
-/** Accepts only responses that name the request. */
-ExchangeOptions onlyNamed() {
+/** @return options that accept only responses with the request's id. */
+ExchangeOptions acceptOnlyOwnResponse() {
   ExchangeOptions options;
   options.accepts_response = [](const Response& head) {
     return head.header("Request-Id") == "mine";
@@ -284,7 +284,7 @@
   const base::NodeAddress address = serveRaw(
       "HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nwrong"
       "HTTP/1.1 200 OK\r\nRequest-Id: mine\r\nContent-Length: 5\r\n\r\nright");
-  const auto observer = runAt(address, {"POST", "/", {}, "x"}, onlyNamed());
+  const auto observer = runAt(address, {"POST", "/", {}, "x"}, acceptOnlyOwnResponse());
   EXPECT_EQ(observer->completions, 1);
   EXPECT_EQ(observer->body, "right");
 }
@@ -292,7 +292,7 @@
 TEST_F(ClientTest, ReportsNoResponseAfterOnlyAResponseToAnotherRequest) {
   const base::NodeAddress address =
       serveRaw("HTTP/1.1 200 OK\r\nRequest-Id: other\r\nContent-Length: 5\r\n\r\nwrong");
-  EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"}, onlyNamed())->failure,
+  EXPECT_EQ(runAt(address, {"POST", "/", {}, "x"}, acceptOnlyOwnResponse())->failure,
             ExchangeFailure::NoResponse);
 }
 
@@ -303,7 +303,7 @@
   const auto observer = runAt(address, {"POST", "/", {}, long_body});
   EXPECT_EQ(observer->completions, 1);
   EXPECT_EQ(observer->head->status, 503);
-  // The rest of the body is still unsent on that connection, which is not reused.
+  // That connection still has unsent bytes of the body, so it is not reused.
   runAt(address, {"POST", "/", {}, "x"});
   EXPECT_EQ(raw_connections, 2);
 }
@@ -315,13 +315,13 @@
   run({"POST", "/", {}, "x"});
   run({"POST", "/", {}, "x"});
   EXPECT_TRUE(runUntil([&] { return server->openConnections() <= 1; }));
-  ExchangeOptions never;
-  never.maximum_idle_time = {};
-  EXPECT_EQ(run({"POST", "/", {}, "x"}, never)->body, "x");
+  ExchangeOptions no_reuse;
+  no_reuse.maximum_idle_time = {};
+  EXPECT_EQ(run({"POST", "/", {}, "x"}, no_reuse)->body, "x");
 }
 
 TEST_F(ClientTest, AGetLostOnAReusedConnectionIsRetriedOnlyIfEnabled) {
-  for (const bool resend : {true, false}) {
+  for (const bool retry : {true, false}) {
     int requests = 0;
     serve([&](const Request&, const ResponseWriterPtr& writer) {
       if (++requests == 2) {
@@ -331,11 +331,11 @@
       }
     });
     ExchangeOptions options;
-    options.retry_lost_get = resend;
+    options.retry_lost_get = retry;
     run({"GET", "/", {}, ""}, options);
     const auto second = run({"GET", "/", {}, ""}, options);
-    EXPECT_EQ(second->completions, resend ? 1 : 0);
-    EXPECT_EQ(requests, resend ? 3 : 2);
+    EXPECT_EQ(second->completions, retry ? 1 : 0);
+    EXPECT_EQ(requests, retry ? 3 : 2);
   }
 }
 
--- a/libraries/http/test/http_fixture.h
+++ b/libraries/http/test/http_fixture.h
@@ -27,9 +27,9 @@
     }
   }
   void onComplete() override { ++completions; }
-  void onFailure(ExchangeFailure how, bool was_refused) override {
+  void onFailure(ExchangeFailure kind, bool was_refused) override {
     ++failures;
-    failure = how;
+    failure = kind;
     refused = was_refused;
   }
   bool ended() const { return completions + failures > 0; }
@@ -53,7 +53,7 @@
     server = startServer(context, {"127.0.0.1", 0}, limits, std::move(handler));
   }
 
-  /** Runs the context until the condition holds; @return false if the limit passes first. */
+  /** Runs the context until the condition holds; @return false if it does not within the limit. */
   bool runUntil(const std::function<bool()>& condition) {
     const auto end = std::chrono::steady_clock::now() + Limit;
     while (!condition()) {
@@ -80,7 +80,7 @@
     return observer;
   }
 
-  /** Connects a plain socket to the server, for input that no client sends. */
+  /** Connects a plain socket to the server, for input that the client class cannot send. */
   boost::asio::ip::tcp::socket connectRaw() {
     boost::asio::ip::tcp::socket socket(context);
     socket.connect({boost::asio::ip::make_address("127.0.0.1"), server->address().port});
--- a/libraries/http/test/server_test.cc
+++ b/libraries/http/test/server_test.cc
@@ -178,7 +178,7 @@
   EXPECT_TRUE(runUntil([&] { return disconnects == 1; }));
   kept->respond({200, {}, "late"});
   bool late_chunk = true;
-  kept->writeChunk("late", [&](bool taken) { late_chunk = taken; });
+  kept->writeChunk("late", [&](bool is_written) { late_chunk = is_written; });
   EXPECT_TRUE(runUntil([&] { return !late_chunk; }));
   EXPECT_EQ(disconnects, 1);
 }
@@ -207,11 +207,11 @@
   serve([&](const Request&, const ResponseWriterPtr& writer) {
     kept = writer;
     writer->startStream({200, {}, ""});
-    write_next = [&](bool taken) {
-      written += taken ? ChunkBytes : 0;
+    write_next = [&](bool is_written) {
+      written += is_written ? ChunkBytes : 0;
       if (written >= TotalBytes) {
         kept->endStream();
-      } else if (taken) {
+      } else if (is_written) {
         kept->writeChunk(std::string(ChunkBytes, 'x'), write_next);
       }
     };
@@ -249,7 +249,7 @@
   serveEcho();
   try {
     startServer(context, server->address(), {}, nullptr);
-    FAIL() << "listened twice";
+    FAIL() << "expected InvalidAddress, since the address is in use";
   } catch (const base::Error& error) {
     EXPECT_EQ(error.code(), base::ResultCode::InvalidAddress);
   }
@@ -313,7 +313,7 @@
                            R"("retry_safe":true,"path":"share/a"}})");
 }
 
-TEST(MessageTest, SplitsTargets) {
+TEST(MessageTest, ParsesRequestTargets) {
   EXPECT_EQ(targetPath("/a/b?c=d"), "/a/b");
   EXPECT_EQ(targetPath("/a"), "/a");
   EXPECT_EQ(queryParameter("/a?model=x%20y&b", "model"), "x y");
--- a/libraries/operator_client/source/outcome_reporter.cc
+++ b/libraries/operator_client/source/outcome_reporter.cc
@@ -83,7 +83,7 @@
 void OutcomeReporter::reportFaults(const std::string& message, const std::vector<Fault>& faults) {
   errors_ << message << "\n";
   for (const Fault& fault : faults) {
-    errors_ << "  " << (fault.path.empty() ? "(whole input)" : fault.path) << ": "
+    errors_ << "  " << (fault.path.empty() ? "(whole)" : fault.path) << ": "
             << static_cast<int>(fault.code) << " " << base::describe(fault.code).name << ": "
             << fault.message << "\n";
   }
--- a/programs/switchsaddle/ctl_command_builder.cc
+++ b/programs/switchsaddle/ctl_command_builder.cc
@@ -146,7 +146,8 @@
   std::ostringstream text;
   text << file.rdbuf();
   if (!file) {
-    throw base::Error(base::ResultCode::UnknownPath, "cannot read the file '" + path + "'");
+    throw base::Error(base::ResultCode::UnknownPath,
+                      "the file " + path + " cannot be opened or read");
   }
   return text.str();
 }
--- a/programs/switchsaddle/platform_adapter.cc
+++ b/programs/switchsaddle/platform_adapter.cc
@@ -51,9 +51,10 @@
   if (settings.dialect == PlatformDialectName) {
     return std::make_unique<TranslatingAdapter>();
   }
-  throw base::Error(base::ResultCode::SettingsInvalid,
-                    "dialect: expected 'platform' or an empty text, got '" + settings.dialect + "'",
-                    "dialect");
+  throw base::Error(
+      base::ResultCode::SettingsInvalid,
+      "dialect: '" + settings.dialect + "' is not known; expected 'platform' or an empty text",
+      "dialect");
 }
 
 }  // namespace switchsaddle
