--- a/libraries/http/source/connection_writer.h
+++ b/libraries/http/source/connection_writer.h
@@ -11,7 +11,8 @@
 
 /**
  * The handler's writer of one exchange. Dispatches its calls to the server's strand; calls after
- * the end of the exchange do nothing. Destruction without a response answers with InternalError.
+ * the end of the exchange do nothing. If it is destroyed without a response, it sends
+ * InternalError.
  */
 class ConnectionWriter : public ResponseWriter {
  public:
@@ -53,7 +54,7 @@
     boost::asio::dispatch(strand_,
                           [connection = connection_, exchange = exchange_, chunk = std::move(chunk),
                            written = std::move(written)]() mutable {
-                            if (connection->current(exchange) && connection->streaming()) {
+                            if (connection->isCurrent(exchange) && connection->streaming()) {
                               connection->writeChunk(chunk, std::move(written));
                             } else if (written) {
                               connection->postWritten(std::move(written), false);
@@ -81,7 +82,7 @@
   void run(Action action) {
     boost::asio::dispatch(strand_, [connection = connection_, exchange = exchange_,
                                     action = std::move(action)]() mutable {
-      if (connection->current(exchange)) {
+      if (connection->isCurrent(exchange)) {
         action(*connection);
       }
     });
--- a/libraries/http/test/server_test.cc
+++ b/libraries/http/test/server_test.cc
@@ -103,7 +103,7 @@
   EXPECT_TRUE(runUntil([&] { return server->openConnections() == 0; }));
 }
 
-TEST_F(ServerTest, AnswersAnExpectationToContinue) {
+TEST_F(ServerTest, RespondsToExpect100Continue) {
   serveEcho();
   const std::string received = exchangeRaw(
       "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\nConnection: "
@@ -178,7 +178,7 @@
   EXPECT_TRUE(runUntil([&] { return disconnects == 1; }));
   kept->respond({200, {}, "late"});
   bool late_chunk = true;
-  kept->writeChunk("late", [&](bool taken) { late_chunk = taken; });
+  kept->writeChunk("late", [&](bool is_written) { late_chunk = is_written; });
   EXPECT_TRUE(runUntil([&] { return !late_chunk; }));
   EXPECT_EQ(disconnects, 1);
 }
@@ -207,11 +207,11 @@
   serve([&](const Request&, const ResponseWriterPtr& writer) {
     kept = writer;
     writer->startStream({200, {}, ""});
-    write_next = [&](bool taken) {
-      written += taken ? ChunkBytes : 0;
+    write_next = [&](bool is_written) {
+      written += is_written ? ChunkBytes : 0;
       if (written >= TotalBytes) {
         kept->endStream();
-      } else if (taken) {
+      } else if (is_written) {
         kept->writeChunk(std::string(ChunkBytes, 'x'), write_next);
       }
     };
@@ -249,13 +249,13 @@
   serveEcho();
   try {
     startServer(context, server->address(), {}, nullptr);
-    FAIL() << "listened twice";
+    FAIL() << "expected InvalidAddress, since the address is in use";
   } catch (const base::Error& error) {
     EXPECT_EQ(error.code(), base::ResultCode::InvalidAddress);
   }
 }
 
-TEST_F(ServerTest, StopsAcceptingButCompletesOpenExchanges) {
+TEST_F(ServerTest, StopsAcceptingAndCompletesOpenExchanges) {
   ResponseWriterPtr kept;
   serve([&](const Request&, const ResponseWriterPtr& writer) { kept = writer; });
   const auto open = exchange({"GET", "/", {}, ""});
@@ -313,7 +313,7 @@
                            R"("retry_safe":true,"path":"share/a"}})");
 }
 
-TEST(MessageTest, SplitsTargets) {
+TEST(MessageTest, ParsesRequestTargets) {
   EXPECT_EQ(targetPath("/a/b?c=d"), "/a/b");
   EXPECT_EQ(targetPath("/a"), "/a");
   EXPECT_EQ(queryParameter("/a?model=x%20y&b", "model"), "x y");
