--- a/libraries/scenarios/include/switchsaddle/scenarios/control_sweep.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/control_sweep.h
@@ -8,15 +8,14 @@
 
 namespace switchsaddle::scenarios {
 
-/** The options of the configuration scenario under one seed: the seed also sets how the network
- * behaves, from prompt and lossless to slow, lossy and repeating. */
+/** The options of the configuration scenario for one seed. The seed also sets the network's delay,
+ * loss and duplication, from fast and lossless to slow and lossy. */
 ConfigurationScenarioOptions optionsForSeed(std::uint64_t seed);
 
 /** Names of the mechanisms that disableMechanism() knows. */
 std::vector<std::string> mechanisms();
 
-/** Switches one mechanism off; throws base::Error with InvalidValue for a name that is not known.
- */
+/** Switches one mechanism off; throws base::Error with InvalidValue if the name is unknown. */
 void disableMechanism(const std::string& mechanism, ConfigurationScenarioOptions& options);
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/include/switchsaddle/scenarios/disk_faults.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/disk_faults.h
@@ -9,24 +9,24 @@
 namespace switchsaddle::scenarios {
 
 /**
- * Brings disk faults over the cores of a fleet, one after the other: each kind of operation fails
- * at its next few uses, power is lost at each of the next operations, or at all cores while their
- * disks are slow; disks are full, stall for 20 s, and lose state (torn, flipped, truncated or
- * emptied files). At most two cores are impaired at one time, and at most one of them has lost
- * state, so that the promises of a majority stand.
+ * Injects disk faults at the cores of a fleet, one after the other. An operation of each kind
+ * fails; power is lost at one of the next operations of a core, or at all cores while their disks
+ * are slow; a disk is full, stalls for 20 s, or loses state (a torn write, a flipped byte, a
+ * truncated file, a wiped disk). At most two cores are impaired at one time, and at most one of
+ * them has lost state, so that a majority always keeps what it accepted.
  */
 class DiskFaults {
  public:
-  /** Runs an action after a delay, unless the trouble is over by then. */
-  using Later = std::function<void(base::Duration, std::function<void()>)>;
+  /** Runs an action after a delay, unless the time under faults has ended by then. */
+  using ScheduleFunction = std::function<void(base::Duration, std::function<void()>)>;
 
-  DiskFaults(Fleet& fleet, Later later);
+  DiskFaults(Fleet& fleet, ScheduleFunction schedule);
 
-  /** Brings about the next fault; a fault for which no core is fit is left out. */
+  /** Injects the next fault; skips it if no core qualifies for it. */
   void injectNext();
-  /** Whether one more core may lose its state without a majority being impaired. */
+  /** Whether one more core may lose its state within the limits of this class. */
   bool oneMoreMayLoseState() { return chooseCore(true, true) != nullptr; }
-  /** Takes back what is injected and still due. */
+  /** Clears the faults that were injected and have not occurred yet. */
   void end();
   std::size_t injected() const { return injected_; }
 
@@ -36,12 +36,12 @@
   void addFailures();
   void addPowerLosses();
   void addImpairments();
-  void addLossesOfState();
+  void addStateLosses();
   void powerLossAt(SimulatedCore& core, std::uint64_t nth);
-  void powerLossOfAll();
+  void powerLossOfAllCores();
   void restartSoon(SimulatedCore& core);
   void loseState(SimulatedCore& core, const std::function<void(SimulatedCore&)>& damage);
-  /** Does something to the bytes of a random record file. */
+  /** Truncates a random record file, or flips one of its bytes. */
   void damageFile(SimulatedCore& core, bool truncate);
   bool impaired(SimulatedCore& core) const;
   bool lostState(SimulatedCore& core) const;
@@ -54,11 +54,11 @@
   };
 
   Fleet& fleet_;
-  Later later_;
+  ScheduleFunction schedule_;
   std::vector<Entry> entries_;
   std::size_t next_;
   std::size_t injected_ = 0;
-  /** Until when each core's disk is full or stalls. */
+  /** When each core's full or stalled disk works again. */
   std::map<const SimulatedCore*, base::TimePoint> impaired_until_;
 };
 
--- a/libraries/scenarios/include/switchsaddle/scenarios/fake_operator.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/fake_operator.h
@@ -16,10 +16,10 @@
 /** The key that simulated operators use. */
 inline constexpr const char* SimulatedOperatorKey = "simulated-operator";
 
-/** The last thing an operator was told of one of its changes. */
+/** The last answer that an operator got to one of its changes. */
 enum class ChangeOutcome : std::uint8_t { Pending, Acknowledged, Conflict, Invalid };
 
-/** One change as its operator knows it. Each sets or removes one entry. */
+/** One change and its operator's record of the answers. Each sets or removes one entry. */
 struct OperatorChange {
   std::string change_id;
   std::uint64_t base_version = 0;
@@ -27,28 +27,28 @@
   std::string path;
   bool removes = false;
   ChangeOutcome outcome = ChangeOutcome::Pending;
-  /** The version it made, from Committed or Acknowledged answers, or that in force which a refused
-   * one was told. */
+  /** The version that the change made, or, if it was refused, the version in force according to
+   * the answer. */
   std::uint64_t version = 0;
-  /** The newest version any operator had been told to be in force when it was first sent. */
+  /** The newest version acknowledged to any operator when the change was first sent. */
   std::uint64_t in_force_before = 0;
-  /** Told once that it is committed. */
+  /** Whether any answer said that it is committed. */
   bool committed = false;
   /** Answers that contradict an earlier answer. */
   std::vector<std::string> contradictions;
 };
 
-/** What simulated operators change. */
+/** The kinds of entries that simulated operators change. */
 enum class ChangedEntries : std::uint8_t { Evacuations, EvacuationsAndKeys };
 
 /** The secret of the key that a change with this path sets. */
 std::string secretOfKey(const std::string& path);
 
 /**
- * An operator who makes one change after the other over the control API: sends each to a random
- * node, and sends it again, to another, until it gets a final answer. Takes its base version from
- * the newest version it has been told of, so that operators race. Now and then it sends one of its
- * earlier changes again, however old, and expects the first answer again.
+ * An operator that makes one change after the other over the control API. It sends each change to
+ * random nodes until it gets a final answer. The base version is the newest version from an answer
+ * to this operator, so that operators conflict with each other. At times it resends one of its
+ * earlier changes, however old, and expects the same answer as before.
  */
 class FakeOperator {
  public:
@@ -59,31 +59,32 @@
                std::string name, std::vector<base::NodeAddress> nodes);
 
   void setChangedEntries(ChangedEntries entries) { changed_entries_ = entries; }
-  /** Further nodes, fronts among them, to which changes are sent. */
+  /** Further nodes, such as fronts, to which changes are sent. */
   void addNodes(const std::vector<base::NodeAddress>& nodes);
   void setAcknowledgedListener(ChangeListener listener) { on_acknowledged_ = std::move(listener); }
-  /** Hears of a new change right before it is first sent, and may complete it. */
+  /** Called right before a new change is first sent; the listener may modify the change. */
   void setBegunListener(std::function<void(OperatorChange&)> listener) {
     on_begun_ = std::move(listener);
   }
-  /** Hears to which node a change goes, each time. */
+  /** Called with the node's address each time a change is sent. */
   void setSentListener(SentListener listener) { on_sent_ = std::move(listener); }
   void start();
-  /** Makes no further change; the present one is sent on until its final answer. */
+  /** Makes no further change; the current one is resent until its final answer. */
   void finish() { finishing_ = true; }
   /** Whether every change has its final answer. */
-  bool idle() const { return !present_.has_value(); }
+  bool idle() const { return !current_.has_value(); }
   const std::vector<OperatorChange>& changes() const { return changes_; }
   std::uint64_t resends() const { return resends_; }
-  /** Earlier changes that were sent again after their final answer. */
+  /** Number of earlier changes that were resent after their final answer. */
   std::uint64_t repetitions() const { return repetitions_; }
-  /** The newest version this operator was told of. */
+  /** The newest version in any answer to this operator. */
   std::uint64_t newestVersion() const { return newest_version_; }
-  /** Sends one request to a core; the callback gets its answer, or nothing where none came. */
+  /** Sends one request to a core; the callback gets the answer, or std::nullopt if none came. */
   void request(const base::NodeAddress& core, const std::string& method, const std::string& target,
                const std::string& request_body,
                std::function<void(std::optional<wire::ControlReply>)> callback);
-  /** Reads the configuration from a core; the body, or nothing where it was not answered 200. */
+  /** Reads the configuration from a core; the callback gets the body, or std::nullopt if the status
+   * was not 200. */
   void readConfiguration(const base::NodeAddress& core,
                          std::function<void(std::optional<std::string>)> callback);
 
@@ -115,9 +116,9 @@
   std::uint64_t resends_ = 0;
   std::uint64_t repetitions_ = 0;
   std::vector<OperatorChange> changes_;
-  /** Index of the change under way. */
-  std::optional<std::size_t> present_;
-  /** Entries this operator has set, by its own acknowledged changes. */
+  /** Index of the change that waits for its final answer. */
+  std::optional<std::size_t> current_;
+  /** Entries that are set by this operator's acknowledged changes. */
   std::vector<std::string> entries_;
 };
 
--- a/libraries/scenarios/include/switchsaddle/scenarios/fleet.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/fleet.h
@@ -15,45 +15,47 @@
   std::size_t cores = 5;
   std::size_t fronts = 3;
   std::size_t operators = 1;
-  /** The setting of how long fronts serve on while a majority of cores refuse connections. */
+  /** Setting: how long fronts keep serving while a majority of cores refuse connections. */
   base::Duration core_refused_grace = configuration::TimeSettings{}.core_refused_grace;
-  /** The setting by which the acceptor set grows; zero: it does not. */
+  /** Setting: losses of cores that the acceptor set is grown to tolerate; zero: it does not grow.
+   */
   std::uint32_t tolerated_core_losses = 0;
-  /** The setting by which it is spread over zones. */
+  /** Setting: losses of zones that the acceptor set is spread to tolerate. */
   std::uint32_t tolerated_zone_losses = 0;
-  /** The setting by which cores read the platform's list before any has the watcher's lease. */
+  /** Setting: cores read the platform's list before any core holds the watcher's lease. */
   bool list_before_lease = false;
-  /** The setting of how long a change waits until it is in force everywhere. */
+  /** Setting: how long a change may wait until it is in force everywhere. */
   base::Duration acknowledgement_deadline = configuration::TimeSettings{}.acknowledgement_deadline;
 };
 
-/** The body of a first change with whatever a stream needs; its key is secretOfKey(CallerKey). */
+/** The body of a first change with all entries that a stream needs. The caller's key is
+ * secretOfKey(CallerKey). */
 std::string firstChange();
 inline constexpr const char* CallerKey = "keys/caller";
 
 /**
- * A simulated fleet in one world: whole cores and fronts, operators and the platform, at fixed
- * addresses, for scenarios that bring about one chain of events. Everything runs from the start but
- * the operators.
+ * A simulated fleet in one world: complete cores and fronts, operators and the platform, at fixed
+ * addresses. Everything but the operators is started by the constructor.
  */
 class Fleet {
  public:
   Fleet(std::uint64_t seed, FleetSize size, core::CoreFaults core_faults = {},
         sessions::SessionClientFaults front_faults = {});
 
-  /** A further, empty core at a new address, with the same seeds and no initial cores. All others
-   * are in FirstZone. */
+  /** Starts a further core with an empty disk at a new address, with the same seeds and no initial
+   * cores. The cores of the constructor are in FirstZone. */
   SimulatedCore& addCore(const std::string& zone = FirstZone);
-  /** Lists one worker that serves the streams of firstChange(). */
+  /** Adds one worker to the platform's list; it serves the route of firstChange(). */
   void addModelWorker();
   /** Sends a change to the cores in turn until it is acknowledged. */
   bool commitChange(const std::string& body, base::Duration limit);
-  /** Runs until every front would dispatch by this version or a newer one. */
+  /** Runs until every front would dispatch with this version or a newer one. */
   bool runUntilAllServe(std::uint64_t version, base::Duration limit);
   bool allServe(std::uint64_t version) const;
-  /** Whether a running core's instance is in the settled set which a majority of cores hold. */
+  /** Whether the core runs and a majority of cores has its instance in an acceptor set without a
+   * pending change. */
   bool admitted(SimulatedCore& core) const;
-  /** The first core which holds a lease, by its status; nullptr where none does. */
+  /** The first core that holds the lease according to its own status, or nullptr if none does. */
   SimulatedCore* holderOf(const std::string& lease);
 
   static constexpr const char* FirstZone = "zone";
--- a/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
@@ -12,42 +12,44 @@
 
 namespace switchsaddle::scenarios {
 
-/** What happens to the fleet while a tenant sends many times its usual. */
+/** The options of one run, in which one tenant sends many times its usual rate. */
 struct LimitsScenarioOptions {
   std::uint64_t seed = 1;
-  /** Fronts and cores are killed, frozen, woken, cut off, and all cores restarted. */
+  /** Fronts and cores are killed and frozen, cores are partitioned, and all cores restart at once.
+   */
   bool faults = true;
   /** Share of attempts that every worker refuses. */
   double worker_refusal = 0;
-  /** Nothing listens at one model worker. */
+  /** One model worker refuses all connections. */
   bool closed_worker = false;
-  /** The configured share of retries in first tries; at most 0.5. */
+  /** The configured ratio of retries to first attempts; at most 0.5. */
   double retry_share = 0.1;
   base::Duration duration = std::chrono::seconds(20);
 };
 
-/** What callers and workers saw. */
+/** What callers and workers recorded, and the checker's report. */
 struct LimitsScenarioResult {
   testbed::Evidence evidence;
   testbed::BranchLimitReport report;
-  /** Answers by result code; 0 for those that were served. */
+  /** Number of answers by result code; 0 for served requests. */
   std::map<int, int> answers;
-  /** Attempts at each worker's address. */
+  /** Number of attempts at each worker's address. */
   std::map<base::NodeAddress, int> attempts;
   int unanswered = 0;
 };
 
 /**
- * Real cores and fronts in one world, with simulated workers, and two tenants: one at its usual and
- * one at ten times its usual. Each tenant has a branch for streams and one for one-shots. Judged by
- * the same code as a real fleet, from the calls and from what the workers saw.
+ * Complete cores and fronts in one world, with simulated workers and two tenants: one at its usual
+ * rate and one at ten times that rate. Each tenant has one branch for streams and one for one-shot
+ * requests. The checker is the same code as for a real fleet; it reads the callers' and the
+ * workers' records.
  */
-class LimitsScenario : private WorkerWitness {
+class LimitsScenario : private WorkerEventListener {
  public:
   explicit LimitsScenario(const LimitsScenarioOptions& options);
   ~LimitsScenario() override;
 
-  /** Runs once. Throws std::runtime_error where the fleet does not come up. */
+  /** Runs once. Throws std::runtime_error if the fleet does not start or is not configured. */
   LimitsScenarioResult run();
 
  private:
@@ -66,9 +68,9 @@
   void sendArrivals();
   void record(testbed::CallEvent event);
   void scheduleFaults();
-  void disturb();
-  void disturbFront();
-  void disturbCores();
+  void injectFault();
+  void injectFrontFault();
+  void injectCoreFault();
   void restartLater(SimulatedCore& core, base::Duration after);
   void restoreAll();
   base::Duration randomTime(std::uint64_t shortest_ms, std::uint64_t longest_ms);
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_core.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_core.h
@@ -11,7 +11,7 @@
 
 namespace switchsaddle::scenarios {
 
-/** The platform's worker list, one for the whole simulated fleet. Answers at once. */
+/** The platform's worker list for the whole simulated fleet. Answers immediately. */
 class SimulatedPlatform : public workers::PlatformSource {
  public:
   void read(std::function<void(workers::PlatformReading)> callback) override;
@@ -21,26 +21,26 @@
 
 /** How a simulated process ends. */
 enum class CrashKind : std::uint8_t {
-  /** The process is killed; the machine lives, so that nothing written is lost. */
+  /** The process is killed; the machine runs on, so no written data is lost. */
   Kill,
-  /** The machine loses its power; what was not synced may be lost. */
+  /** The machine loses power; data that was not synced may be lost. */
   PowerLoss,
-  /** The machine is lost with its disk. */
+  /** The process is killed and its disk is wiped. */
   Wipe,
 };
 
-/** A simulated machine with a disk, on which a core node runs, is killed, and runs again. */
+/** A simulated machine with a disk, on which a core node can be started and killed repeatedly. */
 class SimulatedCore {
  public:
   SimulatedCore(simulation::World& world, simulation::Network& network,
                 workers::PlatformSource& platform, configuration::Settings settings,
                 core::CoreFaults faults = {});
 
-  /** Starts the process, with whatever the disk holds. */
+  /** Starts the process with the present content of the disk. */
   void start();
   void kill(CrashKind crash);
   bool running() const { return incarnation_ != nullptr; }
-  /** The next piece of the running process's disk work takes this much longer. */
+  /** Delays the next disk task of the running process by this duration. */
   void stallDisk(base::Duration duration) {
     if (incarnation_) {
       incarnation_->executor->stallNext(duration);
@@ -49,11 +49,11 @@
   simulation::Process& process() { return process_; }
   simulation::SimulatedDisk& disk() { return disk_; }
   const base::NodeAddress& address() const { return settings_.peer_address; }
-  /** The node of the present life; only while running. */
+  /** The node of the current incarnation; only while running. */
   core::CoreNode& node() { return *incarnation_->node; }
 
  private:
-  /** All that dies with the process. */
+  /** All state that is lost with the process. */
   struct Incarnation {
     std::unique_ptr<transport::Transport> transport;
     std::unique_ptr<transport::PeerCalls> calls;
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_front.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_front.h
@@ -8,23 +8,23 @@
 
 namespace switchsaddle::scenarios {
 
-/** A simulated machine on which a front runs, is killed, and runs again as a new process. */
+/** A simulated machine on which a front can be started and killed repeatedly. */
 class SimulatedFront {
  public:
   SimulatedFront(simulation::World& world, simulation::Network& network, SimulatedWorkers& workers,
                  configuration::Settings settings);
 
   void start();
-  /** The connections to its workers are closed with it. */
+  /** Kills the process, which also closes its connections to workers. */
   void kill();
   bool running() const { return incarnation_ != nullptr; }
   simulation::Process& process() { return process_; }
   const base::NodeAddress& address() const { return settings_.peer_address; }
-  /** The node of the present life; only while running. */
+  /** The node of the current incarnation; only while running. */
   front::FrontNode& node() { return *incarnation_->node; }
 
  private:
-  /** All that dies with the process. */
+  /** All state that is lost with the process. */
   struct Incarnation {
     std::unique_ptr<transport::Transport> transport;
     std::unique_ptr<transport::PeerCalls> calls;
--- a/libraries/scenarios/include/switchsaddle/scenarios/simulated_workers.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/simulated_workers.h
@@ -10,36 +10,36 @@
 
 namespace switchsaddle::scenarios {
 
-/** How the simulated workers treat requests. */
+/** How the simulated workers handle requests. */
 struct WorkerConditions {
   base::Duration shortest_run = std::chrono::milliseconds(50);
   base::Duration longest_run = std::chrono::milliseconds(600);
-  /** Chance that an attempt is refused with 503 before it runs. */
+  /** Probability that an attempt is refused with 503 before it runs. */
   double refusal = 0;
-  /** Workers at which nothing listens. */
+  /** Workers that refuse all connections. */
   std::set<base::NodeAddress> closed;
 };
 
-/** Hears what the workers see, at the very instant. */
-class WorkerWitness {
+/** Is notified of events at the workers, at the simulated time at which they happen. */
+class WorkerEventListener {
  public:
-  virtual ~WorkerWitness() = default;
-  /** An attempt reached a worker's address, whatever came of it. */
+  virtual ~WorkerEventListener() = default;
+  /** An attempt reached a worker's address, whatever its outcome. */
   virtual void onAttempt(const front::WorkerRequest& request) = 0;
   virtual void onStart(const front::WorkerRequest& request) = 0;
   virtual void onEnd(const front::WorkerRequest& request) = 0;
 };
 
 /**
- * All workers of a simulated fleet. A stream ends when its front closes the connection or is
- * killed; a one-shot runs to its end whatever becomes of its front.
+ * All workers of a simulated fleet. A stream request ends early when its front closes the
+ * connection or is killed; a one-shot request always runs to its end.
  */
 class SimulatedWorkers {
  public:
-  SimulatedWorkers(simulation::World& world, WorkerWitness& fleet_knowledge)
-      : world_(world), witness_(fleet_knowledge) {}
+  SimulatedWorkers(simulation::World& world, WorkerEventListener& listener)
+      : world_(world), listener_(listener) {}
 
-  /** The workers as one process reaches them. */
+  /** A port through which one process sends requests to the workers. */
   std::unique_ptr<front::WorkerPort> connect(simulation::Process& process);
 
   WorkerConditions conditions;
@@ -53,7 +53,7 @@
   void end(Run& run);
 
   simulation::World& world_;
-  WorkerWitness& witness_;
+  WorkerEventListener& listener_;
 };
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/include/switchsaddle/scenarios/watched_front.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/watched_front.h
@@ -16,20 +16,20 @@
   base::NodeAddress front;
   /** The configuration version in force at the front when it sent the request. */
   std::uint64_t version = 0;
-  /** The caller's key, which callers of the simulation put into their prompts. */
+  /** The caller's key, which simulated callers put into their prompts. */
   std::string key;
 };
 
-/** A caller's answer: the key it used and the HTTP status it was told. */
+/** A caller's answer: the key it used and the HTTP status it received. */
 struct CallerAnswer {
   std::string key;
   std::uint16_t status = 0;
 };
 
 /**
- * A whole front in the simulation: the very FrontNode of the daemon, on a simulated network, with
- * workers that answer each stream at once and slots that may take a while to come. Operators reach
- * its control API by ControlRequest messages, in place of HTTP.
+ * A complete front in the simulation: the daemon's FrontNode on a simulated network, with workers
+ * that answer each stream immediately and slots that may be granted with a delay. Operators reach
+ * its control API by ControlRequest messages instead of HTTP.
  */
 class WatchedFront {
  public:
@@ -40,26 +40,26 @@
                configuration::Settings settings, sessions::SessionClientFaults faults = {});
   ~WatchedFront();
 
-  /** Both outlive the lives of the process. */
+  /** The listeners stay set when the process is killed and restarted. */
   void setDispatchListener(DispatchListener listener) { on_dispatch_ = std::move(listener); }
   void setAnswerListener(AnswerListener listener) { on_answer_ = std::move(listener); }
-  /** Starts the process without any knowledge. */
+  /** Starts a new process, which has no state of earlier ones. */
   void start();
   void kill();
   bool running() const { return incarnation_ != nullptr; }
   simulation::Process& process() { return process_; }
   const base::NodeAddress& address() const { return settings_.peer_address; }
-  /** The node of the present life; only while running. */
+  /** The node of the current incarnation; only while running. */
   front::FrontNode& node();
-  /** The journal of the present life; only while running. */
+  /** The journal of the current incarnation; only while running. */
   const journal::Journal& journal() const;
-  /** A caller opens a stream under this key; nothing where the process does not run. */
+  /** Opens a stream with this key as a caller; does nothing if the process does not run. */
   void openStream(const std::string& key);
-  /** The version work would be dispatched by at this moment; nothing where none would be. */
+  /** The version with which the front would dispatch now, or std::nullopt if it would not. */
   std::optional<std::uint64_t> dispatchVersion() const;
-  /** What it believes of the workers; nullptr while it does not run. */
+  /** The front's view of the workers; nullptr while it does not run. */
   workers::WorkerSnapshotPtr workers() const;
-  /** It hears from a worker it knows that this one is draining; only while running. */
+  /** Reports to the front that a worker in its view is draining; only while running. */
   void onDraining(const std::string& worker);
 
  private:
--- a/libraries/scenarios/source/configuration_faults.cc
+++ b/libraries/scenarios/source/configuration_faults.cc
@@ -4,7 +4,7 @@
 #include "random_duration.h"
 #include "switchsaddle/scenarios/configuration_scenario.h"
 
-/** The faults which the configuration scenario brings about. */
+/** The faults that the configuration scenario injects. */
 
 namespace switchsaddle::scenarios {
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** Part of the faults that befall disks, where these are asked for. */
+/** Share of disk faults among all faults, if disk faults are enabled. */
 constexpr double DiskFaultShare = 0.7;
 
 }  // namespace
@@ -31,18 +31,18 @@
       break;
     case 2:
     case 3:
-      freezeSome();
+      freezeRandomNode();
       break;
     case 4:
-      cutSome();
+      partitionRandomNodes();
       break;
     case 5:
-      cutCores();
+      partitionCores();
       break;
     case 6:
-      // The disk troubles keep count of the disks they empty themselves.
+      // With disk faults, DiskFaults wipes disks and limits how many have lost their state.
       if (!disk_faults_) {
-        wipeOne();
+        wipeRandomCore();
       }
       break;
     case 7:
@@ -52,10 +52,10 @@
       restartInTurn();
       break;
     case 9:
-      freezeThenCutOffFront();
+      isolateFrontAfterFreeze();
       break;
     case 10:
-      restartCoresUnseen();
+      restartCoresDuringIsolation();
       break;
     default:
       killFront();
@@ -64,7 +64,7 @@
 }
 
 void ConfigurationScenario::restart(SimulatedCore& core, base::Duration longest) {
-  later(randomDuration(fleet_.world.random(), milliseconds(100), longest), [&core] {
+  schedule(randomDuration(fleet_.world.random(), milliseconds(100), longest), [&core] {
     if (!core.running()) {
       core.start();
     }
@@ -83,10 +83,11 @@
   }
 }
 
-/** A core that was just sent a change may be killed or frozen before it has proposed it. */
-void ConfigurationScenario::harmProposer(const base::NodeAddress& node) {
+/** Sometimes kills or freezes a core that was just sent a change, before or while it proposes it.
+ */
+void ConfigurationScenario::injectProposerFault(const base::NodeAddress& node) {
   base::RandomSource& random = fleet_.world.random();
-  if (calm_ || !random.chance(0.04)) {
+  if (faults_ended_ || !random.chance(0.04)) {
     return;
   }
   for (const auto& core : fleet_.cores) {
@@ -94,19 +95,19 @@
       continue;
     }
     const bool freezes = random.chance(0.5);
-    later(randomDuration(random, milliseconds(0), milliseconds(15)),
-          [this, &proposer = *core, freezes] {
-            if (!proposer.running()) {
-              return;
-            }
-            ++result_.faults;
-            if (freezes) {
-              freezeFor(proposer.process(), seconds(20));
-            } else {
-              proposer.kill(CrashKind::PowerLoss);
-              restart(proposer, seconds(3));
-            }
-          });
+    schedule(randomDuration(random, milliseconds(0), milliseconds(15)),
+             [this, &proposer = *core, freezes] {
+               if (!proposer.running()) {
+                 return;
+               }
+               ++result_.faults;
+               if (freezes) {
+                 freezeFor(proposer.process(), seconds(20));
+               } else {
+                 proposer.kill(CrashKind::PowerLoss);
+                 restart(proposer, seconds(3));
+               }
+             });
   }
 }
 
@@ -115,16 +116,16 @@
     return;
   }
   process.freeze();
-  later(randomDuration(fleet_.world.random(), milliseconds(100), longest), [this, &process] {
+  schedule(randomDuration(fleet_.world.random(), milliseconds(100), longest), [this, &process] {
     if (process.running() && process.frozen()) {
       process.wake();
-      // At this very moment a woken front has heard nothing yet.
+      // Checks the front before it processes any message that arrived while it was frozen.
       poll();
     }
   });
 }
 
-void ConfigurationScenario::freezeSome() {
+void ConfigurationScenario::freezeRandomNode() {
   base::RandomSource& random = fleet_.world.random();
   const bool is_front = random.chance(0.5);
   simulation::Process& process = is_front
@@ -133,25 +134,25 @@
   freezeFor(process, random.chance(0.2) ? seconds(20) : seconds(4));
 }
 
-/** Cuts a node off from all cores, for up to `longest`. */
-void ConfigurationScenario::cutOff(const base::NodeAddress& node, base::Duration longest) {
+/** Partitions a node from all cores, for at most `longest`. */
+void ConfigurationScenario::isolateNode(const base::NodeAddress& node, base::Duration longest) {
   for (const auto& core : fleet_.cores) {
     fleet_.network.cut(node, core->address());
   }
-  later(randomDuration(fleet_.world.random(), milliseconds(500), longest),
-        [this] { fleet_.network.healAll(); });
+  schedule(randomDuration(fleet_.world.random(), milliseconds(500), longest),
+           [this] { fleet_.network.healAll(); });
 }
 
-/** A front wakes to answers from before its freeze, and gets none after them. */
-void ConfigurationScenario::freezeThenCutOffFront() {
+/** A front processes answers from before its freeze when it wakes, and receives none after them. */
+void ConfigurationScenario::isolateFrontAfterFreeze() {
   base::RandomSource& random = fleet_.world.random();
   WatchedFront& front = *fleet_.fronts[random.below(fleet_.fronts.size())];
   if (!front.running() || front.process().frozen()) {
     return;
   }
   front.process().freeze();
-  later(randomDuration(random, milliseconds(200), milliseconds(950)), [this, &front] {
-    cutOff(front.address(), seconds(3));
+  schedule(randomDuration(random, milliseconds(200), milliseconds(950)), [this, &front] {
+    isolateNode(front.address(), seconds(3));
     if (front.running() && front.process().frozen()) {
       front.process().wake();
       poll();
@@ -159,11 +160,11 @@
   });
 }
 
-/** Cores forget their session tables while a front with a session can't reach them. */
-void ConfigurationScenario::restartCoresUnseen() {
+/** Cores lose their session tables by a restart while a front with a session can't reach them. */
+void ConfigurationScenario::restartCoresDuringIsolation() {
   base::RandomSource& random = fleet_.world.random();
   const WatchedFront& front = *fleet_.fronts[random.below(fleet_.fronts.size())];
-  cutOff(front.address(), seconds(3));
+  isolateNode(front.address(), seconds(3));
   for (const auto& core : fleet_.cores) {
     if (core->running() && random.chance(0.9)) {
       core->kill(CrashKind::Kill);
@@ -172,8 +173,8 @@
   }
 }
 
-/** The cores fall into two parts, of one or two and of the rest; all else reaches both. */
-void ConfigurationScenario::cutCores() {
+/** Partitions one or two cores from the other cores; all other nodes reach both sides. */
+void ConfigurationScenario::partitionCores() {
   base::RandomSource& random = fleet_.world.random();
   const std::size_t count = fleet_.cores.size();
   const std::size_t first = random.below(count);
@@ -184,11 +185,11 @@
                          fleet_.cores[(first + outside) % count]->address());
     }
   }
-  later(randomDuration(random, milliseconds(100), seconds(6)),
-        [this] { fleet_.network.healAll(); });
+  schedule(randomDuration(random, milliseconds(100), seconds(6)),
+           [this] { fleet_.network.healAll(); });
 }
 
-void ConfigurationScenario::cutSome() {
+void ConfigurationScenario::partitionRandomNodes() {
   base::RandomSource& random = fleet_.world.random();
   std::vector<base::NodeAddress> others;
   for (const auto& core : fleet_.cores) {
@@ -210,20 +211,20 @@
       }
     }
   }
-  later(randomDuration(random, milliseconds(100), seconds(4)),
-        [this] { fleet_.network.healAll(); });
+  schedule(randomDuration(random, milliseconds(100), seconds(4)),
+           [this] { fleet_.network.healAll(); });
 }
 
-void ConfigurationScenario::wipeOne() {
-  // More disks lost at once than a minority would lose data by design.
-  if (wiped_ != nullptr && !fleet_.admitted(*wiped_)) {
+void ConfigurationScenario::wipeRandomCore() {
+  // The design loses data if more than a minority of disks is lost at once.
+  if (last_wiped_core_ != nullptr && !fleet_.admitted(*last_wiped_core_)) {
     return;
   }
   SimulatedCore& core = *fleet_.cores[fleet_.world.random().below(fleet_.cores.size())];
   if (!fleet_.admitted(core)) {
     return;
   }
-  wiped_ = &core;
+  last_wiped_core_ = &core;
   core.kill(CrashKind::Wipe);
   restart(core, seconds(3));
 }
@@ -234,7 +235,7 @@
     return;
   }
   front.kill();
-  later(randomDuration(fleet_.world.random(), milliseconds(50), seconds(2)), [&front] {
+  schedule(randomDuration(fleet_.world.random(), milliseconds(50), seconds(2)), [&front] {
     if (!front.running()) {
       front.start();
     }
@@ -245,7 +246,7 @@
   for (const auto& front : fleet_.fronts) {
     if (front->running()) {
       front->kill();
-      later(randomDuration(fleet_.world.random(), milliseconds(50), seconds(1)), [&front] {
+      schedule(randomDuration(fleet_.world.random(), milliseconds(50), seconds(1)), [&front] {
         if (!front->running()) {
           front->start();
         }
@@ -260,7 +261,7 @@
   const auto turn = milliseconds(400);
   if (fronts) {
     for (const auto& front : fleet_.fronts) {
-      later(delay, [&front] {
+      schedule(delay, [&front] {
         front->kill();
         front->start();
       });
@@ -269,7 +270,7 @@
     return;
   }
   for (const auto& core : fleet_.cores) {
-    later(delay, [&core] {
+    schedule(delay, [&core] {
       if (core->running()) {
         core->kill(CrashKind::Kill);
         core->start();
--- a/libraries/scenarios/source/configuration_scenario.cc
+++ b/libraries/scenarios/source/configuration_scenario.cc
@@ -16,16 +16,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** How often each front is looked at. */
+/** Interval between checks of each front. */
 constexpr base::Duration PollInterval = milliseconds(5);
-/** How often a stream is opened at each front. */
+/** Interval between streams opened at each front. */
 constexpr base::Duration StreamInterval = milliseconds(20);
-/** How often an operator reads the configuration. */
+/** Interval between an operator's reads of the configuration. */
 constexpr base::Duration ReadInterval = milliseconds(25);
 constexpr std::uint16_t StatusOk = 200;
 constexpr std::uint16_t StatusUnavailable = 503;
 
-/** The version in a configuration that was read; nothing where there is none. */
+/** The version in the body of a configuration read, or std::nullopt if it has none. */
 std::optional<std::uint64_t> versionIn(const std::string& body) {
   std::vector<configuration::Fault> faults;
   const auto parsed = configuration::parseJson(body, {}, "", faults);
@@ -42,15 +42,15 @@
 
 ConfigurationScenario::~ConfigurationScenario() = default;
 
-void ConfigurationScenario::violate(std::string what) {
+void ConfigurationScenario::addViolation(std::string what) {
   result_.violations.push_back(
       std::to_string(base::toMilliseconds(fleet_.world.now().time_since_epoch())) +
       " ms: " + std::move(what));
 }
 
-void ConfigurationScenario::later(base::Duration delay, std::function<void()> action) {
+void ConfigurationScenario::schedule(base::Duration delay, std::function<void()> action) {
   fleet_.world.schedule(delay, [this, action = std::move(action)] {
-    if (!calm_) {
+    if (!faults_ended_) {
       action();
     }
   });
@@ -76,23 +76,23 @@
   for (const auto& one : fleet_.operators) {
     one->addNodes(front_addresses);
     one->setChangedEntries(ChangedEntries::EvacuationsAndKeys);
-    one->setBegunListener([this](OperatorChange& change) { noteBegun(change); });
+    one->setBegunListener([this](OperatorChange& change) { onChangeBegun(change); });
     one->setAcknowledgedListener([this](const OperatorChange& change) {
-      noteAcknowledged(change);
+      onChangeAcknowledged(change);
       poll();
     });
-    one->setSentListener([this](const base::NodeAddress& node) { harmProposer(node); });
+    one->setSentListener([this](const base::NodeAddress& node) { injectProposerFault(node); });
   }
 }
 
-void ConfigurationScenario::noteBegun(OperatorChange& change) {
+void ConfigurationScenario::onChangeBegun(OperatorChange& change) {
   change.in_force_before = acknowledged_version_;
   if (change.removes && change.path.starts_with("keys/")) {
-    keys_in_doubt_.insert(secretOfKey(change.path));
+    keys_being_removed_.insert(secretOfKey(change.path));
   }
 }
 
-void ConfigurationScenario::noteAcknowledged(const OperatorChange& change) {
+void ConfigurationScenario::onChangeAcknowledged(const OperatorChange& change) {
   acknowledged_version_ = std::max(acknowledged_version_, change.version);
   ++result_.acknowledged;
   if (!change.path.starts_with("keys/")) {
@@ -113,7 +113,7 @@
     std::string key;
     const bool revoked = !revoked_keys_.empty() && random.chance(0.5);
     if (revoked) {
-      // Mostly the newest, which a front that is behind may still hold.
+      // One of the newest three, which a front with an older version may still have.
       const std::size_t recent = std::min<std::size_t>(revoked_keys_.size(), 3);
       key = revoked_keys_[revoked_keys_.size() - 1 - random.below(recent)];
     } else if (!keys_in_force_.empty()) {
@@ -125,7 +125,7 @@
   }
 }
 
-void ConfigurationScenario::readSomewhere() {
+void ConfigurationScenario::readFromRandomNode() {
   if (fleet_.operators.empty()) {
     return;
   }
@@ -138,15 +138,15 @@
   }
   const base::NodeAddress node = nodes[fleet_.world.random().below(nodes.size())];
   fleet_.operators.front()->request(node, "GET", "/v1/configuration", {},
-                                    [this, node, promised = acknowledged_version_](
+                                    [this, node, acknowledged_before = acknowledged_version_](
                                         const std::optional<wire::ControlReply>& reply) {
                                       if (reply) {
-                                        onRead(node, promised, *reply);
+                                        onRead(node, acknowledged_before, *reply);
                                       }
                                     });
 }
 
-void ConfigurationScenario::onRead(const base::NodeAddress& node, std::uint64_t promised,
+void ConfigurationScenario::onRead(const base::NodeAddress& node, std::uint64_t acknowledged_before,
                                    const wire::ControlReply& reply) {
   if (reply.status == StatusUnavailable) {
     ++result_.reads_refused;
@@ -154,14 +154,14 @@
   }
   const std::optional<std::uint64_t> version = versionIn(reply.body);
   if (reply.status != StatusOk || !version) {
-    violate(node.toString() + " answers a read with " + std::to_string(reply.status) + " " +
-            reply.body);
+    addViolation(node.toString() + " answers a read with " + std::to_string(reply.status) + " " +
+                 reply.body);
     return;
   }
   ++result_.reads;
-  if (*version < promised) {
-    violate(node.toString() + " answers a read with version " + std::to_string(*version) +
-            " although " + std::to_string(promised) + " was acknowledged before");
+  if (*version < acknowledged_before) {
+    addViolation(node.toString() + " answers a read with version " + std::to_string(*version) +
+                 " although " + std::to_string(acknowledged_before) + " was acknowledged before");
   }
 }
 
@@ -169,8 +169,8 @@
   ++result_.dispatches;
   checkVersionAtFront(dispatch.front, dispatch.version);
   if (std::find(revoked_keys_.begin(), revoked_keys_.end(), dispatch.key) != revoked_keys_.end()) {
-    violate(dispatch.front.toString() + " dispatches for the " + dispatch.key +
-            " although its removal was acknowledged");
+    addViolation(dispatch.front.toString() + " dispatches with the key " + dispatch.key +
+                 " although its removal was acknowledged");
   }
 }
 
@@ -179,9 +179,9 @@
     ++result_.streams;
   } else if (answer.status == base::describe(ResultCode::UnknownKey).http_status) {
     ++result_.unknown_keys;
-    // Callers use a key only once operators were told that it is in force.
-    if (!keys_in_doubt_.contains(answer.key)) {
-      violate("the " + answer.key + " is refused although it was acknowledged");
+    // Callers use a key only after its addition was acknowledged.
+    if (!keys_being_removed_.contains(answer.key)) {
+      addViolation("the key " + answer.key + " is refused although its addition was acknowledged");
     }
   } else {
     ++result_.refusals;
@@ -191,8 +191,8 @@
 void ConfigurationScenario::checkVersionAtFront(const base::NodeAddress& front,
                                                 std::uint64_t version) {
   if (version < acknowledged_version_) {
-    violate(front.toString() + " dispatches by version " + std::to_string(version) + " although " +
-            std::to_string(acknowledged_version_) + " was acknowledged");
+    addViolation(front.toString() + " dispatches with version " + std::to_string(version) +
+                 " although " + std::to_string(acknowledged_version_) + " was acknowledged");
   }
 }
 
@@ -218,7 +218,7 @@
     }
     if (options_.reads && fleet_.world.now() >= next_read_) {
       next_read_ = fleet_.world.now() + ReadInterval;
-      readSomewhere();
+      readFromRandomNode();
     }
   }
   return true;
@@ -227,11 +227,11 @@
 ConfigurationScenarioResult ConfigurationScenario::run() {
   prepare();
   if (!settle([this] { return fleet_.allServe(0); }, seconds(12))) {
-    violate("the fleet did not begin to serve");
+    addViolation("not every front served within 12 s of the start");
     return result_;
   }
   if (!fleet_.commitChange(firstChange(), seconds(12))) {
-    violate("the first configuration was not acknowledged");
+    addViolation("the first configuration was not acknowledged within 12 s");
     return result_;
   }
   for (const auto& one : fleet_.operators) {
@@ -239,7 +239,7 @@
   }
   if (options_.disk_faults) {
     disk_faults_ = std::make_unique<DiskFaults>(
-        fleet_, [this](auto delay, auto action) { later(delay, std::move(action)); });
+        fleet_, [this](auto delay, auto action) { schedule(delay, std::move(action)); });
   }
   runUnderFaults();
   recover();
@@ -268,7 +268,7 @@
 }
 
 void ConfigurationScenario::healAll() {
-  calm_ = true;
+  faults_ended_ = true;
   if (disk_faults_) {
     result_.disk_faults = disk_faults_->injected();
     disk_faults_->end();
@@ -301,7 +301,7 @@
       settle([this] { return fleet_.allServe(acknowledged_version_); }, options_.recovery_limit);
   result_.recovery = fleet_.world.now() - healed;
   if (!served) {
-    violate("not every front serves within the recovery limit");
+    addViolation("not every front serves within the recovery limit");
   }
   const bool answered = settle(
       [this] {
@@ -310,7 +310,7 @@
       },
       options_.recovery_limit);
   if (!answered) {
-    violate("a change has no final answer within the recovery limit");
+    addViolation("a change has no final answer within the recovery limit");
   }
 }
 
@@ -326,18 +326,18 @@
     result_.repetitions += one->repetitions();
     for (const OperatorChange& change : one->changes()) {
       for (const std::string& contradiction : change.contradictions) {
-        violate(change.change_id + ": " + contradiction);
+        addViolation(change.change_id + ": " + contradiction);
       }
       checkConflict(change, newest);
       if (!change.committed) {
         continue;
       }
       if (change.version != change.base_version + 1) {
-        violate(change.change_id + " was committed on another base than its own");
+        addViolation(change.change_id + " was committed on another version than its base version");
       }
       if (!by_base.emplace(change.base_version, change.change_id).second) {
-        violate(change.change_id + " and " + by_base[change.base_version] +
-                " both won on version " + std::to_string(change.base_version));
+        addViolation(change.change_id + " and " + by_base[change.base_version] +
+                     " were both committed on version " + std::to_string(change.base_version));
       }
       by_version.emplace(change.version, change.change_id);
     }
@@ -345,20 +345,20 @@
   std::uint64_t expected = 1;
   for (const auto& [version, change_id] : by_version) {
     if (version != expected++) {
-      violate("no operator was told of version " + std::to_string(expected - 1) + ";" +
-              refusedOn(expected - 2));
+      addViolation("no operator received an answer that version " + std::to_string(expected - 1) +
+                   " is committed;" + describeRefusedChanges(expected - 2));
       break;
     }
   }
 }
 
-std::string ConfigurationScenario::refusedOn(std::uint64_t base_version) const {
+std::string ConfigurationScenario::describeRefusedChanges(std::uint64_t base_version) const {
   std::string refused;
   for (const auto& one : fleet_.operators) {
     for (const OperatorChange& change : one->changes()) {
       if (change.base_version == base_version && change.outcome != ChangeOutcome::Acknowledged) {
-        refused += " " + change.change_id + " was told that " + std::to_string(change.version) +
-                   " is in force";
+        refused += " " + change.change_id + " was answered that version " +
+                   std::to_string(change.version) + " is in force";
       }
     }
   }
@@ -373,8 +373,8 @@
   const bool was_in_force = change.version > change.base_version && change.version <= newest &&
                             change.version >= change.in_force_before;
   if (!was_in_force) {
-    violate(change.change_id + " was told that version " + std::to_string(change.version) +
-            " is in force");
+    addViolation(change.change_id + " was answered that version " + std::to_string(change.version) +
+                 " is in force, which it was not at that time");
   }
 }
 
@@ -409,19 +409,19 @@
       },
       options_.recovery_limit);
   if (!read) {
-    violate("the configuration could not be read");
+    addViolation("no read of the configuration was answered within the recovery limit");
     return;
   }
   std::vector<configuration::Fault> faults;
   const auto parsed = configuration::parseJson(*body, {}, "", faults);
   const configuration::JsonValue* document = parsed ? parsed->find("document") : nullptr;
   if (document == nullptr) {
-    violate("the configuration read is malformed");
+    addViolation("the configuration that was read has no document");
     return;
   }
   const std::set<std::string> actual(document->names.begin(), document->names.end());
   if (actual != expected) {
-    violate("the configuration is not what the acknowledged changes make");
+    addViolation("the configuration differs from the result of the acknowledged changes");
   }
 }
 
--- a/libraries/scenarios/source/disk_faults.cc
+++ b/libraries/scenarios/source/disk_faults.cc
@@ -17,22 +17,23 @@
                                        DiskOperation::Remove};
 constexpr std::uint64_t FailuresOfEachKind = 5;
 constexpr std::uint64_t PowerLosses = 12;
-constexpr std::uint64_t PowerLossesBetweenThoseOfAll = 3;
-constexpr std::size_t MostImpaired = 2;
+constexpr std::uint64_t SinglePowerLossesPerTotalOne = 3;
+constexpr std::size_t MaxImpairedCores = 2;
 constexpr base::Duration StallTime = seconds(20);
-/** Within the bound of a commit, so that slow disks are no failed ones. */
+/** Below the time limit of a commit, so that slow disks do not count as failed. */
 constexpr base::Duration SlowTime = milliseconds(400);
 constexpr base::Duration FullTime = seconds(3);
-/** Time in which a core that takes part is expected to meet the operation at which power goes. */
+/** Time within which an active core should reach the disk operation at which power is lost. */
 constexpr base::Duration PowerLossWait = milliseconds(700);
 
 }  // namespace
 
-DiskFaults::DiskFaults(Fleet& fleet, Later later) : fleet_(fleet), later_(std::move(later)) {
+DiskFaults::DiskFaults(Fleet& fleet, ScheduleFunction schedule)
+    : fleet_(fleet), schedule_(std::move(schedule)) {
   addFailures();
   addPowerLosses();
   addImpairments();
-  addLossesOfState();
+  addStateLosses();
   next_ = fleet_.world.random().below(entries_.size());
 }
 
@@ -47,17 +48,17 @@
 void DiskFaults::addPowerLosses() {
   for (std::uint64_t nth = 1; nth <= PowerLosses; ++nth) {
     entries_.push_back({[this, nth](SimulatedCore& core) { powerLossAt(core, nth); }});
-    if (nth % PowerLossesBetweenThoseOfAll == 0) {
-      entries_.push_back({[this](SimulatedCore&) { powerLossOfAll(); }});
+    if (nth % SinglePowerLossesPerTotalOne == 0) {
+      entries_.push_back({[this](SimulatedCore&) { powerLossOfAllCores(); }});
     }
   }
 }
 
-void DiskFaults::powerLossOfAll() {
+void DiskFaults::powerLossOfAllCores() {
   for (const auto& core : fleet_.cores) {
     core->stallDisk(SlowTime);
   }
-  later_(SlowTime * 3 / 4, [this] {
+  schedule_(SlowTime * 3 / 4, [this] {
     for (const auto& core : fleet_.cores) {
       if (core->running()) {
         core->kill(CrashKind::PowerLoss);
@@ -75,17 +76,17 @@
   const Step fill = [this](SimulatedCore& core) {
     impaired_until_[&core] = fleet_.world.now() + FullTime;
     core.disk().setFull(true);
-    later_(FullTime, [&core] { core.disk().setFull(false); });
+    schedule_(FullTime, [&core] { core.disk().setFull(false); });
   };
   for (const Step& step : {stall, stall, fill, fill}) {
     entries_.push_back({step, true, false});
   }
 }
 
-void DiskFaults::addLossesOfState() {
+void DiskFaults::addStateLosses() {
   const Step tear = [this](SimulatedCore& core) {
     core.disk().tearWrite(1);
-    later_(PowerLossWait, [this, &core] { loseState(core, [](SimulatedCore&) {}); });
+    schedule_(PowerLossWait, [this, &core] { loseState(core, [](SimulatedCore&) {}); });
   };
   const Step flip = [this](SimulatedCore& core) {
     loseState(core, [this](SimulatedCore& hurt) { damageFile(hurt, false); });
@@ -103,7 +104,7 @@
 
 void DiskFaults::powerLossAt(SimulatedCore& core, std::uint64_t nth) {
   core.disk().interruptAt(nth);
-  later_(PowerLossWait, [this, &core] {
+  schedule_(PowerLossWait, [this, &core] {
     if (core.running()) {
       core.kill(CrashKind::PowerLoss);
       restartSoon(core);
@@ -112,7 +113,7 @@
 }
 
 void DiskFaults::restartSoon(SimulatedCore& core) {
-  later_(milliseconds(100 + fleet_.world.random().below(900)), [&core] {
+  schedule_(milliseconds(100 + fleet_.world.random().below(900)), [&core] {
     if (!core.running()) {
       core.start();
     }
@@ -168,7 +169,7 @@
       fit.push_back(core.get());
     }
   }
-  const bool too_many = impairs && impaired_cores >= MostImpaired;
+  const bool too_many = impairs && impaired_cores >= MaxImpairedCores;
   if (fit.empty() || too_many || (loses_state && any_lost)) {
     return nullptr;
   }
@@ -188,7 +189,7 @@
   for (const auto& core : fleet_.cores) {
     core->disk().clearFaults();
     core->disk().setFull(false);
-    // A disk cut off in the middle of its work belongs to a machine about to lose its power.
+    // A disk that was interrupted during an operation belongs to a machine that loses power.
     if (core->running() && core->disk().interrupted()) {
       core->kill(CrashKind::PowerLoss);
     }
--- a/libraries/scenarios/source/fake_operator.cc
+++ b/libraries/scenarios/source/fake_operator.cc
@@ -16,9 +16,9 @@
 constexpr base::Duration CallTimeout = std::chrono::seconds(5);
 constexpr std::uint64_t LongestPauseMilliseconds = 400;
 constexpr double RemovalShare = 0.3;
-/** Share of sendings that repeat an earlier change. */
+/** Probability that an earlier change is resent instead of a new one. */
 constexpr double RepetitionShare = 0.15;
-/** Share of the changes that are about keys, where keys are changed. */
+/** Share of changes to keys, if keys are changed at all. */
 constexpr double KeyShare = 0.5;
 
 bool hasCode(const configuration::JsonValue& body, ResultCode code) {
@@ -48,7 +48,7 @@
       transport_(network.attach(address_, process_)),
       calls_(process_, *transport_),
       timer_(process_.createTimer([this] {
-        if (present_) {
+        if (current_) {
           send();
         } else if (!finishing_) {
           beginChange();
@@ -66,7 +66,7 @@
 void FakeOperator::beginChange() {
   if (!changes_.empty() && random_.chance(RepetitionShare)) {
     ++repetitions_;
-    present_ = random_.below(changes_.size());
+    current_ = random_.below(changes_.size());
     send();
     return;
   }
@@ -84,13 +84,13 @@
   if (on_begun_) {
     on_begun_(change);
   }
-  present_ = changes_.size();
+  current_ = changes_.size();
   changes_.push_back(std::move(change));
   send();
 }
 
 std::string FakeOperator::body() const {
-  const OperatorChange& change = changes_[*present_];
+  const OperatorChange& change = changes_[*current_];
   const std::string entry = change.path.starts_with("keys/") ? keyEntry(change.path) : "{}";
   const std::string content = change.removes ? R"("remove":[")" + change.path + R"("])"
                                              : R"("set":{")" + change.path + R"(":)" + entry + "}";
@@ -112,13 +112,13 @@
 }
 
 void FakeOperator::onReply(std::uint64_t attempt, const transport::CallResult& result) {
-  if (attempt != attempt_ || !present_) {
+  if (attempt != attempt_ || !current_) {
     return;
   }
   if (const auto* reply = result.as<wire::ControlReply>()) {
     take(*reply);
   }
-  if (present_) {
+  if (current_) {
     ++resends_;
   }
   timer_->enable(std::chrono::milliseconds(1 + random_.below(LongestPauseMilliseconds)));
@@ -128,7 +128,7 @@
   std::vector<configuration::Fault> faults;
   const auto body = configuration::parseJson(reply.body, {}, "", faults);
   if (!body) {
-    changes_[*present_].contradictions.push_back("unreadable answer: " + reply.body);
+    changes_[*current_].contradictions.push_back("the answer is not valid JSON: " + reply.body);
     return;
   }
   const auto version = static_cast<std::uint64_t>(body->integerOf("version"));
@@ -143,27 +143,29 @@
   } else if (hasCode(*body, ResultCode::ConfigurationInvalid)) {
     settle(ChangeOutcome::Invalid, version);
   } else if (hasCode(*body, ResultCode::ChangeIdReused)) {
-    changes_[*present_].contradictions.push_back("a resend was refused as another change");
+    changes_[*current_].contradictions.push_back(
+        "a resent change was refused because its id was used by another change");
   }
 }
 
 void FakeOperator::settle(ChangeOutcome outcome, std::uint64_t version) {
-  OperatorChange& change = changes_[*present_];
+  OperatorChange& change = changes_[*current_];
   if (change.outcome == ChangeOutcome::Pending) {
     change.version = version;
     end(outcome);
     return;
   }
   if (change.outcome != outcome || change.version != version) {
-    change.contradictions.push_back("a resend got another answer than the first");
+    change.contradictions.push_back("a resent change got another final answer than before");
   }
-  present_.reset();
+  current_.reset();
 }
 
 void FakeOperator::adoptCommitted(std::uint64_t version) {
-  OperatorChange& change = changes_[*present_];
+  OperatorChange& change = changes_[*current_];
   if (change.outcome != ChangeOutcome::Pending && change.outcome != ChangeOutcome::Acknowledged) {
-    change.contradictions.push_back("called committed after it was refused");
+    change.contradictions.push_back(
+        "an answer says committed after an earlier one refused the change");
     return;
   }
   if (change.committed && change.version != version) {
@@ -176,12 +178,13 @@
 }
 
 void FakeOperator::end(ChangeOutcome outcome) {
-  OperatorChange& change = changes_[*present_];
+  OperatorChange& change = changes_[*current_];
   if (change.committed && outcome != ChangeOutcome::Acknowledged) {
-    change.contradictions.push_back("refused after it was called committed");
+    change.contradictions.push_back(
+        "an answer refuses the change after an earlier one said committed");
   }
   change.outcome = outcome;
-  present_.reset();
+  current_.reset();
   if (outcome != ChangeOutcome::Acknowledged) {
     return;
   }
--- a/libraries/scenarios/source/fleet.cc
+++ b/libraries/scenarios/source/fleet.cc
@@ -103,7 +103,7 @@
                                  answered = true;
                                  acknowledged = reply && reply->status == 200;
                                });
-    // Longer than a call may take, so that the callback has run.
+    // Longer than the timeout of a request, so that the callback has run.
     world.runUntil([&answered] { return answered; }, std::chrono::seconds(6));
   }
   return acknowledged;
--- a/libraries/scenarios/source/limits_scenario.cc
+++ b/libraries/scenarios/source/limits_scenario.cc
@@ -20,13 +20,13 @@
 constexpr int OrdinaryWorkers = 2;
 constexpr std::uint32_t WorkerSlots = 64;
 constexpr base::Duration Step = std::chrono::milliseconds(10);
-/** Requests each second: the usual, and of the tenant that sends ten times as many. */
+/** Requests per second at the usual rate, and the factor for the tenant with the load burst. */
 constexpr double UsualStreams = 10;
 constexpr double UsualOneShots = 5;
 constexpr double BurstFactor = 10;
-/** Fronts tell answers at once here, but an end and a start may lie in one millisecond. */
+/** Fronts deliver answers without delay here, but an end and a start may share a millisecond. */
 constexpr std::int64_t OccupancyMs = 25;
-/** A call may be answered this long after the last arrival. */
+/** Time after the last request was sent within which requests may be answered. */
 constexpr base::Duration Tail = std::chrono::seconds(15);
 
 std::string limitsDocument(double retry_share) {
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-/** Records the answer to one call. */
+/** Records the answer to one request. */
 class LimitsScenario::Writer : public http::ResponseWriter {
  public:
   Writer(LimitsScenario& scenario, testbed::CallEvent sent)
@@ -191,7 +191,8 @@
     fleet_.world.runUntil(in_force, std::chrono::seconds(3));
   }
   if (!in_force()) {
-    throw std::runtime_error("the configuration did not come into force");
+    throw std::runtime_error(
+        "the configuration did not come into force at every front after 10 attempts");
   }
   fleet_.world.runFor(std::chrono::seconds(1));
 }
@@ -227,7 +228,7 @@
 }
 
 void LimitsScenario::onStart(const front::WorkerRequest& request) {
-  // The attempt was noted as refused right before; it is a run instead.
+  // onAttempt() has just recorded the attempt as refused; replaces that record.
   if (!over_) {
     journal_.events.pop_back();
   }
@@ -278,7 +279,7 @@
   listWorkers();
   startFronts();
   if (!fleet_.world.runUntil([this] { return allReady(); }, std::chrono::seconds(30))) {
-    throw std::runtime_error("the fleet did not come up");
+    throw std::runtime_error("not every front was ready and saw all workers within 30 s");
   }
   configure();
   workers_.conditions.refusal = options_.worker_refusal;
--- a/libraries/scenarios/source/limits_scenario_faults.cc
+++ b/libraries/scenarios/source/limits_scenario_faults.cc
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr base::Duration BetweenFaults = std::chrono::milliseconds(700);
-/** All cores die at once in one of so many rounds of faults. */
+/** One in this many core faults kills all cores at once. */
 constexpr std::uint64_t AllCoresOneIn = 20;
 
 }  // namespace
@@ -17,19 +17,19 @@
 
 void LimitsScenario::scheduleFaults() {
   for (base::Duration at = BetweenFaults; at < options_.duration; at += BetweenFaults) {
-    fleet_.world.schedule(at, [this] { disturb(); });
+    fleet_.world.schedule(at, [this] { injectFault(); });
   }
 }
 
-void LimitsScenario::disturb() {
+void LimitsScenario::injectFault() {
   if (fleet_.world.random().chance(0.5)) {
-    disturbFront();
+    injectFrontFault();
   } else {
-    disturbCores();
+    injectCoreFault();
   }
 }
 
-void LimitsScenario::disturbFront() {
+void LimitsScenario::injectFrontFault() {
   SimulatedFront& front = *fronts_[fleet_.world.random().below(fronts_.size())];
   if (!front.running()) {
     return;
@@ -55,7 +55,7 @@
   });
 }
 
-void LimitsScenario::disturbCores() {
+void LimitsScenario::injectCoreFault() {
   base::RandomSource& random = fleet_.world.random();
   if (random.below(AllCoresOneIn) == 0) {
     for (const auto& core : fleet_.cores) {
--- a/libraries/scenarios/source/random_duration.h
+++ b/libraries/scenarios/source/random_duration.h
@@ -5,7 +5,7 @@
 
 namespace switchsaddle::scenarios {
 
-/** A length between two bounds, both included. */
+/** A uniformly random duration between two bounds, both included. */
 inline base::Duration randomDuration(base::RandomSource& random, base::Duration shortest,
                                      base::Duration longest) {
   const auto span = static_cast<std::uint64_t>((longest - shortest).count());
--- a/libraries/scenarios/source/simulated_callers.cc
+++ b/libraries/scenarios/source/simulated_callers.cc
@@ -8,24 +8,24 @@
 
 constexpr const char* KeyPrefix = "under key ";
 constexpr char KeyEnd = ';';
-/** Share of slots that take a while, and how long at most. */
+/** Share of slots that are granted with a delay, and the longest delay. */
 constexpr double SlowSlotShare = 0.1;
 constexpr std::uint64_t LongestSlotWaitMilliseconds = 1'500;
 
-class NoCall : public front::WorkerCall {
+class FakeWorkerCall : public front::WorkerCall {
  public:
   void cancel() override { cancelled = true; }
   bool cancelled = false;
 };
 
-class NoHold : public admission::SlotPermit {};
+class FakeSlotPermit : public admission::SlotPermit {};
 
 }  // namespace
 
-front::WorkerCallPtr PromptWorkers::send(const front::WorkerRequest& request,
-                                         std::shared_ptr<front::WorkerObserver> observer) {
+front::WorkerCallPtr ImmediateWorkers::send(const front::WorkerRequest& request,
+                                            std::shared_ptr<front::WorkerObserver> observer) {
   listener_(request);
-  auto call = std::make_shared<NoCall>();
+  auto call = std::make_shared<FakeWorkerCall>();
   process_.post([request_id = request.request_id, observer = std::move(observer), call] {
     front::WorkerHead head;
     head.status = 200;
@@ -40,12 +40,12 @@
   return call;
 }
 
-void UnhurriedSlots::acquire(const std::string& /*branch*/,
-                             std::function<void(admission::SlotOutcome)> callback) {
+void DelayedSlots::acquire(const std::string& /*branch*/,
+                           std::function<void(admission::SlotOutcome)> callback) {
   const auto grant = [callback = std::move(callback)] {
     admission::SlotOutcome outcome;
     outcome.code = base::ResultCode::Ok;
-    outcome.permit = std::make_unique<NoHold>();
+    outcome.permit = std::make_unique<FakeSlotPermit>();
     callback(std::move(outcome));
   };
   if (!random_.chance(SlowSlotShare)) {
--- a/libraries/scenarios/source/simulated_callers.h
+++ b/libraries/scenarios/source/simulated_callers.h
@@ -11,12 +11,12 @@
 
 namespace switchsaddle::scenarios {
 
-/** Workers that answer each stream at once, with two pieces, and tell of each request. */
-class PromptWorkers : public front::WorkerPort {
+/** Workers that answer each stream immediately with two events, and report each request. */
+class ImmediateWorkers : public front::WorkerPort {
  public:
   using Listener = std::function<void(const front::WorkerRequest&)>;
 
-  PromptWorkers(simulation::Process& process, Listener listener)
+  ImmediateWorkers(simulation::Process& process, Listener listener)
       : process_(process), listener_(std::move(listener)) {}
 
   front::WorkerCallPtr send(const front::WorkerRequest& request,
@@ -27,10 +27,10 @@
   Listener listener_;
 };
 
-/** Always has a slot, but some come only after a wait, as when a ledger is asked. */
-class UnhurriedSlots : public admission::SlotBroker {
+/** Grants every slot, some after a delay as for a request to the ledger. */
+class DelayedSlots : public admission::SlotBroker {
  public:
-  UnhurriedSlots(simulation::Process& process, base::RandomSource& random)
+  DelayedSlots(simulation::Process& process, base::RandomSource& random)
       : process_(process), random_(random) {}
 
   void acquire(const std::string& branch,
@@ -41,7 +41,7 @@
   base::RandomSource& random_;
 };
 
-/** Hands the answer, or the head of a stream, to its callback; takes whatever follows. */
+/** Passes the answer, or the head of a stream, to its callback; discards the chunks. */
 class CallbackWriter : public http::ResponseWriter {
  public:
   explicit CallbackWriter(std::function<void(http::Response)> answered)
@@ -60,9 +60,9 @@
   std::function<void(http::Response)> answered_;
 };
 
-/** A stream request whose prompt names the key it is made under. */
+/** A stream request whose prompt contains the caller's key. */
 http::Request streamRequest(const std::string& key);
-/** The key which a prompt names; empty where it names none. */
+/** The key in a prompt of streamRequest(); empty if there is none. */
 std::string keyNamedIn(const std::string& body);
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/source/simulated_workers.cc
+++ b/libraries/scenarios/source/simulated_workers.cc
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr base::Duration ShortestWay = std::chrono::microseconds(200);
-constexpr std::uint64_t LongestExtraWayUs = 1'000;
+constexpr base::Duration ShortestDelay = std::chrono::microseconds(200);
+constexpr std::uint64_t LongestExtraDelayUs = 1'000;
 constexpr const char* CompleteStream = "id: 0\ndata: {\"text\":\"a\"}\n\nid: 1\ndata: [DONE]\n\n";
 
 }  // namespace
@@ -25,8 +25,9 @@
       workers.end(*this);
     }
   }
-  /** Tells the front, unless it has closed the connection or ended. */
-  void tell(const std::shared_ptr<Run>& self, std::function<void(front::WorkerObserver&)> action) {
+  /** Notifies the front, unless it has closed the connection or was killed. */
+  void notify(const std::shared_ptr<Run>& self,
+              std::function<void(front::WorkerObserver&)> action) {
     process.post([self, action = std::move(action)] {
       if (!self->closed) {
         action(*self->observer);
@@ -42,7 +43,7 @@
   bool closed = false;
 };
 
-/** The workers as one process reaches them. */
+/** A port through which one process sends requests to the workers. */
 class SimulatedWorkers::Port : public front::WorkerPort {
  public:
   Port(SimulatedWorkers& workers, simulation::Process& process)
@@ -51,9 +52,10 @@
   front::WorkerCallPtr send(const front::WorkerRequest& request,
                             std::shared_ptr<front::WorkerObserver> observer) override {
     auto run = std::make_shared<Run>(workers_, process_, request, std::move(observer));
-    const base::Duration way =
-        ShortestWay + std::chrono::microseconds(workers_.world_.random().below(LongestExtraWayUs));
-    workers_.world_.schedule(way, [&workers = workers_, run] { workers.arrive(run); });
+    const base::Duration delay =
+        ShortestDelay +
+        std::chrono::microseconds(workers_.world_.random().below(LongestExtraDelayUs));
+    workers_.world_.schedule(delay, [&workers = workers_, run] { workers.arrive(run); });
     return run;
   }
 
@@ -70,15 +72,15 @@
   if (run->closed && run->isStream()) {
     return;
   }
-  witness_.onAttempt(run->request);
+  listener_.onAttempt(run->request);
   if (conditions.closed.contains(run->request.address)) {
-    run->tell(run, [](front::WorkerObserver& observer) {
+    run->notify(run, [](front::WorkerObserver& observer) {
       observer.onFailure(front::WorkerFailure::NotSent, true);
     });
     return;
   }
   if (world_.random().chance(conditions.refusal)) {
-    run->tell(run, [run](front::WorkerObserver& observer) {
+    run->notify(run, [run](front::WorkerObserver& observer) {
       front::WorkerHead head;
       head.status = 503;
       head.request_id = run->request.request_id;
@@ -87,7 +89,7 @@
     return;
   }
   run->running = true;
-  witness_.onStart(run->request);
+  listener_.onStart(run->request);
   const auto spread =
       static_cast<std::uint64_t>((conditions.longest_run - conditions.shortest_run).count());
   const base::Duration time =
@@ -101,7 +103,7 @@
     return;
   }
   end(*run);
-  run->tell(run, [run](front::WorkerObserver& observer) {
+  run->notify(run, [run](front::WorkerObserver& observer) {
     front::WorkerHead head;
     head.status = 200;
     head.request_id = run->request.request_id;
@@ -116,7 +118,7 @@
 
 void SimulatedWorkers::end(Run& run) {
   run.running = false;
-  witness_.onEnd(run.request);
+  listener_.onEnd(run.request);
 }
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/source/watched_front.cc
+++ b/libraries/scenarios/source/watched_front.cc
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-/** All that dies with the process. */
+/** All state that is lost with the process. */
 struct WatchedFront::Incarnation {
   std::unique_ptr<transport::Transport> transport;
   std::unique_ptr<transport::PeerCalls> calls;
   std::unique_ptr<base::RandomSource> random;
   std::unique_ptr<journal::Journal> journal;
-  std::unique_ptr<PromptWorkers> workers;
-  std::unique_ptr<UnhurriedSlots> slots;
+  std::unique_ptr<ImmediateWorkers> workers;
+  std::unique_ptr<DelayedSlots> slots;
   std::unique_ptr<front::FrontNode> node;
 };
 
@@ -48,8 +48,9 @@
   incarnation.calls = std::make_unique<transport::PeerCalls>(process_, *incarnation.transport);
   incarnation.random = std::make_unique<base::RandomSource>(world_.random().next());
   incarnation.journal = std::make_unique<journal::Journal>(process_);
-  incarnation.slots = std::make_unique<UnhurriedSlots>(process_, *incarnation.random);
-  incarnation.workers = std::make_unique<PromptWorkers>(process_, [this](const front::WorkerRequest&
+  incarnation.slots = std::make_unique<DelayedSlots>(process_, *incarnation.random);
+  incarnation.workers = std::make_unique<ImmediateWorkers>(process_, [this](
+                                                                         const front::WorkerRequest&
                                                                              request) {
     if (on_dispatch_) {
       on_dispatch_({address(), incarnation_->node->replica().version(), keyNamedIn(request.body)});
--- a/libraries/scenarios/test/busy_core_test.cc
+++ b/libraries/scenarios/test/busy_core_test.cc
@@ -1,4 +1,4 @@
-// Cores that have little processor time for what a change of the configuration sets off.
+// Cores whose processors are overloaded by the messages that a configuration change causes.
 
 #include <gtest/gtest.h>
 
@@ -17,8 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Operators give a call up after so long and turn to another core. */
-constexpr base::Duration Patience = seconds(1);
+/** Timeout after which operators send a request to another core. */
+constexpr base::Duration RequestTimeout = seconds(1);
 constexpr base::Duration FirstPause = milliseconds(100);
 
 FleetSize sizeOf(std::size_t fronts) {
@@ -28,7 +28,7 @@
   return size;
 }
 
-/** A fleet whose operator sends one change after the other, each until an answer comes in time. */
+/** A fleet whose operator sends one change after the other, each until it gets an answer. */
 class BusyFleet {
  public:
   BusyFleet(std::uint64_t seed, std::size_t fronts) : fleet_(seed, sizeOf(fronts)) {
@@ -43,8 +43,8 @@
     fleet_.world.runFor(seconds(2));
   }
 
-  /** How long a change took until an operator was told clearly; nothing where that took longer than
-   * `limit`. */
+  /** @return the time until a change was answered with a status below 300, or std::nullopt if that
+   * took longer than `limit`. */
   std::optional<base::Duration> change(std::uint64_t base, base::Duration limit) {
     const std::string body = R"({"change_id":"c)" + std::to_string(base) + R"(","base_version":)" +
                              std::to_string(base) + R"(,"set":{"evacuations/z)" +
@@ -52,13 +52,13 @@
     const base::TimePoint begun = fleet_.world.now();
     base::Duration pause = FirstPause;
     while (fleet_.world.now() - begun < limit) {
-      const auto told = std::make_shared<bool>(false);
+      const auto accepted = std::make_shared<bool>(false);
       const base::NodeAddress core = fleet_.cores[turn_++ % fleet_.cores.size()]->address();
       fleet_.operators.front()->request(core, "POST", "/v1/configuration/changes", body,
-                                        [told](const std::optional<wire::ControlReply>& reply) {
-                                          *told = reply && reply->status < 300;
+                                        [accepted](const std::optional<wire::ControlReply>& reply) {
+                                          *accepted = reply && reply->status < 300;
                                         });
-      const bool answered = fleet_.world.runUntil([told] { return *told; }, Patience);
+      const bool answered = fleet_.world.runUntil([accepted] { return *accepted; }, RequestTimeout);
       if (answered && fleet_.world.now() - begun <= limit) {
         return fleet_.world.now() - begun;
       }
@@ -77,7 +77,7 @@
 
 class BusyCoreTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(BusyCoreTest, ChangesAreAnsweredThoughCoresAreShortOfProcessorTime) {
+TEST_P(BusyCoreTest, ChangesAreAnsweredWhileCoresAreOverloaded) {
   constexpr std::size_t Fronts = 150;
   constexpr std::uint64_t Changes = 5;
   constexpr base::Duration Bound = seconds(6);
@@ -88,7 +88,7 @@
   }
 }
 
-/** Envelopes that cores were sent in five seconds, by the kind of message. */
+/** Number of envelopes sent to cores within five seconds, by kind of message. */
 using Counts = std::map<std::size_t, std::size_t>;
 
 Counts sentToCores(Fleet& fleet) {
@@ -103,27 +103,27 @@
   return counts;
 }
 
-class LateCoreTest : public testing::TestWithParam<int> {};
+class DelayedCoreTest : public testing::TestWithParam<int> {};
 
-TEST_P(LateCoreTest, AreAskedForNothingMoreOftenAndEveryFrontServesOn) {
+TEST_P(DelayedCoreTest, MessageRatesStayBoundedAndEveryFrontKeepsServing) {
   constexpr std::size_t Few = 20;
   BusyFleet busy(1, 100);
   for (const auto& front : busy.fleet().fronts) {
-    // So that they renew their sessions at different times.
+    // Restarts at different times make the fronts renew their sessions at different times.
     front->kill();
     front->start();
     busy.fleet().world.runFor(milliseconds(7));
   }
   busy.fleet().world.runFor(seconds(3));
-  Counts in_time = sentToCores(busy.fleet());
+  Counts without_overload = sentToCores(busy.fleet());
   busy.makeBusy(microseconds(GetParam()), {});
   for (const auto& [kind, count] : sentToCores(busy.fleet())) {
-    EXPECT_LE(count, in_time[kind] * 5 / 4 + Few) << "message " << kind;
+    EXPECT_LE(count, without_overload[kind] * 5 / 4 + Few) << "message " << kind;
   }
   EXPECT_TRUE(busy.fleet().allServe(1));
 }
 
-INSTANTIATE_TEST_SUITE_P(MicrosecondsOfWork, LateCoreTest,
+INSTANTIATE_TEST_SUITE_P(MicrosecondsOfWork, DelayedCoreTest,
                          testing::Values(1'000, 1'500, 2'000, 3'000));
 
 INSTANTIATE_TEST_SUITE_P(Seeds, BusyCoreTest, testing::Values(1, 2, 3));
--- a/libraries/scenarios/test/configuration_scenario_test.cc
+++ b/libraries/scenarios/test/configuration_scenario_test.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::uint64_t SeedCount = 100;
-/** Seeds of a run with a mechanism off, until the first that shows it. */
-constexpr std::uint64_t RedSeedCount = 1'000;
+/** Limit of seeds tried with a mechanism off until one run has a violation. */
+constexpr std::uint64_t MaxSeedsWithoutMechanism = 1'000;
 
 void expectKept(const ConfigurationScenarioResult& result, std::uint64_t seed) {
   for (const std::string& violation : result.violations) {
@@ -45,9 +45,9 @@
   EXPECT_GT(sums.unknown_keys, SeedCount * 100);
 }
 
-/** Any node is asked for the configuration at any time: one that isn't sure of the newest says so.
- */
-TEST(ConfigurationScenarioTest, ReadsOfAnyNodeAreNeverOlderThanAcknowledged) {
+/** Operators read from any node at any time. A node that can't confirm the newest version answers
+ * 503. */
+TEST(ConfigurationScenarioTest, ReadsReturnNoVersionOlderThanTheAcknowledgedOne) {
   constexpr std::uint64_t FirstSeed = 1'001;
   ConfigurationScenarioResult sums;
   for (std::uint64_t seed = FirstSeed; seed < FirstSeed + SeedCount; ++seed) {
@@ -65,8 +65,8 @@
   EXPECT_GT(sums.reads_refused, SeedCount * 20);
 }
 
-/** Fresh seeds that once found a fault. */
-TEST(ConfigurationScenarioTest, KeepsEveryInvariantUnderSeedsThatFoundFaults) {
+/** Seeds outside the fixed range that once found a defect. */
+TEST(ConfigurationScenarioTest, KeepsEveryInvariantUnderSeedsThatFoundDefects) {
   for (const std::uint64_t seed : {391U, 715U}) {
     ConfigurationScenario scenario(optionsForSeed(seed));
     expectKept(scenario.run(), seed);
@@ -83,16 +83,16 @@
   const ConfigurationScenarioResult result = scenario.run();
   expectKept(result, Seed);
   EXPECT_GE(result.acknowledged, options.changes);
-  std::cout << result.acknowledged << " acknowledged amid " << result.faults << " faults in "
+  std::cout << result.acknowledged << " acknowledged under " << result.faults << " faults in "
             << base::toMilliseconds(result.fault_time) << " ms\n";
 }
 
 class ConfigurationScenarioRedTest : public testing::TestWithParam<std::string> {};
 
-TEST_P(ConfigurationScenarioRedTest, SeesAMechanismThatIsOff) {
+TEST_P(ConfigurationScenarioRedTest, DetectsADisabledMechanism) {
   std::uint64_t seed = 0;
   std::size_t violations = 0;
-  while (violations == 0 && seed < RedSeedCount) {
+  while (violations == 0 && seed < MaxSeedsWithoutMechanism) {
     ConfigurationScenarioOptions options = optionsForSeed(++seed);
     disableMechanism(GetParam(), options);
     ConfigurationScenario scenario(options);
--- a/libraries/scenarios/test/core_growth_test.cc
+++ b/libraries/scenarios/test/core_growth_test.cc
@@ -18,7 +18,7 @@
 
 class CoreGrowthTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(CoreGrowthTest, TheSetGrowsUntilTwoLossesAreBorne) {
+TEST_P(CoreGrowthTest, AcceptorSetGrowsUntilItToleratesTwoLosses) {
   Fleet fleet(GetParam(), threeCores(2));
   ASSERT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
   ASSERT_TRUE(fleet.commitChange(firstChange(), seconds(10)));
@@ -31,7 +31,7 @@
   EXPECT_TRUE(fleet.runUntilAllServe(1, seconds(12)));
 }
 
-TEST_P(CoreGrowthTest, TwoDisksLostWhileAllPeersLosePowerLoseNothingAcknowledged) {
+TEST_P(CoreGrowthTest, KeepsAcknowledgedChangesIfTwoDisksAreLostAndAllOthersLosePower) {
   Fleet fleet(GetParam(), threeCores(2));
   ASSERT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
   SimulatedCore& fourth = fleet.addCore();
@@ -53,7 +53,7 @@
       fleet.world.runUntil([&] { return fleet.admitted(*fleet.cores[first_lost]); }, seconds(20)));
 }
 
-TEST_P(CoreGrowthTest, MembersAreExchangedUntilAZoneMayBeLost) {
+TEST_P(CoreGrowthTest, ReplacesMembersUntilTheSetToleratesTheLossOfAZone) {
   FleetSize size = threeCores(1);
   size.tolerated_zone_losses = 1;
   Fleet fleet(GetParam(), size);
@@ -69,7 +69,7 @@
   EXPECT_TRUE(fleet.runUntilAllServe(1, seconds(12)));
 }
 
-TEST_P(CoreGrowthTest, AFurtherCoreIsNotAddedWhereNoneIsWanted) {
+TEST_P(CoreGrowthTest, DoesNotAddACoreBeyondTheToleratedLosses) {
   Fleet fleet(GetParam(), threeCores(1));
   ASSERT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
   SimulatedCore& fourth = fleet.addCore();
@@ -77,7 +77,7 @@
   EXPECT_FALSE(fleet.admitted(fourth));
 }
 
-TEST_P(CoreGrowthTest, WorkersAreKnownSoonAfterAllMemoryIsLost) {
+TEST_P(CoreGrowthTest, CoresListWorkersEarlyAfterARestartOnlyIfTheSettingIsOn) {
   for (const bool early : {false, true}) {
     FleetSize size;
     size.list_before_lease = early;
@@ -91,10 +91,10 @@
     for (const auto& core : fleet.cores) {
       core->start();
     }
-    const auto knows = [&fleet] {
+    const auto lists_workers = [&fleet] {
       return !fleet.cores.front()->node().workers().snapshot()->workers.empty();
     };
-    EXPECT_EQ(fleet.world.runUntil(knows, std::chrono::milliseconds(500)), early);
+    EXPECT_EQ(fleet.world.runUntil(lists_workers, std::chrono::milliseconds(500)), early);
   }
 }
 
--- a/libraries/scenarios/test/core_refused_test.cc
+++ b/libraries/scenarios/test/core_refused_test.cc
@@ -12,11 +12,11 @@
 using std::chrono::seconds;
 
 constexpr base::Duration Grace = seconds(60);
-/** A session that was renewed at the last moment lasts so much longer than the cores. */
+/** Longest time for which a session that was just renewed outlasts the cores. */
 constexpr base::Duration FrontLimit = seconds(1);
 constexpr base::Duration Step = milliseconds(50);
 
-/** All cores die at once; callers go on opening streams at every front. */
+/** All cores are killed at once; callers continue to open streams at every front. */
 class CoreRefusedTest : public testing::TestWithParam<std::uint64_t> {
  protected:
   void prepare(base::Duration grace) {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** How long after the death of the cores a front still dispatched. */
+  /** Time from the kill of the cores until a front's last dispatch. */
   base::Duration servedAfter(const WatchedFront& front) {
     return last_dispatch_[front.address()] - killed_at_;
   }
@@ -59,7 +59,7 @@
   std::map<base::NodeAddress, base::TimePoint> last_dispatch_;
 };
 
-TEST_P(CoreRefusedTest, ServesOnWithinTheGraceAndNoLonger) {
+TEST_P(CoreRefusedTest, KeepsServingForTheGracePeriodAndNoLonger) {
   prepare(Grace);
   killCores();
   serveFor(Grace + seconds(10));
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_P(CoreRefusedTest, SessionsComeBackWithTheCores) {
+TEST_P(CoreRefusedTest, SessionsRecoverAfterTheCoresRestart) {
   prepare(Grace);
   killCores();
   serveFor(seconds(20));
@@ -98,8 +98,8 @@
   EXPECT_EQ(last_dispatch_, before) << "a removed key is still served";
 }
 
-/** The old addresses go on refusing while their machines run anew elsewhere. */
-TEST_P(CoreRefusedTest, TheBoundHoldsWhereCoresAreLostForGood) {
+/** The old addresses keep refusing connections while a core runs at another address. */
+TEST_P(CoreRefusedTest, GracePeriodIsNotExtendedIfCoresNeverReturn) {
   prepare(Grace);
   killCores();
   SimulatedCore& elsewhere = fleet_->addCore();
@@ -111,8 +111,8 @@
   }
 }
 
-/** A front that a peer shows a newer version stops at once. */
-TEST_P(CoreRefusedTest, ANewerVersionEndsServingWithoutCores) {
+/** A front that receives a newer version from a peer stops serving immediately. */
+TEST_P(CoreRefusedTest, StopsServingWithoutCoresOnANewerVersion) {
   prepare(Grace);
   killCores();
   serveFor(seconds(5));
--- a/libraries/scenarios/test/core_replacement_test.cc
+++ b/libraries/scenarios/test/core_replacement_test.cc
@@ -68,7 +68,7 @@
   Fleet fleet_;
 };
 
-TEST_P(CoreReplacementTest, AnEmptyCoreAtANewAddressTakesASilentMembersPlace) {
+TEST_P(CoreReplacementTest, ANewCoreReplacesAnUnresponsiveMember) {
   fleet_.cores[4]->kill(CrashKind::Wipe);
   SimulatedCore& joined = fleet_.addCore();
   EXPECT_TRUE(fleet_.world.runUntil([&] { return fleet_.admitted(joined); }, seconds(20)));
@@ -80,7 +80,7 @@
   expectEveryAcknowledgedChange();
 }
 
-TEST_P(CoreReplacementTest, AMemberWhoseDiskWasEmptiedIsAdmittedAnew) {
+TEST_P(CoreReplacementTest, AMemberWithAWipedDiskIsAdmittedAgain) {
   fleet_.cores[2]->kill(CrashKind::Wipe);
   fleet_.cores[2]->start();
   EXPECT_TRUE(
@@ -92,14 +92,14 @@
   expectEveryAcknowledgedChange();
 }
 
-TEST_P(CoreReplacementTest, ACoreThatIsNoMemberHoldsNoLease) {
+TEST_P(CoreReplacementTest, ACoreOutsideTheAcceptorSetHoldsNoLease) {
   SimulatedCore& joined = fleet_.addCore();
   const auto holds_any = [&joined] {
     const std::vector<core::LeaseStatus> leases = joined.node().status().leases;
     return std::any_of(leases.begin(), leases.end(), [](const auto& lease) { return lease.held; });
   };
   for (std::size_t round = 0; round < 10; ++round) {
-    // Each holder's death gives every candidate its chance.
+    // After the holder is killed, every candidate may acquire the lease.
     SimulatedCore* holder = fleet_.holderOf(core::CoreMembershipLease);
     ASSERT_NE(holder, nullptr);
     holder->kill(CrashKind::Kill);
@@ -109,7 +109,7 @@
   }
 }
 
-TEST_P(CoreReplacementTest, AMemberThatOnlyRestartsKeepsItsPlace) {
+TEST_P(CoreReplacementTest, AMemberThatRestartsWithItsDiskIsNotReplaced) {
   SimulatedCore& joined = fleet_.addCore();
   fleet_.cores[4]->kill(CrashKind::PowerLoss);
   fleet_.world.runFor(seconds(5));
@@ -119,7 +119,7 @@
   EXPECT_TRUE(fleet_.admitted(*fleet_.cores[4]));
 }
 
-TEST_P(CoreReplacementTest, AnOperatorReplacesALiveMemberAndMayAskTwice) {
+TEST_P(CoreReplacementTest, AnOperatorReplacesARunningMemberAndMayResendTheRequest) {
   SimulatedCore& joined = fleet_.addCore();
   const std::string order = R"({"old":")" + fleet_.cores[1]->address().toString() + R"(","new":")" +
                             joined.address().toString() + R"("})";
@@ -141,14 +141,13 @@
 
 class LostMajorityTest : public testing::TestWithParam<std::uint64_t> {};
 
-/** Where connections are refused every answer is there at once, so only pauses bound the retries.
- */
-TEST_P(LostMajorityTest, TheCoresLeftSendABoundedNumberOfEnvelopes) {
+/** Refused connections are reported immediately, so only pauses limit the rate of retries. */
+TEST_P(LostMajorityTest, RemainingCoresSendABoundedNumberOfEnvelopes) {
   constexpr std::uint64_t MostEnvelopesPerSecond = 1'000;
   Fleet fleet(GetParam(), FleetSize{});
   const auto holder = [&fleet] { return fleet.holderOf(admission::ledgerLeaseName(0)); };
   ASSERT_TRUE(fleet.world.runUntil([&] { return holder() != nullptr; }, seconds(12)));
-  // At the very moment of the gain, so that the ledger cannot fence its register.
+  // Right after the lease is acquired, so that the ledger cannot fence its register yet.
   const SimulatedCore* ledger = holder();
   std::size_t lost = 0;
   for (const auto& core : fleet.cores) {
@@ -167,30 +166,30 @@
 
 class PlatformWatcherScenarioTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(PlatformWatcherScenarioTest, AnotherCoreWatchesSoonAfterTheWatcherDies) {
+TEST_P(PlatformWatcherScenarioTest, AnotherCoreReadsThePlatformSoonAfterTheWatcherIsKilled) {
   Fleet fleet(GetParam(), FleetSize{});
   wire::WorkerEntry worker;
   worker.id = "first";
   worker.address = {"127.0.0.1", 9000};
   fleet.platform.reading.workers = {worker};
-  const auto all_know = [&](const std::string& id) {
+  const auto all_list = [&](const std::string& id) {
     return std::all_of(fleet.fronts.begin(), fleet.fronts.end(), [&](const auto& front) {
       const auto& workers = front->workers()->workers;
       const auto found = workers.find(id);
       return found != workers.end() && found->second.usable();
     });
   };
-  ASSERT_TRUE(fleet.world.runUntil([&] { return all_know("first"); }, seconds(12)));
+  ASSERT_TRUE(fleet.world.runUntil([&] { return all_list("first"); }, seconds(12)));
   SimulatedCore* watcher = fleet.holderOf(core::PlatformWatcherLease);
   ASSERT_NE(watcher, nullptr);
   watcher->kill(CrashKind::Kill);
   worker.id = "second";
   fleet.platform.reading.workers.push_back(worker);
-  EXPECT_TRUE(fleet.world.runUntil([&] { return all_know("second"); }, seconds(5)));
-  EXPECT_TRUE(all_know("first"));
+  EXPECT_TRUE(fleet.world.runUntil([&] { return all_list("second"); }, seconds(5)));
+  EXPECT_TRUE(all_list("first"));
 }
 
-TEST_P(PlatformWatcherScenarioTest, ADrainingWorkerStaysUnusedOverARestartOfAllCores) {
+TEST_P(PlatformWatcherScenarioTest, ADrainingWorkerStaysUnusedAcrossARestartOfAllCores) {
   Fleet fleet(GetParam(), FleetSize{});
   wire::WorkerEntry worker;
   worker.id = "leaving";
@@ -220,7 +219,7 @@
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, PlatformWatcherScenarioTest,
                          testing::Range<std::uint64_t>(1, 11));
 
-/** Seeds 64 and 183 are those under which rivals for the lease split the granters. */
+/** With seeds 64 and 183, competing candidates split the granters between them. */
 class WatcherTakeoverTest : public testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(WatcherTakeoverTest, AnotherCoreHoldsTheLeaseWithinFourSeconds) {
@@ -230,12 +229,12 @@
   worker.id = "first";
   worker.address = {"127.0.0.1", 9000};
   fleet.platform.reading.workers = {worker};
-  const auto all_know = [&fleet] {
+  const auto all_list = [&fleet] {
     return std::all_of(fleet.fronts.begin(), fleet.fronts.end(), [](const auto& front) {
       return front->workers()->workers.contains("first");
     });
   };
-  ASSERT_TRUE(fleet.world.runUntil(all_know, seconds(12)));
+  ASSERT_TRUE(fleet.world.runUntil(all_list, seconds(12)));
   SimulatedCore* watcher = holder();
   ASSERT_NE(watcher, nullptr);
   watcher->kill(CrashKind::Kill);
--- a/libraries/scenarios/test/disk_fault_scenario_test.cc
+++ b/libraries/scenarios/test/disk_fault_scenario_test.cc
@@ -13,14 +13,14 @@
   ConfigurationScenarioOptions options;
   options.seed = seed;
   options.disk_faults = true;
-  // Long enough for nearly every kind of fault in each run.
+  // Long enough to inject nearly every kind of fault in each run.
   options.fault_time = std::chrono::seconds(50);
   return options;
 }
 
 class DiskFaultScenarioTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(DiskFaultScenarioTest, AcknowledgedChangesSurviveEveryFaultOfTheDisks) {
+TEST_P(DiskFaultScenarioTest, AcknowledgedChangesSurviveDiskFaults) {
   ConfigurationScenario scenario(diskOptions(GetParam()));
   const ConfigurationScenarioResult result = scenario.run();
   for (const std::string& violation : result.violations) {
--- a/libraries/scenarios/test/dissemination_scenario_test.cc
+++ b/libraries/scenarios/test/dissemination_scenario_test.cc
@@ -12,11 +12,11 @@
 
 constexpr std::size_t BulkEntries = 200;
 
-/** Deltas of the configuration on their way to one node, in messages and bytes. */
+/** Configuration deltas sent to one node, in messages and bytes. */
 struct DeltaTraffic {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;
-  /** Those that start from nothing and so hold the whole configuration. */
+  /** Messages that start from version 0 and so contain the whole configuration. */
   std::uint64_t whole = 0;
 };
 
@@ -75,7 +75,7 @@
   std::map<base::NodeAddress, DeltaTraffic> traffic_;
 };
 
-TEST_P(DisseminationScenarioTest, AChangeCostsEachFrontOneSmallDeltaOrTwo) {
+TEST_P(DisseminationScenarioTest, AChangeReachesEachFrontAsSmallDeltas) {
   change(2, R"("set":{"evacuations/zone-north":{}})");
   fleet_.world.runFor(seconds(5));
   std::uint64_t bytes = 0;
@@ -90,7 +90,7 @@
   EXPECT_LT(bytes, GetParam() * fullSize() / 4);
 }
 
-TEST_P(DisseminationScenarioTest, AFrontCutOffForAMinuteCatchesUpByDeltas) {
+TEST_P(DisseminationScenarioTest, AFrontPartitionedForAMinuteCatchesUpByDeltas) {
   WatchedFront& front = *fleet_.fronts[0];
   for (const auto& core : fleet_.cores) {
     fleet_.network.cut(front.address(), core->address());
@@ -98,13 +98,13 @@
   for (const auto& other : fleet_.fronts) {
     fleet_.network.cut(front.address(), other->address());
   }
-  const base::TimePoint cut_at = fleet_.world.now();
+  const base::TimePoint partitioned_at = fleet_.world.now();
   change(2, R"("remove":["keys/caller"])");
   for (std::uint64_t version = 3; version < 20; ++version) {
     change(version, R"("set":{"evacuations/more-)" + std::to_string(version) + R"(":{}})");
   }
   change(20, R"("remove":["evacuations/zone-7"])");
-  fleet_.world.runFor(seconds(60) - (fleet_.world.now() - cut_at));
+  fleet_.world.runFor(seconds(60) - (fleet_.world.now() - partitioned_at));
   EXPECT_EQ(front.node().replica().version(), 2U);
   traffic_.clear();
   fleet_.network.healAll();
@@ -112,11 +112,11 @@
   fleet_.world.runFor(seconds(5));
   const DeltaTraffic& traffic = traffic_[front.address()];
   std::cout << GetParam() << " fronts: " << traffic.messages << " deltas of " << traffic.bytes
-            << " bytes to the front that was cut off, " << fullSize()
+            << " bytes to the front that was partitioned, " << fullSize()
             << " bytes the whole configuration\n";
   EXPECT_EQ(traffic.whole, 0U);
   EXPECT_LT(traffic.bytes, fullSize());
-  // The removals came as tombstones.
+  // The front received the removals as tombstones.
   EXPECT_TRUE(front.node().replica().view()->keys.empty());
   EXPECT_EQ(front.node().replica().digest(), fleet_.fronts[1]->node().replica().digest());
 }
--- a/libraries/scenarios/test/forgotten_state_test.cc
+++ b/libraries/scenarios/test/forgotten_state_test.cc
@@ -1,4 +1,4 @@
-// A core whose disk lost what it had acknowledged: it must not vote as the one it was.
+// A core whose disk lost values that it had accepted must not vote as the same acceptor.
 
 #include <gtest/gtest.h>
 
@@ -12,26 +12,26 @@
 namespace switchsaddle::scenarios {
 namespace {
 
-/** The zone that an operator's change evacuates, or no longer. */
+/** The zone whose evacuation an operator's change sets or removes. */
 std::string zoneOf(const OperatorChange& change) {
   return change.path.substr(std::string("evacuations/").size());
 }
 
 using std::chrono::seconds;
 
-/** What happened to the disk of the core that took part in every change. */
+/** The data loss at the core that accepted every change. */
 enum class Loss : std::uint8_t { Emptied, Flipped, Truncated, RolledBack };
 
 /**
- * Five cores. Changes are acknowledged by the cores 0, 1 and 2 while 3 and 4 are cut off; then 2
- * loses its state, and the cores are cut anew into 0 and 1 against 2, 3 and 4. The only core that
- * knew the changes among these three is the one which lost its state.
+ * Five cores. Changes are accepted by the cores 0, 1 and 2 while 3 and 4 are partitioned. Then core
+ * 2 loses its state, and a new partition separates 0 and 1 from 2, 3 and 4. Core 2 is the only one
+ * of these three that had accepted the changes.
  */
 class ForgottenState {
  public:
   ForgottenState(std::uint64_t seed, Loss loss) : fleet_(seed, FleetSize{}) {
     EXPECT_TRUE(fleet_.runUntilAllServe(0, seconds(12)));
-    young_disk_ = forgetful().disk();
+    early_disk_ = coreWithDataLoss().disk();
     cut({0, 1, 2}, {3, 4});
     FakeOperator& one = *fleet_.operators.front();
     one.start();
@@ -39,16 +39,16 @@
         fleet_.world.runUntil([&] { return acknowledgedZones().size() >= 3; }, seconds(60)));
     one.finish();
     EXPECT_TRUE(fleet_.world.runUntil([&] { return one.idle(); }, seconds(20)));
-    forgetful().kill(CrashKind::Kill);
+    coreWithDataLoss().kill(CrashKind::Kill);
     lose(loss);
     fleet_.network.healAll();
     cut({0, 1}, {2, 3, 4});
-    forgetful().start();
+    coreWithDataLoss().start();
     fleet_.world.runFor(seconds(5));
   }
 
-  /** Acknowledged evacuations which a configuration read at a core lacks; nothing where the core
-   * answers no read. */
+  /** @return the number of acknowledged evacuations missing in a configuration read at a core, or
+   * std::nullopt if the core answers no read. */
   std::optional<std::size_t> missingAt(std::size_t core) {
     std::optional<std::string> body;
     fleet_.operators.front()->readConfiguration(
@@ -71,7 +71,7 @@
   }
 
  private:
-  SimulatedCore& forgetful() { return *fleet_.cores[2]; }
+  SimulatedCore& coreWithDataLoss() { return *fleet_.cores[2]; }
 
   void cut(const std::vector<std::size_t>& some, const std::vector<std::size_t>& others) {
     for (const std::size_t one : some) {
@@ -82,7 +82,7 @@
   }
 
   void lose(Loss loss) {
-    simulation::SimulatedDisk& disk = forgetful().disk();
+    simulation::SimulatedDisk& disk = coreWithDataLoss().disk();
     const std::string newest = "records/" + disk.list("records").back();
     switch (loss) {
       case Loss::Emptied:
@@ -95,12 +95,12 @@
         disk.truncate(newest, disk.read(newest).size() / 2);
         break;
       case Loss::RolledBack:
-        disk = *young_disk_;
+        disk = *early_disk_;
         break;
     }
   }
 
-  /** Zones whose evacuation was acknowledged and not withdrawn by any change that was sent. */
+  /** Zones whose evacuation was acknowledged and not removed by any later change that was sent. */
   std::vector<std::string> acknowledgedZones() const {
     std::vector<std::string> zones;
     for (const OperatorChange& change : fleet_.operators.front()->changes()) {
@@ -114,12 +114,12 @@
   }
 
   Fleet fleet_;
-  std::optional<simulation::SimulatedDisk> young_disk_;
+  std::optional<simulation::SimulatedDisk> early_disk_;
 };
 
 class ForgottenStateTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(ForgottenStateTest, ACoreThatLostItsStateGivesNoMajorityToThoseWhoNeverKnewIt) {
+TEST_P(ForgottenStateTest, ACoreThatLostItsStateDoesNotCompleteAMajorityOfOutdatedCores) {
   for (const Loss loss : {Loss::Emptied, Loss::Flipped, Loss::Truncated}) {
     SCOPED_TRACE(static_cast<int>(loss));
     ForgottenState forgotten(GetParam(), loss);
@@ -131,13 +131,13 @@
 
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, ForgottenStateTest, testing::Range<std::uint64_t>(1, 51));
 
-TEST(ForgottenStateRedTest, ACoreThatVotesOnWhatItForgotBringsAnOlderConfigurationBack) {
-  std::size_t broken = 0;
+TEST(ForgottenStateRedTest, ACoreThatVotesWithARolledBackDiskRestoresAnOlderConfiguration) {
+  std::size_t seeds_with_loss = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     ForgottenState forgotten(seed, Loss::RolledBack);
-    broken += forgotten.missingAt(3).value_or(0) > 0 ? 1 : 0;
+    seeds_with_loss += forgotten.missingAt(3).value_or(0) > 0 ? 1 : 0;
   }
-  EXPECT_EQ(broken, 10U);
+  EXPECT_EQ(seeds_with_loss, 10U);
 }
 
 }  // namespace
--- a/libraries/scenarios/test/full_disk_test.cc
+++ b/libraries/scenarios/test/full_disk_test.cc
@@ -1,4 +1,4 @@
-// A core whose disk is full, and which another one can't reach: all others serve on.
+// One core has a full disk and is partitioned from one other core; all fronts must keep serving.
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 
 class FullDiskTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(FullDiskTest, SessionsGoOnWhileTheDiskOfOneMemberIsFull) {
+TEST_P(FullDiskTest, SessionsStayActiveWhileOneMembersDiskIsFull) {
   FleetSize size;
   size.fronts = 8;
   Fleet fleet(GetParam(), size);
@@ -25,14 +25,14 @@
   fleet.cores[full]->disk().setFull(true);
   fleet.network.cut(fleet.cores[full]->address(), fleet.cores[(full + 1) % size.cores]->address());
   fleet.operators.front()->start();
-  int lapses = 0;
+  int expired_sessions = 0;
   for (int poll = 0; poll < 400; ++poll) {
     fleet.world.runFor(milliseconds(10));
     for (const auto& front : fleet.fronts) {
-      lapses += front->dispatchVersion() ? 0 : 1;
+      expired_sessions += front->dispatchVersion() ? 0 : 1;
     }
   }
-  EXPECT_EQ(lapses, 0);
+  EXPECT_EQ(expired_sessions, 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FullDiskTest, testing::Range<std::uint64_t>(1, 11));
--- a/libraries/scenarios/test/lease_disk_test.cc
+++ b/libraries/scenarios/test/lease_disk_test.cc
@@ -13,15 +13,15 @@
 
 constexpr const char* ProbeLease = "probe";
 
-/** The newest term that a granter gave for the probe lease, and to which instance. */
+/** The newest term that a granter granted for the probe lease, and the instance it granted to. */
 struct Grant {
   std::uint64_t term = 0;
   std::uint64_t instance = 0;
 };
 
 /**
- * Disks fail, fill up and lose their power under the cores' acceptors and lease granters, which
- * share a store. Two candidates ask every core for one lease in turn, with terms that rise.
+ * Injects disk failures, full disks and power losses at cores, whose acceptors and lease granters
+ * share a store. Two candidates alternately request one lease from every core, with rising terms.
  */
 class LeaseDiskTest : public testing::TestWithParam<std::uint64_t> {
  protected:
@@ -51,7 +51,7 @@
     newest = grant;
   }
 
-  void harmDisk() {
+  void injectDiskFault() {
     base::RandomSource& random = fleet_.world.random();
     SimulatedCore& core = *fleet_.cores[random.below(fleet_.cores.size())];
     switch (random.below(4)) {
@@ -73,13 +73,13 @@
     }
   }
 
-  /** The first term of the cores' present set; granters take no term of another. */
+  /** The first term of the cores' current acceptor set; granters reject terms of other sets. */
   std::uint64_t firstTerm() {
     constexpr unsigned CountBits = 24;
     return fleet_.cores.front()->node().acceptor().acceptorSet().epoch << CountBits;
   }
 
-  /** The highest term of a lease that any core holds now; 0 where none does. */
+  /** The highest term in which any core holds the lease now, or 0 if none does. */
   std::uint64_t heldTerm(const std::string& lease) {
     std::uint64_t term = 0;
     std::size_t holders = 0;
@@ -104,14 +104,14 @@
   transport::PeerCalls calls_{process_, *transport_};
 };
 
-TEST_P(LeaseDiskTest, TermsNeverFallAndLeasesComeBack) {
+TEST_P(LeaseDiskTest, TermsNeverDecreaseAndLeasesAreReacquired) {
   base::RandomSource& random = fleet_.world.random();
   std::uint64_t watcher_term = 0;
   for (std::uint64_t round = 1; round <= 300; ++round) {
     if (random.chance(0.2)) {
-      harmDisk();
+      injectDiskFault();
     }
-    // Now and then an old term is asked for again.
+    // Sometimes requests an earlier term again.
     const bool old = random.chance(0.2) && round > 5;
     const std::uint64_t term = firstTerm() + (old ? round - 5 : round);
     requestLease(term, 1 + term % 2);
--- a/libraries/scenarios/test/limits_scenario_test.cc
+++ b/libraries/scenarios/test/limits_scenario_test.cc
@@ -18,7 +18,7 @@
 
 class LimitsScenarioTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(LimitsScenarioTest, BranchesHoldAtTheWorkersWhileFrontsAndCoresFail) {
+TEST_P(LimitsScenarioTest, BranchLimitsHoldAtTheWorkersUnderFaults) {
   LimitsScenarioOptions options;
   options.seed = GetParam();
   const LimitsScenarioResult result = LimitsScenario(options).run();
@@ -31,7 +31,7 @@
 
 class RetryStormTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RetryStormTest, RetriesStayWithinATenthWhileEveryWorkerFails) {
+TEST_P(RetryStormTest, RetriesStayWithinTheirShareWhileEveryWorkerFails) {
   LimitsScenarioOptions options;
   options.seed = GetParam();
   options.faults = false;
@@ -44,7 +44,7 @@
 
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, RetryStormTest, testing::Range<std::uint64_t>(1, 21));
 
-TEST(RetryStormRedTest, SeesABudgetOpenedToHalfOfTheFirstAttempts) {
+TEST(RetryStormRedTest, DetectsARetryShareOfOneHalf) {
   for (std::uint64_t seed = 1; seed <= SeedsWithWideRetryBudget; ++seed) {
     LimitsScenarioOptions options;
     options.seed = seed;
@@ -59,14 +59,14 @@
 
 class ClosedWorkerTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(ClosedWorkerTest, AWorkerAtWhichNothingListensIsOnlyProbed) {
+TEST_P(ClosedWorkerTest, AWorkerThatRefusesConnectionsReceivesOnlyProbes) {
   LimitsScenarioOptions options;
   options.seed = GetParam();
   options.faults = false;
   options.closed_worker = true;
   const LimitsScenarioResult result = LimitsScenario(options).run();
   expectKept(result, GetParam());
-  // Each of three fronts may probe after 0.5, 1, 2, 4 and then each 5 s: seven times in 20 s.
+  // Each of three fronts may probe after 0.5, 1, 2, 4 and then every 5 s: seven times in 20 s.
   constexpr int ProbesOfFront = 7;
   int closed = 0;
   int open = 0;
--- a/libraries/scenarios/test/maintenance_scenario_test.cc
+++ b/libraries/scenarios/test/maintenance_scenario_test.cc
@@ -16,10 +16,10 @@
 using std::chrono::seconds;
 
 constexpr std::size_t Workers = 20;
-constexpr int Orders = 6;
+constexpr int Requests = 6;
 
-/** Operators take workers out and back through any core, while cores are killed and
- * lose their power, one at a time. */
+/** Operators put workers in maintenance and back in use by requests to any core, while cores are
+ * killed and lose power, one at a time. */
 class MaintenanceScenarioTest : public testing::TestWithParam<std::uint64_t> {
  protected:
   MaintenanceScenarioTest() {
@@ -35,7 +35,7 @@
   }
   static std::string nameOf(std::size_t index) { return "w" + std::to_string(index); }
 
-  /** Starts the core that is down, or else takes one down. */
+  /** Restarts the core that is down; if none is, kills one. */
   void injectFaultOnAnotherCore() {
     if (!down) {
       SimulatedCore& core = *fleet.cores[random.below(fleet.cores.size())];
@@ -49,10 +49,10 @@
     down = nullptr;
   }
 
-  /** Sends the order to one core after the other until it is acknowledged. */
-  std::optional<configuration::JsonValue> order(const std::string& method,
-                                                const std::string& target,
-                                                const std::string& body) {
+  /** Sends the request to one core after the other until it is acknowledged. */
+  std::optional<configuration::JsonValue> sendRequest(const std::string& method,
+                                                      const std::string& target,
+                                                      const std::string& body) {
     for (int attempt = 0; attempt < 40; ++attempt) {
       const base::NodeAddress core = fleet.cores[random.below(fleet.cores.size())]->address();
       bool ended = false;
@@ -79,13 +79,13 @@
   }
   static std::string idOf(const std::string& id) { return R"({"change_id":")" + id + R"("})"; }
 
-  /** What every running front believes to be out. */
-  void expectOut(const std::set<std::string>& expected) {
+  /** Expects every running core to agree on the workers in maintenance within 15 s. */
+  void expectInMaintenance(const std::set<std::string>& expected) {
     const auto agreed = [this, &expected] {
       for (const auto& core : fleet.cores) {
-        const bool knows =
+        const bool agrees =
             !core->running() || core->node().replica().view()->workers_in_maintenance == expected;
-        if (!knows) {
+        if (!agrees) {
           return false;
         }
       }
@@ -99,38 +99,38 @@
   SimulatedCore* down = nullptr;
 };
 
-TEST_P(MaintenanceScenarioTest, EachOrderTakesOutOneWorkerWhateverFails) {
+TEST_P(MaintenanceScenarioTest, EachRequestPutsOneWorkerInMaintenanceDespiteFaults) {
   ASSERT_TRUE(fleet.runUntilAllServe(0, seconds(12)));
   ASSERT_TRUE(fleet.commitChange(firstChange(), seconds(10)));
   ASSERT_TRUE(fleet.commitChange(
       R"({"change_id":"tune","base_version":1,"set":{
         "tuning/maintenance-pool-share": 0.4, "tuning/maintenance-zone-workers": 20}})",
       seconds(10)));
-  std::set<std::string> out;
+  std::set<std::string> in_maintenance;
   std::map<std::string, std::int64_t> versions;
-  for (int index = 0; index < Orders; ++index) {
+  for (int index = 0; index < Requests; ++index) {
     const std::string worker = nameOf(random.below(Workers));
-    if (out.contains(worker)) {
+    if (in_maintenance.contains(worker)) {
       continue;
     }
     const std::string id = "out-" + std::to_string(index);
     const std::string target = "/v1/maintenance/workers/" + worker;
-    const auto answer = order("POST", target, idOf(id));
+    const auto answer = sendRequest("POST", target, idOf(id));
     ASSERT_TRUE(answer.has_value());
     EXPECT_EQ(answer->textOf("worker"), worker);
-    out.insert(worker);
+    in_maintenance.insert(worker);
     versions[id] = answer->integerOf("version");
     if (random.chance(0.3)) {
-      ASSERT_TRUE(order("DELETE", target + "?change_id=back-" + std::to_string(index), ""));
-      out.erase(worker);
+      ASSERT_TRUE(sendRequest("DELETE", target + "?change_id=back-" + std::to_string(index), ""));
+      in_maintenance.erase(worker);
     }
-    // Sent again, whatever has happened since, it is the same order.
-    const auto again = order("POST", target, idOf(id));
-    ASSERT_TRUE(again.has_value());
-    EXPECT_EQ(again->integerOf("version"), versions[id]);
+    // A resent request has the same result, whatever happened in between.
+    const auto resent = sendRequest("POST", target, idOf(id));
+    ASSERT_TRUE(resent.has_value());
+    EXPECT_EQ(resent->integerOf("version"), versions[id]);
   }
-  expectOut(out);
-  // What was ordered outlasts the loss of all memory.
+  expectInMaintenance(in_maintenance);
+  // The maintenance state survives a restart of all cores.
   for (const auto& core : fleet.cores) {
     if (core->running()) {
       core->kill(CrashKind::PowerLoss);
@@ -140,7 +140,7 @@
     core->start();
   }
   ASSERT_TRUE(fleet.runUntilAllServe(1, seconds(15)));
-  expectOut(out);
+  expectInMaintenance(in_maintenance);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, MaintenanceScenarioTest, testing::Range<std::uint64_t>(1, 201));
--- a/libraries/scenarios/test/power_loss_test.cc
+++ b/libraries/scenarios/test/power_loss_test.cc
@@ -1,4 +1,4 @@
-// Power lost on every core at once, while no disk has finished what it was last given.
+// Every core loses power at once while all disks have unfinished operations.
 
 #include <gtest/gtest.h>
 
@@ -24,7 +24,7 @@
              : std::strtoull(body.c_str() + found + Name.size(), nullptr, 10);
 }
 
-/** Lets all disks stall while changes are made, cuts the power, and compares before and after. */
+/** Stalls all disks during changes, cuts the power, and compares the versions before and after. */
 class PowerLoss {
  public:
   PowerLoss(std::uint64_t seed, const core::CoreFaults& faults)
@@ -34,7 +34,7 @@
     });
   }
 
-  /** Whether the newest acknowledged version is still there afterwards. */
+  /** Whether the newest acknowledged version is still in force afterwards. */
   bool keepsTheNewestAcknowledgedVersion() {
     EXPECT_TRUE(fleet_.runUntilAllServe(0, seconds(12)));
     fleet_.operators.front()->start();
@@ -46,12 +46,12 @@
     for (const auto& core : fleet_.cores) {
       core->kill(CrashKind::PowerLoss);
     }
-    const std::uint64_t promised = acknowledged_;
+    const std::uint64_t acknowledged_before = acknowledged_;
     fleet_.operators.front()->finish();
     for (const auto& core : fleet_.cores) {
       core->start();
     }
-    return versionAfterwards() >= promised;
+    return versionAfterwards() >= acknowledged_before;
   }
 
  private:
@@ -75,13 +75,13 @@
 
 class PowerLossTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(PowerLossTest, EveryAcknowledgedChangeWasOnDisk) {
+TEST_P(PowerLossTest, EveryAcknowledgedChangeIsDurable) {
   EXPECT_TRUE(PowerLoss(GetParam(), {}).keepsTheNewestAcknowledgedVersion());
 }
 
 INSTANTIATE_TEST_SUITE_P(FixedSeeds, PowerLossTest, testing::Range<std::uint64_t>(1, 21));
 
-TEST(PowerLossRedTest, SeesAcceptorsThatAnswerBeforeTheSync) {
+TEST(PowerLossRedTest, DetectsAcceptorsThatAnswerBeforeTheSync) {
   core::CoreFaults faults;
   faults.answer_before_sync = true;
   int lost = 0;
--- a/libraries/scenarios/test/state_report_test.cc
+++ b/libraries/scenarios/test/state_report_test.cc
@@ -17,7 +17,7 @@
 
 constexpr const char* Evacuated = "evacuations/zone-north";
 
-/** The state reports of two complete nodes, as an operator reads and compares them. */
+/** Reads the state reports of two nodes and compares them, as an operator does. */
 class StateReportTest : public testing::Test {
  protected:
   StateReportTest() {
@@ -66,7 +66,7 @@
         seconds(12)));
   }
 
-  void cutOff(const base::NodeAddress& node) {
+  void isolateNode(const base::NodeAddress& node) {
     for (const auto& core : fleet_.cores) {
       fleet_.network.cut(node, core->address());
     }
@@ -87,7 +87,7 @@
             (std::set<std::string>{"configuration", "lease", "session", "workers"}));
 }
 
-TEST_F(StateReportTest, NodesInAgreementDifferInNothingTheyShare) {
+TEST_F(StateReportTest, NodesInAgreementDoNotDifferInSharedState) {
   for (const base::NodeAddress& other : {front(1), core(0)}) {
     for (const StateDifference& difference : compare(front(0), other)) {
       EXPECT_NE(difference.subject, "configuration") << difference.key;
@@ -103,8 +103,8 @@
   }
 }
 
-TEST_F(StateReportTest, AFrontPartitionedIsSeenLaggingEntryByEntry) {
-  cutOff(front(0));
+TEST_F(StateReportTest, ComparisonShowsEachEntryThatAPartitionedFrontLacks) {
+  isolateNode(front(0));
   fleet_.world.runFor(seconds(3));
   evacuate();
   fleet_.world.runFor(seconds(10));
@@ -122,11 +122,11 @@
   ASSERT_NE(state, nullptr);
   EXPECT_EQ(state->first->value, "lapsed");
   EXPECT_GE(state->first->since_ms, 10'000);
-  // Both sides know that the session is no more.
+  // Both sides have recorded the expiry of the session.
   EXPECT_EQ(find(differences, "session", front(0).toString()), nullptr);
 }
 
-TEST_F(StateReportTest, AFrontWokenFromAFreezeComesToAgree) {
+TEST_F(StateReportTest, AFrontAgreesAgainAfterAFreeze) {
   fleet_.fronts[0]->process().freeze();
   fleet_.world.runFor(seconds(2));
   evacuate();
@@ -136,7 +136,7 @@
   fleet_.world.runFor(seconds(3));
   const std::vector<StateDifference> differences = compare(front(0), front(1));
   EXPECT_EQ(find(differences, "configuration", Evacuated), nullptr);
-  // It has held the entry for less long than the other, which a comparison doesn't count.
+  // It received the entry later than the other front; a comparison ignores this age.
   const StateReport woken = stateOf(front(0));
   const auto entry = std::find_if(woken.entries.begin(), woken.entries.end(),
                                   [](const auto& each) { return each.key == Evacuated; });
@@ -144,8 +144,8 @@
   EXPECT_LE(entry->since_ms, 3'500);
 }
 
-TEST_F(StateReportTest, ACoreCutOffIsSeenBehind) {
-  cutOff(core(4));
+TEST_F(StateReportTest, ComparisonShowsEachEntryThatAPartitionedCoreLacks) {
+  isolateNode(core(4));
   fleet_.world.runFor(seconds(3));
   evacuate();
   fleet_.world.runFor(seconds(5));
--- a/libraries/scenarios/test/uncommitted_value_test.cc
+++ b/libraries/scenarios/test/uncommitted_value_test.cc
@@ -12,18 +12,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A proposer that reaches whichever acceptors the test wants. */
+/** A proposer that sends accept requests only to acceptors that the test chooses. */
 class UncommittedValueTest : public testing::TestWithParam<std::uint64_t> {
  protected:
   UncommittedValueTest() : fleet_(GetParam(), FleetSize{}) {
     EXPECT_TRUE(fleet_.runUntilAllServe(0, seconds(12)));
-    held_ = fleet_.cores[0]->node().acceptor().entry(registers::ConfigurationRegister);
+    initial_ = fleet_.cores[0]->node().acceptor().entry(registers::ConfigurationRegister);
   }
 
-  /** The present value with one entry more, in the next version. */
+  /** The current value with one more entry, in the next version. */
   std::string nextValue() const {
     configuration::RegisterValue value =
-        configuration::decodeRegisterValue(held_ ? held_->value : std::string());
+        configuration::decodeRegisterValue(initial_ ? initial_->value : std::string());
     configuration::Change change;
     change.change_id = "never-committed";
     change.base_version = value.document.version;
@@ -46,22 +46,22 @@
     });
   }
 
-  void cutOffFirstCore() {
+  void isolateFirstCore() {
     for (std::size_t index = 1; index < fleet_.cores.size(); ++index) {
       fleet_.network.cut(fleet_.cores[0]->address(), fleet_.cores[index]->address());
     }
   }
 
   Fleet fleet_;
-  std::optional<wire::RegisterScanEntry> held_;
+  std::optional<wire::RegisterScanEntry> initial_;
   simulation::Process process_{fleet_.world};
   std::unique_ptr<transport::Transport> transport_ =
       fleet_.network.attach({"127.0.0.1", 7'300}, process_);
   transport::PeerCalls calls_{process_, *transport_};
 };
 
-TEST_P(UncommittedValueTest, ReachesNoReplicaWhileOnlyAMinorityHoldsIt) {
-  cutOffFirstCore();
+TEST_P(UncommittedValueTest, ReachesNoReplicaWhileOnlyAMinorityHasAcceptedIt) {
+  isolateFirstCore();
   accept(*fleet_.cores[0], 1'000'000, nextValue());
   fleet_.world.runFor(milliseconds(100));
   for (int poll = 0; poll < 500; ++poll) {
@@ -73,13 +73,13 @@
   }
 }
 
-TEST_P(UncommittedValueTest, HoldsUpNoSessionOnceItWasOverwritten) {
-  cutOffFirstCore();
+TEST_P(UncommittedValueTest, DoesNotBlockSessionsAfterItWasOverwritten) {
+  isolateFirstCore();
   accept(*fleet_.cores[0], 1'000'000, nextValue());
   fleet_.world.runFor(milliseconds(100));
-  // A proposer that found the former value at a majority writes it back to all.
+  // A proposer that read the former value from a majority writes it back to all acceptors.
   for (const auto& core : fleet_.cores) {
-    accept(*core, 2'000'000, held_ ? held_->value : std::string());
+    accept(*core, 2'000'000, initial_ ? initial_->value : std::string());
   }
   fleet_.world.runFor(milliseconds(100));
   fleet_.network.healAll();
