--- a/libraries/scenarios/include/switchsaddle/scenarios/configuration_scenario.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/configuration_scenario.h
@@ -89,7 +89,7 @@
 
  private:
   void prepare();
-  bool settle(const std::function<bool()>& condition, base::Duration limit);
+  bool runUntil(const std::function<bool()>& condition, base::Duration limit);
   void poll();
   void runUnderFaults();
   void injectFault();
--- a/libraries/scenarios/include/switchsaddle/scenarios/fake_operator.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/fake_operator.h
@@ -92,10 +92,10 @@
   void beginChange();
   void send();
   void onReply(std::uint64_t attempt, const transport::CallResult& result);
-  void take(const wire::ControlReply& reply);
+  void handleReply(const wire::ControlReply& reply);
   void adoptCommitted(std::uint64_t version);
-  void settle(ChangeOutcome outcome, std::uint64_t version);
-  void end(ChangeOutcome outcome);
+  void recordFinalAnswer(ChangeOutcome outcome, std::uint64_t version);
+  void finishChange(ChangeOutcome outcome);
   std::string body() const;
 
   base::NodeAddress address_;
--- a/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/limits_scenario.h
@@ -58,7 +58,7 @@
   void onAttempt(const front::WorkerRequest& request) override;
   void onStart(const front::WorkerRequest& request) override;
   void onEnd(const front::WorkerRequest& request) override;
-  void note(const std::string& event, const front::WorkerRequest& request);
+  void recordWorkerEvent(const std::string& event, const front::WorkerRequest& request);
 
   void listWorkers();
   void startFronts();
--- a/libraries/scenarios/source/configuration_scenario.cc
+++ b/libraries/scenarios/source/configuration_scenario.cc
@@ -204,7 +204,7 @@
   }
 }
 
-bool ConfigurationScenario::settle(const std::function<bool()>& condition, base::Duration limit) {
+bool ConfigurationScenario::runUntil(const std::function<bool()>& condition, base::Duration limit) {
   const base::TimePoint end = fleet_.world.now() + limit;
   while (!condition()) {
     if (fleet_.world.now() >= end) {
@@ -226,7 +226,7 @@
 
 ConfigurationScenarioResult ConfigurationScenario::run() {
   prepare();
-  if (!settle([this] { return fleet_.allServe(0); }, seconds(12))) {
+  if (!runUntil([this] { return fleet_.allServe(0); }, seconds(12))) {
     addViolation("not every front served within 12 s of the start");
     return result_;
   }
@@ -253,7 +253,7 @@
   const base::TimePoint begin = fleet_.world.now();
   const base::TimePoint end = begin + options_.fault_time;
   base::TimePoint next_fault = begin;
-  settle(
+  runUntil(
       [&] {
         if (fleet_.world.now() >= next_fault) {
           next_fault = fleet_.world.now() + randomDuration(fleet_.world.random(), milliseconds(50),
@@ -298,12 +298,12 @@
     one->finish();
   }
   const bool served =
-      settle([this] { return fleet_.allServe(acknowledged_version_); }, options_.recovery_limit);
+      runUntil([this] { return fleet_.allServe(acknowledged_version_); }, options_.recovery_limit);
   result_.recovery = fleet_.world.now() - healed;
   if (!served) {
     addViolation("not every front serves within the recovery limit");
   }
-  const bool answered = settle(
+  const bool answered = runUntil(
       [this] {
         return std::all_of(fleet_.operators.begin(), fleet_.operators.end(),
                            [](const auto& one) { return one->idle(); });
@@ -397,7 +397,7 @@
     }
   }
   std::optional<std::string> body;
-  const bool read = settle(
+  const bool read = runUntil(
       [&] {
         if (!body) {
           fleet_.operators.front()->readConfiguration(
--- a/libraries/scenarios/source/control_sweep.cc
+++ b/libraries/scenarios/source/control_sweep.cc
@@ -63,7 +63,7 @@
       return;
     }
   }
-  throw base::Error(base::ResultCode::InvalidValue, "no such mechanism", mechanism);
+  throw base::Error(base::ResultCode::InvalidValue, "unknown mechanism", mechanism);
 }
 
 }  // namespace switchsaddle::scenarios
--- a/libraries/scenarios/source/disk_faults.cc
+++ b/libraries/scenarios/source/disk_faults.cc
@@ -89,15 +89,15 @@
     schedule_(PowerLossWait, [this, &core] { loseState(core, [](SimulatedCore&) {}); });
   };
   const Step flip = [this](SimulatedCore& core) {
-    loseState(core, [this](SimulatedCore& hurt) { damageFile(hurt, false); });
+    loseState(core, [this](SimulatedCore& damaged) { damageFile(damaged, false); });
   };
-  const Step cut = [this](SimulatedCore& core) {
-    loseState(core, [this](SimulatedCore& hurt) { damageFile(hurt, true); });
+  const Step truncate = [this](SimulatedCore& core) {
+    loseState(core, [this](SimulatedCore& damaged) { damageFile(damaged, true); });
   };
-  const Step empty = [this](SimulatedCore& core) {
-    loseState(core, [](SimulatedCore& hurt) { hurt.disk().wipe(); });
+  const Step wipe = [this](SimulatedCore& core) {
+    loseState(core, [](SimulatedCore& damaged) { damaged.disk().wipe(); });
   };
-  for (const Step& step : {tear, flip, cut, empty}) {
+  for (const Step& step : {tear, flip, truncate, wipe}) {
     entries_.push_back({step, true, true});
   }
 }
@@ -158,7 +158,7 @@
 }
 
 SimulatedCore* DiskFaults::chooseCore(bool impairs, bool loses_state) {
-  std::vector<SimulatedCore*> fit;
+  std::vector<SimulatedCore*> candidates;
   std::size_t impaired_cores = 0;
   bool any_lost = false;
   for (const auto& core : fleet_.cores) {
@@ -166,14 +166,14 @@
       ++impaired_cores;
       any_lost = any_lost || lostState(*core);
     } else {
-      fit.push_back(core.get());
+      candidates.push_back(core.get());
     }
   }
   const bool too_many = impairs && impaired_cores >= MaxImpairedCores;
-  if (fit.empty() || too_many || (loses_state && any_lost)) {
+  if (candidates.empty() || too_many || (loses_state && any_lost)) {
     return nullptr;
   }
-  return fit[fleet_.world.random().below(fit.size())];
+  return candidates[fleet_.world.random().below(candidates.size())];
 }
 
 void DiskFaults::injectNext() {
--- a/libraries/scenarios/source/fake_operator.cc
+++ b/libraries/scenarios/source/fake_operator.cc
@@ -116,7 +116,7 @@
     return;
   }
   if (const auto* reply = result.as<wire::ControlReply>()) {
-    take(*reply);
+    handleReply(*reply);
   }
   if (current_) {
     ++resends_;
@@ -124,7 +124,7 @@
   timer_->enable(std::chrono::milliseconds(1 + random_.below(LongestPauseMilliseconds)));
 }
 
-void FakeOperator::take(const wire::ControlReply& reply) {
+void FakeOperator::handleReply(const wire::ControlReply& reply) {
   std::vector<configuration::Fault> faults;
   const auto body = configuration::parseJson(reply.body, {}, "", faults);
   if (!body) {
@@ -135,24 +135,24 @@
   newest_version_ = std::max(newest_version_, version);
   if (reply.status == base::describe(ResultCode::Ok).http_status) {
     adoptCommitted(version);
-    settle(ChangeOutcome::Acknowledged, version);
+    recordFinalAnswer(ChangeOutcome::Acknowledged, version);
   } else if (reply.status == base::describe(ResultCode::CommittedNotYetInForce).http_status) {
     adoptCommitted(version);
   } else if (hasCode(*body, ResultCode::ConfigurationConflict)) {
-    settle(ChangeOutcome::Conflict, version);
+    recordFinalAnswer(ChangeOutcome::Conflict, version);
   } else if (hasCode(*body, ResultCode::ConfigurationInvalid)) {
-    settle(ChangeOutcome::Invalid, version);
+    recordFinalAnswer(ChangeOutcome::Invalid, version);
   } else if (hasCode(*body, ResultCode::ChangeIdReused)) {
     changes_[*current_].contradictions.push_back(
         "a resent change was refused because its id was used by another change");
   }
 }
 
-void FakeOperator::settle(ChangeOutcome outcome, std::uint64_t version) {
+void FakeOperator::recordFinalAnswer(ChangeOutcome outcome, std::uint64_t version) {
   OperatorChange& change = changes_[*current_];
   if (change.outcome == ChangeOutcome::Pending) {
     change.version = version;
-    end(outcome);
+    finishChange(outcome);
     return;
   }
   if (change.outcome != outcome || change.version != version) {
@@ -177,7 +177,7 @@
   change.version = version;
 }
 
-void FakeOperator::end(ChangeOutcome outcome) {
+void FakeOperator::finishChange(ChangeOutcome outcome) {
   OperatorChange& change = changes_[*current_];
   if (change.committed && outcome != ChangeOutcome::Acknowledged) {
     change.contradictions.push_back(
--- a/libraries/scenarios/source/limits_scenario.cc
+++ b/libraries/scenarios/source/limits_scenario.cc
@@ -27,7 +27,7 @@
 /** Fronts deliver answers without delay here, but an end and a start may share a millisecond. */
 constexpr std::int64_t OccupancyMs = 25;
 /** Time after the last request was sent within which requests may be answered. */
-constexpr base::Duration Tail = std::chrono::seconds(15);
+constexpr base::Duration AnswerPeriod = std::chrono::seconds(15);
 
 std::string limitsDocument(double retry_share) {
   return R"({
@@ -208,7 +208,8 @@
   result_.evidence.calls.push_back(std::move(event));
 }
 
-void LimitsScenario::note(const std::string& event, const front::WorkerRequest& request) {
+void LimitsScenario::recordWorkerEvent(const std::string& event,
+                                       const front::WorkerRequest& request) {
   if (over_) {
     return;
   }
@@ -224,7 +225,7 @@
 
 void LimitsScenario::onAttempt(const front::WorkerRequest& request) {
   ++result_.attempts[request.address];
-  note("refused", request);
+  recordWorkerEvent("refused", request);
 }
 
 void LimitsScenario::onStart(const front::WorkerRequest& request) {
@@ -232,11 +233,11 @@
   if (!over_) {
     journal_.events.pop_back();
   }
-  note("start", request);
+  recordWorkerEvent("start", request);
 }
 
 void LimitsScenario::onEnd(const front::WorkerRequest& request) {
-  note("end", request);
+  recordWorkerEvent("end", request);
 }
 
 void LimitsScenario::sendOne(const std::string& tenant, bool stream) {
@@ -294,7 +295,7 @@
     fleet_.world.runFor(Step);
   }
   restoreAll();
-  fleet_.world.runFor(Tail);
+  fleet_.world.runFor(AnswerPeriod);
   over_ = true;
   result_.evidence.journals = {journal_};
   testbed::BranchTolerances tolerances;
