--- a/libraries/experiments/include/switchsaddle/experiments/experiment.h
+++ b/libraries/experiments/include/switchsaddle/experiments/experiment.h
@@ -13,8 +13,8 @@
   std::string value;
 };
 
-/** The parameters of one run. Lookups throw base::Error with InvalidValue for unknown names and for
- * text that is no number. */
+/** The parameters of one run. Lookups throw base::Error with InvalidValue if the name is unknown or
+ * if number() finds a value that is not a number. */
 class Settings {
  public:
   explicit Settings(std::vector<Setting> values) : values_(std::move(values)) {}
@@ -28,27 +28,27 @@
   std::vector<Setting> values_;
 };
 
-/** One measured figure of a run. */
+/** One measured value of a run. */
 struct Measure {
   std::string name;
   double value = 0;
 };
 
-/** A simulated scenario that is run over parameters and seeds. Stateless: a run with the same
- * settings and seed gives the same measures. */
+/** A simulated scenario that is run with varied parameters and seeds. Stateless: runs with the same
+ * settings and seed return the same measures. */
 class Experiment {
  public:
   virtual ~Experiment() = default;
   virtual std::string name() const = 0;
   /** Every parameter with its default. */
   virtual std::vector<Setting> defaults() const = 0;
-  /** The measure plotted where none is named. */
+  /** The measure that is plotted by default. */
   virtual std::string plottedMeasure() const = 0;
-  /** Always the same measures in the same order. */
+  /** Returns the same measures in the same order for every run. */
   virtual std::vector<Measure> run(const Settings& settings, std::uint64_t seed) const = 0;
 };
 
-/** All experiments of the laboratory. */
+/** All experiments of the test bed. */
 std::vector<std::unique_ptr<Experiment>> allExperiments();
 
 }  // namespace switchsaddle::experiments
--- a/libraries/experiments/include/switchsaddle/experiments/sweep.h
+++ b/libraries/experiments/include/switchsaddle/experiments/sweep.h
@@ -9,16 +9,16 @@
 
 namespace switchsaddle::experiments {
 
-/** The values one parameter is varied over. */
+/** One parameter and the values it is varied over. */
 struct Range {
   std::string name;
   std::vector<std::string> values;
 };
 
-/** Parses "NAME=a,b,c"; throws base::Error with InvalidValue. */
+/** Parses "NAME=a,b,c". Throws base::Error with InvalidValue for other text. */
 Range parseRange(const std::string& text);
 
-/** What is varied: every combination of the ranges, each over the seeds. */
+/** The runs of a sweep: every combination of the ranges' values, each with every seed. */
 struct Sweep {
   std::vector<Range> ranges;
   std::uint64_t first_seed = 1;
@@ -48,7 +48,7 @@
 std::string formatCsv(const std::vector<Row>& rows);
 /** One summary for each combination, in the order of the rows. */
 std::vector<Summary> summarize(const std::vector<Row>& rows, const std::string& measure);
-/** A gnuplot script that draws the summaries as bars with their spread into a PNG file. */
+/** A gnuplot script that draws the means as bars, with the spread of each, into a PNG file. */
 std::string formatPlot(const std::vector<Summary>& summaries, const std::string& measure,
                        const std::string& png_path);
 
--- a/libraries/experiments/source/experiment.cc
+++ b/libraries/experiments/source/experiment.cc
@@ -14,7 +14,7 @@
   const auto found = std::find_if(values.begin(), values.end(),
                                   [&name](const Setting& one) { return one.name == name; });
   if (found == values.end()) {
-    throw base::Error(base::ResultCode::InvalidValue, "no parameter is named " + name);
+    throw base::Error(base::ResultCode::InvalidValue, "unknown parameter: " + name);
   }
   return *found;
 }
@@ -34,9 +34,9 @@
       return parsed;
     }
   } catch (const std::exception&) {
-    // Reported below, with the parameter's name.
+    // The error below reports the parameter's name and value.
   }
-  throw base::Error(base::ResultCode::InvalidValue, name + " is no number: " + value);
+  throw base::Error(base::ResultCode::InvalidValue, name + " must be a number but is: " + value);
 }
 
 void Settings::set(const std::string& name, const std::string& value) {
--- a/libraries/experiments/source/fleet_model.cc
+++ b/libraries/experiments/source/fleet_model.cc
@@ -11,9 +11,9 @@
 constexpr std::size_t MaximumAttempts = 3;
 /** Delay of one exchange of scores between two fronts. */
 constexpr base::Duration ExchangeDelay = std::chrono::milliseconds(2);
-/** Times of the churn as shares of the measured time. */
+/** Times of the crash, the restart and the join as shares of the measured time. */
 constexpr double CrashAt = 0.10;
-constexpr double ReturnAt = 0.25;
+constexpr double RestartAt = 0.25;
 constexpr double JoinAt = 0.60;
 
 base::Duration share(base::Duration total, double share_of_total) {
@@ -28,7 +28,7 @@
       recorder_(settings_),
       prompts_(settings_, world_.random()) {
   const std::size_t joining = settings_.churn ? 1 : 0;
-  // Names go with the seed, else all seeds would share the luck of one hash ring.
+  // Names depend on the seed, so that each seed has another distribution on the hash ring.
   const std::string prefix = "worker-" + std::to_string(seed) + "-";
   for (std::size_t index = 0; index < settings_.workers + joining; ++index) {
     const std::string model = "model-" + std::to_string(index % settings_.models);
@@ -67,10 +67,10 @@
   const std::size_t victim = world_.random().below(settings_.workers);
   const std::size_t joining = settings_.workers;
   world_.schedule(settings_.warm_up + share(measured, CrashAt), [this, victim] { crash(victim); });
-  world_.schedule(settings_.warm_up + share(measured, ReturnAt),
-                  [this, victim] { startWarmingUp(victim); });
+  world_.schedule(settings_.warm_up + share(measured, RestartAt),
+                  [this, victim] { startWorker(victim); });
   world_.schedule(settings_.warm_up + share(measured, JoinAt),
-                  [this, joining] { startWarmingUp(joining); });
+                  [this, joining] { startWorker(joining); });
 }
 
 void FleetModel::scheduleArrival() {
@@ -148,7 +148,7 @@
   announce(worker);
 }
 
-void FleetModel::startWarmingUp(std::size_t worker) {
+void FleetModel::startWorker(std::size_t worker) {
   workers_[worker]->start();
   recorder_.onSlowStart(worker, world_.now());
   announce(worker);
@@ -164,11 +164,11 @@
   const ListedWorker entry = listed(worker);
   for (std::size_t front = 0; front < settings_.fronts; ++front) {
     world_.schedule(share(settings_.list_delay, world_.random().uniform()),
-                    [this, front, entry] { learn(front, entry); });
+                    [this, front, entry] { updateList(front, entry); });
   }
 }
 
-void FleetModel::learn(std::size_t front, const ListedWorker& worker) {
+void FleetModel::updateList(std::size_t front, const ListedWorker& worker) {
   std::vector<ListedWorker>& list = lists_[front];
   const auto known = std::find_if(list.begin(), list.end(), [&worker](const ListedWorker& one) {
     return one.index == worker.index;
--- a/libraries/experiments/source/fleet_model.h
+++ b/libraries/experiments/source/fleet_model.h
@@ -9,9 +9,9 @@
 namespace switchsaddle::experiments {
 
 /**
- * A whole fleet as discrete events on one seeded world: fronts that place each by its own policy
- * and state, workers, Poisson arrivals, exchange of scores with a random peer, and workers that
- * crash, return cold and join. Runs once.
+ * A discrete-event model of a complete fleet in one seeded world: fronts, each with its own
+ * placement policy and state, workers, Poisson arrivals, exchange of scores with a random peer, and
+ * workers that crash, restart with empty caches and join. Runs once.
  */
 class FleetModel {
  public:
@@ -19,7 +19,7 @@
   std::vector<Measure> run();
 
  private:
-  /** One caller's stream through its tries. */
+  /** One caller's stream with all its attempts. */
   struct Call {
     ModelledPrompt prompt;
     std::size_t front = 0;
@@ -35,10 +35,10 @@
   void place(const CallPtr& call);
   void onDone(const CallPtr& call, const ModelledPlacement& placement, const StreamResult& result);
   void crash(std::size_t worker);
-  void startWarmingUp(std::size_t worker);
-  /** Brings a worker's present state to each front within the list's delay. */
+  void startWorker(std::size_t worker);
+  /** Reports a worker's current state to each front after a random part of the list's delay. */
   void announce(std::size_t worker);
-  void learn(std::size_t front, const ListedWorker& worker);
+  void updateList(std::size_t front, const ListedWorker& worker);
   ListedWorker listed(std::size_t worker) const;
 
   FleetSettings settings_;
@@ -47,7 +47,7 @@
   PromptSource prompts_;
   std::vector<std::unique_ptr<ModelledWorker>> workers_;
   std::vector<std::unique_ptr<Placer>> fronts_;
-  /** What each front has learned of the workers. */
+  /** Each front's view of the workers. */
   std::vector<std::vector<ListedWorker>> lists_;
 };
 
--- a/libraries/experiments/source/fleet_recorder.cc
+++ b/libraries/experiments/source/fleet_recorder.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr base::Duration SlowStartWindow = std::chrono::seconds(2);
-constexpr base::Duration WatchedAfterStart = std::chrono::seconds(20);
+constexpr base::Duration SlowStartObservation = std::chrono::seconds(20);
 constexpr base::Duration Step = std::chrono::milliseconds(250);
 constexpr double MillisecondsPerSecond = 1'000.0;
 
@@ -61,30 +61,30 @@
 }
 
 double FleetRecorder::slowStartShare(base::Duration offset, base::Duration window) const {
-  double worst = 0;
+  double largest = 0;
   for (const SlowStart& start : slow_starts_) {
     const base::TimePoint from = start.at + offset;
     const auto inside = std::count_if(placed_.begin(), placed_.end(), [&](const Placed& one) {
       return one.worker == start.worker && one.at >= from && one.at < from + window;
     });
-    worst = std::max(worst, static_cast<double>(inside) / fairShare(window));
+    largest = std::max(largest, static_cast<double>(inside) / fairShare(window));
   }
-  return worst;
+  return largest;
 }
 
-double FleetRecorder::worstSlowStartShareLater() const {
-  double worst = 0;
-  for (base::Duration offset = SlowStartWindow; offset < WatchedAfterStart; offset += 2 * Step) {
-    worst = std::max(worst, slowStartShare(offset, SlowStartWindow));
+double FleetRecorder::largestLaterSlowStartShare() const {
+  double largest = 0;
+  for (base::Duration offset = SlowStartWindow; offset < SlowStartObservation; offset += 2 * Step) {
+    largest = std::max(largest, slowStartShare(offset, SlowStartWindow));
   }
-  return worst;
+  return largest;
 }
 
-double FleetRecorder::secondsUntilWarm() const {
+double FleetRecorder::secondsUntilHalfFairShare() const {
   double longest = 0;
   for (const SlowStart& start : slow_starts_) {
     base::Duration end = SlowStartWindow;
-    for (; end < WatchedAfterStart; end += Step) {
+    for (; end < SlowStartObservation; end += Step) {
       const base::TimePoint until = start.at + end;
       const auto inside = std::count_if(placed_.begin(), placed_.end(), [&](const Placed& one) {
         return one.worker == start.worker && one.at >= until - SlowStartWindow && one.at < until;
@@ -108,10 +108,10 @@
   double most = 0;
   double steady = 0;
   for (std::size_t worker = 0; worker < counts.size(); ++worker) {
-    const bool came_or_went =
+    const bool started_late =
         std::any_of(slow_starts_.begin(), slow_starts_.end(),
                     [worker](const SlowStart& start) { return start.worker == worker; });
-    if (!came_or_went) {
+    if (!started_late) {
       total += static_cast<double>(counts[worker]);
       most = std::max(most, static_cast<double>(counts[worker]));
       ++steady;
@@ -130,8 +130,8 @@
           {"spread", spread()},
           {"tokens_per_s", static_cast<double>(output_tokens_) / measured_s},
           {"cold_share_2s", slowStartShare(base::Duration::zero(), SlowStartWindow)},
-          {"cold_share_later", worstSlowStartShareLater()},
-          {"warm_after_s", secondsUntilWarm()},
+          {"cold_share_later", largestLaterSlowStartShare()},
+          {"warm_after_s", secondsUntilHalfFairShare()},
           {"lost", static_cast<double>(lost_)},
           {"score_bytes_per_front_s", static_cast<double>(score_bytes_) / front_seconds}};
 }
--- a/libraries/experiments/source/fleet_recorder.h
+++ b/libraries/experiments/source/fleet_recorder.h
@@ -8,7 +8,7 @@
 
 namespace switchsaddle::experiments {
 
-/** Collects what happened in one run and works the measures out of it. */
+/** Records the events of one run and computes its measures. */
 class FleetRecorder {
  public:
   explicit FleetRecorder(const FleetSettings& settings) : settings_(settings) {}
@@ -17,7 +17,7 @@
   void onFirstToken(base::Duration since_arrival, base::TimePoint now);
   void onDone(const ModelledPrompt& prompt, const StreamResult& result, base::TimePoint now);
   void onLost() { ++lost_; }
-  /** A worker returned or joined with an empty cache. */
+  /** A worker restarted or joined with an empty cache. */
   void onSlowStart(std::size_t worker, base::TimePoint now);
   void onCrash(std::size_t worker) { crashed_.push_back(worker); }
   void onScoresSent(std::size_t bytes) { score_bytes_ += bytes; }
@@ -36,12 +36,12 @@
   bool measuring(base::TimePoint now) const;
   double percentile(double share) const;
   double fairShare(base::Duration window) const;
-  /** Prompts a cold worker got in the window after its start, over its fair share; the largest of
-   * all cold starts. */
+  /** Prompts placed on a worker in a window that begins `offset` after its start, divided by its
+   * fair share; the largest value of all slow starts. */
   double slowStartShare(base::Duration offset, base::Duration window) const;
-  double worstSlowStartShareLater() const;
-  /** Longest time from a cold start until half the fair share arrives within two seconds. */
-  double secondsUntilWarm() const;
+  double largestLaterSlowStartShare() const;
+  /** Longest time from a slow start until a worker gets half its fair share within two seconds. */
+  double secondsUntilHalfFairShare() const;
   double spread() const;
 
   const FleetSettings& settings_;
--- a/libraries/experiments/source/learned_placer.cc
+++ b/libraries/experiments/source/learned_placer.cc
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr const char* PoolName = "models";
-/** Chains of shared prefixes a front remembers in the model. */
-constexpr std::size_t RememberedChains = 1U << 14U;
+/** Capacity of a modelled front's table of shared prefix chains. */
+constexpr std::size_t PrefixChainCapacity = 1U << 14U;
 
 std::optional<routing::RouterOptions> optionsOf(const std::string& policy) {
   routing::RouterOptions options;
@@ -27,7 +27,7 @@
   } else if (policy != "ours" && policy != "no-score-sharing") {
     return std::nullopt;
   }
-  options.prefix_chains = RememberedChains;
+  options.prefix_chains = PrefixChainCapacity;
   return options;
 }
 
--- a/libraries/experiments/source/modelled_worker.cc
+++ b/libraries/experiments/source/modelled_worker.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::uint32_t QueueBound = 1'000;
-/** Time a front needs to see that a connection is refused or reset. */
+constexpr std::uint32_t QueueCapacity = 1'000;
+/** Time until a front detects that a connection was refused or reset. */
 constexpr base::Duration FailureDelay = std::chrono::milliseconds(5);
-/** Streams' mean time on a slot, for the guess of the wait. */
-constexpr double GuessedServiceSeconds = 2.0;
+/** Assumed mean time of a stream on a slot, for the estimate of the wait. */
+constexpr double AssumedServiceSeconds = 2.0;
 
 double secondsOf(base::Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -29,7 +29,7 @@
   speed_.prefill_tokens_per_s *= speed_factor;
   speed_.decode_tokens_per_s *= speed_factor;
   cache_ = std::make_unique<testbed::KvCache>(cache_tokens_);
-  slots_ = std::make_unique<testbed::SlotQueue>(slot_count_, QueueBound);
+  slots_ = std::make_unique<testbed::SlotQueue>(slot_count_, QueueCapacity);
 }
 
 void ModelledWorker::start() {
@@ -37,7 +37,7 @@
   ++instance_;
   started_ = world_.now();
   cache_ = std::make_unique<testbed::KvCache>(cache_tokens_);
-  slots_ = std::make_unique<testbed::SlotQueue>(slot_count_, QueueBound);
+  slots_ = std::make_unique<testbed::SlotQueue>(slot_count_, QueueCapacity);
 }
 
 void ModelledWorker::crash() {
@@ -54,8 +54,8 @@
   world_.schedule(FailureDelay, [stream] { stream->done(stream->result); });
 }
 
-void ModelledWorker::after(base::Duration delay, const StreamPtr& stream,
-                           void (ModelledWorker::*step)(const StreamPtr&)) {
+void ModelledWorker::scheduleStep(base::Duration delay, const StreamPtr& stream,
+                                  void (ModelledWorker::*step)(const StreamPtr&)) {
   world_.schedule(delay, [this, stream, step] {
     if (open_.contains(stream)) {
       (this->*step)(stream);
@@ -86,16 +86,16 @@
   StreamResult& result = stream->result;
   result.cached_tokens = static_cast<std::uint32_t>(cachedTokens(stream->prompt));
   result.uncached_tokens = stream->prompt.prompt.prompt_tokens - result.cached_tokens;
-  cache_->insert(stream->prompt.parts);
-  after(speed_.prefillTime(result.uncached_tokens, world_.now() - started_), stream,
-        &ModelledWorker::onFirstToken);
+  cache_->insert(stream->prompt.segments);
+  scheduleStep(speed_.prefillTime(result.uncached_tokens, world_.now() - started_), stream,
+               &ModelledWorker::onFirstToken);
 }
 
 void ModelledWorker::onFirstToken(const StreamPtr& stream) {
   stream->result.time_to_first_token = world_.now() - stream->submitted;
   stream->first_token();
   const std::uint32_t further = std::max(1U, stream->prompt.output_tokens) - 1U;
-  after(speed_.tokenTime(slots_->running()) * further, stream, &ModelledWorker::onLastToken);
+  scheduleStep(speed_.tokenTime(slots_->running()) * further, stream, &ModelledWorker::onLastToken);
 }
 
 void ModelledWorker::onLastToken(const StreamPtr& stream) {
@@ -110,14 +110,14 @@
 }
 
 std::uint64_t ModelledWorker::cachedTokens(const ModelledPrompt& prompt) const {
-  return cache_->cachedTokens(prompt.parts);
+  return cache_->cachedTokens(prompt.segments);
 }
 
 double ModelledWorker::estimateFirstToken(const ModelledPrompt& prompt) const {
   const std::uint64_t uncached = prompt.prompt.prompt_tokens - cachedTokens(prompt);
   const double prefill_s = secondsOf(speed_.prefillTime(uncached, world_.now() - started_));
   const bool waits = running() >= slot_count_;
-  const double wait_s = waits ? GuessedServiceSeconds * (queued() + 1.0) / slot_count_ : 0.0;
+  const double wait_s = waits ? AssumedServiceSeconds * (queued() + 1.0) / slot_count_ : 0.0;
   return wait_s + prefill_s;
 }
 
--- a/libraries/experiments/source/modelled_worker.h
+++ b/libraries/experiments/source/modelled_worker.h
@@ -14,7 +14,7 @@
 
 namespace switchsaddle::experiments {
 
-/** What a worker tells the front about one stream. */
+/** A worker's report to the front about one stream. */
 struct StreamResult {
   bool failed = false;
   std::uint32_t cached_tokens = 0;
@@ -27,9 +27,9 @@
 };
 
 /**
- * The stand-in worker's arithmetic without its sockets: the laboratory's KV cache, slot queue and
- * speeds. A stream's tokens all take the time that holds when its first one is out. Each stream's
- * callback runs exactly once; a crash fails all of them.
+ * Models the test bed's fake worker without sockets: its KV cache, slot queue and speeds. The time
+ * per token of a stream is fixed when its first token is sent. The done callback of each stream
+ * runs exactly once; a crash fails all open streams.
  */
 class ModelledWorker {
  public:
@@ -41,7 +41,7 @@
 
   void submit(const ModelledPrompt& prompt, FirstTokenCallback first_token, DoneCallback done);
   void crash();
-  /** Starts with an empty cache, cold, as a new instance. */
+  /** Starts a new instance with an empty cache. */
   void start();
 
   const std::string& id() const { return id_; }
@@ -51,7 +51,8 @@
   std::uint64_t cachedTokens(const ModelledPrompt& prompt) const;
   std::uint32_t running() const { return slots_->running(); }
   std::uint32_t queued() const { return slots_->queued(); }
-  /** Exact time to the first token but for the wait, which is guessed from the queue. */
+  /** Time to the first token in seconds: the exact prefill time and an estimated wait for a slot.
+   */
   double estimateFirstToken(const ModelledPrompt& prompt) const;
 
  private:
@@ -68,9 +69,9 @@
   void onFirstToken(const StreamPtr& stream);
   void onLastToken(const StreamPtr& stream);
   void fail(const StreamPtr& stream);
-  /** Runs the step later, unless the worker crashes before. */
-  void after(base::Duration delay, const StreamPtr& stream,
-             void (ModelledWorker::*step)(const StreamPtr&));
+  /** Runs the step after a delay, unless the worker crashes before. */
+  void scheduleStep(base::Duration delay, const StreamPtr& stream,
+                    void (ModelledWorker::*step)(const StreamPtr&));
 
   simulation::World& world_;
   std::string id_;
--- a/libraries/experiments/source/placer.cc
+++ b/libraries/experiments/source/placer.cc
@@ -14,7 +14,7 @@
   return std::find(ids.begin(), ids.end(), id) != ids.end();
 }
 
-/** Common part of the baselines: the list and what this front has under way. */
+/** Base class of the baselines: the worker list and this front's requests in flight. */
 class ListPlacer : public Placer {
  public:
   void setWorkers(const std::vector<ListedWorker>& workers) override {
@@ -68,12 +68,12 @@
   struct WorkerEstimate {
     std::uint64_t instance = 0;
     std::uint32_t in_flight = 0;
-    /** Last reported load less this front's own part. */
+    /** Load of other fronts: the last reported load less this front's requests in flight. */
     std::uint32_t peers = 0;
     std::uint64_t last_placed = 0;
   };
 
-  /** The least costly worker is taken. */
+  /** The worker with the lowest cost is chosen. */
   virtual double costOf(const ListedWorker& worker, const ModelledPrompt& prompt) = 0;
 
   std::vector<ListedWorker> workers_;
@@ -95,7 +95,7 @@
  protected:
   double costOf(const ListedWorker& worker, const ModelledPrompt&) override {
     const WorkerEstimate& state = states_[worker.index];
-    // Ties are broken at random, else all fronts would take the same worker.
+    // Breaks ties at random, since otherwise all fronts would choose the same worker.
     return state.in_flight + state.peers + 0.5 * random_.uniform();
   }
 
@@ -103,7 +103,7 @@
   base::RandomSource random_;
 };
 
-/** Knows every worker's cache and queue exactly; takes the least time to the first token. */
+/** Reads every worker's actual cache and queue; chooses the shortest time to the first token. */
 class OraclePlacer : public ListPlacer {
  public:
   explicit OraclePlacer(const std::vector<std::unique_ptr<ModelledWorker>>& workers)
@@ -138,7 +138,7 @@
   }
   std::unique_ptr<Placer> learned = makeLearnedPlacer(context);
   if (learned == nullptr) {
-    throw base::Error(base::ResultCode::InvalidValue, "no policy is named " + policy);
+    throw base::Error(base::ResultCode::InvalidValue, "unknown policy: " + policy);
   }
   return learned;
 }
--- a/libraries/experiments/source/placer.h
+++ b/libraries/experiments/source/placer.h
@@ -11,13 +11,13 @@
 
 namespace switchsaddle::experiments {
 
-/** The worker chosen for a prompt, by its place in the fleet. */
+/** The worker chosen for a prompt, as its index in the fleet. */
 struct ModelledPlacement {
   std::size_t worker = 0;
   std::uint64_t ticket = 0;
 };
 
-/** A worker as a front's list has it. */
+/** A worker's entry in a front's list. */
 struct ListedWorker {
   std::size_t index = 0;
   std::string id;
@@ -27,13 +27,14 @@
   bool unreachable = false;
 };
 
-/** One front's placement policy. Each placement is ended by exactly one complete(). */
+/** One front's placement policy. Each placement requires exactly one complete(). */
 class Placer {
  public:
   virtual ~Placer() = default;
-  /** The whole list, with all changes this front has learned of. */
+  /** Sets the complete worker list in this front's view. */
   virtual void setWorkers(const std::vector<ListedWorker>& workers) = 0;
-  /** Nothing where no worker remains. `excluded` are ids tried before. */
+  /** @param excluded ids of the workers of earlier attempts.
+   * @return std::nullopt if no worker remains. */
   virtual std::optional<ModelledPlacement> place(const ModelledPrompt& prompt,
                                                  const std::vector<std::string>& excluded) = 0;
   virtual void complete(const ModelledPlacement& placement, const StreamResult& result,
@@ -42,19 +43,19 @@
   virtual void importScores(const std::vector<wire::RouteScore>&) {}
 };
 
-/** What a placer may use of the model it runs in. */
+/** The parts of the model that a placer may use. */
 struct PlacerContext {
   const FleetSettings& settings;
   simulation::World& world;
-  /** Only the oracle looks at them. */
+  /** Only the oracle reads them. */
   const std::vector<std::unique_ptr<ModelledWorker>>& workers;
   std::size_t front = 0;
 };
 
-/** Makes the policy named in the settings; throws base::Error with InvalidValue where there is
- * none. */
+/** Creates the policy named in the settings. Throws base::Error with InvalidValue if the name is
+ * unknown. */
 std::unique_ptr<Placer> makePlacer(const PlacerContext& context);
-/** The policies of the router under test; nothing where the name is a baseline's. */
+/** Creates a policy of the router under test, or returns nullptr if the name is not one of them. */
 std::unique_ptr<Placer> makeLearnedPlacer(const PlacerContext& context);
 
 }  // namespace switchsaddle::experiments
--- a/libraries/experiments/source/prompt_source.cc
+++ b/libraries/experiments/source/prompt_source.cc
@@ -12,9 +12,9 @@
 constexpr std::uint32_t TenantSegmentTokens = 600;
 constexpr std::uint32_t FamilySegmentTokens = 3'000;
 constexpr std::uint32_t VariantSegmentTokens = 800;
-constexpr std::uint32_t LeastOwnTokens = 50;
+constexpr std::uint32_t MinOwnTokens = 50;
 constexpr std::uint32_t OwnTokensRange = 250;
-constexpr std::uint32_t LeastOutputTokens = 20;
+constexpr std::uint32_t MinOutputTokens = 20;
 constexpr std::uint32_t OutputTokensRange = 160;
 
 }  // namespace
@@ -26,14 +26,15 @@
   double total = 0;
   for (std::size_t rank = 1; rank <= families; ++rank) {
     total += 1.0 / std::pow(static_cast<double>(rank), settings.zipf_exponent);
-    cumulated_.push_back(total);
+    cumulative_weights_.push_back(total);
   }
 }
 
 std::size_t PromptSource::drawFamily() {
-  const double point = random_.uniform() * cumulated_.back();
-  const auto found = std::upper_bound(cumulated_.begin(), cumulated_.end(), point);
-  return static_cast<std::size_t>(found - cumulated_.begin());
+  const double point = random_.uniform() * cumulative_weights_.back();
+  const auto found =
+      std::upper_bound(cumulative_weights_.begin(), cumulative_weights_.end(), point);
+  return static_cast<std::size_t>(found - cumulative_weights_.begin());
 }
 
 ModelledPrompt PromptSource::next() {
@@ -47,14 +48,14 @@
       {"tenant-" + std::to_string(family % Tenants), TenantSegmentTokens},
       {"family-" + family_name, FamilySegmentTokens},
       {"variant-" + family_name + "-" + std::to_string(variant), VariantSegmentTokens}};
-  for (const routing::PrefixSegment& part : drawn.prompt.prefix_segments) {
-    drawn.prefix_tokens += part.tokens;
-    drawn.parts.push_back(testbed::PrefixSegment{part.id, part.tokens});
+  for (const routing::PrefixSegment& segment : drawn.prompt.prefix_segments) {
+    drawn.prefix_tokens += segment.tokens;
+    drawn.segments.push_back(testbed::PrefixSegment{segment.id, segment.tokens});
   }
   const auto own_tokens = static_cast<std::uint32_t>(random_.below(OwnTokensRange));
-  drawn.prompt.prompt_tokens = drawn.prefix_tokens + LeastOwnTokens + own_tokens;
+  drawn.prompt.prompt_tokens = drawn.prefix_tokens + MinOwnTokens + own_tokens;
   drawn.output_tokens =
-      LeastOutputTokens + static_cast<std::uint32_t>(random_.below(OutputTokensRange));
+      MinOutputTokens + static_cast<std::uint32_t>(random_.below(OutputTokensRange));
   drawn.prompt.maximum_tokens = drawn.output_tokens;
   return drawn;
 }
--- a/libraries/experiments/source/prompt_source.h
+++ b/libraries/experiments/source/prompt_source.h
@@ -9,18 +9,18 @@
 
 namespace switchsaddle::experiments {
 
-/** One caller's prompt, and how many tokens its answer will have. */
+/** One caller's prompt and the number of tokens of its answer. */
 struct ModelledPrompt {
   routing::Prompt prompt;
-  std::vector<testbed::PrefixSegment> parts;
+  std::vector<testbed::PrefixSegment> segments;
   std::uint32_t prefix_tokens = 0;
   std::uint32_t output_tokens = 0;
 };
 
 /**
- * Draws prompts: models equally often, families of prefixes within a model by a Zipf law; each
- * prefix a chain of the tenant's part, the family's and one of a few variants, followed by tokens
- * of its own.
+ * Draws random prompts. Models are equally likely; the families of prefixes within a model follow a
+ * Zipf distribution. Each prefix is a chain of a tenant segment, a family segment and one of a few
+ * variant segments; tokens that no other prompt shares follow it.
  */
 class PromptSource {
  public:
@@ -34,8 +34,8 @@
 
   const FleetSettings& settings_;
   base::RandomSource& random_;
-  /** Cumulated weight of each family. */
-  std::vector<double> cumulated_;
+  /** Cumulative weight of each family. */
+  std::vector<double> cumulative_weights_;
 };
 
 }  // namespace switchsaddle::experiments
--- a/libraries/experiments/source/routing_experiment.h
+++ b/libraries/experiments/source/routing_experiment.h
@@ -4,8 +4,8 @@
 
 namespace switchsaddle::experiments {
 
-/** Placement policies compared on one simulated fleet: `switchsaddle-testbed experiment routing`.
- */
+/** Compares placement policies on one simulated fleet; run by `switchsaddle-testbed experiment
+ * routing`. */
 class RoutingExperiment : public Experiment {
  public:
   std::string name() const override { return "routing"; }
--- a/libraries/experiments/source/sweep.cc
+++ b/libraries/experiments/source/sweep.cc
@@ -23,10 +23,10 @@
       return one.value;
     }
   }
-  throw base::Error(base::ResultCode::InvalidValue, "no measure is named " + measure);
+  throw base::Error(base::ResultCode::InvalidValue, "unknown measure: " + measure);
 }
 
-/** Every combination of the ranges' values, the last range varying fastest. */
+/** Every combination of the ranges' values; the last range varies fastest. */
 std::vector<std::vector<Setting>> combinationsOf(const std::vector<Range>& ranges) {
   std::vector<std::vector<Setting>> combinations{{}};
   for (const Range& range : ranges) {
@@ -47,7 +47,7 @@
 Range parseRange(const std::string& text) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos || equals == 0) {
-    throw base::Error(base::ResultCode::InvalidValue, "not NAME=VALUE,...: " + text);
+    throw base::Error(base::ResultCode::InvalidValue, "expected NAME=VALUE,... but got: " + text);
   }
   Range range{text.substr(0, equals), {}};
   std::istringstream values(text.substr(equals + 1));
@@ -55,7 +55,8 @@
     range.values.push_back(value);
   }
   if (range.values.empty()) {
-    throw base::Error(base::ResultCode::InvalidValue, "no values: " + text);
+    throw base::Error(base::ResultCode::InvalidValue,
+                      "expected at least one value after '=' but got: " + text);
   }
   return range;
 }
--- a/libraries/experiments/test/routing_experiment_test.cc
+++ b/libraries/experiments/test/routing_experiment_test.cc
@@ -10,17 +10,18 @@
 
 constexpr std::uint64_t FirstSeed = 101;
 constexpr std::uint64_t Seeds = 16;
-/** The 95th percentile moves by a third of itself from seed to seed, with the luck of the ring. */
+/** More seeds for the 95th percentile: it varies by a third between seeds, as workers' positions on
+ * the hash ring do. */
 constexpr std::uint64_t SeedsOfPercentiles = 96;
 
-/** A deployment's sizes, as parameters of the experiment. */
+/** Sizes and load of a deployment, as parameters of the experiment. */
 struct Deployment {
   const char* fronts;
   const char* workers;
   const char* streams_per_s;
 };
 
-/** The goals of docs/ROUTING.md, on the seeds named here. */
+/** The goals of docs/ROUTING.md, checked with the seeds above. */
 class RoutingGoalsTest : public testing::TestWithParam<Deployment> {
  protected:
   std::vector<Row> run(const std::string& policy, std::uint64_t seeds = Seeds) {
@@ -39,7 +40,7 @@
   }
 };
 
-TEST_P(RoutingGoalsTest, FirstTokensComeSoonerThanByEitherBaseline) {
+TEST_P(RoutingGoalsTest, FirstTokenP95IsBelowBothBaselines) {
   const auto percentile = [this](const std::string& policy) {
     return summary(run(policy, SeedsOfPercentiles), "first_token_p95_ms").mean;
   };
@@ -49,18 +50,18 @@
   EXPECT_LE(ours, 0.6 * std::min(least_loaded, round_robin));
 }
 
-TEST_P(RoutingGoalsTest, PrefixesAreCachedNearlyAsOftenAsByTheOracle) {
+TEST_P(RoutingGoalsTest, CachedShareIsCloseToTheOracles) {
   const double ours = summary(run("ours"), "cached_share").mean;
   EXPECT_GE(ours, 0.9 * summary(run("oracle"), "cached_share").mean);
 }
 
-TEST_P(RoutingGoalsTest, AColdWorkerIsNotFloodedAndSoonWarm) {
+TEST_P(RoutingGoalsTest, AWorkerInSlowStartIsNotOverloadedAndSoonGetsItsShare) {
   const std::vector<Row> rows = run("ours");
   EXPECT_LE(summary(rows, "cold_share_2s").most, 1.0);
   EXPECT_LE(summary(rows, "warm_after_s").most, 10.0);
 }
 
-TEST_P(RoutingGoalsTest, ScoresStayWithinTheirBandwidth) {
+TEST_P(RoutingGoalsTest, ScoreTrafficStaysWithinItsLimit) {
   constexpr double BytesPerSecond = 5'000;
   EXPECT_LE(summary(run("ours"), "score_bytes_per_front_s").most, BytesPerSecond);
 }
@@ -68,7 +69,7 @@
 INSTANTIATE_TEST_SUITE_P(Deployments, RoutingGoalsTest,
                          testing::Values(Deployment{"6", "9", "35"}, Deployment{"8", "12", "60"}));
 
-TEST(RoutingExperimentTest, OneSeedGivesOneResult) {
+TEST(RoutingExperimentTest, SameSeedGivesSameMeasures) {
   const auto experiment = std::move(allExperiments().front());
   Settings settings(experiment->defaults());
   settings.set("duration_s", "40");
@@ -80,7 +81,7 @@
   }
 }
 
-TEST(RoutingExperimentTest, RefusesUnknownPolicies) {
+TEST(RoutingExperimentTest, RejectsUnknownPolicies) {
   const auto experiment = std::move(allExperiments().front());
   Settings settings(experiment->defaults());
   settings.set("policy", "none");
--- a/libraries/experiments/test/sweep_test.cc
+++ b/libraries/experiments/test/sweep_test.cc
@@ -7,7 +7,7 @@
 namespace switchsaddle::experiments {
 namespace {
 
-/** Measures a + seed, and a run count. */
+/** Measures the sum of parameter `a` and the seed, and a constant. */
 class SumExperiment : public Experiment {
  public:
   std::string name() const override { return "sum"; }
@@ -47,7 +47,7 @@
   EXPECT_EQ(formatCsv(runRows({"a=1,2"}, 1)), "a,seed,sum,one\n1,1,2,1\n2,1,3,1\n");
 }
 
-TEST(SweepTest, RefusesUnknownNamesAndMalformedRanges) {
+TEST(SweepTest, RejectsUnknownNamesAndMalformedRanges) {
   EXPECT_THROW(runRows({"c=1"}, 1), base::Error);
   EXPECT_THROW(runRows({"a=one"}, 1), base::Error);
   EXPECT_THROW(parseRange("a"), base::Error);
