--- a/libraries/fuzz/include/switchsaddle/fuzz/mutator.h
+++ b/libraries/fuzz/include/switchsaddle/fuzz/mutator.h
@@ -8,14 +8,14 @@
 namespace switchsaddle::fuzz {
 
 /**
- * Makes inputs that are nearly right out of right ones: flipped bits, odd numbers, cut, repeated
- * and moved pieces, pieces of other inputs. One seed always gives the same inputs.
+ * Creates nearly valid inputs from valid ones: flips bits, sets special bytes, inserts tokens,
+ * removes and repeats chunks, and joins chunks of two inputs. The same seed gives the same inputs.
  */
 class Mutator {
  public:
   explicit Mutator(std::uint64_t seed) : random_(seed) {}
 
-  /** A changed copy of one input of the corpus, which holds one at least. */
+  /** A mutated copy of one input of the corpus, which must not be empty. */
   std::string next(const std::vector<std::string>& corpus);
 
  private:
@@ -26,7 +26,7 @@
   void removeChunk(std::string& input);
   void repeatChunk(std::string& input);
   void splice(std::string& input, const std::string& other);
-  std::size_t placeIn(const std::string& input);
+  std::size_t randomOffset(const std::string& input);
 
   base::RandomSource random_;
 };
--- a/libraries/fuzz/include/switchsaddle/fuzz/target.h
+++ b/libraries/fuzz/include/switchsaddle/fuzz/target.h
@@ -8,44 +8,44 @@
 
 namespace switchsaddle::fuzz {
 
-/** A reader did what it must not do, such as taking an input that it then reads differently. */
+/** A target violated one of its checks, such as a different result when it reads its own output. */
 class Violation : public std::logic_error {
  public:
   using std::logic_error::logic_error;
 };
 
-/** One reader of input from outside, with right inputs to start from. */
+/** One parser of external input, with valid inputs as corpus. */
 struct Target {
   std::string name;
   std::vector<std::string> corpus;
   /**
-   * Reads one input. Returns where it was taken or refused in order, base::Error included; throws
-   * anything else for a fault of the reader.
+   * Parses one input. Returns if the input was accepted or rejected, or throws base::Error if it
+   * was rejected. Any other exception is a defect of the parser.
    */
   std::function<void(const std::string& input)> run;
 };
 
 /**
- * All readers. Each has as corpus the files in the folder of its name below `corpus_folder`, and
- * where its input is binary, encoded samples besides.
+ * All targets. The corpus of each is the files in the folder of its name below `corpus_folder`, and
+ * its built-in samples. Throws base::Error with UnknownPath if a corpus is empty.
  */
 std::vector<Target> allTargets(const std::string& corpus_folder);
 
-/** The HTTP server on loopback; it must answer a good request after each input. */
+/** The HTTP server on the loopback address. It must answer a valid request after each input. */
 Target httpServerTarget();
 
-/** What running a target found. */
+/** The result of running a target. */
 struct FuzzReport {
   std::size_t executions = 0;
-  /** Inputs that showed a fault, each with what was thrown; at most a few. */
+  /** The first inputs that revealed a defect, each with the exception's text; at most five. */
   std::vector<std::pair<std::string, std::string>> faults;
-  /** The input that took longest, and its time in milliseconds; for a person to look at. */
+  /** The input that took longest, and its time in milliseconds, for manual inspection. */
   std::string slowest_input;
   double slowest_ms = 0;
 };
 
-/** Runs the corpus and then changed inputs until `goes_on` says false, asked before each input. */
+/** Runs the corpus, then mutated inputs while `continues`, called before each one, returns true. */
 FuzzReport runTarget(const Target& target, std::uint64_t seed,
-                     const std::function<bool(std::size_t executions)>& goes_on);
+                     const std::function<bool(std::size_t executions)>& continues);
 
 }  // namespace switchsaddle::fuzz
--- a/libraries/fuzz/source/binary_targets.cc
+++ b/libraries/fuzz/source/binary_targets.cc
@@ -16,11 +16,12 @@
 
 void requireSame(const std::string& first, const std::string& second) {
   if (first != second) {
-    throw Violation("what was taken is written differently");
+    throw Violation("an accepted input is encoded differently after it was decoded again");
   }
 }
 
-/** Puts the right checksum of what follows it at the offset, so that changes get past it. */
+/** Writes the checksum of the bytes that follow it at the offset, so that mutated inputs pass the
+ * check. */
 std::string withChecksum(std::string bytes, std::size_t offset) {
   if (bytes.size() < offset + ChecksumBytes) {
     return bytes;
--- a/libraries/fuzz/source/binary_targets.h
+++ b/libraries/fuzz/source/binary_targets.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::fuzz {
 
-/** The decoders of peers' messages and stored records, with encoded samples as corpus. */
+/** The decoders of peers' messages and of stored records, with encoded samples as corpus. */
 std::vector<Target> binaryTargets();
 
 }  // namespace switchsaddle::fuzz
--- a/libraries/fuzz/source/http_target.cc
+++ b/libraries/fuzz/source/http_target.cc
@@ -13,12 +13,12 @@
 
 using boost::asio::ip::tcp;
 
-constexpr const char* GoodRequest =
+constexpr const char* ValidRequest =
     "POST /good HTTP/1.1\r\nHost: fuzz\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok";
-/** Longest that an input may be left unanswered before that counts as a fault. */
-constexpr auto AnswerBound = std::chrono::seconds(20);
+/** Time limit for the answer to an input, or for the close of its connection. */
+constexpr auto AnswerTimeout = std::chrono::seconds(20);
 
-/** A server that answers each request with its path, driven by whoever sends the input. */
+/** A server that answers each request with its path. exchange() runs its event loop. */
 class LoopbackServer {
  public:
   LoopbackServer() {
@@ -34,7 +34,8 @@
                           });
   }
 
-  /** Sends the bytes, ends the sending side and gives back all that the server answers. */
+  /** Sends the bytes, shuts down the sending side and returns everything that the server answers.
+   */
   std::string exchange(const std::string& bytes) {
     tcp::socket socket(context_);
     boost::system::error_code error;
@@ -58,7 +59,7 @@
                                socket.shutdown(tcp::socket::shutdown_send, ignored);
                              });
     read();
-    const auto end = std::chrono::steady_clock::now() + AnswerBound;
+    const auto end = std::chrono::steady_clock::now() + AnswerTimeout;
     while (!ended && std::chrono::steady_clock::now() < end) {
       context_.restart();
       context_.run_one_for(std::chrono::milliseconds(100));
@@ -67,7 +68,7 @@
     context_.restart();
     context_.poll();
     if (!ended) {
-      throw Violation("the connection was neither answered nor closed");
+      throw Violation("the server neither answered nor closed the connection within 20 s");
     }
     return answer;
   }
@@ -81,12 +82,13 @@
 
 Target httpServerTarget() {
   auto server = std::make_shared<LoopbackServer>();
-  return {"http-server", {GoodRequest}, [server](const std::string& input) {
+  return {"http-server", {ValidRequest}, [server](const std::string& input) {
             server->exchange(input);
-            const std::string answer = server->exchange(GoodRequest);
-            const bool is_good = answer.starts_with("HTTP/1.1 200") && answer.ends_with("/good");
-            if (!is_good) {
-              throw Violation("a good request after it was answered: " + answer);
+            const std::string answer = server->exchange(ValidRequest);
+            const bool is_expected =
+                answer.starts_with("HTTP/1.1 200") && answer.ends_with("/good");
+            if (!is_expected) {
+              throw Violation("unexpected answer to a valid request after the input: " + answer);
             }
           }};
 }
--- a/libraries/fuzz/source/mutator.cc
+++ b/libraries/fuzz/source/mutator.cc
@@ -10,12 +10,12 @@
 
 using namespace std::string_view_literals;
 
-constexpr std::size_t LongestInput = 64U << 10U;
-constexpr std::uint64_t MostChanges = 6;
-constexpr std::uint64_t LongestChunk = 64;
-constexpr std::uint64_t MostRepeats = 200;
+constexpr std::size_t MaxInputBytes = 64U << 10U;
+constexpr std::uint64_t MaxChanges = 6;
+constexpr std::uint64_t MaxChunkBytes = 64;
+constexpr std::uint64_t MaxRepeats = 200;
 
-/** What often breaks a reader: ends of numbers and nesting, lengths, quotes, ends of lines. */
+/** Tokens that often break parsers: limits of numbers, brackets, lengths, quotes, line ends. */
 constexpr std::array Tokens{"0"sv,
                             "-1"sv,
                             "1e999"sv,
@@ -46,18 +46,18 @@
                             "\0\0\0\0\0\0\x01\0"sv,
                             "\0\0\0\0\0\0\0\0"sv};
 
-constexpr std::array<unsigned char, 8> OddBytes{0x00, 0x01, 0x7f, 0x80, 0xff, 0x0a, 0x22, 0x7b};
+constexpr std::array<unsigned char, 8> SpecialBytes{0x00, 0x01, 0x7f, 0x80, 0xff, 0x0a, 0x22, 0x7b};
 
 }  // namespace
 
 std::string Mutator::next(const std::vector<std::string>& corpus) {
   std::string input = corpus[random_.below(corpus.size())];
-  const std::uint64_t changes = 1 + random_.below(MostChanges);
+  const std::uint64_t changes = 1 + random_.below(MaxChanges);
   for (std::uint64_t number = 0; number < changes; ++number) {
     change(input, corpus);
   }
-  if (input.size() > LongestInput) {
-    input.resize(LongestInput);
+  if (input.size() > MaxInputBytes) {
+    input.resize(MaxInputBytes);
   }
   return input;
 }
@@ -86,7 +86,7 @@
   }
 }
 
-std::size_t Mutator::placeIn(const std::string& input) {
+std::size_t Mutator::randomOffset(const std::string& input) {
   return random_.below(input.size() + 1);
 }
 
@@ -100,23 +100,23 @@
 void Mutator::setByte(std::string& input) {
   if (!input.empty()) {
     input[random_.below(input.size())] =
-        static_cast<char>(OddBytes.at(random_.below(OddBytes.size())));
+        static_cast<char>(SpecialBytes.at(random_.below(SpecialBytes.size())));
   }
 }
 
 void Mutator::insertToken(std::string& input) {
-  input.insert(placeIn(input), Tokens.at(random_.below(Tokens.size())));
+  input.insert(randomOffset(input), Tokens.at(random_.below(Tokens.size())));
 }
 
 void Mutator::removeChunk(std::string& input) {
-  const std::size_t from = placeIn(input);
-  input.erase(from, 1 + random_.below(LongestChunk));
+  const std::size_t from = randomOffset(input);
+  input.erase(from, 1 + random_.below(MaxChunkBytes));
 }
 
 void Mutator::repeatChunk(std::string& input) {
-  const std::size_t from = placeIn(input);
-  const std::string chunk = input.substr(from, 1 + random_.below(LongestChunk));
-  const std::uint64_t repeats = 1 + random_.below(MostRepeats);
+  const std::size_t from = randomOffset(input);
+  const std::string chunk = input.substr(from, 1 + random_.below(MaxChunkBytes));
+  const std::uint64_t repeats = 1 + random_.below(MaxRepeats);
   std::string repeated;
   for (std::uint64_t number = 0; number < repeats; ++number) {
     repeated += chunk;
@@ -125,7 +125,7 @@
 }
 
 void Mutator::splice(std::string& input, const std::string& other) {
-  input = input.substr(0, placeIn(input)) + other.substr(placeIn(other));
+  input = input.substr(0, randomOffset(input)) + other.substr(randomOffset(other));
 }
 
 }  // namespace switchsaddle::fuzz
--- a/libraries/fuzz/source/targets.cc
+++ b/libraries/fuzz/source/targets.cc
@@ -13,7 +13,8 @@
 
 namespace {
 
-/** The files in order of their names, so that one seed gives the same inputs everywhere. */
+/** Reads the files in the order of their names, so that a seed gives the same inputs on every
+ * machine. */
 std::vector<std::string> readCorpus(const std::filesystem::path& folder) {
   std::vector<std::filesystem::path> paths;
   if (std::filesystem::is_directory(folder)) {
@@ -43,7 +44,7 @@
     target.corpus.insert(target.corpus.end(), files.begin(), files.end());
     if (target.corpus.empty()) {
       throw base::Error(base::ResultCode::UnknownPath,
-                        "no corpus for " + target.name + " below " + corpus_folder);
+                        "no corpus files for target " + target.name + " below " + corpus_folder);
     }
   }
   return targets;
--- a/libraries/fuzz/source/text_targets.cc
+++ b/libraries/fuzz/source/text_targets.cc
@@ -22,25 +22,28 @@
   }
 }
 
-/** A tenant's limit on tokens, and another that a body which names its own must not take on. */
+/** A tenant's token limit, and another one that must not replace the limit in a parsed body. */
 constexpr std::uint32_t MaximumTokens = 1'024;
 constexpr std::uint32_t OtherMaximumTokens = 7;
 
-/** What a worker is sent must mean to it what the caller's body meant here. */
+/** The body sent to a worker must be parsed to the same values as the caller's body. */
 void readCompletion(const std::string& input) {
   const front::CompletionBody body = front::parseCompletionBody(input, MaximumTokens);
-  const front::CompletionBody again =
+  const front::CompletionBody reparsed =
       front::parseCompletionBody(body.worker_body, OtherMaximumTokens);
-  require(again.worker_body == body.worker_body, "the worker's body changes when read again");
-  require(again.prompt.model == body.prompt.model, "the model changes when read again");
-  require(again.prompt.maximum_tokens == body.prompt.maximum_tokens,
-          "the limit on tokens changes when read again");
+  require(reparsed.worker_body == body.worker_body,
+          "the worker's body changes when it is parsed again");
+  require(reparsed.prompt.model == body.prompt.model,
+          "the model changes when the worker's body is parsed");
+  require(reparsed.prompt.maximum_tokens == body.prompt.maximum_tokens,
+          "the token limit changes when the worker's body is parsed");
 }
 
 void readOneShot(const std::string& input) {
   const front::OneShotBody body = front::parseOneShotBody(input);
-  const front::OneShotBody again = front::parseOneShotBody(body.worker_body);
-  require(again.fingerprint == body.fingerprint, "the fingerprint changes when read again");
+  const front::OneShotBody reparsed = front::parseOneShotBody(body.worker_body);
+  require(reparsed.fingerprint == body.fingerprint,
+          "the fingerprint changes when the worker's body is parsed");
 }
 
 void readChange(const std::string& input) {
@@ -48,7 +51,7 @@
   const configuration::Change change = configuration::parseChange(input, faults);
   if (faults.empty()) {
     const configuration::Document next = configuration::applyChange({}, change);
-    // Whatever the content, the check must answer.
+    // The check must return for any content.
     configuration::checkDocument(next);
   }
 }
@@ -66,7 +69,7 @@
   configuration::checkSettings(settings, "core");
 }
 
-/** A configuration without a fault must also become a view. */
+/** A configuration without faults must be convertible to a view. */
 void readConfiguration(const std::string& input) {
   std::vector<Fault> faults;
   const configuration::Document document = configuration::parseConfigurationFile(input, faults);
@@ -78,7 +81,7 @@
 void readBeliefs(const std::string& input) {
   std::vector<Fault> faults;
   const auto report = configuration::parseStateReport(input, faults);
-  require(report.has_value() || !faults.empty(), "refused without a fault");
+  require(report.has_value() || !faults.empty(), "the input was rejected without a reported fault");
 }
 
 std::string describe(const std::vector<streams::WorkerEvent>& events) {
@@ -90,7 +93,7 @@
   return text;
 }
 
-/** The events are the same in whatever pieces the bytes come. */
+/** The events must not depend on how the bytes are split into chunks. */
 void readEventStream(const std::string& input) {
   streams::EventStreamParser whole;
   std::vector<streams::WorkerEvent> events;
@@ -101,11 +104,12 @@
   for (const char byte : input) {
     bytewise_code = bytewise.feed(std::string_view(&byte, 1), bytewise_events);
   }
-  require(describe(events) == describe(bytewise_events), "the events depend on the pieces");
-  require(code == bytewise_code, "the result depends on the pieces");
+  require(describe(events) == describe(bytewise_events),
+          "the events depend on how the input is split");
+  require(code == bytewise_code, "the result code depends on how the input is split");
 }
 
-/** Takes "Name: value" lines as the headers of a worker's answer. */
+/** Parses "Name: value" lines as the headers of a worker's answer. */
 void readWorkerHead(const std::string& input) {
   http::Response response;
   std::size_t from = 0;
@@ -122,9 +126,9 @@
 
 void readPlatformList(const std::string& input) {
   const workers::PlatformReading reading = workers::parsePlatformList(input);
-  const bool is_good = reading.code == base::ResultCode::Ok;
-  require(is_good || !reading.fault.empty(), "refused without a fault");
-  require(is_good || reading.workers.empty(), "half a list was handed out");
+  const bool is_accepted = reading.code == base::ResultCode::Ok;
+  require(is_accepted || !reading.fault.empty(), "the input was rejected without a reported fault");
+  require(is_accepted || reading.workers.empty(), "a rejected list still contains workers");
 }
 
 }  // namespace
--- a/libraries/fuzz/source/text_targets.h
+++ b/libraries/fuzz/source/text_targets.h
@@ -6,7 +6,7 @@
 
 namespace switchsaddle::fuzz {
 
-/** The readers of text, without their corpus. */
+/** The parsers of text input, without their corpus. */
 std::vector<Target> textTargets();
 
 }  // namespace switchsaddle::fuzz
--- a/libraries/fuzz/test/fuzz_test.cc
+++ b/libraries/fuzz/test/fuzz_test.cc
@@ -10,12 +10,13 @@
 namespace {
 
 constexpr const char* CorpusFolder = SWITCHSADDLE_SOURCE_DIR "/libraries/fuzz/corpus";
-/** Inputs of each reader in one run of this test. */
+/** Number of inputs of each target in one run of this test. */
 constexpr std::size_t Executions = 4'000;
 constexpr std::size_t HttpExecutions = 300;
 constexpr std::uint64_t Seed = 20'261'202;
-/** Above what any reader needs for an input of at most 64 KiB, far below a forged length. */
-constexpr std::size_t LargestBlock = 16U << 20U;
+/** Largest allocation allowed, in bytes: more than any parser needs for an input of at most 64 KiB,
+ * and far less than a forged length would request. */
+constexpr std::size_t MaxAllocationBytes = 16U << 20U;
 
 std::string printable(const std::string& input) {
   std::string text;
@@ -35,11 +36,11 @@
         return std::move(target);
       }
     }
-    throw std::logic_error("no target " + GetParam());
+    throw std::logic_error("unknown target: " + GetParam());
   }
 };
 
-TEST_P(FuzzTest, RefusesOrTakesEveryInputInOrderAndWithinBoundedMemory) {
+TEST_P(FuzzTest, AcceptsOrRejectsEveryInputWithinBoundedMemory) {
   const Target tested = target();
   const std::size_t executions = GetParam() == "http-server" ? HttpExecutions : Executions;
   allocation_tracker::resetLargestAllocation();
@@ -49,7 +50,7 @@
   for (const auto& [input, what] : report.faults) {
     ADD_FAILURE() << what << " for: " << printable(input);
   }
-  EXPECT_LT(allocation_tracker::largestAllocation(), LargestBlock);
+  EXPECT_LT(allocation_tracker::largestAllocation(), MaxAllocationBytes);
 }
 
 INSTANTIATE_TEST_SUITE_P(Readers, FuzzTest,
@@ -64,11 +65,11 @@
                            return name;
                          });
 
-TEST(FuzzCorpusTest, EveryReaderIsTested) {
+TEST(FuzzCorpusTest, ListsEveryTarget) {
   EXPECT_EQ(allTargets(CorpusFolder).size(), 16U);
 }
 
-TEST(FuzzCorpusTest, EveryInputOfTheCorpusIsTaken) {
+TEST(FuzzCorpusTest, EveryCorpusInputIsHandled) {
   for (const Target& target : allTargets(CorpusFolder)) {
     for (const std::string& input : target.corpus) {
       EXPECT_NO_THROW(target.run(input)) << target.name << ": " << printable(input);
@@ -76,7 +77,7 @@
   }
 }
 
-TEST(MutatorTest, OneSeedGivesTheSameInputsAndAnotherDiffers) {
+TEST(MutatorTest, InputsDependOnlyOnTheSeed) {
   const std::vector<std::string> corpus{"{\"model\":\"m\"}", "{}"};
   const auto inputs = [&](std::uint64_t seed) {
     Mutator mutator(seed);
@@ -90,7 +91,7 @@
   EXPECT_NE(inputs(1), inputs(2));
 }
 
-TEST(RunnerTest, ReportsWhatAReaderThrowsThatIsNoRefusal) {
+TEST(RunnerTest, ReportsExceptionsOtherThanRejections) {
   const Target target{"bad", {"a"}, [](const std::string& input) {
                         if (input.empty()) {
                           throw base::Error(base::ResultCode::InvalidValue, "empty");
