--- a/libraries/compatibility/test/data_folder_test.cc
+++ b/libraries/compatibility/test/data_folder_test.cc
@@ -16,7 +16,7 @@
 
 namespace fs = std::filesystem;
 
-/** The data folder of one core of five, as an earlier release left it. */
+/** The data folder of one core of five, written by an earlier release. */
 constexpr const char* DataFolder =
     SWITCHSADDLE_SOURCE_DIR "/libraries/compatibility/test/golden/core_data";
 constexpr base::Duration OpenTime = std::chrono::milliseconds(200);
@@ -40,7 +40,7 @@
   }
 }
 
-/** A core that has opened the data folder; nobody else answers it. */
+/** A core that has opened the data folder; it has no peers that answer. */
 class DataFolderTest : public testing::Test {
  protected:
   DataFolderTest() {
@@ -87,7 +87,7 @@
   std::unique_ptr<scenarios::SimulatedCore> core_;
 };
 
-TEST_F(DataFolderTest, ACoreOpensWhatAnEarlierReleaseWrote) {
+TEST_F(DataFolderTest, ACoreOpensTheDataFolderOfAnEarlierRelease) {
   const registers::Acceptor& acceptor = core_->node().acceptor();
   std::ostringstream text;
   text << "instance " << acceptor.instance() << "\nregisters " << acceptor.registerCount() << "\n";
--- a/libraries/compatibility/test/golden_file.cc
+++ b/libraries/compatibility/test/golden_file.cc
@@ -20,7 +20,7 @@
   return std::move(text).str();
 }
 
-/** The first line of both that differs, numbered from 1. */
+/** Describes the first line in which the texts differ, numbered from 1. */
 std::string firstDifference(const std::string& expected, const std::string& actual) {
   std::istringstream expected_lines(expected);
   std::istringstream actual_lines(actual);
--- a/libraries/compatibility/test/json_format_test.cc
+++ b/libraries/compatibility/test/json_format_test.cc
@@ -88,7 +88,7 @@
               responseText(front::oneShotAnswer(unknown))}));
 }
 
-TEST(JsonFormatTest, EventsOfStreamsKeepTheirText) {
+TEST(JsonFormatTest, StreamEventsKeepTheirText) {
   streams::RelayMachine machine;
   machine.onHead("run-1");
   std::string text;
@@ -104,7 +104,7 @@
   expectGolden("stream_events.txt", text);
 }
 
-TEST(JsonFormatTest, TheTableOfResultCodesKeepsItsText) {
+TEST(JsonFormatTest, ResultCodeTableKeepsItsText) {
   std::string text;
   for (const base::ResultCodeInfo& info : base::resultCodeTable()) {
     text += std::to_string(static_cast<std::uint16_t>(info.code)) + " " + std::string(info.name) +
--- a/libraries/compatibility/test/page_form_test.cc
+++ b/libraries/compatibility/test/page_form_test.cc
@@ -36,7 +36,7 @@
   return {};
 }
 
-/** Adds the path and kind of each value below this one; elements of an array share a path. */
+/** Adds the path and kind of this value and all values in it; elements of an array share a path. */
 void addForm(const JsonValue& value, const std::string& path, std::set<std::string>& form) {
   form.insert(path + ": " + kindName(value.kind));
   for (std::size_t index = 0; index < value.elements.size(); ++index) {
@@ -60,7 +60,7 @@
   return text;
 }
 
-/** The names and types of a page of metrics. */
+/** The names and types on a metrics page. */
 std::string metricsForm(const std::string& body) {
   std::istringstream lines(body);
   std::string text;
--- a/libraries/compatibility/test/value_filler.h
+++ b/libraries/compatibility/test/value_filler.h
@@ -14,9 +14,9 @@
 namespace switchsaddle::compatibility {
 
 /**
- * Fills aggregates with values that all differ, in the order in which their fields are declared.
- * Independent of the names of types and fields, and of the order in which serialize() writes them:
- * two fields of one type that are exchanged give other bytes.
+ * Fills the fields of aggregates with distinct numbers and texts, in the order of declaration. The
+ * values do not depend on the names of types and fields or on the order in which serialize() writes
+ * them, so that a test detects when serialize() swaps two fields of the same type.
  */
 class ValueFiller {
  public:
