--- a/libraries/experiments/source/fleet_model.cc
+++ b/libraries/experiments/source/fleet_model.cc
@@ -155,9 +155,9 @@
 }
 
 ListedWorker FleetModel::listed(std::size_t worker) const {
-  const ModelledWorker& known = *workers_[worker];
-  return ListedWorker{worker,           known.id(),      known.model(),
-                      known.instance(), settings_.slots, !known.up()};
+  const ModelledWorker& modelled = *workers_[worker];
+  return ListedWorker{worker,          modelled.id(), modelled.model(), modelled.instance(),
+                      settings_.slots, !modelled.up()};
 }
 
 void FleetModel::announce(std::size_t worker) {
@@ -170,13 +170,13 @@
 
 void FleetModel::updateList(std::size_t front, const ListedWorker& worker) {
   std::vector<ListedWorker>& list = lists_[front];
-  const auto known = std::find_if(list.begin(), list.end(), [&worker](const ListedWorker& one) {
+  const auto found = std::find_if(list.begin(), list.end(), [&worker](const ListedWorker& one) {
     return one.index == worker.index;
   });
-  if (known == list.end()) {
+  if (found == list.end()) {
     list.push_back(worker);
   } else {
-    *known = worker;
+    *found = worker;
   }
   fronts_[front]->setWorkers(list);
 }
--- a/libraries/experiments/source/placer.cc
+++ b/libraries/experiments/source/placer.cc
@@ -112,11 +112,11 @@
  protected:
   double costOf(const ListedWorker& worker, const ModelledPrompt& prompt) override {
     constexpr double TieBreakSeconds = 1e-5;
-    const ModelledWorker& known = *fleet_[worker.index];
-    if (!known.up()) {
+    const ModelledWorker& modelled = *fleet_[worker.index];
+    if (!modelled.up()) {
       return std::numeric_limits<double>::max();
     }
-    return known.estimateFirstToken(prompt) + TieBreakSeconds * known.running();
+    return modelled.estimateFirstToken(prompt) + TieBreakSeconds * modelled.running();
   }
 
  private:
--- a/libraries/fuzz/test/fuzz_test.cc
+++ b/libraries/fuzz/test/fuzz_test.cc
@@ -69,7 +69,7 @@
   EXPECT_EQ(allTargets(CorpusFolder).size(), 16U);
 }
 
-TEST(FuzzCorpusTest, EveryCorpusInputIsHandled) {
+TEST(FuzzCorpusTest, RunsEveryCorpusInputWithoutAnException) {
   for (const Target& target : allTargets(CorpusFolder)) {
     for (const std::string& input : target.corpus) {
       EXPECT_NO_THROW(target.run(input)) << target.name << ": " << printable(input);
--- a/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/lightweight_front.h
+++ b/libraries/lightweight_fronts/include/switchsaddle/lightweight_fronts/lightweight_front.h
@@ -12,7 +12,7 @@
 
 /** Work of a lightweight front beyond its control work. */
 struct LightweightFrontOptions {
-  /** Acquires a slot of a random tenant from the limit ledgers for each synthetic prompt. */
+  /** Acquires a slot of a random tenant from the limit ledgers for each generated prompt. */
   bool acquire_slots = false;
 };
 
@@ -40,14 +40,14 @@
   bool serving() const { return node_.session().mayDispatch(); }
   const front::FrontNode& node() const { return node_; }
   /**
-   * Places `count` synthetic prompts over the configured models and completes those of the last
+   * Places `count` generated prompts over the configured models and completes those of the last
    * call, so that the router learns and disseminates scores as it does under load.
    */
   void placePrompts(std::size_t count);
 
   /** @return granted and rejected slot requests; zero unless the options acquire slots. */
-  std::uint64_t slotsGranted() const { return slots_got_; }
-  std::uint64_t slotsRejected() const { return slots_refused_; }
+  std::uint64_t slotsGranted() const { return slots_granted_; }
+  std::uint64_t slotsRejected() const { return slots_rejected_; }
 
  private:
   std::unique_ptr<admission::SlotBroker> makeSlots(base::Dispatcher& dispatcher);
@@ -66,8 +66,8 @@
   std::uint64_t version_ = 0;
   LightweightFrontOptions options_;
   std::vector<std::uint64_t> pending_tickets_;
-  std::uint64_t slots_got_ = 0;
-  std::uint64_t slots_refused_ = 0;
+  std::uint64_t slots_granted_ = 0;
+  std::uint64_t slots_rejected_ = 0;
   front::FrontNode node_;
   /** Receives the recalls instead of the node's own broker, which no caller uses here. */
   std::unique_ptr<admission::SlotBroker> slots_;
--- a/libraries/lightweight_fronts/source/lightweight_front.cc
+++ b/libraries/lightweight_fronts/source/lightweight_front.cc
@@ -10,29 +10,29 @@
 
 namespace {
 
-/** Measurements of a synthetic completion; its run time is drawn at random. */
+/** Measurements of a generated completion; its service time is drawn at random. */
 constexpr std::uint32_t OutputTokens = 300;
 constexpr std::uint32_t PromptTokens = 1'000;
 constexpr base::Duration FirstToken = std::chrono::milliseconds(300);
-constexpr base::Duration MinimumRunTime = std::chrono::milliseconds(6'000);
-constexpr std::uint64_t RunSpreadMs = 6'000;
+constexpr base::Duration MinimumServiceTime = std::chrono::milliseconds(6'000);
+constexpr std::uint64_t ServiceTimeSpreadMs = 6'000;
 
-/** A call that failed before it was sent. */
-class NoCall final : public front::WorkerCall {
+/** The call of a request that failed before it was sent. */
+class FailedWorkerCall final : public front::WorkerCall {
  public:
   void cancel() override {}
 };
 
 /** A port through which no worker is reachable. */
-class NoWorkers final : public front::WorkerPort {
+class UnreachableWorkers final : public front::WorkerPort {
  public:
-  explicit NoWorkers(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
+  explicit UnreachableWorkers(base::Dispatcher& dispatcher) : dispatcher_(dispatcher) {}
   front::WorkerCallPtr send(const front::WorkerRequest& /*request*/,
                             std::shared_ptr<front::WorkerObserver> observer) override {
     dispatcher_.post([observer = std::move(observer)] {
       observer->onFailure(front::WorkerFailure::NotSent, false);
     });
-    return std::make_shared<NoCall>();
+    return std::make_shared<FailedWorkerCall>();
   }
 
  private:
@@ -48,7 +48,7 @@
       calls_(dispatcher, transport),
       random_(seed),
       journal_(dispatcher),
-      workers_(std::make_unique<NoWorkers>(dispatcher)),
+      workers_(std::make_unique<UnreachableWorkers>(dispatcher)),
       instance_(random_.next()),
       applied_(std::move(applied)),
       options_(options),
@@ -84,10 +84,10 @@
       std::next(tenants.begin(), static_cast<std::ptrdiff_t>(random_.below(tenants.size())));
   slots_->acquire(chosen->second.stream_branch, [this](admission::SlotOutcome outcome) {
     if (outcome.permit) {
-      ++slots_got_;
+      ++slots_granted_;
       permits_.push_back(std::move(outcome.permit));
     } else {
-      ++slots_refused_;
+      ++slots_rejected_;
     }
   });
 }
@@ -107,7 +107,8 @@
     completion.output_tokens = OutputTokens;
     completion.uncached_tokens = PromptTokens;
     completion.time_to_first_token = FirstToken;
-    completion.total = MinimumRunTime + std::chrono::milliseconds(random_.below(RunSpreadMs));
+    completion.total =
+        MinimumServiceTime + std::chrono::milliseconds(random_.below(ServiceTimeSpreadMs));
     node_.router().complete(completion);
   }
 }
--- a/libraries/scenarios/include/switchsaddle/scenarios/control_sweep.h
+++ b/libraries/scenarios/include/switchsaddle/scenarios/control_sweep.h
@@ -12,7 +12,7 @@
  * loss and duplication, from fast and lossless to slow and lossy. */
 ConfigurationScenarioOptions optionsForSeed(std::uint64_t seed);
 
-/** Names of the mechanisms that disableMechanism() knows. */
+/** Names of the mechanisms that disableMechanism() accepts. */
 std::vector<std::string> mechanisms();
 
 /** Switches one mechanism off; throws base::Error with InvalidValue if the name is unknown. */
--- a/libraries/scenarios/source/configuration_scenario.cc
+++ b/libraries/scenarios/source/configuration_scenario.cc
@@ -345,8 +345,8 @@
   std::uint64_t expected = 1;
   for (const auto& [version, change_id] : by_version) {
     if (version != expected++) {
-      addViolation("no operator received an answer that version " + std::to_string(expected - 1) +
-                   " is committed;" + describeRefusedChanges(expected - 2));
+      addViolation("no operator received an answer about committed version " +
+                   std::to_string(expected - 1) + ";" + describeRefusedChanges(expected - 2));
       break;
     }
   }
--- a/libraries/scenarios/source/control_sweep.cc
+++ b/libraries/scenarios/source/control_sweep.cc
@@ -57,9 +57,9 @@
 }
 
 void disableMechanism(const std::string& mechanism, ConfigurationScenarioOptions& options) {
-  for (const Mechanism& known : Mechanisms) {
-    if (mechanism == known.name) {
-      known.switch_off(options);
+  for (const Mechanism& candidate : Mechanisms) {
+    if (mechanism == candidate.name) {
+      candidate.switch_off(options);
       return;
     }
   }
--- a/libraries/scenarios/source/disk_faults.cc
+++ b/libraries/scenarios/source/disk_faults.cc
@@ -17,7 +17,7 @@
                                        DiskOperation::Remove};
 constexpr std::uint64_t FailuresOfEachKind = 5;
 constexpr std::uint64_t PowerLosses = 12;
-constexpr std::uint64_t SinglePowerLossesPerTotalOne = 3;
+constexpr std::uint64_t PowerLossOfAllInterval = 3;
 constexpr std::size_t MaxImpairedCores = 2;
 constexpr base::Duration StallTime = seconds(20);
 /** Below the time limit of a commit, so that slow disks do not count as failed. */
@@ -48,7 +48,7 @@
 void DiskFaults::addPowerLosses() {
   for (std::uint64_t nth = 1; nth <= PowerLosses; ++nth) {
     entries_.push_back({[this, nth](SimulatedCore& core) { powerLossAt(core, nth); }});
-    if (nth % SinglePowerLossesPerTotalOne == 0) {
+    if (nth % PowerLossOfAllInterval == 0) {
       entries_.push_back({[this](SimulatedCore&) { powerLossOfAllCores(); }});
     }
   }
--- a/libraries/scenarios/source/limits_scenario.cc
+++ b/libraries/scenarios/source/limits_scenario.cc
@@ -63,7 +63,7 @@
   return testbed::BranchLimits::fromView(configuration::buildView(document));
 }
 
-/** The number after "code": in an error's body; 0 where there is none. */
+/** The number after "code": in an error's body, or 0 if there is none. */
 int codeIn(const std::string& body) {
   constexpr std::string_view Name = "\"code\":";
   const std::size_t found = body.find(Name);
--- a/libraries/simulation/include/switchsaddle/simulation/simulated_disk.h
+++ b/libraries/simulation/include/switchsaddle/simulation/simulated_disk.h
@@ -49,7 +49,7 @@
   void setFull(bool full) { full_ = full; }
   /** Drops what was not synced, and accepts operations again. */
   void powerLoss();
-  /** Accepts operations again with all that was written, as after the death of a process. */
+  /** Accepts operations again with all that was written, as after a process was killed. */
   void resume() { faults_.resume(); }
   /** Whether the operation of interruptAt() has been reached, until powerLoss() or resume(). */
   bool interrupted() const { return faults_.interrupted(); }
