--- a/libraries/experiments/test/routing_experiment_test.cc
+++ b/libraries/experiments/test/routing_experiment_test.cc
@@ -10,8 +10,8 @@
 
 constexpr std::uint64_t FirstSeed = 101;
 constexpr std::uint64_t Seeds = 16;
-/** More seeds for the 95th percentile: it varies by a third between seeds, as workers' positions on
- * the hash ring do. */
+/** More seeds for the 95th percentile: it varies by a third between seeds, depending on the
+ * positions of the workers on the hash ring. */
 constexpr std::uint64_t SeedsOfPercentiles = 96;
 
 /** Sizes and load of a deployment, as parameters of the experiment. */
--- a/libraries/scenarios/test/core_refused_test.cc
+++ b/libraries/scenarios/test/core_refused_test.cc
@@ -69,7 +69,7 @@
   }
 }
 
-TEST_P(CoreRefusedTest, StopsAtTheEndOfTheSessionWhereTheGraceIsOff) {
+TEST_P(CoreRefusedTest, StopsAtTheEndOfTheSessionIfTheGracePeriodIsOff) {
   prepare(base::Duration::zero());
   killCores();
   serveFor(seconds(10));
--- a/libraries/scenarios/test/dissemination_scenario_test.cc
+++ b/libraries/scenarios/test/dissemination_scenario_test.cc
@@ -86,7 +86,7 @@
     bytes += traffic.bytes;
   }
   std::cout << GetParam() << " fronts: " << bytes << " bytes of deltas to fronts for one change, "
-            << fullSize() << " bytes the whole configuration\n";
+            << fullSize() << " bytes for the whole configuration\n";
   EXPECT_LT(bytes, GetParam() * fullSize() / 4);
 }
 
@@ -113,7 +113,7 @@
   const DeltaTraffic& traffic = traffic_[front.address()];
   std::cout << GetParam() << " fronts: " << traffic.messages << " deltas of " << traffic.bytes
             << " bytes to the front that was partitioned, " << fullSize()
-            << " bytes the whole configuration\n";
+            << " bytes for the whole configuration\n";
   EXPECT_EQ(traffic.whole, 0U);
   EXPECT_LT(traffic.bytes, fullSize());
   // The front received the removals as tombstones.
