--- a/libraries/scenarios/source/limits_scenario.cc
+++ b/libraries/scenarios/source/limits_scenario.cc
@@ -20,14 +20,14 @@
 constexpr int OrdinaryWorkers = 2;
 constexpr std::uint32_t WorkerSlots = 64;
 constexpr base::Duration Step = std::chrono::milliseconds(10);
-/** Requests each second: the usual, and of the tenant that sends ten times as many. */
+/** Requests per second at the usual rate, and the factor for the tenant with the load burst. */
 constexpr double UsualStreams = 10;
 constexpr double UsualOneShots = 5;
 constexpr double BurstFactor = 10;
-/** Fronts tell answers at once here, but an end and a start may lie in one millisecond. */
+/** Fronts deliver answers without delay here, but an end and a start may share a millisecond. */
 constexpr std::int64_t OccupancyMs = 25;
-/** A call may be answered this long after the last arrival. */
-constexpr base::Duration Tail = std::chrono::seconds(15);
+/** Time after the last request was sent within which requests may be answered. */
+constexpr base::Duration AnswerPeriod = std::chrono::seconds(15);
 
 std::string limitsDocument(double retry_share) {
   return R"({
@@ -63,7 +63,7 @@
   return testbed::BranchLimits::fromView(configuration::buildView(document));
 }
 
-/** The number after "code": in an error's body; 0 where there is none. */
+/** The number after "code": in an error's body, or 0 if there is none. */
 int codeIn(const std::string& body) {
   constexpr std::string_view Name = "\"code\":";
   const std::size_t found = body.find(Name);
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-/** Records the answer to one call. */
+/** Records the answer to one request. */
 class LimitsScenario::Writer : public http::ResponseWriter {
  public:
   Writer(LimitsScenario& scenario, testbed::CallEvent sent)
@@ -191,7 +191,8 @@
     fleet_.world.runUntil(in_force, std::chrono::seconds(3));
   }
   if (!in_force()) {
-    throw std::runtime_error("the configuration did not come into force");
+    throw std::runtime_error(
+        "the configuration did not come into force at every front after 10 attempts");
   }
   fleet_.world.runFor(std::chrono::seconds(1));
 }
@@ -207,7 +208,8 @@
   result_.evidence.calls.push_back(std::move(event));
 }
 
-void LimitsScenario::note(const std::string& event, const front::WorkerRequest& request) {
+void LimitsScenario::recordWorkerEvent(const std::string& event,
+                                       const front::WorkerRequest& request) {
   if (over_) {
     return;
   }
@@ -223,19 +225,19 @@
 
 void LimitsScenario::onAttempt(const front::WorkerRequest& request) {
   ++result_.attempts[request.address];
-  note("refused", request);
+  recordWorkerEvent("refused", request);
 }
 
 void LimitsScenario::onStart(const front::WorkerRequest& request) {
-  // The attempt was noted as refused right before; it is a run instead.
+  // onAttempt() has just recorded the attempt as refused; replaces that record.
   if (!over_) {
     journal_.events.pop_back();
   }
-  note("start", request);
+  recordWorkerEvent("start", request);
 }
 
 void LimitsScenario::onEnd(const front::WorkerRequest& request) {
-  note("end", request);
+  recordWorkerEvent("end", request);
 }
 
 void LimitsScenario::sendOne(const std::string& tenant, bool stream) {
@@ -278,7 +280,7 @@
   listWorkers();
   startFronts();
   if (!fleet_.world.runUntil([this] { return allReady(); }, std::chrono::seconds(30))) {
-    throw std::runtime_error("the fleet did not come up");
+    throw std::runtime_error("not every front was ready and saw all workers within 30 s");
   }
   configure();
   workers_.conditions.refusal = options_.worker_refusal;
@@ -293,7 +295,7 @@
     fleet_.world.runFor(Step);
   }
   restoreAll();
-  fleet_.world.runFor(Tail);
+  fleet_.world.runFor(AnswerPeriod);
   over_ = true;
   result_.evidence.journals = {journal_};
   testbed::BranchTolerances tolerances;
