--- a/libraries/admission/include/switchsaddle/admission/queued_slot_request.h
+++ b/libraries/admission/include/switchsaddle/admission/queued_slot_request.h
@@ -6,11 +6,14 @@
 
 namespace switchsaddle::admission {
 
-/** A front's request for slots with a pending reply. */
+/** A front's request for slots that has not been answered yet. */
 struct QueuedSlotRequest {
   wire::SlotRequest request;
   transport::ReplyFunction reply;
-  /** Whether it arrived before the recall in progress, so that the recall's reports are newer. */
+  /**
+   * Whether the request was queued before the current recall began. The fronts' reports to the
+   * recall are then newer than the request.
+   */
   bool in_recall = false;
 
   FrontIdentity front() const { return FrontIdentity{request.front, request.front_instance}; }
--- a/libraries/compatibility/test/data_folder_test.cc
+++ b/libraries/compatibility/test/data_folder_test.cc
@@ -16,10 +16,10 @@
 
 namespace fs = std::filesystem;
 
-/** The data folder of one core of five, written by an earlier release. */
+/** The data folder of one of five cores, written by an earlier release. */
 constexpr const char* DataFolder =
     SWITCHSADDLE_SOURCE_DIR "/libraries/compatibility/test/golden/core_data";
-constexpr base::Duration OpenTime = std::chrono::milliseconds(200);
+constexpr base::Duration TimeToOpen = std::chrono::milliseconds(200);
 
 std::string readFile(const fs::path& path) {
   std::ifstream file(path, std::ios::binary);
@@ -40,7 +40,7 @@
   }
 }
 
-/** A core that has opened the data folder; it has no peers that answer. */
+/** A core that has opened the data folder. None of its peers answers. */
 class DataFolderTest : public testing::Test {
  protected:
   DataFolderTest() {
@@ -50,7 +50,7 @@
     core_ = std::make_unique<scenarios::SimulatedCore>(world_, network_, platform_, settings);
     copyDataFolder(core_->disk());
     core_->start();
-    world_.runFor(OpenTime);
+    world_.runFor(TimeToOpen);
   }
 
   std::string leaseText() {
@@ -77,7 +77,7 @@
       EXPECT_FALSE(opened.is_new);
       records = opened.records;
     });
-    world_.runFor(OpenTime);
+    world_.runFor(TimeToOpen);
     return records;
   }
 
@@ -101,8 +101,8 @@
   const configuration::RegisterValue configuration = configuration::decodeRegisterValue(*value);
   text << "configuration " << configuration.document.version << " "
        << configuration.document.digest() << " " << configuration.document.toJson() << "\n";
-  for (const configuration::HistoryEntry& line : configuration.history) {
-    text << "change " << line.version << " " << line.change_id << "\n";
+  for (const configuration::HistoryEntry& entry : configuration.history) {
+    text << "change " << entry.version << " " << entry.change_id << "\n";
   }
   for (const auto& [key, bytes] : openedRecords()) {
     text << "record " << key << " " << bytes.size() << "\n";
--- a/libraries/configuration/source/forwarding.cc
+++ b/libraries/configuration/source/forwarding.cc
@@ -23,14 +23,14 @@
 }
 
 const ForwardRoute* Forwarding::find(std::string_view host, std::string_view path) const {
-  const auto of_host = by_host_.find(host);
-  if (of_host == by_host_.end()) {
+  const auto host_routes = by_host_.find(host);
+  if (host_routes == by_host_.end()) {
     return nullptr;
   }
   std::size_t end = path.rfind('/');
   while (end != std::string_view::npos) {
-    const auto found = of_host->second.find(path.substr(0, end + 1));
-    if (found != of_host->second.end()) {
+    const auto found = host_routes->second.find(path.substr(0, end + 1));
+    if (found != host_routes->second.end()) {
       return &routes.at(found->second);
     }
     end = end == 0 ? std::string_view::npos : path.rfind('/', end - 1);
--- a/libraries/front/source/attempt/attempt_list.h
+++ b/libraries/front/source/attempt/attempt_list.h
@@ -10,11 +10,11 @@
 namespace switchsaddle::front {
 
 /**
- * The attempts of one request at workers: how many were dispatched, which workers the next one must
- * not use, and what the retry budget has been charged for them.
+ * The attempts of one request. Counts the dispatches, records which workers the next attempt must
+ * not use, and charges retries to the retry budget.
  *
- * Invariant: the request counts once as a first attempt of its service, and each retry is charged
- * to the budget before it is dispatched. Runs on the control strand.
+ * Invariant: the budget counts one first attempt for the request, and each retry is charged to the
+ * budget before it is dispatched. Runs on the control strand.
  */
 class AttemptList {
  public:
@@ -27,18 +27,20 @@
 
   /** Counts the first attempt in the budget; later calls have no effect. */
   void countFirst();
-  /** Counts a dispatch and, if needed, the first attempt. Must be called right before it is sent.
+  /**
+   * Counts a dispatch, and the first attempt if it has not been counted yet. Must be called right
+   * before the attempt is sent.
    */
   void beginDispatch();
   /** @return the number of dispatches so far. */
   std::uint32_t dispatched() const { return dispatched_; }
 
-  /** @return whether acquireRetry() would succeed now; charges nothing. */
+  /** @return whether acquireRetry(share) would succeed now; charges nothing. */
   bool mayRetry(double share) const;
   /**
    * Charges one retry to the budget.
    * @param share allowed retries as a share of the service's first attempts.
-   * @param extra retries allowed beyond the share in a window.
+   * @param extra retries allowed in a window of the budget beyond the share.
    * @return whether the budget allows the retry; if not, nothing is charged.
    */
   bool acquireRetry(double share, double extra = 0);
--- a/libraries/routing/source/score_exchange.cc
+++ b/libraries/routing/source/score_exchange.cc
@@ -7,13 +7,13 @@
 
 std::vector<wire::RouteScore> ScoreExchange::exportScores() const {
   std::vector<FreshArm> fresh = freshArms();
-  const std::size_t kept = std::min(fresh.size(), MaximumScores);
-  const auto end_of_kept = fresh.begin() + static_cast<std::ptrdiff_t>(kept);
-  std::partial_sort(fresh.begin(), end_of_kept, fresh.end(), hasPriority);
+  const std::size_t exported = std::min(fresh.size(), MaximumScores);
+  const auto end_of_exported = fresh.begin() + static_cast<std::ptrdiff_t>(exported);
+  std::partial_sort(fresh.begin(), end_of_exported, fresh.end(), hasPriority);
   std::vector<wire::RouteScore> scores;
-  scores.reserve(kept);
-  std::transform(fresh.begin(), end_of_kept, std::back_inserter(scores),
-                 [this](const FreshArm& one) { return scoreOf(*one.pool, *one.arm); });
+  scores.reserve(exported);
+  std::transform(fresh.begin(), end_of_exported, std::back_inserter(scores),
+                 [this](const FreshArm& entry) { return scoreOf(*entry.pool, *entry.arm); });
   return scores;
 }
 
@@ -69,8 +69,8 @@
   Arm* arm = pool.index.findSignature(score.arm);
   const base::TimePoint now = context_.now();
   const base::Duration age = std::chrono::milliseconds(score.age_ms);
-  const bool of_current_epoch = now - age >= pool.epoch_start;
-  if (arm == nullptr || !of_current_epoch) {
+  const bool is_of_current_epoch = now - age >= pool.epoch_start;
+  if (arm == nullptr || !is_of_current_epoch) {
     return;
   }
   SpeedSample mean;
--- a/libraries/streams/include/switchsaddle/streams/relay_machine.h
+++ b/libraries/streams/include/switchsaddle/streams/relay_machine.h
@@ -16,7 +16,7 @@
   /** No chunk has been emitted; the request may be retried on another worker. */
   BeforeFirstChunk,
   Relaying,
-  /** The worker's end of the run has been emitted. */
+  /** The worker has completed the run, and "[DONE]" has been emitted. */
   Finished,
   /** The error event has been emitted. */
   Broken,
@@ -26,7 +26,7 @@
 struct RelayStep {
   /** Events for the caller, in order, as text/event-stream. */
   std::vector<std::string> events;
-  /** Ok, or the failure of this attempt; the owner then closes the connection to the worker. */
+  /** Ok, or the failure of this attempt. On a failure the owner closes the worker's connection. */
   base::ResultCode code = base::ResultCode::Ok;
 };
 
@@ -38,9 +38,9 @@
  * chunk a failed attempt can be replaced by another; afterwards a failure ends the stream with an
  * error event. Nothing is emitted after "[DONE]" or the error event.
  *
- * Memory is bounded by backpressure: the owner reads from the worker only while mayRead(), so that
- * at most `maximum_outstanding` events plus those of one read are waiting to be written. Runs on
- * the strand of the caller's connection.
+ * Memory is bounded by backpressure: the owner reads from the worker only while mayRead() is true.
+ * The number of events that wait to be written is therefore at most `maximum_outstanding` plus the
+ * events of one read. Runs on the strand of the caller's connection.
  */
 class RelayMachine {
  public:
@@ -57,7 +57,7 @@
    * @throws base::Error with InternalError unless mayRetryElsewhere().
    */
   void beginAttempt();
-  /** @param run the run named by the worker's response header; may be empty. */
+  /** @param run the id of the run in the worker's response header; may be empty. */
   void onHead(const std::string& run);
   /** Processes bytes of the worker's body. */
   RelayStep onBytes(std::string_view bytes);
@@ -76,7 +76,7 @@
   bool mayRetryElsewhere() const { return state_ == RelayState::BeforeFirstChunk; }
   bool ended() const { return state_ == RelayState::Finished || state_ == RelayState::Broken; }
   RelayState state() const { return state_; }
-  /** @return emitted events that have not been written. */
+  /** @return the number of emitted events that have not been written. */
   std::size_t outstanding() const { return outstanding_; }
   /** @return the number of emitted chunks. */
   std::uint64_t chunks() const { return chunks_; }
--- a/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
+++ b/libraries/worker_health/include/switchsaddle/worker_health/health_ranking.h
@@ -36,13 +36,18 @@
   std::string pool;
   std::string zone;
   HealthState state = HealthState::Unknown;
-  /** The symptom that decided the state. */
+  /** The symptom that makes the worker unhealthy; None in all other states. */
   Symptom symptom = Symptom::None;
-  /** Lower confidence bound of the share of its requests that are degraded, minus the explained
-   * share and weighted by symptom. */
+  /**
+   * The lower confidence bound of the share of degraded requests, minus the explained share, times
+   * the weight of the symptom. 0 unless the worker is unhealthy.
+   */
   double severity = 0;
   Evidence evidence;
-  /** Shares of degraded requests that load and the rest of the pool explain. */
+  /**
+   * Shares of degraded requests that the baseline of the pool explains, for stalls and slow
+   * transfers also long prompts. Only a higher share counts against the worker.
+   */
   double explained_stalls = 0;
   double explained_slow = 0;
   double explained_failures = 0;
@@ -50,19 +55,20 @@
   base::Duration since{};
 };
 
-/** A change of the worker that is ranked first. */
+/** Records that another unhealthy worker, or none, is now ranked first. */
 struct TopChange {
   base::TimePoint at;
   /** The worker now ranked first; empty if no worker is unhealthy any more. */
   std::string worker;
+  /** The worker ranked first before; empty if no worker was unhealthy. */
   std::string before;
 };
 
 /**
  * Ranks the workers of each pool by stalls between events, slow transfers and failures, the most
- * unhealthy first. A worker is compared with its pool without the unhealthy workers; stalls that
- * the prefill of long prompts explains are subtracted. Uses confidence bounds, so that a few
- * samples cannot classify a worker as unhealthy or healthy. Runs on the control strand.
+ * unhealthy first. Compares a worker with the other workers of its pool, except the unhealthy
+ * ones, and subtracts stalls that the prefill of long prompts explains. Uses confidence bounds, so
+ * that a few samples cannot classify a worker as unhealthy or healthy. Runs on the control strand.
  */
 class HealthRanking {
  public:
@@ -81,7 +87,7 @@
   const std::vector<WorkerRank>& ranks() const { return ranks_; }
   /** @return changes of the worker ranked first, oldest first. */
   const std::deque<TopChange>& history() const { return history_; }
-  /** @return workers on which all fronts should report, as they may be unhealthy. */
+  /** @return keys of workers that may be unhealthy; all fronts should report on them. */
   const std::vector<std::uint64_t>& questioned() const { return watched_; }
 
  private:
@@ -90,10 +96,10 @@
     base::TimePoint since;
   };
 
-  /** @return a rank with its evidence for each listed worker, by pool. */
+  /** @return the reachable workers with their evidence, by pool; they are not assessed yet. */
   std::map<std::string, std::vector<WorkerRank>> collectEvidence() const;
   void rankPool(const std::string& pool, std::vector<WorkerRank>& ranks) const;
-  /** Assesses each worker against the pool without the unhealthy workers and itself. */
+  /** Assesses each worker against the other workers of its pool, except the unhealthy ones. */
   static void assessPool(const Evidence& pool, const std::set<std::string>& unhealthy,
                          std::vector<WorkerRank>& ranks);
   void sortRanks();
--- a/programs/benchmarks/routing_benchmark.cc
+++ b/programs/benchmarks/routing_benchmark.cc
@@ -10,9 +10,9 @@
 #include "switchsaddle/simulation/process.h"
 
 /**
- * Time of one placement, choose() and complete() together, with a routing table of the largest
- * supported size. Run it manually: it is not a test, because its figures depend on the load of the
- * machine.
+ * Measures the time of one placement, that is, of one choose() and one complete(), with a routing
+ * table of the largest supported size. Run it manually: it is not a test, because its figures
+ * depend on the load of the machine.
  */
 namespace switchsaddle::routing {
 namespace {
@@ -38,7 +38,7 @@
                                               options());
     configure();
     publish(every_worker_serves_all);
-    bytes_ = ::mallinfo2().uordblks + ::mallinfo2().hblkhd - before;
+    table_bytes_ = ::mallinfo2().uordblks + ::mallinfo2().hblkhd - before;
     drawPrompts();
     for (const Prompt& prompt : prompts_) {
       place(prompt);
@@ -50,7 +50,7 @@
     place(prompts_[next_]);
   }
 
-  std::size_t bytes() const { return bytes_; }
+  std::size_t tableBytes() const { return table_bytes_; }
 
  private:
   static RouterOptions options() {
@@ -140,7 +140,7 @@
   std::deque<std::uint64_t> tickets_;
   std::size_t next_ = 0;
   std::size_t placed_ = 0;
-  std::size_t bytes_ = 0;
+  std::size_t table_bytes_ = 0;
 };
 
 void placeAndComplete(benchmark::State& state) {
@@ -148,7 +148,7 @@
   for (auto _ : state) {
     router.step();
   }
-  state.counters["table_bytes"] = static_cast<double>(router.bytes());
+  state.counters["table_bytes"] = static_cast<double>(router.tableBytes());
 }
 
 BENCHMARK(placeAndComplete)->ArgName("all_models_on_each_worker")->Arg(0)->Arg(1);
