--- a/libraries/command_line/source/exit_code.cc
+++ b/libraries/command_line/source/exit_code.cc
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr std::array Table{
-    ExitCodeInfo{ExitCode::Done, "Done", "Done, and in force on every front where it is a change."},
+    ExitCodeInfo{ExitCode::Done, "Done", "Success; a change is in force on every front."},
     ExitCodeInfo{ExitCode::Refused, "Refused",
-                 "Refused or faulty, nothing was changed; for compare, the nodes differ."},
-    ExitCodeInfo{ExitCode::Usage, "Usage", "The command line is wrong."},
+                 "Rejected or invalid, and nothing was changed; for compare, the nodes differ."},
+    ExitCodeInfo{ExitCode::Usage, "Usage", "The command line is invalid."},
     ExitCodeInfo{ExitCode::NotYetInForce, "NotYetInForce",
-                 "Committed, but not yet in force on every front."},
+                 "The change is committed, but not yet in force on every front."},
     ExitCodeInfo{ExitCode::Unknown, "Unknown",
-                 "No node answered; send a change again with its change id."},
+                 "No node responded; retry a change with the same change id."},
     ExitCodeInfo{ExitCode::EndedAtOnce, "EndedAtOnce",
-                 "A daemon ended at once on a second signal."},
+                 "A second signal ended a daemon during its graceful shutdown."},
 };
 
 }  // namespace
