--- a/cmake/Toolchain.cmake
+++ b/cmake/Toolchain.cmake
@@ -8,5 +8,5 @@
   add_link_options(-fuse-ld=mold)
 endif()
 add_compile_options(-Wall -Wextra -Wpedantic -Wshadow -Wnon-virtual-dtor -Woverloaded-virtual -Werror)
-# GCC 12 reports false positives of these two in optimised coroutine and std::variant code.
+# GCC 12 reports false positives of these two warnings in optimised coroutine and std::variant code.
 add_compile_options(-Wno-maybe-uninitialized -Wno-dangling-pointer)
--- a/cmake/Workspace.cmake
+++ b/cmake/Workspace.cmake
@@ -1,11 +1,12 @@
-# Where tests find the checkout. A header, not a compiler flag, so that checkouts share the compiler cache.
+# Path of the checkout for the tests. It is in a header and not a compiler flag, so that checkouts share the
+# compiler cache.
 set(SWITCHSADDLE_GENERATED_DIR ${CMAKE_BINARY_DIR}/generated)
 file(CONFIGURE OUTPUT ${SWITCHSADDLE_GENERATED_DIR}/source_directory.h
      CONTENT "#define SWITCHSADDLE_SOURCE_DIR \"@CMAKE_SOURCE_DIR@\"\n" @ONLY)
 
-# switchsaddle_library(NAME DEPENDS a b LINKS x): a library made of libraries/NAME/{include,source},
-# with one test program from libraries/NAME/test where that folder holds *_test.cc files. TEST_SHARDS n
-# runs it as n tests side by side.
+# switchsaddle_library(NAME DEPENDS a b LINKS x): a library made of libraries/NAME/{include,source}, with one
+# test program if libraries/NAME/test contains *.cc files. TEST_SHARDS n runs the program as n tests, which
+# ctest can run in parallel.
 function(switchsaddle_library name)
   cmake_parse_arguments(ARG "" "TEST_SHARDS" "DEPENDS;LINKS;TEST_DEPENDS" ${ARGN})
   set(root ${CMAKE_CURRENT_SOURCE_DIR}/${name})
--- a/scripts/build.sh
+++ b/scripts/build.sh
@@ -3,7 +3,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
-# Paths below the checkout are cached as relative ones, so that all checkouts share the compiler cache.
+# Relative paths in the cache let all checkouts share the compiler cache.
 export CCACHE_BASEDIR=$PWD CCACHE_NOHASHDIR=1
 [ -f "$build/build.ninja" ] || cmake -S . -B "$build" -G Ninja >/dev/null
 ninja -C "$build" "$@"
--- a/scripts/check-build-packages.py
+++ b/scripts/check-build-packages.py
@@ -3,16 +3,16 @@
 
     scripts/check-build-packages.py [--build build]
 
-Works out what apt would install for `packages` on an empty Debian system without recommendations (the
-closure), and fails where the build uses a file from outside of it:
+Computes the packages that apt would install for `packages` on an empty Debian system without recommended
+packages (the closure). Fails if the build uses a file that belongs to no package of the closure. It checks:
 
-- the configuration command of `build` is run on a copy of the sources with a PATH that holds the programs of
-  the closure alone; every file that cmake read for it must belong to the closure;
-- every header that the compiler's dependency files name for the daemon in the build folder;
-- every library and object file that the linker names for it.
+- the files that cmake reads when the configuration command of `build` runs on a copy of the sources, with only
+  the programs of the closure on its PATH;
+- the headers that the build folder's dependency files list for the daemon;
+- the libraries and object files that the linker reads for the daemon.
 
-The daemon must have been built in the build folder (scripts/build.sh). Needs root only where apt's lists are
-missing. Exit status: 0 all belong to the closure, 1 some do not, 2 the check could not be made.
+The daemon must have been built in the build folder (scripts/build.sh). Root is needed only if apt's package
+lists are missing. Exit status: 0 all files belong to the closure, 1 some do not, 2 the check could not run.
 """
 import argparse
 import os
@@ -30,24 +30,27 @@
 
 
 class CheckFailed(Exception):
-    """The check itself could not be made."""
+    """The check could not run."""
 
 
 def output_of(command, **options):
     result = subprocess.run(command, capture_output=True, text=True, **options)
     if result.returncode != 0:
-        raise CheckFailed(f"{' '.join(map(str, command))}:\n{result.stdout}{result.stderr}")
+        raise CheckFailed(
+            f"command failed with status {result.returncode}: {' '.join(map(str, command))}\n"
+            f"{result.stdout}{result.stderr}"
+        )
     return result.stdout
 
 
 def required_packages():
-    """What every Debian system has."""
+    """The packages that are essential or of priority "required", which every Debian system has."""
     lines = output_of(["dpkg-query", "-W", "-f=${Package} ${Essential} ${Priority}\n"]).splitlines()
     return [line.split()[0] for line in lines if " yes " in line or line.endswith(" required")]
 
 
 def closure_of(packages):
-    """The packages that apt would install for these on an empty system."""
+    """Returns the packages that apt would install for the given ones on an empty system."""
     with tempfile.NamedTemporaryFile() as empty_status:
         simulated = output_of(
             [
@@ -64,16 +67,16 @@
 
 
 def files_of(packages):
-    """Real paths of all files of the packages. Those that are not installed here give the build nothing."""
+    """Returns the real paths of all files of the packages. The build cannot use packages that are not installed."""
     installed = set(output_of(["dpkg-query", "-W", "-f=${Package}\n"]).split())
     listed = output_of(["dpkg-query", "-L", *sorted(packages & installed)]).splitlines()
     return {os.path.realpath(path) for path in listed if path.startswith("/")}
 
 
 def link_programs(folder, allowed):
-    """Links to the programs of the closure, those included that are chosen by /etc/alternatives."""
-    for place in PROGRAM_FOLDERS:
-        for entry in os.scandir(place):
+    """Creates links in `folder` to the allowed programs, also to those selected through /etc/alternatives."""
+    for program_folder in PROGRAM_FOLDERS:
+        for entry in os.scandir(program_folder):
             target = os.path.realpath(entry.path)
             link = folder / entry.name
             if target in allowed and not link.exists():
@@ -89,7 +92,7 @@
 
 
 def configure(build_command, allowed):
-    """Runs the configuration with the closure's programs; returns what cmake read, or its complaint."""
+    """Runs the configuration with the closure's programs. Returns the files that cmake read, and the errors."""
     configuration_command = build_command.split("&&")[0]
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -107,7 +110,9 @@
             env={"PATH": str(programs), "HOME": name, "LANG": "C"},
         )
         if result.returncode != 0:
-            return set(), [f"configuration fails with the closure's programs:\n{result.stdout}{result.stderr}"]
+            return set(), [
+                f"the configuration command fails with only the closure's programs:\n{result.stdout}{result.stderr}"
+            ]
         lists = list(sources.glob("target/CMakeFiles/Makefile.cmake")) + list(sources.glob("target/build.ninja"))
         text = "".join(path.read_text() for path in lists)
     named = re.findall(r'"(/[^"]+\.cmake)"', text)
@@ -115,7 +120,7 @@
 
 
 def headers_of(build):
-    """Headers outside the sources that the daemon's objects were compiled with."""
+    """Returns the headers outside the sources that the daemon's objects were compiled with."""
     inputs = output_of(["ninja", "-C", build, "-t", "inputs", DAEMON]).split()
     objects = {path for path in inputs if path.endswith(".o")}
     headers = set()
@@ -129,20 +134,22 @@
 
 
 def linked_files_of(build):
-    """Files outside the build folder that the linker read for the daemon."""
+    """Returns the files outside the sources that the linker read for the daemon."""
     commands = output_of(["ninja", "-C", build, "-t", "commands", DAEMON]).splitlines()
     link = next(line for line in reversed(commands) if f"-o programs/{DAEMON} " in line)
     with tempfile.NamedTemporaryFile() as program:
         command = link.replace(f"-o programs/{DAEMON} ", f"-Wl,--trace -o {program.name} ")
         traced = output_of(["/bin/sh", "-c", command], cwd=build)
-    # Each linker has its own form: "PATH", "PATH(MEMBER)" or "trace: PATH".
+    # The output format depends on the linker: "PATH", "PATH(MEMBER)" or "trace: PATH".
     paths = {re.sub(r"^trace: |\(.*", "", line.strip()) for line in traced.splitlines()}
     return {path for path in paths if path.startswith("/") and not path.startswith(str(SOURCES))}
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--build", default=os.environ.get("BUILD", "build"))
+    parser.add_argument(
+        "--build", default=os.environ.get("BUILD", "build"), help="build folder (default $BUILD or build)"
+    )
     arguments = parser.parse_args()
     system = tomllib.loads((SOURCES / "deploy/system.toml").read_text())
     build = str(SOURCES / arguments.build)
@@ -151,12 +158,12 @@
         allowed = files_of(closure)
         cmake_files, faults = configure(system["build"], allowed)
         used = {"cmake": cmake_files, "header": headers_of(build), "linked": linked_files_of(build)}
-    except CheckFailed as fault:
-        print(f"check-build-packages: {fault}", file=sys.stderr)
+    except CheckFailed as error:
+        print(f"check-build-packages: {error}", file=sys.stderr)
         return 2
     for kind, paths in used.items():
         faults += [
-            f"{kind} file of no listed package: {path}"
+            f"{kind} file belongs to no package of the closure: {path}"
             for path in sorted(paths)
             if os.path.realpath(path) not in allowed
         ]
--- a/scripts/check-pages.py
+++ b/scripts/check-pages.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Checks that the files and C++ names that pages for newcomers mention exist.
+"""Checks that the files and C++ names mentioned in the documentation pages exist.
 
     scripts/check-pages.py [PAGE...]
 
-Reads the code spans of the pages. A path must be a tracked file or folder, or the end of a tracked file's path; each
-part of a qualified name such as `sessions::SessionTable::readLive` must be a word of the C++ sources. Exit status: 0
-where all exist, 1 with one line for each that does not.
+Reads the code spans of the pages. A path must be an existing file or folder, or the end of a tracked file's path.
+Each component of a qualified name such as `sessions::SessionTable::readLive` must occur as a word in the C++ sources.
+Exit status: 0 if all exist; otherwise 1, with one line for each that does not.
 """
 import re
 import subprocess
@@ -42,11 +42,11 @@
     for number, line in enumerate((ROOT / page).read_text(encoding="utf-8").split("\n"), 1):
         for span in CODE_SPAN.findall(line):
             if PATH.fullmatch(span) and not path_exists(span, files):
-                yield f"{page}:{number}: no file {span}"
+                yield f"{page}:{number}: no such file or folder: {span}"
             for name in QUALIFIED_NAME.findall(span):
                 missing = [part for part in name.split("::") if part not in words]
                 if missing:
-                    yield f"{page}:{number}: the sources have no {'::'.join(missing)} ({name})"
+                    yield f"{page}:{number}: not found in the C++ sources: {'::'.join(missing)} (in {name})"
 
 
 def main():
--- a/scripts/claims_run.py
+++ b/scripts/claims_run.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Claims at several rates through five real cores: delay, processor time, memory and disk writes.
+"""Measures latency, processor time, memory and disk writes of claims at several rates through five real cores.
 
     scripts/claims_run.py --build BUILD --directory DIR --out FILE.csv --rates 50,100,200,400
 """
@@ -38,10 +38,10 @@
     cpu = sum(map(cpu_seconds, pids))
     memory = sum(map(resident_mb, pids))
     written = sum(map(written_bytes, pids))
-    calls = sum(map(write_calls, pids))
+    write_calls_before = sum(map(write_calls, pids))
     folders = sum(folder_mb(core["data_folder"]) for core in cores)
     start = time.monotonic()
-    answer = fleet.run(
+    output = fleet.run(
         "claims",
         "--cores",
         ",".join(core["peer_address"] for core in cores),
@@ -54,30 +54,34 @@
         "--seconds",
         str(arguments.seconds),
     ).stdout
-    took = time.monotonic() - start
-    names, values = (line.split(",") for line in answer.strip().splitlines())
+    elapsed_seconds = time.monotonic() - start
+    names, values = (line.split(",") for line in output.strip().splitlines())
     row = dict(zip(names, values))
-    done = max(1, int(row["finished"]))
-    row["core_cpu_ms_per_claim"] = 1000 * (sum(map(cpu_seconds, pids)) - cpu) / done / 5
-    row["busiest_share"] = (sum(map(cpu_seconds, pids)) - cpu) / took / 5
-    row["memory_bytes_per_claim"] = 1e6 * (sum(map(resident_mb, pids)) - memory) / done / 5
-    row["disk_bytes_per_claim"] = (sum(map(written_bytes, pids)) - written) / done / 5
-    row["write_calls_per_claim"] = (sum(map(write_calls, pids)) - calls) / done / 5
-    row["folder_bytes_per_claim"] = 1e6 * (sum(folder_mb(core["data_folder"]) for core in cores) - folders) / done / 5
+    finished_claims = max(1, int(row["finished"]))
+    row["core_cpu_ms_per_claim"] = 1000 * (sum(map(cpu_seconds, pids)) - cpu) / finished_claims / 5
+    row["busiest_share"] = (sum(map(cpu_seconds, pids)) - cpu) / elapsed_seconds / 5
+    row["memory_bytes_per_claim"] = 1e6 * (sum(map(resident_mb, pids)) - memory) / finished_claims / 5
+    row["disk_bytes_per_claim"] = (sum(map(written_bytes, pids)) - written) / finished_claims / 5
+    row["write_calls_per_claim"] = (sum(map(write_calls, pids)) - write_calls_before) / finished_claims / 5
+    row["folder_bytes_per_claim"] = (
+        1e6 * (sum(folder_mb(core["data_folder"]) for core in cores) - folders) / finished_claims / 5
+    )
     row["load_average"] = os.getloadavg()[0]
     return row
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--build", required=True)
-    parser.add_argument("--directory", required=True)
-    parser.add_argument("--out", required=True)
-    parser.add_argument("--network", default="127.52")
-    parser.add_argument("--rates", default="50,100,200,400")
-    parser.add_argument("--seconds", type=int, default=8)
-    parser.add_argument("--tenants", type=int, default=10)
-    parser.add_argument("--workers", type=int, default=0)
+    parser.add_argument("--build", required=True, help="build folder")
+    parser.add_argument("--directory", required=True, help="folder for the fleet's data")
+    parser.add_argument("--out", required=True, help="CSV file to write")
+    parser.add_argument(
+        "--network", default="127.52", help="first two bytes of the loopback addresses (default %(default)s)"
+    )
+    parser.add_argument("--rates", default="50,100,200,400", help="claims per second, comma-separated")
+    parser.add_argument("--seconds", type=int, default=8, help="seconds at each rate (default %(default)s)")
+    parser.add_argument("--tenants", type=int, default=10, help="tenants in the configuration")
+    parser.add_argument("--workers", type=int, default=0, help="fake workers in the platform's list")
     arguments = parser.parse_args()
     arguments.build = os.path.abspath(arguments.build)
     directory = pathlib.Path(os.path.abspath(arguments.directory)) / "claims"
--- a/scripts/control-run.py
+++ b/scripts/control-run.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
 """Measures the control plane on a fleet of real processes on this machine.
 
-  control-run.py latency  --layout FILE ...   change latency, and core CPU, while nothing fails
-  control-run.py recovery --layout FILE ...   300 changes, losses, and the time until fronts serve
-  control-run.py takeover --layout FILE ...   the platform watcher killed, and frozen past its term
+  control-run.py latency  --layout FILE ...   latency of changes and CPU use of cores without failures
+  control-run.py recovery --layout FILE ...   time until fronts serve after crashes and data loss
+  control-run.py takeover --layout FILE ...   lease takeover after the platform watcher is killed or frozen
 
-Each run brings up its own fleet in a fresh directory below --directory and takes it down. A line of
-JSON is printed for each figure; exit code 1 tells that something which must hold did not.
+Each run starts its own fleet in a new directory below --directory and stops it at the end. One line
+of JSON is printed for each figure. The exit code is 1 if a run failed a check.
 """
 
 import argparse
@@ -25,11 +25,11 @@
 
 
 class Failure(Exception):
-    """Something that must hold does not."""
+    """A check of the run failed."""
 
 
 def request(address, method, path, body=None, timeout=5.0, headers=None):
-    """Status and decoded body; status 0 where no answer came."""
+    """Returns the status and the decoded body; the status is 0 if no response came."""
     host, port = address.rsplit(":", 1)
     connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
@@ -50,7 +50,7 @@
 
 
 class Fleet:
-    """One fleet, driven by switchsaddle-testbed."""
+    """A fleet of processes that switchsaddle-testbed starts and stops."""
 
     operator_key = ""
 
@@ -91,7 +91,7 @@
 
 
 class Operator:
-    """Sends changes, each again until it has its final answer."""
+    """Sends configuration changes and retries each until it is acknowledged or rejected."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -111,11 +111,11 @@
                     self.version = body["version"]
                     return body
             time.sleep(0.02)
-        raise Failure("the configuration can't be read")
+        raise Failure(f"no core returned the configuration within {limit} s")
 
     def change(self, setting=None, removing=None, limit=30.0, address=None):
-        """Sends one change until it is acknowledged; returns the seconds of its first try where
-        that was the acknowledgement, else of all tries."""
+        """Retries one change until it is acknowledged. Returns the seconds from the first attempt to
+        the acknowledgement."""
         self.sent += 1
         body = {
             "change_id": f"run-{os.getpid()}-{self.sent}",
@@ -125,21 +125,21 @@
         }
         begin = time.monotonic()
         addresses = [address] if address else self.core_addresses()
-        tries = 0
+        attempts = 0
         while time.monotonic() < begin + limit:
-            target = addresses[tries % len(addresses)]
-            tries += 1
+            target = addresses[attempts % len(addresses)]
+            attempts += 1
             status, answer = request(target, "POST", "/v1/configuration/changes", body)
             if status == 200:
                 self.version = answer["version"]
                 return time.monotonic() - begin
             if status in (409, 422, 401):
-                raise Failure(f"a change was refused: {answer}")
+                raise Failure(f"a change was rejected with status {status}: {answer}")
             time.sleep(0.02)
-        raise Failure("a change was not acknowledged within its limit")
+        raise Failure(f"a change was not acknowledged within {limit} s")
 
     def change_anything(self, number):
-        """A small change; every tenth empties a zone, every thirtieth serves one again."""
+        """Sends a small change; every tenth evacuates a zone, every thirtieth ends an evacuation."""
         if number % 30 == 29 and self.zones:
             zone = sorted(self.zones)[0]
             seconds = self.change(removing=["evacuations/" + zone])
@@ -154,20 +154,20 @@
         return self.change(setting={f"keys/run-{number}": {"sha256": digest, "tenant": "first"}})
 
     def check(self):
-        """The newest acknowledged configuration and every evacuation are back."""
+        """Checks that the acknowledged version was not lost and that exactly the expected zones are evacuated."""
         expected = self.version
         zones = set(self.zones)
         body = self.read()
-        kept = {path.split("/", 1)[1] for path in body["document"] if path.startswith("evacuations/")}
+        evacuated = {path.split("/", 1)[1] for path in body["document"] if path.startswith("evacuations/")}
         if body["version"] < expected:
-            raise Failure(f"version {body['version']} is back, {expected} was acknowledged")
-        if kept != zones:
-            raise Failure(f"evacuations {sorted(kept)} are back, not {sorted(zones)}")
+            raise Failure(f"expected at least the acknowledged version {expected}, read version {body['version']}")
+        if evacuated != zones:
+            raise Failure(f"expected evacuations {sorted(zones)}, read {sorted(evacuated)}")
 
 
-def percentile(values, part):
+def percentile(values, share):
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
 def report(name, **figures):
@@ -180,7 +180,7 @@
 
 
 def runs_one_shot(address):
-    """Whether a front runs a caller's one-shot, which needs a claim at a majority of the cores."""
+    """Whether a front runs a one-shot request, which needs a claim at a majority of the cores."""
     headers = {"Authorization": "Bearer " + CALLER_KEY, "Idempotency-Key": uuid.uuid4().hex}
     body = {"service": "confirmations", "payload": "recovery"}
     status, answer = request(address, "POST", "/v1/one-shots", body, timeout=2.0, headers=headers)
@@ -190,18 +190,18 @@
 def timed_one_shot(address):
     begin = time.monotonic()
     if not runs_one_shot(address):
-        raise Failure("a one-shot did not run")
+        raise Failure(f"the one-shot request to {address} did not run")
     return time.monotonic() - begin
 
 
 def wait_serving(fleet, operator, limit=60.0):
-    """Seconds until every front is ready, holds the newest acknowledged version and has run a
-    one-shot."""
+    """Waits until every front is ready, has the newest acknowledged version and has run a one-shot
+    request. Returns the seconds that this took."""
     begin = time.monotonic()
     waiting = dict(fleet.addresses("front"))
     while waiting:
         if time.monotonic() > begin + limit:
-            raise Failure(f"{sorted(waiting)} do not serve after {limit} s: {core_statuses(fleet)}")
+            raise Failure(f"{sorted(waiting)} do not serve after {limit} s; core statuses: {core_statuses(fleet)}")
         for name, address in list(waiting.items()):
             ready, _ = request(address, "GET", "/readyz", timeout=1.0)
             status, body = request(address, "GET", "/v1/configuration", timeout=1.0)
@@ -238,7 +238,7 @@
             p99=milliseconds(percentile(times, 0.99)),
             longest=milliseconds(max(times)),
         )
-        calls = [
+        latencies = [
             timed_one_shot(address)
             for address in fleet.addresses("front").values()
             for _ in range(arguments.changes // fronts)
@@ -246,9 +246,9 @@
         report(
             "one-shot through a front ms, with its claim and a worker's run",
             fronts=fronts,
-            calls=len(calls),
-            p50=milliseconds(percentile(calls, 0.50)),
-            p95=milliseconds(percentile(calls, 0.95)),
+            calls=len(latencies),
+            p50=milliseconds(percentile(latencies, 0.50)),
+            p95=milliseconds(percentile(latencies, 0.95)),
         )
         report(
             "idle core CPU, part of one processor",
@@ -267,7 +267,7 @@
         for number in range(arguments.changes):
             operator.change_anything(number)
 
-        def came_back(name):
+        def report_recovery(name):
             begin = time.monotonic()
             seconds = wait_serving(fleet, operator)
             operator.check()
@@ -282,72 +282,75 @@
                 version=operator.version,
             )
             if seconds > SERVING_GOAL_SECONDS:
-                raise Failure(f"{name}: {seconds:.1f} s")
+                raise Failure(f"{name}: fronts serve after {seconds:.1f} s, expected at most {SERVING_GOAL_SECONDS} s")
 
         fleet.command("kill", "cores")
         fleet.command("start", "cores")
-        came_back("all cores killed and started")
+        report_recovery("all cores killed and started")
 
         fleet.command("kill", "cores", "fronts")
         fleet.command("start", "cores", "fronts")
-        came_back("all cores and fronts killed and started")
+        report_recovery("all cores and fronts killed and started")
 
         fleet.command("kill", "cores")
         fleet.command("wipe", "core-5")
         replaced = fleet.addresses("core")["core-4"]
         fleet.command("replace", "core-4")
         fleet.command("start", "core-1", "core-2", "core-3", "core-5")
-        came_back("all cores killed, one wiped, one replaced")
+        report_recovery("all cores killed, one wiped, one replaced")
 
         wait_members(fleet, operator, without=replaced)
         fleet.command("kill", "core-1", "core-2")
-        came_back("a second loss of two right after the replacement")
+        report_recovery("a second loss of two right after the replacement")
     finally:
         fleet.down()
 
 
 def core_statuses(fleet):
-    """What each core that answers says of its storage, set, sessions and held leases."""
-    seen = {}
+    """Returns storage, core set, sessions and held leases of each core that responds."""
+    statuses = {}
     for name, address in fleet.addresses("core").items():
         status, body = request(address, "GET", "/v1/status", timeout=1.0)
         if status == 200:
-            core = {part: body[part] for part in ("storage", "core_set", "sessions")}
+            core = {section: body[section] for section in ("storage", "core_set", "sessions")}
             core["leases"] = [lease for lease in body["leases"] if lease["held"]]
-            seen[name] = core
-    return seen
+            statuses[name] = core
+    return statuses
 
 
 def wait_members(fleet, operator, without, limit=60.0):
-    """Waits until the replaced core has left the settled set, and each running core votes."""
+    """Waits until every running core may vote and no membership change is pending."""
     begin = time.monotonic()
     while time.monotonic() < begin + limit:
         votes = 0
         for name, address in fleet.addresses("core").items():
             if address != without:
                 status, body = request(address, "GET", "/v1/status", timeout=1.0)
-                votes += 1 if status == 200 and votes_in_settled_set(body) else 0
+                votes += 1 if status == 200 and votes_without_pending_change(body) else 0
         if votes == 5:
             report("seconds until the wiped and the new core are members", seconds=round(time.monotonic() - begin, 2))
             return
         time.sleep(0.05)
-    raise Failure(f"the new cores were not admitted: {core_statuses(fleet)}")
+    raise Failure(f"the new cores are not members after {limit} s; core statuses: {core_statuses(fleet)}")
 
 
-def votes_in_settled_set(status):
-    """While the set is joint its former members, the lost one among them, still count."""
+def votes_without_pending_change(status):
+    """Whether the core may vote and no membership change is pending.
+
+    During a change the former members, including the lost one, still count towards a majority.
+    """
     return status["storage"]["may_vote"] and not status["core_set"]["previous"]
 
 
 def leases(fleet):
-    held = {}
+    holders = {}
     for name, address in fleet.addresses("core").items():
         status, body = request(address, "GET", "/v1/status", timeout=0.3)
         if status == 200:
             for lease in body["leases"]:
                 if lease["held"]:
-                    held.setdefault(lease["name"], []).append((lease["term"], name))
-    return held
+                    holders.setdefault(lease["name"], []).append((lease["term"], name))
+    return holders
 
 
 def wait_watcher(fleet, not_by, limit=30.0):
@@ -357,7 +360,7 @@
         if holders:
             return max(holders), time.monotonic() - begin
         time.sleep(0.02)
-    raise Failure("nobody watches the platform")
+    raise Failure(f"no core took the platform-watcher lease within {limit} s (excluded: {not_by})")
 
 
 def takeover(arguments, run):
@@ -383,30 +386,30 @@
         check_takeover(next_term, third_term, seconds)
         fleet.command("wake", next_holder)
         for _ in range(50):
-            held = leases(fleet).get("platform-watcher", [])
-            if len(held) > 1:
-                raise Failure(f"two watchers after the wake: {held}")
+            holders = leases(fleet).get("platform-watcher", [])
+            if len(holders) > 1:
+                raise Failure(f"expected one holder of the platform-watcher lease after the wake: {holders}")
     finally:
         fleet.down()
 
 
 def check_takeover(term, next_term, seconds):
     if next_term <= term:
-        raise Failure(f"term {next_term} follows {term}")
+        raise Failure(f"expected a term above {term} after the takeover, found {next_term}")
     if seconds > TAKEOVER_GOAL_SECONDS:
-        raise Failure(f"takeover took {seconds:.1f} s")
+        raise Failure(f"the takeover took {seconds:.1f} s, expected at most {TAKEOVER_GOAL_SECONDS} s")
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("command", choices=["latency", "recovery", "takeover"])
-    parser.add_argument("--programs", required=True, help="folder of the two programs")
-    parser.add_argument("--layout", required=True)
-    parser.add_argument("--configuration", required=True)
-    parser.add_argument("--directory", required=True)
-    parser.add_argument("--changes", type=int, default=300)
-    parser.add_argument("--runs", type=int, default=1)
-    parser.add_argument("--idle-seconds", type=float, default=5.0)
+    parser.add_argument("--programs", required=True, help="folder of switchsaddle and switchsaddle-testbed")
+    parser.add_argument("--layout", required=True, help="layout file of the fleet")
+    parser.add_argument("--configuration", required=True, help="initial configuration file")
+    parser.add_argument("--directory", required=True, help="folder for the fleets' data")
+    parser.add_argument("--changes", type=int, default=300, help="changes in each run (default %(default)s)")
+    parser.add_argument("--runs", type=int, default=1, help="number of runs (default %(default)s)")
+    parser.add_argument("--idle-seconds", type=float, default=5.0, help="seconds of the idle CPU measurement")
     arguments = parser.parse_args()
     actions = {"latency": latency, "recovery": recovery, "takeover": takeover}
     failed = 0
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, starts a fleet of real processes on loopback addresses and shows it at
-# work: a stream, a one-shot and its replay, a change in force everywhere, a worker killed under load. Stops
-# the fleet and ends with exit code 0 only if all of it held.
+# Installs missing packages, builds, and starts a fleet of real processes on loopback addresses. Then shows a
+# stream, a one-shot request and its replay, a change in force on every front, and a worker killed under load.
+# Stops the fleet at the end. The exit code is 0 only if every step succeeded.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ "$(id -u)" = 0 ] && ./scripts/install-packages.sh
@@ -37,7 +37,7 @@
 ctl() { "$daemon" ctl --address "$front_one,$front_two" --key "$operator" "$@"; }
 
 say "A streamed completion, up to [DONE]"
-# Right after the start the worker list may not have reached the front: it refuses, and is asked again.
+# The front may not have received the worker list yet; retry while it responds NoWorkerAvailable.
 for _ in 1 2 3 4 5 6 7 8 9 10; do
   stream=$(curl -sN --max-time 20 "http://$front_one/v1/chat/completions" -H "Authorization: Bearer $tenant" \
     -d '{"model":"small","messages":[{"role":"user","content":"hello"}],"stream":true,"max_tokens":5}')
@@ -47,7 +47,7 @@
 echo "$stream"
 expect "$stream" 'data: \[DONE\]' "the stream did not reach [DONE]"
 
-say "A one-shot, and its resend through another front: replayed, not run again"
+say "A one-shot request, resent through another front: replayed, not run again"
 one_shot() {
   curl -s --max-time 20 "http://$1/v1/one-shots" -H "Authorization: Bearer $tenant" \
     -H 'Idempotency-Key: demo-order-1' -d '{"service":"confirmations","payload":{"order":1}}'
@@ -56,8 +56,8 @@
 second=$(one_shot "$front_two")
 echo "$first"
 echo "$second"
-expect "$first" '"outcome":"ran","replayed":false' "the one-shot did not run"
-expect "$second" '"outcome":"ran","replayed":true' "the resend was not replayed"
+expect "$first" '"outcome":"ran","replayed":false' "the one-shot request did not run"
+expect "$second" '"outcome":"ran","replayed":true' "the resent request was not replayed"
 
 say "A change: applied, acknowledged, read back as in force on every front"
 ctl set tuning/route-explore-share 0.2
@@ -68,7 +68,7 @@
   exit 1
 }
 
-say "A worker is killed while callers go on"
+say "A worker is killed under load"
 "$testbed" load --fleet "$fleet/fleet.json" --load examples/demo/load.json --record "$fleet/record.jsonl" \
   --seconds 12 --seed "$(date +%s)" &
 load=$!
@@ -84,4 +84,4 @@
 say "Each front's routing table"
 ctl routing
 
-say "All of it held"
+say "All steps succeeded"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Checks formats and code: clang-format and clang-tidy on C++ (tests and platform/ too), black and flake8 on Python,
-# shfmt and shellcheck on shell scripts. With files as arguments only clang-tidy looks, and at those alone.
+# Checks formats and code: clang-format and clang-tidy on C++ (also tests and platform/), black and flake8 on
+# Python, shfmt and shellcheck on shell scripts. With files as arguments, runs only clang-tidy on those files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
@@ -16,7 +16,7 @@
   echo "shfmt, shellcheck: clean"
 }
 
-# Without its folder's compilation database clang-tidy knows no flags.
+# clang-tidy reads the compiler flags from the compilation database of the build folder.
 cmake -S . -B "$build" -G Ninja >/dev/null
 if [ "$#" -gt 0 ]; then
   files=("$@")
@@ -24,7 +24,7 @@
   check_formats
   mapfile -t files < <(git ls-files 'libraries/*.cc' 'programs/*.cc' 'platform/*.cc')
 fi
-# Members of fixtures are the words of their tests, which are subclasses: they need no suffix.
+# Tests are subclasses of their fixtures and use the fixtures' members directly: those need no suffix.
 test_config=$(sed '/MemberSuffix/d' .clang-tidy)
 
 tidy() { # FILE: one translation unit
--- a/scripts/scale_run.py
+++ b/scripts/scale_run.py
@@ -1,11 +1,12 @@
 #!/usr/bin/env python3
-"""Runs five real cores with lightweight fronts at several sizes and writes one CSV row for each.
+"""Runs five real cores with several numbers of lightweight fronts and writes one CSV row for each number.
 
     scripts/scale-run.sh --build BUILD --directory DIR --out FILE.csv --fronts 25,100,200
 
-Each size starts from empty data folders. After all lightweight fronts serve, one period without changes
-and one with changes are measured: processor time from /proc, bytes from the fronts' transports,
-delays from the sending of a change to its application on the last front. Loopback only.
+Each run starts with empty data folders. When all lightweight fronts serve, the script measures one
+period without changes and one with changes: processor time from /proc, bytes from the fronts'
+transports, and the time from sending a change until the last front has applied it. All addresses are
+on the loopback interface.
 """
 
 import argparse
@@ -45,7 +46,7 @@
 
 
 class Fleet:
-    """Five cores and a platform, of real processes, in one directory."""
+    """Five core processes and a platform process whose data is below one directory."""
 
     def __init__(self, arguments, directory):
         self.testbed = f"{arguments.build}/programs/switchsaddle-testbed"
@@ -130,8 +131,8 @@
         self.run("fleet", "down", "--directory", str(self.directory))
 
 
-class Mark:
-    """Counters of cores and lightweight fronts at one moment."""
+class CounterSnapshot:
+    """Snapshot of the counters of the cores and the lightweight fronts."""
 
     def __init__(self, cores, fronts_process, lines):
         self.time = time.monotonic()
@@ -150,7 +151,7 @@
         if rows and int(rows[-1]["serving"]) == count and int(rows[-1]["lowest_version"]) > 0:
             return
         time.sleep(0.5)
-    raise SystemExit(f"{count} lightweight fronts do not serve within {limit} s")
+    raise SystemExit(f"{count} lightweight fronts are not all serving after {limit} s")
 
 
 def measure(arguments, count):
@@ -169,7 +170,7 @@
     directory = fleet.directory
     cores = fleet.cores()
     lines = directory / "lightweight-fronts.csv"
-    whole = arguments.settle + 2 * arguments.seconds + 45
+    total_seconds = arguments.settle + 2 * arguments.seconds + 45
     command = [
         fleet.testbed,
         "lightweight-fronts",
@@ -184,7 +185,7 @@
         "--zones",
         "a,b,c",
         "--seconds",
-        str(whole),
+        str(total_seconds),
         "--prompts",
         str(arguments.prompts),
         "--versions",
@@ -201,9 +202,9 @@
     try:
         wait_serving(lines, count, 60)
         time.sleep(arguments.settle)
-        first = Mark(cores, fronts_process, lines)
+        first = CounterSnapshot(cores, fronts_process, lines)
         time.sleep(arguments.seconds)
-        second = Mark(cores, fronts_process, lines)
+        second = CounterSnapshot(cores, fronts_process, lines)
         changes = directory / "changes.csv"
         fleet.run(
             "changes",
@@ -217,7 +218,7 @@
             str(arguments.pause_ms),
         )
         time.sleep(2)
-        third = Mark(cores, fronts_process, lines)
+        third = CounterSnapshot(cores, fronts_process, lines)
         core_mb = max(resident_mb(core["pid"]) for core in cores)
         fronts_mb = resident_mb(fronts_process.pid)
         load_after = os.getloadavg()[0]
@@ -288,22 +289,24 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--build", required=True)
-    parser.add_argument("--directory", required=True)
-    parser.add_argument("--out", required=True)
-    parser.add_argument("--network", default="127.52")
-    parser.add_argument("--fronts", default="25,100,200")
-    parser.add_argument("--tenants", type=int, default=10)
-    parser.add_argument("--workers", type=int, default=0, help="synthetic workers in the platform's list")
-    parser.add_argument("--churn-ms", type=int, default=0)
-    parser.add_argument("--prompts", type=int, default=0, help="made-up completions a second and front")
-    parser.add_argument("--threads", type=int, default=2)
-    parser.add_argument("--seconds", type=int, default=15)
-    parser.add_argument("--settle", type=int, default=5)
-    parser.add_argument("--changes", type=int, default=20)
-    parser.add_argument("--pause-ms", type=int, default=300)
-    parser.add_argument("--slots", action="store_true", help="a slot of the ledgers for each prompt")
-    parser.add_argument("--weigh", action="store_true")
+    parser.add_argument("--build", required=True, help="build folder")
+    parser.add_argument("--directory", required=True, help="folder for the fleets' data")
+    parser.add_argument("--out", required=True, help="CSV file to which rows are appended")
+    parser.add_argument(
+        "--network", default="127.52", help="first two bytes of the loopback addresses (default %(default)s)"
+    )
+    parser.add_argument("--fronts", default="25,100,200", help="numbers of lightweight fronts, comma-separated")
+    parser.add_argument("--tenants", type=int, default=10, help="tenants in the configuration")
+    parser.add_argument("--workers", type=int, default=0, help="fake workers in the platform's list")
+    parser.add_argument("--churn-ms", type=int, default=0, help="milliseconds until one more worker drains")
+    parser.add_argument("--prompts", type=int, default=0, help="simulated completions per second on each front")
+    parser.add_argument("--threads", type=int, default=2, help="threads of the lightweight fronts")
+    parser.add_argument("--seconds", type=int, default=15, help="seconds of the period without changes")
+    parser.add_argument("--settle", type=int, default=5, help="seconds to wait before the first measurement")
+    parser.add_argument("--changes", type=int, default=20, help="number of changes in the second period")
+    parser.add_argument("--pause-ms", type=int, default=300, help="milliseconds between two changes")
+    parser.add_argument("--slots", action="store_true", help="take a slot from the ledgers for each prompt")
+    parser.add_argument("--weigh", action="store_true", help="measure message sizes by kind; costs time")
     arguments = parser.parse_args()
     arguments.directory = os.path.abspath(arguments.directory)
     arguments.build = os.path.abspath(arguments.build)
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, and runs every test. The verdict does not depend on the machine's load.
+# Installs missing packages, builds, and runs every test except those listed in KNOWN-RED.txt. The result does not
+# depend on the machine's load.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ "$(id -u)" = 0 ] && ./scripts/install-packages.sh
@@ -7,7 +8,7 @@
 BUILD=$build ./scripts/build.sh
 known_red=()
 if [ -s KNOWN-RED.txt ]; then
-  echo "known red tests, passed over:"
+  echo "tests listed in KNOWN-RED.txt, skipped:"
   cat KNOWN-RED.txt
   mapfile -t known_red < <(cut -d, -f1 KNOWN-RED.txt)
 fi
